--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -2,10 +2,10 @@
 
 use std::hint::black_box;
 
+use admission_control::floors::Floors;
+use admission_control::plan::{Demand, Plan, Standing};
+use admission_control::slots::Slots;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use tiller_admission::floors::Floors;
-use tiller_admission::plan::{Demand, Plan, Standing};
-use tiller_admission::slots::Slots;
 
 const TEAMS: [usize; 3] = [4, 50, 1_000];
 const CONTROLLERS: [usize; 3] = [3, 5, 9];
--- a/crates/admission/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -1,11 +1,11 @@
-//! All orders in which two controllers can see, obey and report plans, lose their leases and come
+//! All commands in which two controllers can see, obey and report plans, lose their leases and come
 //! back, while whoever leads writes new plans from what it has seen so far: what all may use
 //! together stays within the limit. Each condition that the argument rests on is left out once, and
 //! then it does not.
 
 use std::collections::HashSet;
 
-use tiller_admission::plan::{Demand, Plan, Standing, base};
+use admission_control::plan::{Demand, Plan, Standing, base};
 
 const LIMIT: f64 = 30.0;
 const LABELS: [&str; 2] = ["a", "b"];
--- a/crates/quota/benches/decisions.rs
+++ b/crates/hierarchical-quota/benches/decisions.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use tiller_quota::{Amount, NodeIx, NodeSpec, Shares, Tree, TreeSpec, Wanted};
+use hierarchical_quota::{Amount, NodeIx, NodeSpec, Shares, Tree, TreeSpec, Wanted};
 
 const LEAVES: [usize; 3] = [10, 1_000, 10_000];
 const WAITING: [u32; 3] = [100, 10_000, 100_000];
--- a/crates/quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use hierarchical_quota::{Amount, NodeIx, NodeSpec, Outer, Shares, Tree, TreeSpec, Wanted};
 use proptest::prelude::*;
-use tiller_quota::{Amount, NodeIx, NodeSpec, Outer, Shares, Tree, TreeSpec, Wanted};
 
 const NEAR: f64 = 1e-6;
 
--- a/crates/region/src/contention.rs
+++ b/crates/simulator/src/contention.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use hierarchical_quota::{Amount, NodeIx, Shares, Tree, TreeSpec};
 use jaspertiller::jobs::Phase;
 use jaspertiller::settings::Settings;
 use jaspertiller::types::{JobId, Millis, Team};
-use tiller_quota::{Amount, NodeIx, Shares, Tree, TreeSpec};
 
 use crate::config::{Config, team};
 use crate::sim::{Cut, JobPlan, World, job};
@@ -99,7 +99,7 @@
 pub const TOLERANCE: f64 = 0.05;
 /// A sample is the mean of so many looks in a second.
 const LOOKS: u64 = 10;
-/// What a task of the replay takes to save, and workers' reports are apart.
+/// What a task of the replay takes to save, and workers' heartbeats are apart.
 pub const STASH_S: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/region/src/cut_report.rs
+++ b/crates/simulator/src/cut_report.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
+use cluster_simulator::cuts::{FROM_S, Inside, Played, play};
 use comfy_table::Table;
 use indicatif::ProgressBar;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::style::RGBColor;
-use tiller_region::cuts::{FROM_S, Inside, Played, play};
 
 use crate::report::{Line, STYLE, figure};
 
--- a/crates/region/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -5,19 +5,19 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use cluster_simulator::config::{Config, team};
+use cluster_simulator::live::Shared;
+use cluster_simulator::live::controllers::Controllers;
+use cluster_simulator::live::faults::{Fault, Kind, Plan, read_plan};
+use cluster_simulator::live::users::User;
+use cluster_simulator::rules::RULES;
+use cluster_simulator::sim::{JobPlan, job};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
 use jaspertiller::jobs::Shape;
 use jaspertiller::types::{JobId, Millis};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use tiller_region::config::{Config, team};
-use tiller_region::live::Shared;
-use tiller_region::live::controllers::Controllers;
-use tiller_region::live::faults::{Fault, Kind, Plan, read_plan};
-use tiller_region::live::users::User;
-use tiller_region::rules::RULES;
-use tiller_region::sim::{JobPlan, job};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
--- a/crates/region/src/live/faults.rs
+++ b/crates/simulator/src/live/faults.rs
@@ -16,7 +16,7 @@
 pub enum Kind {
     /// A controller (n0, n1, ...) is killed, and started again when the time is over
     Kill,
-    /// A controller is cut off from state service, cloud and workers' reports
+    /// A controller is cut off from state service, cloud and workers' heartbeats
     Cut,
     /// The state service is down
     Outage,
--- a/crates/region/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -37,7 +37,7 @@
     pub cloud: Millis,
     /// The state service answers this late until then.
     pub slow: (Millis, Duration),
-    /// By controller: cut from the state service and the cloud, and from the workers' reports.
+    /// By controller: cut from the state service and the cloud, and from the workers' heartbeats.
     pub cut: Vec<Millis>,
 }
 
@@ -84,7 +84,7 @@
         inside.len()
     }
 
-    /// Lets time pass for the state service and the machines; the reports to be carried.
+    /// Lets time pass for the state service and the machines; the heartbeats to be carried.
     fn step(&mut self) -> Vec<Outgoing> {
         let now = self.now();
         self.store.pass(now, now < self.trouble.state);
--- a/crates/region/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -1,4 +1,4 @@
-//! Workers on loopback: their reports, and an address for each where orders arrive.
+//! Workers on loopback: their heartbeats, and an address for each where commands arrive.
 
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     bodies.iter().filter_map(OrderBody::order).collect()
 }
 
-/// Carries one report to the controller and its answer back.
+/// Carries one heartbeat to the controller and its answer back.
 pub async fn report(shared: Shared, client: HttpClient, out: Outgoing) {
     let address = {
         let region = shared.lock();
--- a/crates/region/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -1,5 +1,5 @@
-//! Machines and their workers: sessions, tokens, images, gangs, saving. A worker's life goes on in
-//! steps of a few milliseconds; who drives it carries its reports.
+//! Machines and their workers: agent epochs, tokens, images, gangs, saving. A worker's life goes on in
+//! steps of a few milliseconds; who drives it carries its heartbeats.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -13,7 +13,7 @@
 
 use crate::config::{Config, Rig, Timing};
 
-/// A worker waits this long for the answer to a report.
+/// A worker waits this long for the answer to a heartbeat.
 const ANSWER: Millis = Millis(4_000);
 const NEVER: Millis = Millis(u64::MAX);
 /// After a change a worker reports this soon.
@@ -81,7 +81,7 @@
     pub deaf_until: Millis,
     /// It reaches no controller until then, though direct commands reach it.
     pub mute_until: Millis,
-    /// Only this controller's answers and orders reach it until then.
+    /// Only this controller's answers and commands reach it until then.
     pub hears_only: Option<(usize, Millis)>,
     /// Whose answer renewed its lease last, and when.
     pub renewed: Option<(usize, Millis)>,
@@ -504,7 +504,7 @@
         only.is_none_or(|(only, until)| only == node || until <= now)
     }
 
-    /// A controller's answer to a report.
+    /// A controller's answer to a heartbeat.
     pub fn answered(&mut self, out: &Outgoing, answer: ReportAnswer, now: Millis) {
         let nodes = self.nodes;
         let hears = self.hears(&out.host, out.node, now);
@@ -519,7 +519,7 @@
         machine.in_flight = None;
         match answer {
             ReportAnswer::Orders { baton, orders } => {
-                // Dropped: its lease is not renewed, its orders are not executed.
+                // Dropped: its lease is not renewed, its commands are not executed.
                 if baton < machine.baton {
                     return;
                 }
--- a/crates/region/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -13,8 +13,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use tiller_region::live::faults::Kind;
-use tiller_region::slopes::Size;
+use cluster_simulator::live::faults::Kind;
+use cluster_simulator::slopes::Size;
 
 /// A region of stand-ins on loopback, round real controllers.
 #[derive(Parser)]
--- a/crates/region/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -5,14 +5,14 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
+use cluster_simulator::config::Config;
+use cluster_simulator::contention::{
+    self, Kind, Level, Replay, SETTLE_S, STASH_S, Sample, TOLERANCE, end_s, phases, replay,
+};
 use comfy_table::Table;
 use indicatif::ProgressBar;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::prelude::*;
-use tiller_region::config::Config;
-use tiller_region::contention::{
-    self, Kind, Level, Replay, SETTLE_S, STASH_S, Sample, TOLERANCE, end_s, phases, replay,
-};
 
 pub const STYLE: &str = "body{font-family:sans-serif;max-width:70em;margin:2em auto;color:#222}\
     table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;\
--- a/crates/region/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -5,12 +5,12 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
+use cluster_simulator::scale::{Outcome, ScaleSettings, Second, check_limits, run};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
 use jaspertiller::settings::SettingsError;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::style::RGBColor;
-use tiller_region::scale::{Outcome, ScaleSettings, Second, check_limits, run};
 
 use crate::report::{Line, STYLE, figure};
 
--- a/crates/region/src/serve.rs
+++ b/crates/simulator/src/serve.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use anyhow::Context;
+use cluster_simulator::config::Config;
+use cluster_simulator::live::control;
+use cluster_simulator::live::controllers::Controllers;
+use cluster_simulator::live::faults::{Fault, Kind, read_plan};
 use jaspertiller::http_client::HttpClient;
-use tiller_region::config::Config;
-use tiller_region::live::control;
-use tiller_region::live::controllers::Controllers;
-use tiller_region::live::faults::{Fault, Kind, read_plan};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
--- a/crates/region/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -130,7 +130,7 @@
     /// To a worker, when it was sent, and whether an answer is still waited for.
     Direct(usize, u64, HostId, Baton, Session, Vec<Order>, u64, bool),
     Report(Outgoing),
-    /// A copy of a report that was sent long ago.
+    /// A copy of a heartbeat that was sent long ago.
     Copy(Outgoing),
     Answer(Outgoing, ReportAnswer),
     Submit(usize),
@@ -185,10 +185,10 @@
     pub held_commands: Option<(f64, std::ops::Range<u64>)>,
     /// How many of these were obeyed after their sender had given up.
     pub obeyed_late: u64,
-    /// Share of reports of which a copy comes, how much later, and the share of these of which
+    /// Share of heartbeats of which a copy comes, how much later, and the share of these of which
     /// nothing but the copy comes.
     pub copies: Option<(f64, std::ops::Range<u64>, f64)>,
-    /// Copies that came from an earlier session of their machine.
+    /// Copies that came from an earlier agent epoch of their machine.
     pub copies_of_old_sessions: u64,
     /// Share of messages between controllers of which a copy comes, and how much later.
     pub peer_copies: Option<(f64, std::ops::Range<u64>)>,
@@ -196,7 +196,7 @@
     pub peer_copies_sent: u64,
     /// How much longer what controllers and workers send each other is on its way.
     pub slow_links: Option<std::ops::Range<u64>>,
-    /// Machines whose reports are held back on their way until they are let through, and these reports.
+    /// Machines whose reports are held back on their way until they are let through, and these heartbeats.
     pub holds_reports: HashSet<HostId>,
     pub held_reports: Vec<Outgoing>,
     /// Share of the jobs whose user cancels, asks and submits once more as the last task ends; how often
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Answers and orders do not reach a machine for a while, though its reports arrive.
+    /// Answers and commands do not reach a machine for a while, though its heartbeats arrive.
     pub fn deafen_worker(&mut self, index: usize, until: u64) {
         let host = self.alive(index);
         if let Some(machine) = host.and_then(|host| self.machines.hosts.get_mut(&host)) {
--- a/crates/region/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
+use cluster_simulator::meter::Direction;
+use cluster_simulator::slopes::{Played, Role, Size, play};
 use comfy_table::Table;
-use tiller_region::meter::Direction;
-use tiller_region::slopes::{Played, Role, Size, play};
 
 const TABLE_HEAD: [&str; 9] = [
     "machines (simulated)",
--- a/crates/region/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct Role {
     pub leads: bool,
-    /// Machines of its blocks at the end.
+    /// Machines of its shards at the end.
     pub machines: usize,
     pub meter: NodeMeter,
     /// What it looked at: name and count.
--- a/crates/region/tests/admission.rs
+++ b/crates/simulator/tests/admission.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
+use cluster_simulator::config::{Config, team};
+use cluster_simulator::sim::{Cut, JobPlan, World, ZoneCut, job};
 use jaspertiller::types::Zone;
-use tiller_region::config::{Config, team};
-use tiller_region::sim::{Cut, JobPlan, World, ZoneCut, job};
 
 const NODES: usize = 5;
 /// Users come until then, and what came is to be served by `END_S`.
--- a/crates/region/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -1,9 +1,9 @@
 //! Whole controllers in a simulated world: crashes, cuts, outages, late messages. The world
 //! checks the rules; each test also shows that the work gets done in the end.
 
+use cluster_simulator::config::Config;
+use cluster_simulator::sim::{Cut, JobPlan, World, ZoneCut, job};
 use jaspertiller::types::Millis;
-use tiller_region::config::Config;
-use tiller_region::sim::{Cut, JobPlan, World, ZoneCut, job};
 
 const NODES: usize = 5;
 /// Fewer machines than this tell nothing of their zone, whatever is on them.
@@ -25,7 +25,7 @@
             1 => job(i, "large", "gang", 2, 1.0, 5_000),
             2 => job(i, "small", "standing", 2, 1.0, 0),
             4 => job(i, "small", "gang", 3, 1.0, 4_000),
-            // Whole machines, more than one holder's block has at first.
+            // Whole machines, more than one holder's shard has at first.
             3 if i < 7 => job(i, "large", "sweep", 12, 1.0, 3_000),
             3 => job(i, "large", "gang", 4, 4.0, 6_000),
             5 => job(i, "large", "sweep", 1, 1.0, 20_000),
--- a/crates/region/tests/troubles/meetings/holders.rs
+++ b/crates/simulator/tests/faults/combined_faults/holders.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashSet;
 
+use cluster_simulator::sim::{Refusal, World};
 use jaspertiller::types::Millis;
-use tiller_region::sim::{Refusal, World};
 
 use super::super::{alone, restarts};
 use super::{AT, Meeting, Seen, at_work, hear_only, leader, renewed_by, told};
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Every version that a block's key had meanwhile: each is another hold.
+/// Every version that a shard's key had meanwhile: each is another hold.
 pub fn holds(world: &mut World, until: u64) -> u64 {
     let mut seen = HashSet::new();
     while world.now < until {
--- a/crates/region/tests/troubles/meetings/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashSet;
 
+use cluster_simulator::sim::{JobPlan, World, ZoneCut, job};
 use jaspertiller::types::{HostId, JobId, Millis, TaskId};
-use tiller_region::sim::{JobPlan, World, ZoneCut, job};
 
 use super::super::alone;
 use super::holders::holds;
@@ -181,7 +181,7 @@
         controllers: 5,
         lease_s: None,
         play: |w| {
-            // Around a report, a lease, a cancellation's time, and both.
+            // Around a heartbeat, a lease, a cancellation's time, and both.
             let spans = [2_000, 9_000, 11_800, 12_500, 14_500, 24_000, 30_500, 45_000];
             let (mut began, mut hung) = (HashSet::new(), 0);
             for round in 0..2 {
@@ -267,7 +267,7 @@
                 for index in 0..4 {
                     w.abort_at(now + 6_500 + 300 * index, (4 * round + index) as usize);
                 }
-                // A machine of which a report is on its way is no more, another begins anew.
+                // A machine of which a heartbeat is on its way is no more, another begins anew.
                 w.kill_worker(round as usize);
                 w.run_until(now + 4_000);
                 w.reboot_worker(round as usize + 1, false);
--- a/crates/region/tests/troubles/meetings/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -8,9 +8,9 @@
 
 use std::collections::HashSet;
 
+use cluster_simulator::config::Config;
+use cluster_simulator::sim::{JobPlan, Refusal, World, job};
 use jaspertiller::types::{JobId, Millis};
-use tiller_region::config::Config;
-use tiller_region::sim::{JobPlan, Refusal, World, job};
 
 use super::{CALM, alone, finish, seeds};
 
--- a/crates/region/tests/troubles/meetings/pairs.rs
+++ b/crates/simulator/tests/faults/combined_faults/pairs.rs
@@ -1,9 +1,9 @@
 //! A seeded search over pairs of troubles, each placed relative to a step of the one before.
 
+use cluster_simulator::sim::{Refusal, World, ZoneCut, job};
 use jaspertiller::types::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use tiller_region::sim::{Refusal, World, ZoneCut, job};
 
 use super::super::{CALM, alone, finish, log_if_asked, seeds};
 use super::holders::MEETINGS;
--- a/crates/region/tests/troubles/meetings/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -1,7 +1,7 @@
 //! Meetings of what users ask with ends, refusals and controllers that are away.
 
+use cluster_simulator::sim::{Refusal, World, job};
 use jaspertiller::types::Millis;
-use tiller_region::sim::{Refusal, World, job};
 
 use super::super::{alone, restarts};
 use super::{AT, Meeting, Seen, at_work, leader, told};
--- a/crates/region/tests/troubles/leaders.rs
+++ b/crates/simulator/tests/faults/leaders.rs
@@ -1,9 +1,9 @@
 //! Leaders that are replaced, and messages between controllers that are lost, doubled or late, while jobs keep
 //! coming: the index of free room of every controller is right at each second, and work goes on.
 
-use tiller_region::sim::{Cut, JobPlan, World, job};
+use cluster_simulator::sim::{Cut, JobPlan, World, job};
 
-use super::meetings::leader;
+use super::combined_faults::leader;
 use super::{NODES, finish, world};
 
 /// The trouble begins here.
--- a/crates/region/tests/troubles/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -1,17 +1,17 @@
-//! Troubles that were on no list: machines that speak and do not hear, late copies of reports,
+//! Troubles that were on no list: machines that speak and do not hear, late copies of heartbeats,
 //! controllers that keep their workers and lose all else, processes and machines that are back at
 //! once, jobs that fail everywhere. No rule may break, all work has to end, and whatever is left has
 //! to be heard of and to wait for something that can be named.
 
+mod combined_faults;
 mod leaders;
-mod meetings;
 
 use std::ops::Range;
 
+use cluster_simulator::config::Config;
+use cluster_simulator::sim::{Cut, JobPlan, World, job};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use tiller_region::config::Config;
-use tiller_region::sim::{Cut, JobPlan, World, job};
 
 const NODES: usize = 5;
 /// All troubles are over by then.
@@ -332,7 +332,7 @@
 }
 
 /// A controller that keeps its workers and loses all else answers them until somebody else holds their
-/// block; then they come over with their tasks. Kept on with a lower token, they killed them at the end
+/// shard; then they come over with their tasks. Kept on with a lower token, they killed them at the end
 /// of their lease.
 #[test]
 fn machines_change_hands_without_a_kill() {
--- a/crates/region/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
+use cluster_simulator::config::{Config, team};
+use cluster_simulator::rules::Group;
+use cluster_simulator::sim::{Cut, JobPlan, World, job};
 use jaspertiller::settings::Settings;
 use jaspertiller::types::{JobId, Millis, Room, Team};
-use tiller_region::config::{Config, team};
-use tiller_region::rules::Group;
-use tiller_region::sim::{Cut, JobPlan, World, job};
 
 const TREE: &str = "[tree]\nrevision = REV\nhold_s = 3\n\
     [node coop]\ngpus = 40\n\
@@ -175,7 +175,7 @@
     near(&world, &due, 1.0, "changed during reclaim");
 }
 
-/// Each level's limit is dealt to blocks as the teams' are: no controller, late transaction or
+/// Each level's limit is dealt to shards as the teams' are: no controller, late transaction or
 /// takeover may break it.
 #[test]
 fn limits_of_every_level_hold_whatever_fails() {
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use admission_control::floors::Floors;
+use admission_control::slots::Slot;
 use rustc_hash::FxHashMap as HashMap;
-use tiller_admission::floors::Floors;
-use tiller_admission::slots::Slot;
 
 use crate::types::{JobId, Millis};
 
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -3,7 +3,7 @@
 pub mod backlog;
 pub mod shared;
 
-use tiller_admission::slots::{Slot, Slots};
+use admission_control::slots::{Slot, Slots};
 
 use crate::jobs::Spec;
 use crate::settings::Settings;
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -1,8 +1,8 @@
 //! The changes that all controllers share: what each tells of its need, and the plan that divides
-//! them. Why the sum holds: `tiller_admission::plan`.
+//! them. Why the sum holds: `admission_control::plan`.
 
+use admission_control::plan::{Demand, Plan, Standing};
 use rustc_hash::FxHashMap as HashMap;
-use tiller_admission::plan::{Demand, Plan, Standing};
 
 use crate::types::{Millis, NodeId, Revision};
 
--- a/src/controller/admitting.rs
+++ b/src/controller/admitting.rs
@@ -36,7 +36,7 @@
 
     pub(super) fn keep_plan(&mut self) {
         let limit = Shared::limit(self.settings.deployment.state.write_rps);
-        let base = tiller_admission::plan::base(limit, self.settings.controllers());
+        let base = admission_control::plan::base(limit, self.settings.controllers());
         let member = self.obeys_plan();
         let plan = &self.shared.plan;
         let allowed = plan.allowance(self.me.as_str(), member, base);
--- a/src/controller/committing.rs
+++ b/src/controller/committing.rs
@@ -206,8 +206,8 @@
             if !pages.contains_key(&page) && pages.len() >= MOST_PAGES.min(ops.saturating_sub(4)) {
                 break;
             }
-            // No higher token may exist when this is written. The leader places in blocks of
-            // others too: whoever holds the block then starts the task.
+            // No higher token may exist when this is written. The leader places in shards of
+            // others too: whoever holds the shard then starts the task.
             let held = |block| self.leases.holds(block, &self.me);
             let known = |block| self.leases.blocks.get(block).map(|(_, token)| *token);
             let leads = self.leading().is_some();
@@ -312,7 +312,7 @@
             self.require_tree(&mut txn);
         }
         if let Some(lead) = self.leading().filter(|_| borrowed) {
-            // In blocks of others a leader places on what it knows of all: carried out after its term,
+            // In shards of others a leader places on what it knows of all: carried out after its term,
             // it would add to what its successor has dealt out meanwhile.
             txn.require(LEADER.into(), lead);
         }
@@ -403,7 +403,7 @@
     /// All noted changes are dropped: the next reports and cycles bring back what still holds.
     pub(super) fn settle(&mut self, id: &JobId) {
         // Of tasks that left their machines, the last reports still hold: replicas on two holders'
-        // machines end at once, and one of the two had to wait for its machine's next report.
+        // machines end at once, and one of the two had to wait for its machine's next heartbeat.
         let ended = self.jobs.get(id).map(|job| {
             let left = job
                 .changes
--- a/src/controller/committing/tests.rs
+++ b/src/controller/committing/tests.rs
@@ -18,7 +18,7 @@
     })
 }
 
-/// A controller that holds block a.0 under token 5 and knows one machine there and one in b.0.
+/// A controller that holds shard a.0 under token 5 and knows one machine there and one in b.0.
 pub fn controller(spec: Spec, tasks: Vec<Task>) -> (Controller, JobId) {
     controller_with(&settings(), spec, tasks)
 }
--- a/src/controller/contact/mod.rs
+++ b/src/controller/contact/mod.rs
@@ -12,7 +12,7 @@
 const ASK_EVERY: Millis = Millis(2_500);
 /// And only so many that fell silent in a second: most are dead, and hold a socket until that shows.
 const MOST_ASKED: usize = 32;
-/// A machine is quiet once so many of its reports are missing.
+/// A machine is quiet once so many of its heartbeats are missing.
 const QUIET: f64 = 1.6;
 /// Fewer quiet machines than these are none too many.
 const FEW: usize = 3;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Shows our token to the machines of our blocks that have not seen it: until then they may
+    /// Shows our token to the machines of our shards that have not seen it: until then they may
     /// go on reporting to an earlier holder, who may not know that it is one. Asks those that speak
     /// and are not proved to hear.
     pub(super) fn fence(&mut self) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Sends a machine orders that start nothing, unless an exchange is under way.
+    /// Sends a machine commands that start nothing, unless an exchange is under way.
     fn send_direct(&mut self, host: &HostId, token: Token, orders: Vec<Order>) {
         let baton = self.baton(token);
         let gone = self.fleet.gone.contains(host);
--- a/src/controller/contact/tests.rs
+++ b/src/controller/contact/tests.rs
@@ -10,7 +10,7 @@
 use crate::workers::wire::{Order, Report};
 
 const HOST: &str = "vm-2";
-/// When its last report came.
+/// When its last heartbeat came.
 const REPORTED: u64 = 60_000;
 
 fn report(id: &JobId, tally: u64, stages: &[&str]) -> Report {
@@ -98,7 +98,7 @@
         let fit = controller.ours(&controller.machines[&HostId::from(HOST)]);
         let case = format!("{after} ms after, the block taken at {block_taken}, {known_mute}");
         assert_eq!(fit, room, "{case}");
-        // Its next report makes it sound again, once it has answered what is asked then.
+        // Its next heartbeat makes it sound again, once it has answered what is asked then.
         let (now, host) = (controller.now, HostId::from(HOST));
         controller.answer_report(report(&id, 3, &["running"]));
         answers(&mut controller, report(&id, 4, &["running"]), now.0 + 10);
--- a/src/controller/fleet_keeping.rs
+++ b/src/controller/fleet_keeping.rs
@@ -35,7 +35,7 @@
 const SOLD_OUT: Millis = Millis(15_000);
 /// A machine that takes this many times its usual boot time never comes up.
 const NEVER: f64 = 3.0;
-/// What a quick fetch and the first report take, about.
+/// What a quick fetch and the first heartbeat take, about.
 const QUICK_FETCH_S: f64 = 8.0;
 /// The kind of objective that says how soon work should start.
 const STARTS: &str = "wait";
@@ -270,9 +270,9 @@
         let deleting = &self.fleet.deleting;
         lost.retain(|host| !deleting.contains(host));
         silenced.retain(|suspect| !deleting.contains(&suspect.host));
-        let room = MOST_DELETED.saturating_sub(lost.len());
+        let remaining = MOST_DELETED.saturating_sub(lost.len());
         let hold = self.settings.operator.hold;
-        lost.extend(self.zones.give_up(silenced, room, hold, self.now));
+        lost.extend(self.zones.give_up(silenced, remaining, hold, self.now));
         for (host, machine) in &self.machines {
             if machine.sick && !self.fleet.gone.contains(host) {
                 self.drains.insert(host.clone());
@@ -817,7 +817,7 @@
     }
 
     /// A holder that had not heard of a deletion placed tasks on the machine after it, by a late
-    /// copy of a report, or what was to be written of it was overtaken: nobody else will ever see
+    /// copy of a heartbeat, or what was to be written of it was overtaken: nobody else will ever see
     /// these tasks leave.
     fn leave_the_gone(&mut self) {
         let hosts = self.jobs.hosts();
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! This controller's lease, leadership, the blocks, and the watch that feeds the cache.
+//! This controller's lease, leadership, the shards, and the watch that feeds the cache.
 
 use std::collections::BTreeSet;
 
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Whether this controller may place tasks in its blocks now.
+    /// Whether this controller may place tasks in its shards now.
     pub(super) fn may_place(&self) -> bool {
         let stop_before = self.settings.operator.stop_before;
         match self.leases.own {
@@ -321,7 +321,7 @@
         self.synced = false;
         self.listing = false;
         // What is reserved is forgotten too, so what is under way must come to nothing: with the
-        // lease go the blocks' tokens that it rests on.
+        // lease go the shards' tokens that it rests on.
         self.ended_old = false;
         self.leases.lose(&self.me);
         self.jobs = Jobs::default();
@@ -565,7 +565,7 @@
     }
 
     /// Whether reports may be answered. A controller that lost the state service goes on: nothing
-    /// is told of its machines' tasks before it is seen, and whoever holds its blocks now shows
+    /// is told of its machines' tasks before it is seen, and whoever holds its shards now shows
     /// the machines a higher token.
     pub(super) fn may_answer(&self) -> bool {
         let keep = self.settings.operator.keep;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -25,10 +25,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use admission_control::gate::Gate;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
-use tiller_admission::gate::Gate;
 
 use crate::admission::Flows;
 use crate::admission::backlog::Backlog;
@@ -58,7 +58,7 @@
 use crate::zones::silence::Zones;
 use work::Work;
 
-/// A worker's answer to orders that were sent to it directly: its report after them, or what it
+/// A worker's answer to commands that were sent to it directly: its heartbeat after them, or what it
 /// refused them with.
 pub struct DirectAnswer {
     pub report: Option<Report>,
@@ -98,11 +98,11 @@
     Ready {
         reply: ReplyId,
     },
-    /// What came of asking a worker for its report.
+    /// What came of asking a worker for its heartbeat.
     Inspected {
         answered: bool,
     },
-    /// What came of orders sent directly; none: no answer.
+    /// What came of commands sent directly; none: no answer.
     Direct {
         host: HostId,
         answer: Option<DirectAnswer>,
@@ -111,12 +111,12 @@
 
 #[derive(Debug)]
 pub enum Effect {
-    /// Asks a worker for its report, to see whether workers can be reached.
+    /// Asks a worker for its heartbeat, to see whether workers can be reached.
     Inspect {
         host: HostId,
         address: SocketAddr,
     },
-    /// Orders that do not wait for the worker's next report.
+    /// Orders that do not wait for the worker's next heartbeat.
     Direct {
         host: HostId,
         address: SocketAddr,
@@ -189,7 +189,7 @@
     Dropped,
     /// New shares of the teams' limits.
     Deal {
-        /// A block whose share it is conditioned on, and the version of that.
+        /// A shard whose share it is conditioned on, and the version of that.
         rests_on: (BlockId, Revision),
     },
     /// The tree of quotas, page by page.
@@ -388,13 +388,13 @@
     leases: Leases,
     keeping: Keeping,
     zones: Zones,
-    /// When each block last changed hands, as far as we saw.
+    /// When each shard last changed hands, as far as we saw.
     moved: HashMap<BlockId, Millis>,
-    /// Whether we hear from workers; without that we can hold no blocks.
+    /// Whether we hear from workers; without that we can hold no shards.
     hears: bool,
     last_report: Millis,
     inspected: Millis,
-    /// How often in a row we gave our blocks up since no worker reached us.
+    /// How often in a row we gave our shards up since no worker reached us.
     gave_up_deaf: u32,
     /// Most of our machines have not reported for a while.
     most_are_quiet: bool,
@@ -415,7 +415,7 @@
     gathered: HashMap<JobId, Millis>,
     /// Transactions under way that write shares.
     dealing: u32,
-    /// Deals without an answer that may still be carried out: a block of each, and the version of its
+    /// Deals without an answer that may still be carried out: a shard of each, and the version of its
     /// share that the deal rests on.
     unsure_deals: Vec<(BlockId, Revision)>,
     dealt: Millis,
@@ -446,7 +446,7 @@
     short_until: Millis,
     /// Pages of jobs that are over are being dropped.
     dropping: bool,
-    /// Jobs that the leader wants room made for in our blocks.
+    /// Jobs that the leader wants room made for in our shards.
     to_preempt: HashMap<JobId, HostId>,
     /// Jobs whose last task failed.
     failed_jobs: HashSet<JobId>,
@@ -704,7 +704,7 @@
         &self.work
     }
 
-    /// How many machines of its own blocks this controller knows.
+    /// How many machines of its own shards this controller knows.
     pub fn machines_held(&self) -> usize {
         let held = |machine: &&Machine| self.token_for(&machine.block).is_some();
         self.machines.values().filter(held).count()
--- a/src/controller/nested.rs
+++ b/src/controller/nested.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use tiller_quota::Wanted;
+use hierarchical_quota::Wanted;
 
 use super::{Controller, Effect, Purpose};
 use crate::jobs::cache::{Change, Job};
@@ -320,7 +320,7 @@
         self.several(id).then(|| KEPT + Millis::from_secs(longest))
     }
 
-    /// The leader has room made for a job's tasks in our blocks: we place them there.
+    /// The leader has room made for a job's tasks in our shards: we place them there.
     pub(super) fn expect_task(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|_| self.several(id)) else {
             return;
@@ -394,7 +394,7 @@
             over(team.cpus_max, used.cpus),
             over(team.gpus_max, used.gpus),
         );
-        // Blocks of ours, each for its part of the excess.
+        // Shards of ours, each for its part of the excess.
         let ours: Vec<_> = self
             .jobs
             .blocks_of(&team.name)
@@ -477,7 +477,7 @@
         })
     }
 
-    /// What every placement rests on besides its block: the tree in force.
+    /// What every placement rests on besides its shard: the tree in force.
     pub(super) fn require_tree(&self, txn: &mut Txn) {
         txn.require(HEAD.into(), self.nested.version());
     }
--- a/src/controller/nested/tests.rs
+++ b/src/controller/nested/tests.rs
@@ -7,7 +7,7 @@
 use crate::settings::TeamSettings;
 use crate::store::Call;
 use crate::types::{Attempt, BlockId, Session};
-use tiller_quota::TreeSpec;
+use hierarchical_quota::TreeSpec;
 
 /// A controller that leads, has one job of eight tasks, and a tree in force at revision 11 that
 /// caps its team, and the node above it at one more.
@@ -82,7 +82,7 @@
     let (mut controller, id) = with_tree(11, 5);
     let txn = place(&mut controller, &id, 0).unwrap();
     assert_eq!(required(&txn, HEAD), Some(11));
-    // Shares of both levels rise with it, in the block's one record.
+    // Shares of both levels rise with it, in the shard's one record.
     let text = format!("{:?}", txn.changes);
     assert!(text.contains("vision") && text.contains("#top"), "{text}");
     assert_eq!(txn.changes.len(), 2, "{text}");
--- a/src/controller/peering.rs
+++ b/src/controller/peering.rs
@@ -13,7 +13,7 @@
     BlockId, HostId, JobId, Millis, NodeId, Permit, Revision, Session, Token, Zone,
 };
 use crate::workers::{Cached, Machine, block_of};
-use tiller_admission::plan::Demand;
+use admission_control::plan::Demand;
 
 const STATUS_EVERY: Millis = Millis(1_000);
 /// What others said of a machine that nobody described is of no use after this long.
@@ -144,7 +144,7 @@
             machine.heard_by = from.clone();
             let session = Session(pulse.session);
             if session != machine.session {
-                // What we know of its counter is of another session.
+                // What we know of its counter is of another agent epoch.
                 (machine.session, machine.tally) = (session, 0);
             }
             machine.hearing.told(!pulse.doubtful, now);
--- a/src/controller/placing.rs
+++ b/src/controller/placing.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: one task a cycle from the queue onto a machine of our blocks; what does
+//! The ordinary path: one task a cycle from the queue onto a machine of our shards; what does
 //! not fit goes to the leader.
 
 use std::collections::BTreeSet;
@@ -142,7 +142,7 @@
     }
 
     /// Fetching an image takes far longer than the way over the leader, or than stopping work that
-    /// gives way: where our blocks lack the image, a job is placed where it is, and room is made
+    /// gives way: where our shards lack the image, a job is placed where it is, and room is made
     /// there for an urgent one. False: the ordinary cycle goes on.
     fn quicker(&mut self, id: &JobId, order: Order) -> bool {
         let Some(job) = self.jobs.get(id) else {
@@ -184,7 +184,7 @@
         false
     }
 
-    /// Tells the leader that a job does not fit our blocks, if there is one.
+    /// Tells the leader that a job does not fit our shards, if there is one.
     fn hand_back(&mut self, id: &JobId) -> bool {
         let Some(to) = self.leader().cloned() else {
             return false;
@@ -300,7 +300,7 @@
             return beyond.map(|_| ()).map_err(|_| checks);
         }
         let attempt = Attempt(job.highest_attempt().0 + 1);
-        // The leader sees the whole fleet, so a gang that no block has room for spans several.
+        // The leader sees the whole fleet, so a gang that no shard has room for spans several.
         let (scope, raise) = if self.leading().is_some() {
             (Scope::All, Some(count))
         } else {
--- a/src/controller/placing/tests.rs
+++ b/src/controller/placing/tests.rs
@@ -38,13 +38,13 @@
     }
 }
 
-/// A block came back to us whose machine had begun a new session meanwhile, under another holder.
-/// Its counter was held against that of the session that we knew, so what it said counted as old
+/// A shard came back to us whose machine had begun a new agent epoch meanwhile, under another holder.
+/// Its counter was held against that of the agent epoch that we knew, so what it said counted as old
 /// for minutes, and it was given up for silence.
 #[test]
 fn a_counter_is_of_its_own_session() {
     let cases = [
-        // session that the other holder told of, session and counter that the machine shows, newer
+        // agent epoch that the other holder told of, agent epoch and counter that the machine shows, newer
         (1, 1, 50, false),
         (1, 1, 51, true),
         (2, 2, 5, true),
@@ -80,7 +80,7 @@
 }
 
 /// A holder went on placing on a machine that the leader had just had deleted until it had been silent for a
-/// few reports.
+/// few heartbeats.
 #[test]
 fn holders_hear_which_machines_are_being_deleted() {
     type Step = fn(&mut Controller);
--- a/src/controller/pool.rs
+++ b/src/controller/pool.rs
@@ -45,7 +45,7 @@
         self.whole(machine).minus(self.jobs.taken(&machine.host))
     }
 
-    /// Fit for tasks that we place ourselves: in a block of ours, and heard under its token.
+    /// Fit for tasks that we place ourselves: in a shard of ours, and heard under its token.
     pub(super) fn ours(&self, machine: &Machine) -> bool {
         self.token_for(&machine.block).is_some_and(|token| {
             machine.baton.token() == token
@@ -75,7 +75,7 @@
         let mut changed = self.jobs.take_changed_hosts();
         changed.extend(std::mem::take(&mut self.pool.touched));
         if self.now.since(self.pool.built) >= POOL_HOLDS {
-            // Images are entered when a host is named; a sweep looks at the rest.
+            // Images are entered when a machine is named; a sweep looks at the rest.
             self.enter(changed);
             self.sweep_pool();
         } else {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Enters these hosts as they stand now.
+    /// Enters these machines as they stand now.
     fn enter(&mut self, hosts: impl IntoIterator<Item = HostId>) {
         for host in hosts {
             let entry = self.machines.get(&host).and_then(|m| self.entry(m));
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -1,4 +1,4 @@
-//! Workers' reports: who answers them, and what they prove.
+//! Workers' heartbeats: who answers them, and what they prove.
 
 use std::collections::BTreeSet;
 
@@ -23,8 +23,8 @@
 const LONG_ENOUGH: Millis = Millis(40_000);
 /// A job that was handed over and stays unknown for this long is forgotten.
 const HANDED_EARLY: Millis = Millis(10_000);
-/// A controller that gave its blocks up, took some since, and heard nobody again waits so much longer before
-/// it tries once more. Workers that reach nobody had blocks change hands every few seconds.
+/// A controller that gave its shards up, took some since, and heard nobody again waits so much longer before
+/// it tries once more. Workers that reach nobody had shards change hands every few seconds.
 const DEAF_AGAIN: Millis = Millis(10_000);
 const MOST_DEAF: u32 = 3;
 
@@ -42,7 +42,7 @@
 /// A machine without tasks that nobody has heard for this long is forgotten.
 pub(super) const FORGET: Millis = Millis(120_000);
 
-/// How long a machine has been silent, and its block in the same hands.
+/// How long a machine has been silent, and its shard in the same hands.
 pub(super) struct Silence {
     pub since_heard: Millis,
     pub held: Millis,
@@ -76,7 +76,7 @@
         self.effects.push(Effect::Worker { reply, answer });
     }
 
-    /// A controller that none of its workers reaches gives its blocks up, and takes some again
+    /// A controller that none of its workers reaches gives its shards up, and takes some again
     /// once it reaches workers.
     pub(super) fn keep_hearing(&mut self) {
         if !self.hears {
@@ -117,7 +117,7 @@
     }
 
     /// Whether no other controller hears workers either: then it is they who can't report, and nobody would
-    /// do better with our blocks.
+    /// do better with our shards.
     fn all_are_deaf(&self) -> bool {
         let members = &self.settings.members;
         let deaf = |label| self.word_of(label).is_some_and(|peer| !peer.hears);
@@ -145,7 +145,7 @@
         heard.unwrap_or_default()
     }
 
-    /// How long a machine has been silent, by the word of whoever holds its block now; nobody
+    /// How long a machine has been silent, by the word of whoever holds its shard now; nobody
     /// else can tell. A holder that hears nobody can't either.
     pub(super) fn silent_for(&self, host: &HostId, block: &BlockId) -> Option<Silence> {
         let (holder, _) = self.leases.blocks.get(block)?;
@@ -194,7 +194,7 @@
         };
         let baton = self.baton(token);
         if report.baton > baton {
-            // Somebody holds this block under a higher token, whatever we have heard so far.
+            // Somebody holds this shard under a higher token, whatever we have heard so far.
             return ReportAnswer::Elsewhere(None);
         }
         if !self.may_answer() {
@@ -208,7 +208,7 @@
         let (now, me) = (self.now, self.me.clone());
         let silence = self.silence();
         let lease_s = self.settings.deployment.workers.lease_s;
-        // A session that ends sooner after an answer has not heard it.
+        // An agent epoch that ends sooner after an answer has not heard it.
         let most = Millis::from_secs(lease_s * 0.75);
         let lease = Millis::from_secs(lease_s * 1.05 + 2.0);
         let machine = self.machines.entry(report.host.clone()).or_insert_with(|| {
@@ -249,8 +249,8 @@
             return none;
         };
         if machine.baton.token() < token || !complete {
-            // Its first report to us: it sees our token in the answer and reports again at once. A
-            // holder that does not know yet what was placed before it came gives no orders: a
+            // Its first heartbeat to us: it sees our token in the answer and reports again at once. A
+            // holder that does not know yet what was placed before it came gives no commands: a
             // task that has left the machine since would start there once more.
             return none;
         }
@@ -267,7 +267,7 @@
         ReportAnswer::Orders { baton, orders }
     }
 
-    /// Sends a worker its starts and stops without waiting for its report. Only to one that was
+    /// Sends a worker its starts and stops without waiting for its heartbeat. Only to one that was
     /// heard just now: a start that stays without an answer ties the task to the machine.
     pub(super) fn poke(&mut self, host: &HostId) {
         let Some(machine) = self.machines.get(host) else {
@@ -289,7 +289,7 @@
         let gathering = |job: &Job| self.gathering(job);
         let mut orders = reconcile(machine, token, &self.jobs, &self.stops, gathering).orders;
         // An attempt is forgotten, and one that waited alone is started once more, only by the
-        // answer to a report: direct orders may come minutes late.
+        // answer to a heartbeat: direct commands may come minutes late.
         let forgotten: HashSet<(TaskId, Attempt)> = orders
             .iter()
             .filter_map(|order| match order {
@@ -355,8 +355,8 @@
                 machine.hearing.prove();
             }
             if report.shift != machine.session {
-                // The lease of a session that we did not know of runs from when it began, not from
-                // when we answered a report last.
+                // The lease of an agent epoch that we did not know of runs from when it began, not from
+                // when we answered a heartbeat last.
                 machine.aware = None;
             }
             machine.take_in(&report, now, &me);
--- a/src/controller/reports/tests.rs
+++ b/src/controller/reports/tests.rs
@@ -6,8 +6,8 @@
 use crate::jobs::{Placement, Task};
 use crate::types::{Baton, Revision, Session};
 
-/// A machine came back at once and said so in its answer to direct orders. Its last answered
-/// report was of the session before, so its lease was taken for over while its tasks ran, and
+/// A machine came back at once and said so in its answer to direct commands. Its last answered
+/// report was of the agent epoch before, so its lease was taken for over while its tasks ran, and
 /// they were started elsewhere.
 #[test]
 fn a_session_that_a_direct_answer_shows_has_its_whole_lease() {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A new holder's answer to a report was lost, so the worker went on with the holder before, and
+/// A new holder's answer to a heartbeat was lost, so the worker went on with the holder before, and
 /// was renewed there until it was shown the new token directly. Then it fell silent. Its lease was
 /// taken for over by the answer that it had never heard, while its tasks ran for ten seconds more.
 #[test]
@@ -103,7 +103,7 @@
     }
 }
 
-/// A copy of a report came after its machine was deleted. It was taken for the machine, tasks were
+/// A copy of a heartbeat came after its machine was deleted. It was taken for the machine, tasks were
 /// placed there, and nobody ever saw them leave.
 #[test]
 fn a_machine_that_is_met_by_a_report_gets_work_once_it_has_answered() {
@@ -130,7 +130,7 @@
     assert!(fit(&controller), "it answered");
 }
 
-/// No worker reached any controller for a while: each gave its blocks up to the others, took some, heard nobody
+/// No worker reached any controller for a while: each gave its shards up to the others, took some, heard nobody
 /// and gave them up again, every few seconds.
 #[test]
 fn blocks_are_not_passed_round_while_nobody_hears_workers() {
--- a/src/controller/sharing.rs
+++ b/src/controller/sharing.rs
@@ -1,4 +1,4 @@
-//! Shares of the teams' limits: who may place how much in a block, and how the leader deals.
+//! Shares of the teams' limits: who may place how much in a shard, and how the leader deals.
 
 use std::collections::BTreeMap;
 
@@ -18,13 +18,13 @@
         self.nested.limits(&job.spec.team)
     }
 
-    /// Whether the cache shows all that was placed in a block before we came to hold it.
+    /// Whether the cache shows all that was placed in a shard before we came to hold it.
     pub(super) fn complete(&self, block: &BlockId) -> bool {
         let token = self.leases.blocks.get(block).map_or(0, |(_, t)| t.0);
         self.applied.0 >= token
     }
 
-    /// The blocks in which the next task of a job would exceed the share of its team, or of a node
+    /// The shards in which the next task of a job would exceed the share of its team, or of a node
     /// above it. With `raise`,
     /// the leader adds to a share what it places, as long as the limit has room for `tasks`.
     pub(super) fn full_blocks(&self, job: &Job, raise: Option<u32>) -> Vec<BlockId> {
@@ -40,7 +40,7 @@
             let fits = |block: &BlockId| {
                 let used = self.jobs.used_in(&team.name, block).plus(job.spec.room);
                 let share = self.shares.share(block, &team.name);
-                // What is placed in another's block has to be added to its share.
+                // What is placed in another's shard has to be added to its share.
                 let ours = self.leases.holds(block, &self.me).is_some();
                 let keeps = (ours || raise.is_none()) && self.complete(block);
                 keeps && quota::within_share(used, share, team)
@@ -84,7 +84,7 @@
         self.all_blocks(team).into_iter().map(dealt).collect()
     }
 
-    /// The same with the shares as they will be raised for what is reserved in others' blocks.
+    /// The same with the shares as they will be raised for what is reserved in others' shards.
     fn to_be_dealt(&self, team: &TeamSettings) -> Vec<Dealt> {
         let raised = |block: BlockId, dealt: Dealt| {
             let room = self.jobs.reserved_in(&team.name, &block);
@@ -98,7 +98,7 @@
         dealt.map(|(block, dealt)| raised(block, dealt)).collect()
     }
 
-    /// Whether we hold a block and know all that is placed there.
+    /// Whether we hold a shard and know all that is placed there.
     fn own(&self, block: &BlockId) -> bool {
         self.leases.holds(block, &self.me).is_some() && self.complete(block)
     }
@@ -152,7 +152,7 @@
         self.transact(Class::Duties, txn, Purpose::Deal { rests_on });
     }
 
-    /// Adds to a placement's transaction what it rests on: the share of each block. Where the
+    /// Adds to a placement's transaction what it rests on: the share of each shard. Where the
     /// leader places beyond a share, the share rises by as much. False: the shares have changed
     /// since the tasks were reserved, and have no room for them.
     pub(super) fn require_shares(
@@ -193,7 +193,7 @@
 
     /// A transaction that placed tasks went unanswered and may be applied late. Its room is not
     /// free before a change of the share that it rests on rules that out.
-    /// `changes` are those of the transaction: others of the job may have been noted since, in blocks
+    /// `changes` are those of the transaction: others of the job may have been noted since, in shards
     /// that it does not rest on.
     pub(super) fn void_later(&mut self, id: &JobId, changes: &[(u32, Change)]) -> bool {
         let job = self.jobs.get(id);
--- a/src/controller/sharing/tests.rs
+++ b/src/controller/sharing/tests.rs
@@ -56,8 +56,8 @@
     keys
 }
 
-/// A deal got no answer, the next one gave the same room to another block, and the first was
-/// carried out after it: both blocks could use it.
+/// A deal got no answer, the next one gave the same room to another shard, and the first was
+/// carried out after it: both shards could use it.
 #[test]
 fn a_deal_without_an_answer_is_ruled_out_before_the_next() {
     let block = BlockId::parse("a.0").unwrap();
@@ -86,8 +86,8 @@
     }
 }
 
-/// While a placement was under way another task of the job was reserved in another block. The
-/// placement got no answer, the other block's share was rewritten, and it could still be carried out
+/// While a placement was under way another task of the job was reserved in another shard. The
+/// placement got no answer, the other shard's share was rewritten, and it could still be carried out
 /// after its room had been given away.
 #[test]
 fn a_placement_without_an_answer_is_ruled_out_by_its_own_block() {
@@ -108,7 +108,7 @@
     assert_eq!(written(&controller), [b]);
 }
 
-/// A leader placed in another's block by raising its share. That was carried out after its term,
+/// A leader placed in another's shard by raising its share. That was carried out after its term,
 /// when its successor had dealt the same room to others.
 #[test]
 fn what_a_leader_places_in_blocks_of_others_rests_on_its_term() {
@@ -137,13 +137,13 @@
     }
 }
 
-/// Two tasks were reserved in a block that used less than its share. Its share was raised by both,
-/// though the limit had been checked for what the block would use: in the end all blocks together
+/// Two tasks were reserved in a shard that used less than its share. Its share was raised by both,
+/// though the limit had been checked for what the shard would use: in the end all shards together
 /// could use a task more than the limit.
 #[test]
 fn a_share_is_raised_by_what_the_limit_was_checked_for() {
     let cases = [
-        // who holds the block, its share, share of the other, tasks placed; new share of the block
+        // who holds the shard, its share, share of the other, tasks placed; new share of the shard
         ("n0", 1.0, 4.0, 2, Some(2.0)),
         ("n0", 1.0, 4.0, 3, None),
         ("n0", 2.0, 4.0, 2, Some(2.0)),
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -14,7 +14,7 @@
     serde_json::from_value(report).unwrap()
 }
 
-/// A leader that gave itself a block knew of that before the watch had brought what was placed
+/// A leader that gave itself a shard knew of that before the watch had brought what was placed
 /// and freed there last: it had a task start that had moved on.
 #[test]
 fn a_new_holder_gives_no_orders_before_it_knows_what_was_placed() {
--- a/src/cycle.rs
+++ b/src/cycle.rs
@@ -46,7 +46,7 @@
     pub job: &'a Job,
     /// Where the job's tasks are; only for jobs whose zones depend on it.
     zones: BTreeMap<Zone, u32>,
-    /// Blocks where the team's share is used up.
+    /// Shards where the team's share is used up.
     full: Vec<BlockId>,
     /// Empty machines are not for it: no more stand ready than urgent work needs.
     pub keeps_off_empty: bool,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether the machine's zone and block are open to the job.
+    /// Whether the machine's zone and shard are open to the job.
     pub fn allows(&self, machine: &Machine) -> bool {
         self.closes(&machine.block).is_none()
     }
 
-    /// Why no machine of a block is open to the job, if none is.
+    /// Why no machine of a shard is open to the job, if none is.
     pub fn closes(&self, block: &BlockId) -> Option<Check> {
         if !self.zone_allowed(&block.zone) {
             return Some(Check::Zones);
--- a/src/cycle/index.rs
+++ b/src/cycle/index.rs
@@ -1,4 +1,4 @@
-//! The index of free room: machines that can take tasks, by block, type and kind, by what is free on each, and
+//! The index of free room: machines that can take tasks, by shard, type and kind, by what is free on each, and
 //! by image. Kept as things change, so that a cycle visits machines that fit instead of the whole fleet.
 //!
 //! Machines of one class look alike to a cycle, but for the images in their caches: those that have a job's
@@ -15,7 +15,7 @@
 /// Machines that are allowed, or not, to a job as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
-    /// Of a block that this controller holds.
+    /// Of a shard that this controller holds.
     pub own: bool,
     pub block: BlockId,
     pub rig: Sku,
@@ -193,7 +193,7 @@
         self.entries.iter()
     }
 
-    /// Whether a machine is entered at this level, with so many images, in such a block.
+    /// Whether a machine is entered at this level, with so many images, in such a shard.
     pub fn stands(
         &self,
         host: &HostId,
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -10,7 +10,7 @@
 pub enum Kind {
     /// A health check: its asker waits a second.
     Probe,
-    /// A worker's report: 4 s.
+    /// A worker's heartbeat: 4 s.
     Report,
     /// A user: 5 s, and at a poll 2.
     User,
@@ -30,7 +30,7 @@
 /// Once the oldest has waited so long, there is more than can be done, and the newest have the
 /// most time left.
 const LATE: Millis = Millis(1_000);
-/// After so many reports a user's turn comes.
+/// After so many heartbeats a user's turn comes.
 const REPORTS_PER_USER: u32 = 4;
 
 /// Requests by kind, each since when.
--- a/src/jobs/cache.rs
+++ b/src/jobs/cache.rs
@@ -33,7 +33,7 @@
 /// Why a task is known to be off its machine. Silence is none of these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Seen by the holder of the machine's block, under this token: under another, somebody else
+    /// Seen by the holder of the machine's shard, under this token: under another, somebody else
     /// may have started the task since.
     Holder(Token),
     /// The cloud answered that the machine is deleted.
@@ -83,7 +83,7 @@
     pub placed: u32,
     pub done: u32,
     pub changes: BTreeMap<u32, Change>,
-    /// Tasks that are known to have left their hosts, though that is not written yet: their room
+    /// Tasks that are known to have left their machines, though that is not written yet: their room
     /// is free, but they count for the team and for zones.
     left: BTreeMap<u32, HostId>,
     pub writing: Writing,
@@ -250,7 +250,7 @@
     pub taken: Vec<HostId>,
 }
 
-/// What is taken of a host. Kept as tasks come and go, so that looking at a host costs the same
+/// What is taken of a machine. Kept as tasks come and go, so that looking at a machine costs the same
 /// whatever is on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostUse {
@@ -311,7 +311,7 @@
     }
 }
 
-/// What is taken of all hosts, and where that has changed since somebody asked.
+/// What is taken of all machines, and where that has changed since somebody asked.
 #[derive(Default)]
 struct HostUses {
     by_host: HashMap<HostId, HostUse>,
@@ -326,7 +326,7 @@
     }
 
     fn vacate(&mut self, host: &HostId, spec: &Spec, committed: bool) {
-        // An empty host is forgotten, and with it what rounding left of its sums.
+        // An empty machine is forgotten, and with it what rounding left of its sums.
         if let Some(taken) = self.by_host.get_mut(host)
             && !taken.remove(spec, committed)
         {
@@ -405,11 +405,11 @@
     left_by: HashMap<Team, Room>,
     /// Groups are counted as teams are, under names of their own.
     groups: Groups,
-    /// What each team's tasks use in each block, reserved ones included, and how many they are.
+    /// What each team's tasks use in each shard, reserved ones included, and how many they are.
     in_block: InBlock,
     /// Placed in memory, not yet committed.
     reserved_by: HashMap<Team, Room>,
-    /// The same by block.
+    /// The same by shard.
     reserved_in: InBlock,
     /// Pages that came before their job's record.
     early: HashMap<JobId, BTreeMap<u32, (Revision, String)>>,
@@ -467,7 +467,7 @@
         self.uses.by_host.contains_key(host)
     }
 
-    /// What is taken of a host.
+    /// What is taken of a machine.
     pub fn host_use(&self, host: &HostId) -> HostUse {
         self.uses.by_host.get(host).copied().unwrap_or_default()
     }
@@ -477,12 +477,12 @@
         std::mem::take(&mut self.uses.changed)
     }
 
-    /// Room taken on a host: by what the records place there and by what is reserved.
+    /// Room taken on a machine: by what the records place there and by what is reserved.
     pub fn taken(&self, host: &HostId) -> Room {
         self.host_use(host).taken
     }
 
-    /// Whether all work on a host gives way to urgent work.
+    /// Whether all work on a machine gives way to urgent work.
     pub fn yielding(&self, host: &HostId) -> bool {
         self.host_use(host).yielding()
     }
@@ -539,7 +539,7 @@
         self.usage(team).minus(left)
     }
 
-    /// What a team's tasks use in one block, reserved ones included.
+    /// What a team's tasks use in one shard, reserved ones included.
     pub fn used_in(&self, team: &Team, block: &BlockId) -> Room {
         room_in(&self.in_block, team, block)
     }
@@ -549,7 +549,7 @@
         room_in(&self.reserved_in, team, block)
     }
 
-    /// The blocks that a team has tasks in.
+    /// The shards that a team has tasks in.
     pub fn blocks_of(&self, team: &Team) -> impl Iterator<Item = &BlockId> {
         self.in_block.get(team).into_iter().flat_map(|b| b.keys())
     }
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -19,7 +19,7 @@
 const MOST: usize = 2_000;
 
 /// A job with more noted changes than this is looked over only so often: each look goes through all
-/// of them, and an array of 25,000 tasks has some in every report.
+/// of them, and an array of 25,000 tasks has some in every heartbeat.
 const MANY: usize = 100;
 const LOOK_EVERY: Millis = Millis(400);
 
--- a/src/jobs/ends/tests.rs
+++ b/src/jobs/ends/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::jobs::cache::tests::jobs;
 
-/// An array of 25,000 tasks has ends in every report, and each look went through all that were
+/// An array of 25,000 tasks has ends in every heartbeat, and each look went through all that were
 /// noted: the processor was at its share for minutes. No change is left without a look.
 #[test]
 fn a_job_with_many_changes_is_looked_over_only_so_often() {
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -71,7 +71,7 @@
 impl Spec {
     pub fn allows(&self, rig: &Sku, zone: &Zone, spot: bool) -> bool {
         self.rigs.as_ref().is_none_or(|rigs| rigs.contains(rig))
-            && self.yard.as_ref().is_none_or(|yard| yard == zone)
+            && self.yard.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
 
--- a/src/jobs/trials.rs
+++ b/src/jobs/trials.rs
@@ -74,7 +74,7 @@
         self.jobs.get(job).is_some_and(|trial| trial.suspect)
     }
 
-    /// A machine turned out to be sick: what failed there does not speak against jobs any more.
+    /// A machine turned out to be quarantined: what failed there does not speak against jobs any more.
     pub fn sick(&mut self, host: &HostId, now: Millis) {
         for trial in self.jobs.values_mut() {
             if trial.failed_on.remove(host) {
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,7 +1,7 @@
-//! Leases: which controllers are there, which one leads, and who holds which block of machines.
+//! Leases: which controllers are there, which one leads, and who holds which shard of machines.
 //!
 //! Each controller has one lease in the state service; its own record, its leadership and its
-//! blocks hang on it, so one renewal keeps them all and its end takes them all away.
+//! shards hang on it, so one renewal keeps them all and its end takes them all away.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,11 +26,11 @@
 pub struct NodeRecord {
     pub permit: Permit,
     pub zone: Zone,
-    /// Whether it can hold blocks: it hears from workers.
+    /// Whether it can hold shards: it hears from workers.
     pub hears: bool,
 }
 
-/// An office belongs to a process, not to a label: to the lease that the process took itself. One
+/// A lease belongs to a process, not to a label: to the lease that the process took itself. One
 /// that was started again reads what the process before it held, and must not take it for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether an office of this holder is a dead process's that had our label.
+    /// Whether a lease of this holder is a dead process's that had our label.
     fn of_the_dead(&self, holder: &NodeId, permit: Permit, me: &NodeId) -> bool {
         holder == me && self.permit() != Some(permit)
     }
@@ -126,7 +126,7 @@
         (leader == me).then_some(*version)
     }
 
-    /// Another controller holds a block of ours under a higher token, by its own word.
+    /// Another controller holds a shard of ours under a higher token, by its own word.
     pub fn supersede(&mut self, block: &BlockId, holder: &NodeId, token: Token) -> bool {
         match self.blocks.get(block) {
             Some((known, old)) if *old < token && known != holder => {
@@ -138,14 +138,14 @@
     }
 
     /// Our lease is over, and all that hung on it with it, though the watch may bring that later.
-    /// Without this a leader back from a cut takes up its old office under its new lease.
+    /// Without this a leader back from a cut takes up its old lease under its new lease.
     pub fn lose(&mut self, me: &NodeId) {
         self.own = Own::None;
         self.leader.take_if(|(leader, _)| leader == me);
         self.blocks.retain(|_, (holder, _)| holder != me);
     }
 
-    /// Takes in a record. An office of the process that had our label before counts as nobody's.
+    /// Takes in a record. A lease of the process that had our label before counts as nobody's.
     pub fn feed(
         &mut self,
         me: &NodeId,
@@ -205,7 +205,7 @@
     }
 }
 
-/// Who should hold each block: controllers of its zone, in turn; blocks of a zone without any go
+/// Who should hold each shard: controllers of its zone, in turn; shards of a zone without any go
 /// to those who hold least. The same for all who know the same controllers, so nothing moves
 /// without need.
 pub fn rightful(
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -148,7 +148,7 @@
     let me = NodeId::from("n0");
     let block = BlockId::parse("a.0").unwrap();
     let cases = [
-        // our lease; who held the office by the record, under which lease; ours, anybody's
+        // our lease; who held the lease by the record, under which lease; ours, anybody's
         (None, "n0", 7, false, false),
         (Some(8), "n0", 7, false, false),
         (Some(8), "n0", 8, true, true),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -16,18 +16,18 @@
         label: String,
     },
     Status(Status),
-    /// To the homes of their jobs: these tasks have left machines of the sender's blocks.
+    /// To the homes of their jobs: these tasks have left machines of the sender's shards.
     Left(Vec<Left>),
     /// To all: a task of this job failed on that machine.
     Failed {
         job: String,
         host: String,
     },
-    /// To the leader: this job does not fit the sender's blocks.
+    /// To the leader: this job does not fit the sender's shards.
     Unplaced {
         job: String,
     },
-    /// From the leader: the receiver's blocks have room for this job, or can make it on the
+    /// From the leader: the receiver's shards have room for this job, or can make it on the
     /// machine named.
     Place {
         job: String,
@@ -47,7 +47,7 @@
     pub job: String,
     pub index: u32,
     pub attempt: u64,
-    /// The token of the machine's block under which that was seen.
+    /// The token of the machine's shard under which that was seen.
     pub token: u64,
     /// Whether it is done.
     pub done: bool,
@@ -70,10 +70,10 @@
     /// Changes a second that the sender made lately, in thousandths, and how many wait.
     pub used_milli: u64,
     pub waiting: u64,
-    /// The blocks that the sender holds, with their tokens. A controller that lost the state
-    /// service learns from it that a block of its own has another holder.
+    /// The shards that the sender holds, with their tokens. A controller that lost the state
+    /// service learns from it that a shard of its own has another holder.
     pub blocks: Vec<(String, u64)>,
-    /// The machines of the sender's blocks.
+    /// The machines of the sender's shards.
     pub machines: Vec<Pulse>,
     /// More about those that changed since they were last told of, and about some of the others,
     /// since a message may be lost.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct MachineView {
     pub host: String,
-    /// Where its worker takes orders directly.
+    /// Where its worker takes commands directly.
     pub address: String,
     pub rig: String,
     pub zone: String,
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -5,10 +5,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use admission_control::floors::Floors;
+use admission_control::slots::Slot;
 use rand::Rng;
 use rustc_hash::FxHashMap as HashMap;
-use tiller_admission::floors::Floors;
-use tiller_admission::slots::Slot;
 
 use crate::admission::Flow;
 use crate::jobs::Rank;
@@ -25,7 +25,7 @@
     Zones,
     /// The team's limit.
     Team,
-    /// The block's share of the team's limit.
+    /// The shard's share of the team's limit.
     Share,
     /// The rest of an old attempt.
     Attempt,
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,6 +1,6 @@
 //! Team guarantees and limits.
 //!
-//! A team's limit is dealt out to the blocks in shares. Who places in a block keeps to its share,
+//! A team's limit is dealt out to the shards in shares. Who places in a shard keeps to its share,
 //! on condition that the record of the share has not changed; the leader deals so that the sum
 //! never exceeds the limit, whatever was placed that it has not seen yet.
 
@@ -20,7 +20,7 @@
     format!("{SHARES}{block}")
 }
 
-/// What a team may use in one block, of each amount that its limit names.
+/// What a team may use in one shard, of each amount that its limit names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     pub cpus: f64,
@@ -43,10 +43,10 @@
     }
 }
 
-/// The record of a block: the share of each team that has a limit.
+/// The record of a shard: the share of each team that has a limit.
 pub type ShareRecord = BTreeMap<Team, Share>;
 
-/// All blocks' shares, as the state service has them.
+/// All shards' shares, as the state service has them.
 #[derive(Debug, Default)]
 pub struct Shares {
     pub blocks: BTreeMap<BlockId, (ShareRecord, Revision)>,
@@ -89,13 +89,13 @@
     }
 }
 
-/// Whether a team that uses `room` in a block keeps to its share there.
+/// Whether a team that uses `room` in a shard keeps to its share there.
 pub fn within_share(room: Room, share: Share, team: &TeamSettings) -> bool {
     let keeps = |limit: f64, used: f64, share: f64| limit <= 0.0 || used <= share + 1e-6;
     keeps(team.cpus_max, room.cpus, share.cpus) && keeps(team.gpus_max, room.gpus, share.gpus)
 }
 
-/// One block as the leader sees it.
+/// One shard as the leader sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Dealt {
     pub share: Share,
@@ -106,7 +106,7 @@
     pub live: bool,
 }
 
-/// What a block's tasks may come to use at the most before a new share of it takes effect.
+/// What a shard's tasks may come to use at the most before a new share of it takes effect.
 fn bound(share: f64, used: f64) -> f64 {
     share.max(used)
 }
@@ -118,7 +118,7 @@
     (limit - blocks.map(|(share, used)| bound(share, used)).sum::<f64>()).max(0.0)
 }
 
-/// What is left of a team's limit to raise some block's share by.
+/// What is left of a team's limit to raise some shard's share by.
 pub fn slack(team: &TeamSettings, blocks: &[Dealt]) -> Share {
     Share {
         cpus: slack_of(
@@ -132,7 +132,7 @@
     }
 }
 
-/// Whether a team keeps its limit even if every block uses its whole share.
+/// Whether a team keeps its limit even if every shard uses its whole share.
 pub fn keeps_limit(team: &TeamSettings, blocks: &[Dealt]) -> bool {
     let sum = |of: fn(&Share) -> f64| -> f64 {
         blocks
@@ -153,7 +153,7 @@
 /// A share is left as it is until it is off by this part of a fair one.
 const OFF: f64 = 0.5;
 
-/// New shares of one amount. Raised only out of what no block can come to use as shares are now,
+/// New shares of one amount. Raised only out of what no shard can come to use as shares are now,
 /// so that a share that falls at the same time is not counted on yet.
 fn deal_amount(limit: f64, least: f64, blocks: &[(f64, f64, bool)]) -> Vec<f64> {
     if limit <= 0.0 {
@@ -163,7 +163,7 @@
     let used: f64 = blocks.iter().map(|(_, used, _)| used).sum();
     let mut fair = (limit - used).max(0.0) * DEALT / live as f64;
     if fair < least {
-        // Too little for a task in each block: all of it is the leader's to place with.
+        // Too little for a task in each shard: all of it is the leader's to place with.
         fair = 0.0;
     }
     let slack = slack_of(limit, blocks.iter().map(|(share, used, _)| (*share, *used)));
@@ -209,13 +209,13 @@
 }
 
 /// A share raised for `room` that is placed where `used` is seen to be used. A holder may have used the
-/// rest of its share unseen, so it is not counted on unless the block is the leader's `own`.
+/// rest of its share unseen, so it is not counted on unless the shard is the leader's `own`.
 pub fn raised(share: Share, used: Room, room: Room, own: bool) -> Share {
     let at_least = |a: Share, b: Share| Share {
         cpus: a.cpus.max(b.cpus),
         gpus: a.gpus.max(b.gpus),
     };
-    // A block may use more than its share, if that was larger before.
+    // A shard may use more than its share, if that was larger before.
     if own {
         at_least(share, Share::of(used.plus(room)))
     } else {
--- a/src/quota/nested.rs
+++ b/src/quota/nested.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use hierarchical_quota::{Amount, NodeIx, NodeSpec, Outer, Shares, Tree, TreeError, TreeSpec};
 use rustc_hash::FxHashMap as HashMap;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
-use tiller_quota::{Amount, NodeIx, NodeSpec, Outer, Shares, Tree, TreeError, TreeSpec};
 
 use crate::jobs::cache::Groups;
 use crate::settings::TeamSettings;
@@ -20,7 +20,7 @@
 pub const PAGES: &str = "jt/tree/";
 /// Of a value, the part that a page fills at the most.
 const FULL: f64 = 0.9;
-/// The most bytes that a group's share takes in a block's record, besides its name.
+/// The most bytes that a group's share takes in a shard's record, besides its name.
 const SHARE_BYTES: usize = 64;
 
 impl From<Room> for Amount {
@@ -44,7 +44,7 @@
     format!("#{node}").into()
 }
 
-/// Bytes of a block's record if every team and node with a limit has a share there.
+/// Bytes of a shard's record if every team and node with a limit has a share there.
 pub fn share_bytes(teams: &[TeamSettings], tree: &Tree) -> usize {
     let mut names: Vec<usize> = Vec::new();
     let limited = teams.iter().filter(|team| team.limited());
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -3,8 +3,8 @@
 
 use std::cell::RefCell;
 
+use hierarchical_quota::{Amount, NodeIx, Wanted};
 use rustc_hash::FxHashMap as HashMap;
-use tiller_quota::{Amount, NodeIx, Wanted};
 
 use super::nested::Force;
 use crate::jobs::cache::Jobs;
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -50,7 +50,7 @@
                 })
                 .collect();
             if rng.random_bool(0.3) && covers(slack(&team, &blocks), least) {
-                // The leader places in a block, and raises its share by as much.
+                // The leader places in a shard, and raises its share by as much.
                 let block = rng.random_range(0..6);
                 let room = |gpus| Room {
                     gpus,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use hierarchical_quota::{Note, TreeSpec};
 use ini::Ini;
 use rustc_hash::FxHashMap as HashMap;
 use serde::Deserialize;
-use tiller_quota::{Note, TreeSpec};
 
 use crate::quota::nested;
 use crate::types::{Millis, NodeId, Team, Zone};
@@ -21,8 +21,8 @@
     pub reason: String,
 }
 
-impl From<tiller_quota::TreeError> for SettingsError {
-    fn from(error: tiller_quota::TreeError) -> Self {
+impl From<hierarchical_quota::TreeError> for SettingsError {
+    fn from(error: hierarchical_quota::TreeError) -> Self {
         problem(&error.file, &error.field, error.reason)
     }
 }
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -1,5 +1,5 @@
 //! Sockets are a budget that the platform sets. Who gets how many is decided here, so that the
-//! system never has to refuse one: first what leases hang on, then workers' reports, then orders
+//! system never has to refuse one: first what leases hang on, then workers' heartbeats, then commands
 //! sent to workers, then users.
 
 pub mod door;
@@ -14,7 +14,7 @@
 /// For the state service, the cloud and the process itself, and for each other controller.
 const OWN: usize = 24;
 const PER_MEMBER: usize = 4;
-/// Part of the limit for orders sent to workers directly.
+/// Part of the limit for commands sent to workers directly.
 const DIRECT: f64 = 0.08;
 const LEAST_DIRECT: usize = 4;
 
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Nothing bounded the sockets: a controller that held all blocks stood at its limit, the
+/// Nothing bounded the sockets: a controller that held all shards stood at its limit, the
 /// system refused workers, users and the state service alike.
 #[test]
 fn all_parts_together_stay_below_the_platforms_limit() {
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use tiller_admission::floors::Floors;
+use admission_control::floors::Floors;
 
 use super::Class;
 use super::budget::{Allowance, Share};
@@ -49,7 +49,7 @@
         Self {
             requests: Share::new(limits.rps, controllers, now),
             writes: Allowance::new(
-                tiller_admission::plan::base(limits.write_rps, controllers),
+                admission_control::plan::base(limits.write_rps, controllers),
                 now,
             ),
             waiting: Default::default(),
--- a/src/types.rs
+++ b/src/types.rs
@@ -100,7 +100,7 @@
     Revision
 );
 number_type!(
-    /// What entitles a holder to command a machine: the revision at which its block was taken.
+    /// What entitles a holder to command a machine: the revision at which its shard was taken.
     Token
 );
 number_type!(
@@ -117,7 +117,7 @@
     Attempt
 );
 number_type!(
-    /// A worker's session.
+    /// A worker's agent epoch.
     Session
 );
 number_type!(
@@ -211,7 +211,7 @@
     }
 }
 
-/// A block of machines: a part of one zone that one controller at a time places in.
+/// A shard of machines: a part of one zone that one controller at a time places in.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockId {
     pub zone: Zone,
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -20,7 +20,7 @@
     orders: &'a [Order],
 }
 
-/// Sends orders; `None` if it stays open whether they were, or will be, executed.
+/// Sends commands; `None` if it stays open whether they were, or will be, executed.
 pub async fn send(
     client: HttpClient,
     address: SocketAddr,
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -1,6 +1,6 @@
-//! The actor that sends workers their orders directly, a bounded number at a time.
+//! The actor that sends workers their commands directly, a bounded number at a time.
 //!
-//! Orders go before mere shows of a token, of which there is one for each machine of a block that
+//! Orders go before mere shows of a token, of which there is one for each machine of a shard that
 //! changes hands, many of them perhaps unreachable. There is never more than one exchange for a
 //! machine, so no more wait here than there are machines.
 
@@ -16,7 +16,7 @@
 use crate::http_client::HttpClient;
 use crate::types::{Baton, HostId, Millis, Session};
 
-/// Orders that waited for longer were decided on an old report: they ride on the next answer.
+/// Orders that waited for longer were decided on an old heartbeat: they ride on the next answer.
 const WAITS: Millis = Millis(2_000);
 /// Of what is under way at a time, the part for mere shows of a token.
 const SHOWS: f64 = 0.5;
@@ -34,7 +34,7 @@
         session: Session,
         orders: Vec<Order>,
     },
-    /// Asks for its report.
+    /// Asks for its heartbeat.
     Inspect,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Which errands may leave.
+/// Which requests may leave.
 struct Turns {
     orders: VecDeque<(Millis, Errand)>,
     shows: VecDeque<(Millis, Errand)>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The next errand, and whether it came too late to be sent.
+    /// The next request, and whether it came too late to be sent.
     fn next(&mut self, now: Millis) -> Option<(Errand, bool)> {
         if let Some((since, _)) = self.orders.front() {
             let late = now.since(*since) > WAITS;
--- a/src/workers/direct/tests.rs
+++ b/src/workers/direct/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// A block that changed hands had its token shown to hundreds of machines at once, most of them
+/// A shard that changed hands had its token shown to hundreds of machines at once, most of them
 /// behind a cut: each took a socket for seconds, and starts waited for them.
 #[test]
 fn shows_of_a_token_take_half_of_the_turns_and_late_orders_none() {
--- a/src/workers/hearing.rs
+++ b/src/workers/hearing.rs
@@ -1,8 +1,8 @@
 //! Whether a worker hears us. That it speaks proves nothing of that.
 //!
-//! Reports may arrive from a machine that no answer and no order reaches, and a copy of a report may
+//! Reports may arrive from a machine that no answer and no order reaches, and a copy of a heartbeat may
 //! arrive long after the machine is gone. So hearing is proved by effect: an answer to what we sent
-//! it, a start that a later report shows, or a session that outlives a lease. Until then a machine
+//! it, a start that a later report shows, or an agent epoch that outlives a lease. Until then a machine
 //! gets no new work, is no room, and what it says counts as no sign of life.
 
 use crate::types::{Millis, Session};
@@ -13,25 +13,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hearing {
     proved: bool,
-    /// When it became doubtful, and in which session.
+    /// When it became doubtful, and in which agent epoch.
     since: Millis,
     session: Session,
-    /// Answers in a row that carried starts of which the next report showed none.
+    /// Answers in a row that carried starts of which the next heartbeat showed none.
     misses: u8,
-    /// When a report newer than all before came last.
+    /// When a heartbeat newer than all before came last.
     spoke: Millis,
 }
 
-/// What a report that is newer than all before says of hearing.
+/// What a heartbeat that is newer than all before says of hearing.
 #[derive(Clone, Copy, Debug)]
 pub struct Said {
     pub session: Session,
     /// Nothing was known of the machine, or it had been silent for longer than a lost report or two
     /// explain: this may be a copy of what it sent before it went.
     pub unexpected: bool,
-    /// Its session ended although we answered it just before.
+    /// Its agent epoch ended although we answered it just before.
     pub broken: bool,
-    /// Of the starts in the answer to its last report, whether any is shown; none: there were none.
+    /// Of the starts in the answer to its last heartbeat, whether any is shown; none: there were none.
     pub obeyed: Option<bool>,
 }
 
@@ -66,7 +66,7 @@
         self.misses = 0;
     }
 
-    /// Takes in a report. `lease` is longer than any worker's session lasts without an answer.
+    /// Takes in a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
     pub fn reported(&mut self, said: Said, lease: Millis, now: Millis) {
         self.spoke = now;
         if said.unexpected || said.broken {
@@ -86,7 +86,7 @@
             if said.session != self.session {
                 (self.since, self.session) = (now, said.session);
             } else if now.since(self.since) > lease {
-                // Somebody's answers have reached it, or its session would be over.
+                // Somebody's answers have reached it, or its agent epoch would be over.
                 self.prove();
             }
         }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -33,7 +33,7 @@
     pub gb: f64,
 }
 
-/// A machine as this controller knows it, from its worker's reports or from another controller.
+/// A machine as this controller knows it, from its worker's heartbeats or from another controller.
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub host: HostId,
@@ -45,14 +45,14 @@
     pub tally: u64,
     /// The token that the worker had seen when it last reported to us.
     pub baton: Baton,
-    /// When the last report was received that we answered under a token of ours, and that token.
+    /// When the last heartbeat was received that we answered under a token of ours, and that token.
     pub answered: Option<(Token, Millis)>,
     /// The token of ours that the worker was first known to have seen, and since when. Until then an
     /// earlier holder's answers may have renewed its lease.
     pub aware: Option<(Token, Millis)>,
     /// When anybody last heard from the worker, and could take that for a sign of life.
     pub heard: Millis,
-    /// When a report of its came last, and not only an answer to direct commands.
+    /// When a heartbeat of its came last, and not only an answer to direct commands.
     pub reported: Millis,
     pub hearing: Hearing,
     /// Who heard.
@@ -66,7 +66,7 @@
     pub draining: bool,
     /// A start was refused for room: no more until then.
     pub refused_until: Millis,
-    /// Where the worker takes orders directly.
+    /// Where the worker takes commands directly.
     pub address: Option<SocketAddr>,
     pub direct: Direct,
     /// Images in the cache.
@@ -75,7 +75,7 @@
     pub coming: HashMap<Image, Cached>,
 }
 
-/// Orders sent to a worker without waiting for its report.
+/// Orders sent to a worker without waiting for its heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct Direct {
     /// An exchange is under way.
@@ -84,21 +84,21 @@
     pub asked: Millis,
     /// More came up meanwhile.
     pub again: bool,
-    /// Starts that were sent under this token and session and got no answer. The network may
+    /// Starts that were sent under this token and agent epoch and got no answer. The network may
     /// deliver them minutes later, so the worker may start these at any time, unless it knows
     /// the attempt already: such a task is not proved absent, and its attempt not forgotten.
     pub loose: HashSet<(TaskId, Attempt)>,
     pub under: (Token, Session),
     /// Starts of the exchange that is under way.
     pub sent: Vec<(TaskId, Attempt)>,
-    /// Starts in the answer to the last report. The worker's next report shows them, or that the
-    /// answer was dropped; its answer to direct orders proves neither, since it may have been
-    /// written before the report's answer came.
+    /// Starts in the answer to the last heartbeat. The worker's next heartbeat shows them, or that the
+    /// answer was dropped; its answer to direct commands proves neither, since it may have been
+    /// written before the heartbeat's answer came.
     pub riding: HashSet<(TaskId, Attempt)>,
 }
 
 impl Direct {
-    /// Whether a start may be on its way to the worker, unless its last report shows it.
+    /// Whether a start may be on its way to the worker, unless its last heartbeat shows it.
     pub fn may_come(&self, task: &TaskId, attempt: Attempt) -> bool {
         let start = (task.clone(), attempt);
         self.loose.contains(&start) || self.riding.contains(&start)
@@ -109,7 +109,7 @@
         self.loose.contains(&(task.clone(), attempt))
     }
 
-    /// Starts of an earlier token or session are refused by the worker, whenever they come.
+    /// Starts of an earlier token or agent epoch are refused by the worker, whenever they come.
     pub fn enter(&mut self, token: Token, session: Session) {
         if self.under != (token, session) {
             self.under = (token, session);
@@ -126,7 +126,7 @@
 /// A fetch whose end was not heard yet has at least this part to go.
 const LEAST_LEFT: f64 = 0.1;
 
-/// A machine is sick once tasks of this many jobs failed on it in a row.
+/// A machine is quarantined once tasks of this many jobs failed on it in a row.
 const SICK_AFTER: usize = 2;
 /// And after so many tries in a row that failed, though the jobs are suspect themselves: a job that
 /// has nowhere else to go is tried on faulty machines again and again.
@@ -171,12 +171,12 @@
         }
     }
 
-    /// Whether the report is newer than what is known. A late one is not: its list is old.
+    /// Whether the heartbeat is newer than what is known. A late one is not: its list is old.
     pub fn newer(&self, session: Session, tally: u64) -> bool {
         (session, tally) > (self.session, self.tally)
     }
 
-    /// Takes in a report that is known to be newer. Only of a machine that hears us is it a sign of
+    /// Takes in a heartbeat that is known to be newer. Only of a machine that hears us is it a sign of
     /// life.
     pub fn take_in(&mut self, report: &Report, now: Millis, by: &NodeId) {
         self.session = report.shift;
@@ -223,7 +223,7 @@
         now.since(renewed) > lease
     }
 
-    /// Whether a report shows any of the starts that rode on the answer to the last one; none: there
+    /// Whether a heartbeat shows any of the starts that rode on the answer to the last one; none: there
     /// were none, or the worker began anew since.
     pub fn obeyed(&self, report: &Report) -> Option<bool> {
         let riding = &self.direct.riding;
@@ -324,7 +324,7 @@
     }
 }
 
-/// Which block of its zone a machine belongs to: fixed by its name, so that all agree.
+/// Which shard of its zone a machine belongs to: fixed by its name, so that all agree.
 pub fn block_of(host: &HostId, zone: &Zone, parts: u32) -> BlockId {
     let digits: String = host.as_str().chars().filter(char::is_ascii_digit).collect();
     let number: u64 = digits.parse().unwrap_or_else(|_| {
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -27,7 +27,7 @@
     pub successes: u32,
 }
 
-/// An answer stays well below 64 KiB with this many orders.
+/// An answer stays well below 64 KiB with this many commands.
 const MOST_ORDERS: usize = 300;
 
 fn job_wants_it(job: &Job) -> bool {
@@ -39,7 +39,7 @@
         .filter(|p| p.host == *host)
 }
 
-/// `machine` holds the newest report. `token` is what we hold its block under; a report whose
+/// `machine` holds the newest report. `token` is what we hold its shard under; a heartbeat whose
 /// worker had not seen it yet proves nothing, since an earlier holder's start may follow it.
 /// `gathering` tells of a gang whether the rest of it may still be fetching its image.
 pub fn reconcile(
@@ -74,7 +74,7 @@
                 let cause = seen.cause.unwrap_or(Cause::Error);
                 let alone = exited && cause == Cause::Alone;
                 if alone && machine.direct.riding.contains(&(task.clone(), attempt)) {
-                    // It may have been told to start once more already. An answer to direct orders
+                    // It may have been told to start once more already. An answer to direct commands
                     // that was written before says nothing of that.
                 } else if alone
                     && job_wants_it(job)
@@ -163,11 +163,11 @@
             attempt: placement.attempt,
             evidence: Evidence::Holder(token),
         };
-        // A machine that came back with its counters begun anew shows a lower session than an earlier
-        // holder saw. Only one that was asked and answered: to us its sessions only rise.
+        // A machine that came back with its counters begun anew shows a lower agent epoch than an earlier
+        // holder saw. Only one that was asked and answered: to us its agent epochs only rise.
         let anew = placement.session > machine.session && machine.hearing.proved();
         if placement.session < machine.session || anew {
-            // The worker began a new session, so it killed all it had.
+            // The worker began a new agent epoch, so it killed all it had.
             out.changes.push((id.clone(), *index, release));
         } else if placement.session == machine.session {
             if job_wants_it(job) && !stopped(&task, placement.attempt) {
@@ -176,7 +176,7 @@
                     attempt: placement.attempt,
                 });
             } else if !loose(&task, placement.attempt) {
-                // Starts ride on answers, and a worker has one report in flight: its next report
+                // Starts ride on answers, and a worker has one heartbeat in flight: its next heartbeat
                 // proves whether a start was executed; one sent directly is loose until it is
                 // answered. Without either, none follows.
                 out.changes.push((id.clone(), *index, release));
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -102,12 +102,12 @@
     jobs
 }
 
-/// A machine came back at once with its counters begun anew, and its block changed hands: its new
-/// holder found tasks of a session that the machine had not reached yet, and waited for ever.
+/// A machine came back at once with its counters begun anew, and its shard changed hands: its new
+/// holder found tasks of an agent epoch that the machine had not reached yet, and waited for ever.
 #[test]
 fn tasks_of_another_session_are_gone() {
     let cases = [
-        // session of the placement, of the machine, it was asked and answered, released
+        // agent epoch of the placement, of the machine, it was asked and answered, released
         (1, 2, false, true),
         (2, 1, true, true),
         (2, 1, false, false),
@@ -138,8 +138,8 @@
     }
 }
 
-/// A task was stopped for another just after its start had left with the answer to a report.
-/// An answer to direct orders, written before the start came, did not show it; its room was
+/// A task was stopped for another just after its start had left with the answer to a heartbeat.
+/// An answer to direct commands, written before the start came, did not show it; its room was
 /// given up, it was placed elsewhere and ran twice.
 #[test]
 fn a_start_on_its_way_is_not_proved_absent() {
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A machine was being emptied when its block changed hands: its new holder held it to be so for
+/// A machine was being emptied when its shard changed hands: its new holder held it to be so for
 /// ever, and a gang waited beside four idle machines.
 #[test]
 fn what_an_earlier_holder_said_ends_with_its_hold() {
@@ -24,7 +24,7 @@
 fn a_machine_is_judged_by_who_failed_and_how_often() {
     type Failures = &'static [(&'static str, u64)];
     let cases: [(Failures, &[&str], bool); 8] = [
-        // job and second of each failure, suspect jobs, sick
+        // job and second of each failure, suspect jobs, quarantined
         (&[("job-1", 1)], &[], false),
         (&[("job-1", 1), ("job-2", 2)], &[], true),
         (&[("job-1", 1), ("job-2", 2)], &["job-1"], false),
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::types::{Attempt, Baton, HostId, NodeId, Session, Sku, TaskId, Zone};
 
-/// A worker's report may list this many bytes of tasks at the most.
+/// A worker's heartbeat may list this many bytes of tasks at the most.
 pub const LARGEST_REPORT: usize = 1 << 20;
 
 #[derive(Clone, Debug, Deserialize)]
@@ -149,7 +149,7 @@
     }
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReportAnswer {
     Orders {
--- a/src/zones/keep.rs
+++ b/src/zones/keep.rs
@@ -1,9 +1,9 @@
 //! Keeping machines at work that are cut off from the state service together with their
 //! controller.
 //!
-//! Workers kill their tasks when nobody answers their reports for a lease. Their holder goes on
+//! Workers kill their tasks when nobody answers their heartbeats for a lease. Their holder goes on
 //! answering, and marks its token as keeping: whoever else a kept worker finds, if its holder
-//! crashes, may then renew its lease too, without any orders. For that the holder gives one thing
+//! crashes, may then renew its lease too, without any commands. For that the holder gives one thing
 //! up for good under this token: taking a worker's silence for the end of its lease.
 
 use crate::types::{Baton, Millis};
@@ -56,8 +56,8 @@
     }
 }
 
-/// Whether a controller that is not known to hold a worker's block may renew the worker's lease,
-/// without any orders: only if its holder keeps it, and only while we know no better.
+/// Whether a controller that is not known to hold a worker's shard may renew the worker's lease,
+/// without any commands: only if its holder keeps it, and only while we know no better.
 pub fn may_renew(baton: Baton, cut_off: bool, holder_speaks: bool) -> bool {
     baton.keeps() && cut_off && !holder_speaks
 }
--- a/src/zones/keep/tests.rs
+++ b/src/zones/keep/tests.rs
@@ -2,7 +2,7 @@
 use crate::types::Token;
 
 /// In an outage all controllers lose the state service at once, and leases stand still. Kept
-/// then, every block would change its token when the service is back, for nothing.
+/// then, every shard would change its token when the service is back, for nothing.
 #[test]
 fn machines_are_kept_by_who_is_cut_off_and_not_in_an_outage() {
     for (lease_over, outage, holds, begins) in [
@@ -26,7 +26,7 @@
 }
 
 /// A process that stood still for half a minute found its lease over, kept its machines, and gave
-/// its blocks up a quarter of a second later when it read what had been waiting.
+/// its shards up a quarter of a second later when it read what had been waiting.
 #[test]
 fn a_process_that_stood_still_reads_what_waits_first() {
     let mut keeping = Keeping::default();
--- a/tests/crowded_door.rs
+++ b/tests/crowded_door.rs
@@ -1,5 +1,5 @@
 //! The real server with a crowd before it that asks nothing, a byte a second, or only once:
-//! workers' reports, health checks and users' requests are answered all the same.
+//! workers' heartbeats, health checks and users' requests are answered all the same.
 
 use std::time::{Duration, Instant};
 
--- a/tests/models/keeping.rs
+++ b/tests/models/keeping.rs
@@ -73,7 +73,7 @@
     unanswered: u8,
     /// A controller in the zone that holds nothing, and has read nothing since it started.
     bystander_blank: bool,
-    /// By the state service: whether the second holds the block now.
+    /// By the state service: whether the second holds the shard now.
     moved: bool,
     /// Ticks that the second holder counts as the worker's silence; none: it counts none yet.
     second_counts: Option<u8>,
@@ -90,7 +90,7 @@
     lag: u8,
     task: bool,
     deleted: bool,
-    /// A start of the first holder in the first session that the network holds.
+    /// A start of the first holder in the first agent epoch that the network holds.
     late_start: bool,
 }
 
@@ -395,7 +395,7 @@
 fn nothing_runs_twice_or_after_its_cancellation_was_told() {
     let (broken, states) = explore(ALL);
     assert!(!broken);
-    // It went somewhere: cuts, crashes and late starts in all their orders.
+    // It went somewhere: cuts, crashes and late starts in all their commands.
     assert!(states > 500_000, "{states} states");
 }
 
