--- a/src/controller/fleet_keeping.rs
+++ b/src/controller/autoscaling.rs
@@ -15,7 +15,7 @@
 use crate::store::{Class, Txn};
 use crate::types::{HostId, JobId, Millis, Room, Zone};
 use crate::workers::{Machine, block_of};
-use crate::zones::silence::{Seen, Suspect, Zones};
+use crate::zones::zone_health::{Seen, Suspect, Zones};
 
 const EVERY: Millis = Millis(1_000);
 /// Machines are planned for this many tasks of a job at the most.
--- a/src/controller/pool/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{Phase, Placement, Rank, Shape, Spec, Task};
@@ -130,7 +130,7 @@
             // Each that is weighed was looked at first.
             most: 2 * 64,
             step: |controller, id| {
-                let place = super::super::preempting::Where::Anywhere;
+                let place = super::super::preemption::Where::Anywhere;
                 assert!(controller.preempt(id, place));
             },
         },
@@ -140,7 +140,7 @@
             most: 2_048,
             step: |controller, id| {
                 controller.jobs.get_mut(id).unwrap().spec.rank = Rank::BestEffort;
-                let place = super::super::preempting::Where::Anywhere;
+                let place = super::super::preemption::Where::Anywhere;
                 assert!(!controller.preempt(id, place));
             },
         },
--- a/src/controller/trying.rs
+++ b/src/controller/failure_attribution.rs
@@ -5,7 +5,7 @@
 use super::{Controller, Effect};
 use crate::jobs::Shape;
 use crate::jobs::cache::{Change, Job};
-use crate::jobs::trials::Trials;
+use crate::jobs::crash_loop::Trials;
 use crate::peers::Message;
 use crate::queue::Order;
 use crate::types::{HostId, JobId};
--- a/src/controller/reports.rs
+++ b/src/controller/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::jobs::cache::{Change, Evidence, Job};
 use crate::queue;
 use crate::types::{Attempt, BlockId, HostId, JobId, Millis, NodeId, ReplyId, TaskId, Token, Zone};
-use crate::workers::hearing::Said;
+use crate::workers::reachability::Said;
 use crate::workers::reconcile::{Stop, reconcile};
 use crate::workers::wire::{Cause, Order, Report, ReportAnswer, TaskStage};
 use crate::workers::{FETCHES_LAST, Machine, block_of};
--- a/src/controller/reports/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -1,7 +1,7 @@
 use serde_json::json;
 
 use super::*;
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Task};
 use crate::types::{Baton, Revision, Session};
--- a/src/controller/nested.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -12,7 +12,7 @@
 use crate::preempt::{Offer, Site};
 use crate::queue::{Check, Event, Order};
 use crate::quota;
-use crate::quota::nested::{Force, HEAD, Owed, Standing};
+use crate::quota::hierarchical::{Force, HEAD, Owed, Standing};
 use crate::quota::reclaim::{Ledger, steps_over};
 use crate::settings::TeamSettings;
 use crate::store::{Answer, Class, Txn};
--- a/src/controller/nested/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::nested::Nested;
+use crate::quota::hierarchical::Nested;
 use crate::settings::TeamSettings;
 use crate::store::Call;
 use crate::types::{Attempt, BlockId, Session};
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -352,7 +352,7 @@
             }
             return;
         }
-        if key.starts_with(quota::nested::HEAD) {
+        if key.starts_with(quota::hierarchical::HEAD) {
             return self.feed_tree(key, data, version);
         }
         if key == PLAN {
--- a/src/controller/membership/tests.rs
+++ b/src/controller/membership/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::controller::Effect;
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::jobs::Task;
 use crate::jobs::api::{Response, parse, tests::body};
 use crate::types::ReplyId;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,24 +2,24 @@
 //! does no I/O and reads no clock itself, so that tests can drive whole controllers through
 //! crashes and cuts in virtual time.
 
-mod admitting;
-mod cancelling;
-mod committing;
-mod contact;
-mod fleet_keeping;
+mod admission_plan;
+mod autoscaling;
+mod cancellation;
+mod candidates;
+mod commits;
+mod failure_attribution;
+mod heartbeats;
+mod hierarchical_quota;
 mod membership;
-mod nested;
-mod peering;
-mod placing;
-mod pool;
-mod preempting;
+mod peer_messages;
+mod placement;
+mod preemption;
 mod queueing;
-mod reports;
-mod sharing;
-mod trying;
-mod users;
-mod waiting;
-pub mod work;
+mod quota_allocation;
+mod reachability;
+mod user_requests;
+mod wait_reason;
+pub mod work_counters;
 mod zones;
 
 use std::net::SocketAddr;
@@ -38,13 +38,13 @@
 use crate::jobs::api::{Refusal, Refused, Response};
 use crate::jobs::cache::Jobs;
 use crate::jobs::cancel::Cancelling;
-use crate::jobs::ends::Ends;
-use crate::jobs::trials::Trials;
+use crate::jobs::completion_forwarding::Ends;
+use crate::jobs::crash_loop::Trials;
 use crate::jobs::{Spec, cache::Change};
 use crate::lease::Leases;
 use crate::peers::Message;
 use crate::queue::Queue;
-use crate::quota::nested::{Nested, Standing};
+use crate::quota::hierarchical::{Nested, Standing};
 use crate::quota::{SHARES, Shares};
 use crate::settings::Settings;
 use crate::store::{Answer, Call, Class, Txn};
@@ -54,9 +54,9 @@
 use crate::workers::Machine;
 use crate::workers::reconcile::Stops;
 use crate::workers::wire::{Order, Report, ReportAnswer};
-use crate::zones::keep::Keeping;
-use crate::zones::silence::Zones;
-use work::Work;
+use crate::zones::partition_mode::Keeping;
+use crate::zones::zone_health::Zones;
+use work_counters::Work;
 
 /// A worker's answer to commands that were sent to it directly: its heartbeat after them, or what it
 /// refused them with.
--- a/src/controller/peering.rs
+++ b/src/controller/peer_messages.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxBuildHasher;
 
-use super::preempting::Where;
+use super::preemption::Where;
 use super::{Controller, Effect};
 use crate::admission::shared::Said;
 use crate::peers::{MachineView, Message, Pulse, Status};
--- a/src/controller/placing.rs
+++ b/src/controller/placement.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use super::pool::Scope;
-use super::preempting::Where;
+use super::candidates::Scope;
+use super::preemption::Where;
 use super::{Controller, Effect};
 use crate::admission::backlog::Lane;
 use crate::cycle::{self, Asking};
--- a/src/controller/placing/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::jobs::Task;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::job_key;
--- a/src/controller/preempting.rs
+++ b/src/controller/preemption.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap as HashMap;
 
-use super::pool::Scope;
+use super::candidates::Scope;
 use super::{Controller, Effect};
 use crate::cycle::Asking;
 use crate::cycle::index::{Group, Having};
--- a/src/controller/sharing/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::controller::Effect;
-use crate::controller::committing::tests::controller_with;
+use crate::controller::commits::tests::controller_with;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Shape, Task};
 use crate::lease::LEADER;
--- a/src/controller/contact/mod.rs
+++ b/src/controller/reachability/mod.rs
@@ -30,7 +30,7 @@
         let (mut all, mut quiet) = (0, 0);
         for machine in self.machines.values() {
             let since = self.now.since(machine.reported);
-            let counts = machine.reported > Millis(0) && since < super::reports::FORGET;
+            let counts = machine.reported > Millis(0) && since < super::heartbeats::FORGET;
             if counts && self.token_for(&machine.block).is_some() {
                 all += 1;
                 quiet += usize::from(since > often);
@@ -60,7 +60,7 @@
             let ours = self.token_for(&m.block) == Some(m.baton.token());
             let since = now.since(m.heard);
             ours && since > silence
-                && since < super::reports::FORGET
+                && since < super::heartbeats::FORGET
                 && !m.hearing.doubtful(now, silence)
                 && now.since(m.direct.asked) >= ASK_EVERY
         });
--- a/src/controller/contact/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -1,6 +1,6 @@
 use serde_json::json;
 
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::controller::{Controller, DirectAnswer, Effect};
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, job_key};
--- a/src/controller/users/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -1,6 +1,6 @@
 use serde_json::{Value, json};
 
-use crate::controller::committing::tests::controller;
+use crate::controller::commits::tests::controller;
 use crate::controller::{Controller, Effect};
 use crate::jobs::api::{Response, Stage, parse, tests::body};
 use crate::jobs::record::{JobRecord, job_key};
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -7,8 +7,8 @@
 use crate::lease::Own;
 use crate::types::{Baton, BlockId, HostId, Token, Zone};
 use crate::workers::wire::ReportAnswer;
-use crate::zones::keep::{Circumstances, may_renew};
-use crate::zones::silence::{Seen, Suspect, Worth};
+use crate::zones::partition_mode::{Circumstances, may_renew};
+use crate::zones::zone_health::{Seen, Suspect, Worth};
 
 impl Controller {
     /// What workers are told of a token that we hold.
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::daemon::{Inbox, Request};
 use crate::jobs::api::{self, Response};
-use crate::sockets::{Patience, door};
+use crate::sockets::{Patience, connection_acceptor};
 use crate::types::{Baton, JobId, NodeId};
 use crate::workers::wire::{LARGEST_REPORT, Order, Report, ReportAnswer};
 
@@ -228,6 +228,6 @@
     let listener = tokio::net::TcpListener::bind(address).await?;
     tracing::info!(%address, "serving");
     let service = TowerToHyperService::new(warp::service(routes.recover(rejected)));
-    door::serve(listener, service, || later(1), most, patience, clock).await;
+    connection_acceptor::serve(listener, service, || later(1), most, patience, clock).await;
     Ok(())
 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -3,9 +3,9 @@
 pub mod api;
 pub mod cache;
 pub mod cancel;
-pub mod ends;
+pub mod completion_forwarding;
+pub mod crash_loop;
 pub mod record;
-pub mod trials;
 
 use serde::{Deserialize, Serialize};
 
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -4,7 +4,7 @@
 //! on condition that the record of the share has not changed; the leader deals so that the sum
 //! never exceeds the limit, whatever was placed that it has not seen yet.
 
-pub mod nested;
+pub mod hierarchical;
 pub mod reclaim;
 
 use std::collections::BTreeMap;
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -6,7 +6,7 @@
 use hierarchical_quota::{Amount, NodeIx, Wanted};
 use rustc_hash::FxHashMap as HashMap;
 
-use super::nested::Force;
+use super::hierarchical::Force;
 use crate::jobs::cache::Jobs;
 use crate::preempt::{Offer, Site, Victim, cheapest_set, offer};
 use crate::types::{HostId, Room, TaskId, Team};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap as HashMap;
 use serde::Deserialize;
 
-use crate::quota::nested;
+use crate::quota::hierarchical;
 use crate::types::{Millis, NodeId, Team, Zone};
 
 /// A settings file that can't be used: which file, which field, and why.
@@ -289,9 +289,9 @@
     pub fn take_tree(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
         let spec = TreeSpec::parse(file, text)?;
         let teams = &self.deployment.teams;
-        let (tree, notes) = spec.build(file, &nested::outers(teams))?;
+        let (tree, notes) = spec.build(file, &hierarchical::outers(teams))?;
         let most = (self.deployment.state.value_kb * 1024.0) as usize;
-        let bytes = nested::share_bytes(teams, &tree);
+        let bytes = hierarchical::share_bytes(teams, &tree);
         if bytes > most {
             let reason = format!(
                 "the shares of all teams and nodes with a limit take {bytes} bytes in a record of \
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -2,7 +2,7 @@
 //! system never has to refuse one: first what leases hang on, then workers' heartbeats, then commands
 //! sent to workers, then users.
 
-pub mod door;
+pub mod connection_acceptor;
 
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod client;
 pub mod direct;
-pub mod hearing;
+pub mod reachability;
 pub mod reconcile;
 pub mod wire;
 
@@ -15,7 +15,7 @@
     Attempt, Baton, BlockId, HostId, Image, JobId, Millis, NodeId, Session, Sku, TaskId, Token,
     Zone,
 };
-use hearing::Hearing;
+use reachability::Hearing;
 use wire::{Cause, Report, TaskStage};
 
 /// A task as its machine reported it.
--- a/tests/models/main.rs
+++ b/tests/models/main.rs
@@ -1,7 +1,7 @@
 //! Exhaustive models: every order of events, up to a bound, of what safety rests on.
 
-mod keeping;
 mod late_writes;
+mod partition_mode;
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
--- a/tests/models/keeping.rs
+++ b/tests/models/partition_mode.rs
@@ -4,7 +4,7 @@
 //! docs/zones.md.
 
 use jaspertiller::types::{Baton, Token};
-use jaspertiller::zones::keep::may_renew;
+use jaspertiller::zones::partition_mode::may_renew;
 
 /// Ticks of a worker's lease; its clock may lag by one more in all.
 const LEASE: u8 = 2;
