--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use jaspertiller::fleet::{CloudAnswer, CloudCall, Listed, Offer, Stage};
-use jaspertiller::types::{HostId, Millis};
+use jaspertiller::types::{MachineId, Millis};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use serde_json::{Value, json};
@@ -13,8 +13,8 @@
 
 pub struct Cloud {
     config: Config,
-    hires: HashMap<String, Vec<HostId>>,
-    pub deleted: BTreeSet<HostId>,
+    rental_requests: HashMap<String, Vec<MachineId>>,
+    pub deleted: BTreeSet<MachineId>,
     made: u32,
     /// Machines that were well, reachable and at work when they were deleted.
     pub deleted_at_work: u64,
@@ -24,7 +24,7 @@
     pub fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
-            hires: HashMap::new(),
+            rental_requests: HashMap::new(),
             deleted: BTreeSet::new(),
             made: 0,
             deleted_at_work: 0,
@@ -36,11 +36,11 @@
         self.config.capacity = capacity;
     }
 
-    pub fn flavors(&self) -> Value {
-        let rig = &self.config.rig;
-        json!({"rigs": [{"sku": rig.sku, "vcpus": rig.room.cpus, "accelerators": rig.room.gpus,
-            "memoryGb": rig.room.memory_gb, "localGb": 100, "fetchGbPerS": rig.fetch_gb_per_s,
-            "price": 10.0, "marketPrice": 4.0, "bootS": rig.boot.secs(),
+    pub fn type_specs(&self) -> Value {
+        let machine_type = &self.config.machine_type;
+        json!({"rigs": [{"sku": machine_type.id, "vcpus": machine_type.room.cpus, "accelerators": machine_type.room.gpus,
+            "memoryGb": machine_type.room.memory_gb, "localGb": 100, "fetchGbPerS": machine_type.fetch_gb_per_s,
+            "price": 10.0, "marketPrice": 4.0, "bootS": machine_type.boot.secs(),
             "yards": self.config.zones}]})
     }
 
@@ -52,49 +52,56 @@
         rng: &mut SmallRng,
     ) -> CloudAnswer {
         match call {
-            CloudCall::Flavors => match serde_json::from_value(self.flavors()) {
-                Ok(jaspertiller::fleet::wire::FlavorsBody { rigs }) => {
-                    CloudAnswer::Flavors(rigs.into_iter().map(Into::into).collect())
+            CloudCall::MachineTypes => match serde_json::from_value(self.type_specs()) {
+                Ok(jaspertiller::fleet::wire::MachineTypesBody { machine_types }) => {
+                    CloudAnswer::MachineTypes(machine_types.into_iter().map(Into::into).collect())
                 }
                 Err(_) => CloudAnswer::Failed,
             },
-            CloudCall::Rent { hire, offer, count } => {
-                self.rent(hire, &offer, count, machines, now, rng)
-            }
-            CloudCall::Delete(hosts) => {
-                for host in hosts {
-                    if machines.delete(&host, now) {
+            CloudCall::Rent {
+                request_id,
+                offer,
+                count,
+            } => self.rent(request_id, &offer, count, machines, now, rng),
+            CloudCall::Delete(machine_ids) => {
+                for machine_id in machine_ids {
+                    if machines.delete(&machine_id, now) {
                         self.deleted_at_work += 1;
                     }
-                    self.deleted.insert(host);
+                    self.deleted.insert(machine_id);
                 }
                 CloudAnswer::Deleted
             }
             CloudCall::List { after } => {
-                let after = |host: &&HostId| after.as_ref().is_none_or(|after| *host > after);
-                let hosts = machines
-                    .hosts
+                let after = |machine_id: &&MachineId| {
+                    after.as_ref().is_none_or(|after| *machine_id > after)
+                };
+                let machine_ids = machines
+                    .machine_ids
                     .iter()
-                    .filter(|(host, m)| after(host) && !self.gone(host, m, now))
+                    .filter(|(machine_id, m)| after(machine_id) && !self.gone(machine_id, m, now))
                     .filter(|(_, m)| m.rented + self.config.list_lag < now)
-                    .map(|(host, machine)| self.listed(host, machine, now))
+                    .map(|(machine_id, machine)| self.listed(machine_id, machine, now))
                     .collect();
-                CloudAnswer::Page { hosts, more: false }
+                CloudAnswer::Page {
+                    machine_ids,
+                    more: false,
+                }
             }
         }
     }
 
     /// A machine that died stays listed for a while, one that was deleted doesn't.
-    fn gone(&self, host: &HostId, machine: &Machine, now: Millis) -> bool {
+    fn gone(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> bool {
         let died = machine.dead.is_some_and(|at| now.since(at).0 > 30_000);
-        self.deleted.contains(host) || died
+        self.deleted.contains(machine_id) || died
     }
 
-    fn listed(&self, host: &HostId, machine: &Machine, now: Millis) -> Listed {
+    fn listed(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> Listed {
         let seen = now - self.config.list_lag;
         Listed {
-            host: host.clone(),
-            rig: self.config.rig.sku.clone(),
+            machine_id: machine_id.clone(),
+            machine_type: self.config.machine_type.id.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             stage: if machine.up_at > seen {
@@ -108,33 +115,38 @@
 
     fn rent(
         &mut self,
-        hire: String,
-        (rig, zone, spot): &Offer,
+        request_id: String,
+        (machine_type, zone, spot): &Offer,
         count: u32,
         machines: &mut Machines,
         now: Millis,
         rng: &mut SmallRng,
     ) -> CloudAnswer {
-        if let Some(hosts) = self.hires.get(&hire) {
-            return CloudAnswer::Rented(hosts.clone());
+        if let Some(machine_ids) = self.rental_requests.get(&request_id) {
+            return CloudAnswer::Rented(machine_ids.clone());
         }
-        let alive = machines.hosts.values().filter(|m| m.dead.is_none()).count() as u32;
+        let alive = machines
+            .machine_ids
+            .values()
+            .filter(|m| m.dead.is_none())
+            .count() as u32;
         let count = count.min(self.config.capacity.saturating_sub(alive));
-        let known = *rig == self.config.rig.sku && self.config.zones.contains(zone);
+        let known =
+            *machine_type == self.config.machine_type.id && self.config.zones.contains(zone);
         if count == 0 || !known {
             return CloudAnswer::NoCapacity;
         }
-        let boot = self.config.rig.boot.0;
-        let hosts: Vec<HostId> = (0..count)
+        let boot = self.config.machine_type.boot.0;
+        let machine_ids: Vec<MachineId> = (0..count)
             .map(|_| {
                 self.made += 1;
-                let host = HostId::from(format!("vm-{:06}", self.made));
+                let machine_id = MachineId::from(format!("vm-{:06}", self.made));
                 let up_at = now + Millis(rng.random_range(boot / 2..=boot * 3 / 2));
-                machines.add(&host, zone.clone(), *spot, now, up_at);
-                host
+                machines.add(&machine_id, zone.clone(), *spot, now, up_at);
+                machine_id
             })
             .collect();
-        self.hires.insert(hire, hosts.clone());
-        CloudAnswer::Rented(hosts)
+        self.rental_requests.insert(request_id, machine_ids.clone());
+        CloudAnswer::Rented(machine_ids)
     }
 }
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -5,7 +5,7 @@
 
 use ini::Ini;
 use jaspertiller::settings::{Quota, SettingsError, TeamSettings, problem, read_file};
-use jaspertiller::types::{Millis, Room, Sku, Zone};
+use jaspertiller::types::{MachineTypeId, Millis, Room, Zone};
 use serde_json::{Value, json};
 
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     pub classes: Vec<String>,
     pub teams: Vec<TeamSettings>,
     pub timing: Timing,
-    pub rig: Rig,
+    pub machine_type: MachineType,
     /// Machines that the cloud has to give.
     pub capacity: u32,
     /// How old the cloud's list of machines is.
@@ -31,7 +31,7 @@
 /// How often workers report, and how long things may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    pub report: Millis,
+    pub heartbeat: Millis,
     pub lease: Millis,
     pub gang_wait: Millis,
     pub gang_peer: Millis,
@@ -40,8 +40,8 @@
 
 /// The region's machine type.
 #[derive(Clone, Debug)]
-pub struct Rig {
-    pub sku: Sku,
+pub struct MachineType {
+    pub id: MachineTypeId,
     pub room: Room,
     pub fetch_gb_per_s: f64,
     pub boot: Millis,
@@ -73,14 +73,14 @@
             classes: Vec::new(),
             teams: vec![team("small", 4.0, 6.0), team("large", 0.0, 0.0)],
             timing: Timing {
-                report: Millis(1_500),
+                heartbeat: Millis(1_500),
                 lease: Millis(12_000),
                 gang_wait: Millis(20_000),
                 gang_peer: Millis(3_000),
                 cancel: Millis(30_000),
             },
-            rig: Rig {
-                sku: "g4".into(),
+            machine_type: MachineType {
+                id: "g4".into(),
                 room: Room {
                     cpus: 16.0,
                     gpus: 4.0,
@@ -116,19 +116,23 @@
     ("machines", "capacity", 1.0, 200.0, |c, v| {
         c.capacity = v as u32
     }),
-    ("machines", "cpus", 1.0, 1024.0, |c, v| c.rig.room.cpus = v),
-    ("machines", "gpus", 0.0, 64.0, |c, v| c.rig.room.gpus = v),
+    ("machines", "cpus", 1.0, 1024.0, |c, v| {
+        c.machine_type.room.cpus = v
+    }),
+    ("machines", "gpus", 0.0, 64.0, |c, v| {
+        c.machine_type.room.gpus = v
+    }),
     ("machines", "memory_gb", 1.0, 65_536.0, |c, v| {
-        c.rig.room.memory_gb = v
+        c.machine_type.room.memory_gb = v
     }),
     ("machines", "boot_s", 0.1, 3600.0, |c, v| {
-        c.rig.boot = Millis::from_secs(v)
+        c.machine_type.boot = Millis::from_secs(v)
     }),
     ("machines", "fetch_gb_per_s", 0.01, 100.0, |c, v| {
-        c.rig.fetch_gb_per_s = v
+        c.machine_type.fetch_gb_per_s = v
     }),
     ("workers", "report_s", 0.5, 60.0, |c, v| {
-        c.timing.report = Millis::from_secs(v)
+        c.timing.heartbeat = Millis::from_secs(v)
     }),
     ("workers", "lease_s", 5.0, 600.0, |c, v| {
         c.timing.lease = Millis::from_secs(v)
@@ -256,7 +260,7 @@
             "outside": {"cloud": cloud.to_string(), "state": state.to_string()},
             "deployment": {"count": self.controllers, "zones": self.zones, "objectives": classes,
                 "teams": teams,
-                "workers": {"report_s": t.report.secs(), "lease_s": t.lease.secs(),
+                "workers": {"report_s": t.heartbeat.secs(), "lease_s": t.lease.secs(),
                     "gang_wait_s": t.gang_wait.secs(), "gang_peer_s": t.gang_peer.secs(),
                     "cancel_s": t.cancel.secs()},
                 "state": {"rps": self.state.rps, "write_rps": self.state.write_rps,
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -70,7 +70,7 @@
         capacity: machines,
         ..Config::default()
     };
-    config.timing.report = Millis(5_000);
+    config.timing.heartbeat = Millis(5_000);
     config.timing.lease = Millis(26_000);
     config.timing.cancel = Millis(46_000);
     let services = machines as usize;
@@ -87,9 +87,11 @@
     }
     world.run_until(FROM_S * 1_000);
     let zone = Zone::from(CUT);
-    let hosts = world.machines.hosts.iter();
-    let up = hosts.filter(|(_, m)| m.zone == zone && m.dead.is_none() && !m.tasks.is_empty());
-    let up: Vec<_> = up.map(|(host, m)| (host.clone(), m.session)).collect();
+    let machine_ids = world.machines.machine_ids.iter();
+    let up = machine_ids.filter(|(_, m)| m.zone == zone && m.dead.is_none() && !m.tasks.is_empty());
+    let up: Vec<_> = up
+        .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
+        .collect();
     world.zone_cuts.push(ZoneCut {
         zone: zone.clone(),
         since: FROM_S * 1_000,
@@ -107,13 +109,14 @@
     for at_s in FROM_S..FROM_S + for_s + AFTER_S {
         world.run_until(at_s * 1_000);
         let present = world.machines.present(Millis(at_s * 1_000));
-        let zones = present.map(|(host, _)| world.machines.hosts[host].zone == zone);
+        let zones =
+            present.map(|(machine_id, _)| world.machines.machine_ids[machine_id].zone == zone);
         let (inside, all) = zones.fold((0, 0), |(n, all), here| (n + usize::from(here), all + 1));
         running.push((at_s, inside, all));
     }
-    let expired = |(host, session): &&(_, u64)| {
-        let machine = &world.machines.hosts[host];
-        machine.session > *session
+    let expired = |(machine_id, agent_epoch): &&(_, u64)| {
+        let machine = &world.machines.machine_ids[machine_id];
+        machine.agent_epoch > *agent_epoch
     };
     Played {
         inside,
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -138,7 +138,11 @@
 fn said(shared: &Shared) -> String {
     let region = shared.lock();
     let tasks = region.machines.present(region.now()).count();
-    let alive = region.machines.hosts.values().filter(|m| m.dead.is_none());
+    let alive = region
+        .machines
+        .machine_ids
+        .values()
+        .filter(|m| m.dead.is_none());
     format!("{tasks} tasks on {} machines", alive.count())
 }
 
--- a/crates/simulator/src/live/faults.rs
+++ b/crates/simulator/src/live/faults.rs
@@ -5,7 +5,7 @@
 
 use ini::Ini;
 use jaspertiller::settings::{SettingsError, problem, read_file};
-use jaspertiller::types::{HostId, Millis};
+use jaspertiller::types::{MachineId, Millis};
 use serde::{Deserialize, Serialize};
 
 use super::Shared;
@@ -74,15 +74,15 @@
             Kind::Slow => region.trouble.slow = (until, Duration::from_millis(500)),
             Kind::Cloud => region.trouble.cloud = until,
             Kind::Hang | Kind::Stop => {
-                let host = HostId::from(self.target.as_str());
-                let machine = region.machines.hosts.get_mut(&host);
+                let machine_id = MachineId::from(self.target.as_str());
+                let machine = region.machines.machine_ids.get_mut(&machine_id);
                 let Some(machine) = machine.filter(|m| m.dead.is_none()) else {
-                    return Err(format!("there is no machine {host}"));
+                    return Err(format!("there is no machine {machine_id}"));
                 };
                 if self.kind == Kind::Hang {
                     machine.hung_until = until;
                 } else {
-                    region.machines.kill(&host, now);
+                    region.machines.kill(&machine_id, now);
                 }
             }
         }
--- a/crates/simulator/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -16,7 +16,7 @@
 use jaspertiller::clock::Clock;
 use jaspertiller::http_client::HttpClient;
 use jaspertiller::store::Answer;
-use jaspertiller::types::{HostId, Millis, TaskId, Zone};
+use jaspertiller::types::{MachineId, Millis, TaskId, Zone};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use tokio::sync::oneshot;
@@ -59,10 +59,10 @@
     /// that has started.
     pub check_every: Duration,
     checked: Millis,
-    unchecked: Vec<(HostId, TaskId)>,
+    unchecked: Vec<(MachineId, TaskId)>,
     rng: SmallRng,
     watches: HashMap<u64, oneshot::Sender<Answer>>,
-    listeners: HashMap<HostId, JoinHandle<()>>,
+    listeners: HashMap<MachineId, JoinHandle<()>>,
     /// Where each controller answers users and workers.
     controllers: Vec<SocketAddr>,
 }
@@ -75,11 +75,11 @@
     /// Every machine of a zone stops; how many there were.
     pub fn lose_zone(&mut self, zone: &Zone) -> usize {
         let now = self.now();
-        let hosts = self.machines.hosts.iter();
-        let inside = hosts.filter(|(_, m)| m.zone == *zone && m.dead.is_none());
-        let inside: Vec<HostId> = inside.map(|(host, _)| host.clone()).collect();
-        for host in &inside {
-            self.machines.kill(host, now);
+        let machine_ids = self.machines.machine_ids.iter();
+        let inside = machine_ids.filter(|(_, m)| m.zone == *zone && m.dead.is_none());
+        let inside: Vec<MachineId> = inside.map(|(machine_id, _)| machine_id.clone()).collect();
+        for machine_id in &inside {
+            self.machines.kill(machine_id, now);
         }
         inside.len()
     }
@@ -88,14 +88,14 @@
     fn step(&mut self) -> Vec<Outgoing> {
         let now = self.now();
         self.store.pass(now, now < self.trouble.state);
-        let (started, reports) = self.machines.step(now);
+        let (started, heartbeats) = self.machines.step(now);
         self.unchecked.extend(started);
         if now.since(self.checked).0 >= self.check_every.as_millis() as u64 {
             self.checked = now;
             let mut started = std::mem::take(&mut self.unchecked);
             if !self.check_every.is_zero() {
                 // What has left its machine since may be elsewhere by now without breaking a rule.
-                started.retain(|(host, task)| self.machines.is_on(host, task));
+                started.retain(|(machine_id, task)| self.machines.is_on(machine_id, task));
             }
             self.rules.check(&started, &self.machines, now);
         }
@@ -105,7 +105,7 @@
             }
         }
         self.longest_step_ms = self.longest_step_ms.max(self.now().since(now).0);
-        reports
+        heartbeats
     }
 }
 
@@ -160,10 +160,10 @@
         let mut steps = tokio::time::interval(STEP);
         loop {
             steps.tick().await;
-            let reports = self.lock().step();
+            let heartbeats = self.lock().step();
             workers::keep_listeners(&self);
-            for out in reports {
-                tokio::spawn(workers::report(self.clone(), client.clone(), out));
+            for out in heartbeats {
+                tokio::spawn(workers::heartbeat(self.clone(), client.clone(), out));
             }
         }
     }
--- a/crates/simulator/src/live/services.rs
+++ b/crates/simulator/src/live/services.rs
@@ -5,7 +5,7 @@
 
 use jaspertiller::fleet::{CloudAnswer, CloudCall, Stage};
 use jaspertiller::store::{Answer, Entry, Txn, Update};
-use jaspertiller::types::{HostId, Millis, Permit, Revision, Sku, Zone};
+use jaspertiller::types::{LeaseId, MachineId, MachineTypeId, Millis, Revision, Zone};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Value, json};
@@ -53,7 +53,8 @@
 struct ChangeBody {
     put: Option<String>,
     data: Option<Box<RawValue>>,
-    permit: Option<Permit>,
+    #[serde(rename = "permit")]
+    lease_id: Option<LeaseId>,
     drop: Option<String>,
 }
 
@@ -80,7 +81,7 @@
     for change in body.then {
         match (change.put, change.data, change.drop) {
             (Some(key), Some(data), None) => {
-                txn.put_text(key, data.get().to_string(), change.permit);
+                txn.put_text(key, data.get().to_string(), change.lease_id);
             }
             (None, None, Some(key)) => txn.drop_key(key),
             _ => return None,
@@ -200,8 +201,8 @@
             }
         }
         (&Method::GET, ["store", key]) => match store.get(key) {
-            Some((data, version, permit)) => {
-                ok(json!({"key": key, "data": value(data), "stamp": version, "permit": permit}))
+            Some((data, version, lease_id)) => {
+                ok(json!({"key": key, "data": value(data), "stamp": version, "permit": lease_id}))
             }
             None => (404, Some(json!({"ledger": store.revision}))),
         },
@@ -213,13 +214,13 @@
         },
         (method, ["leases", rest]) => {
             let id = rest.strip_suffix("/renew").unwrap_or(rest).parse();
-            let Ok(permit) = id.map(Permit) else {
+            let Ok(lease_id) = id.map(LeaseId) else {
                 return error(400, "malformed");
             };
             match *method {
-                Method::POST if store.renew(permit, now) => ok(json!({})),
+                Method::POST if store.renew(lease_id, now) => ok(json!({})),
                 Method::DELETE => {
-                    store.end(permit);
+                    store.end(lease_id);
                     ok(json!({}))
                 }
                 _ => error(404, "no such lease"),
@@ -231,16 +232,21 @@
 
 #[derive(Deserialize)]
 struct RentBody {
-    hire: String,
-    rig: Sku,
-    yard: Zone,
-    loaners: bool,
+    #[serde(rename = "hire")]
+    request_id: String,
+    #[serde(rename = "rig")]
+    machine_type: MachineTypeId,
+    #[serde(rename = "yard")]
+    zone: Zone,
+    #[serde(rename = "loaners")]
+    spot: bool,
     count: u32,
 }
 
 #[derive(Deserialize)]
-struct HostsBody {
-    hosts: Vec<HostId>,
+struct MachinesBody {
+    #[serde(rename = "hosts")]
+    machine_ids: Vec<MachineId>,
 }
 
 async fn the_cloud(shared: Shared, controller: usize, request: Request) -> Reaction {
@@ -257,21 +263,21 @@
         return error(503, "trouble");
     }
     let call = match (&request.method, request.path.as_str()) {
-        (&Method::GET, "/flavors") => return ok(region.cloud.flavors()),
+        (&Method::GET, "/flavors") => return ok(region.cloud.type_specs()),
         (&Method::GET, "/rentals") => CloudCall::List {
             after: request.query.get("from").map(|h| h.as_str().into()),
         },
         (&Method::POST, "/rentals") => match serde_json::from_slice::<RentBody>(&request.body) {
             Ok(body) => CloudCall::Rent {
-                hire: body.hire,
-                offer: (body.rig, body.yard, body.loaners),
+                request_id: body.request_id,
+                offer: (body.machine_type, body.zone, body.spot),
                 count: body.count,
             },
             Err(_) => return error(400, "malformed"),
         },
         (&Method::POST, "/rentals/delete") => {
-            match serde_json::from_slice::<HostsBody>(&request.body) {
-                Ok(body) => CloudCall::Delete(body.hosts),
+            match serde_json::from_slice::<MachinesBody>(&request.body) {
+                Ok(body) => CloudCall::Delete(body.machine_ids),
                 Err(_) => return error(400, "malformed"),
             }
         }
@@ -279,18 +285,18 @@
     };
     let machines = &mut region.machines;
     match region.cloud.call(call, machines, now, &mut region.rng) {
-        CloudAnswer::Rented(hosts) => ok(json!({"hosts": hosts})),
+        CloudAnswer::Rented(machine_ids) => ok(json!({"hosts": machine_ids})),
         CloudAnswer::NoCapacity => error(503, "no capacity"),
         CloudAnswer::Deleted => ok(json!({})),
-        CloudAnswer::Page { hosts, more } => {
-            let listed = hosts.iter().map(|m| {
+        CloudAnswer::Page { machine_ids, more } => {
+            let listed = machine_ids.iter().map(|m| {
                 let stage = match m.stage {
                     Stage::Booting => "booting",
                     Stage::Running => "running",
                     Stage::Failed => "failed",
                 };
-                let address = region.machines.hosts.get(&m.host).map(|h| &h.address);
-                json!({"id": m.host, "address": address, "rig": m.rig, "yard": m.zone,
+                let address = region.machines.machine_ids.get(&m.machine_id).map(|h| &h.address);
+                json!({"id": m.machine_id, "address": address, "rig": m.machine_type, "yard": m.zone,
                     "loaners": m.spot, "stage": stage, "ageS": m.age.secs()})
             });
             let listed: Vec<Value> = listed.collect();
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -3,8 +3,10 @@
 use std::time::Duration;
 
 use jaspertiller::http_client::HttpClient;
-use jaspertiller::types::{Baton, HostId, NodeId, Session};
-use jaspertiller::workers::wire::{Cause, Order, OrderBody, Report, ReportAnswer, TaskStage};
+use jaspertiller::types::{AgentEpoch, ControllerId, MachineId, WorkerToken};
+use jaspertiller::workers::wire::{
+    ExitCause, Heartbeat, HeartbeatResponse, TaskStage, WorkerCommand, WorkerCommandBody,
+};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use warp::http::Method;
@@ -17,15 +19,19 @@
 
 #[derive(Deserialize)]
 struct Orders {
-    baton: Option<Baton>,
-    shift: Option<Session>,
+    #[serde(rename = "baton")]
+    worker_token: Option<WorkerToken>,
+    #[serde(rename = "shift")]
+    agent_epoch: Option<AgentEpoch>,
     #[serde(default)]
-    orders: Vec<OrderBody>,
+    #[serde(rename = "orders")]
+    commands: Vec<WorkerCommandBody>,
 }
 
 #[derive(Deserialize)]
 struct Elsewhere {
-    foreman: Option<NodeId>,
+    #[serde(rename = "foreman")]
+    redirect_to: Option<ControllerId>,
 }
 
 fn stage(stage: TaskStage) -> &'static str {
@@ -38,48 +44,48 @@
     }
 }
 
-fn cause(cause: Cause) -> &'static str {
+fn cause(cause: ExitCause) -> &'static str {
     match cause {
-        Cause::Done => "done",
-        Cause::Stopped => "stopped",
-        Cause::PeersGone => "mates_gone",
-        Cause::Alone => "alone",
-        Cause::Error => "error",
-        Cause::NoRoom => "no_room",
-        Cause::Busy => "in_use",
-        Cause::Unknown => "no_such",
+        ExitCause::Done => "done",
+        ExitCause::Stopped => "stopped",
+        ExitCause::PeersGone => "mates_gone",
+        ExitCause::Alone => "alone",
+        ExitCause::Error => "error",
+        ExitCause::NoRoom => "no_room",
+        ExitCause::Busy => "in_use",
+        ExitCause::Unknown => "no_such",
     }
 }
 
 /// A report as the protocol writes it.
-pub fn report_body(report: &Report) -> Value {
-    let picks = report.picks.iter().map(|pick| {
-        json!({"pick": pick.pick, "try": pick.attempt, "stage": stage(pick.stage),
-            "cause": pick.cause.map(cause), "kept": pick.kept})
+pub fn heartbeat_body(heartbeat: &Heartbeat) -> Value {
+    let tasks = heartbeat.tasks.iter().map(|task| {
+        json!({"pick": task.task, "try": task.attempt, "stage": stage(task.stage),
+            "cause": task.cause.map(cause), "kept": task.kept})
     });
-    let picks: Vec<Value> = picks.collect();
-    json!({"host": report.host, "address": report.address, "rig": report.rig,
-        "yard": report.yard, "loaners": report.loaners, "shift": report.shift,
-        "tally": report.tally, "baton": report.baton, "warningS": report.warning_s,
-        "picks": picks})
+    let tasks: Vec<Value> = tasks.collect();
+    json!({"host": heartbeat.machine_id, "address": heartbeat.address, "rig": heartbeat.machine_type,
+        "yard": heartbeat.zone, "loaners": heartbeat.spot, "shift": heartbeat.agent_epoch,
+        "tally": heartbeat.heartbeat_sequence, "baton": heartbeat.worker_token, "warningS": heartbeat.warning_s,
+        "picks": tasks})
 }
 
-fn orders(bodies: &[OrderBody]) -> Vec<Order> {
-    bodies.iter().filter_map(OrderBody::order).collect()
+fn commands(bodies: &[WorkerCommandBody]) -> Vec<WorkerCommand> {
+    bodies.iter().filter_map(WorkerCommandBody::order).collect()
 }
 
 /// Carries one heartbeat to the controller and its answer back.
-pub async fn report(shared: Shared, client: HttpClient, out: Outgoing) {
+pub async fn heartbeat(shared: Shared, client: HttpClient, out: Outgoing) {
     let address = {
         let region = shared.lock();
         let now = region.now();
         let cut = now < region.trouble.cut[out.node];
-        if cut || !region.machines.reachable(&out.host, now) {
+        if cut || !region.machines.reachable(&out.machine_id, now) {
             return;
         }
         region.controllers[out.node]
     };
-    let bytes = report_body(&out.report).to_string().into_bytes();
+    let bytes = heartbeat_body(&out.heartbeat).to_string().into_bytes();
     let client = client.at(address);
     let sent = bytes.len();
     let call = client.call(Method::POST, "/v1/report", bytes, ANSWER).await;
@@ -88,24 +94,24 @@
     let answer = match call {
         Ok((200, body)) => match serde_json::from_slice::<Orders>(&body) {
             Ok(Orders {
-                baton: Some(baton),
-                orders: bodies,
+                worker_token: Some(worker_token),
+                commands: bodies,
                 ..
-            }) => ReportAnswer::Orders {
-                baton,
-                orders: orders(&bodies),
+            }) => HeartbeatResponse::Commands {
+                worker_token,
+                commands: commands(&bodies),
             },
             _ => return,
         },
         Ok((421, body)) => {
-            let foreman = serde_json::from_slice::<Elsewhere>(&body).ok();
-            ReportAnswer::Elsewhere(foreman.and_then(|f| f.foreman))
+            let redirect_to = serde_json::from_slice::<Elsewhere>(&body).ok();
+            HeartbeatResponse::Redirect(redirect_to.and_then(|f| f.redirect_to))
         }
-        _ => ReportAnswer::Later,
+        _ => HeartbeatResponse::RetryLater,
     };
     let region = &mut *shared.lock();
     let now = region.now();
-    if now >= region.trouble.cut[out.node] && region.machines.reachable(&out.host, now) {
+    if now >= region.trouble.cut[out.node] && region.machines.reachable(&out.machine_id, now) {
         region.machines.answered(&out, answer, now);
     }
 }
@@ -113,29 +119,31 @@
 /// Every machine that is up has an address; one that is gone has none.
 pub fn keep_listeners(shared: &Shared) {
     let region = &mut *shared.lock();
-    for (host, machine) in &mut region.machines.hosts {
-        let known = region.listeners.contains_key(host);
+    for (machine_id, machine) in &mut region.machines.machine_ids {
+        let known = region.listeners.contains_key(machine_id);
         if machine.dead.is_some() {
-            if let Some(listener) = region.listeners.remove(host) {
+            if let Some(listener) = region.listeners.remove(machine_id) {
                 listener.abort();
             }
         } else if !known && let Ok(listener) = http::listen() {
             if let Ok(address) = listener.local_addr() {
                 machine.address = address.to_string();
             }
-            let (shared, its) = (shared.clone(), host.clone());
+            let (shared, its) = (shared.clone(), machine_id.clone());
             let serving = http::serve(listener, move |request| {
                 worker(shared.clone(), its.clone(), request)
             });
-            region.listeners.insert(host.clone(), tokio::spawn(serving));
+            region
+                .listeners
+                .insert(machine_id.clone(), tokio::spawn(serving));
         }
     }
 }
 
-async fn worker(shared: Shared, host: HostId, request: Request) -> Reaction {
+async fn worker(shared: Shared, machine_id: MachineId, request: Request) -> Reaction {
     let reachable = {
         let region = shared.lock();
-        region.machines.reachable(&host, region.now())
+        region.machines.reachable(&machine_id, region.now())
     };
     if !reachable {
         tokio::time::sleep(ANSWER).await;
@@ -149,12 +157,18 @@
         (&Method::GET, "/inspect") => {}
         (&Method::POST, "/do") => match serde_json::from_slice::<Orders>(&request.body) {
             Ok(Orders {
-                baton: Some(baton),
-                shift: Some(session),
-                orders: bodies,
+                worker_token: Some(worker_token),
+                agent_epoch: Some(agent_epoch),
+                commands: bodies,
             }) => {
                 let machines = &mut region.machines;
-                if !machines.direct(&host, baton, session, orders(&bodies), now) {
+                if !machines.direct(
+                    &machine_id,
+                    worker_token,
+                    agent_epoch,
+                    commands(&bodies),
+                    now,
+                ) {
                     status = 409;
                 }
             }
@@ -162,6 +176,6 @@
         },
         _ => return (404, None),
     }
-    let report = region.machines.report(&host);
-    (status, report.as_ref().map(report_body))
+    let heartbeat = region.machines.heartbeat(&machine_id);
+    (status, heartbeat.as_ref().map(heartbeat_body))
 }
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -5,13 +5,16 @@
 
 use jaspertiller::jobs::{Shape, Spec};
 use jaspertiller::types::{
-    Attempt, Baton, HostId, Image, JobId, Millis, Room, Session, Sku, TaskId, Zone,
+    AgentEpoch, Attempt, Image, JobId, MachineId, MachineTypeId, Millis, Room, TaskId, WorkerToken,
+    Zone,
+};
+use jaspertiller::workers::wire::{
+    ExitCause, Heartbeat, HeartbeatResponse, TaskStage, TaskStatus, WorkerCommand,
 };
-use jaspertiller::workers::wire::{Cause, Order, Pick, Report, ReportAnswer, TaskStage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::config::{Config, Rig, Timing};
+use crate::config::{Config, MachineType, Timing};
 
 /// A worker waits this long for the answer to a heartbeat.
 const ANSWER: Millis = Millis(4_000);
@@ -32,7 +35,7 @@
 pub struct Task {
     pub attempt: Attempt,
     pub stage: TaskStage,
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
     kept: bool,
     /// When the present stage ends.
     until: Millis,
@@ -48,7 +51,7 @@
         matches!(self.stage, Running | Saving | Waiting)
     }
 
-    fn exit(&mut self, cause: Cause) {
+    fn exit(&mut self, cause: ExitCause) {
         self.stage = TaskStage::Exited;
         self.cause = Some(cause);
     }
@@ -59,30 +62,30 @@
     pub spot: bool,
     pub rented: Millis,
     pub up_at: Millis,
-    pub session: u64,
-    tally: u64,
+    pub agent_epoch: u64,
+    heartbeat_sequence: u64,
     /// The highest token that it has seen.
-    pub baton: Baton,
+    pub worker_token: WorkerToken,
     lease_from: Millis,
     /// The controller that it reports to.
     pub node: usize,
-    next_report: Millis,
+    next_heartbeat: Millis,
     /// The report that waits for its answer: when it was sent, and its number.
     in_flight: Option<(Millis, u64)>,
     pub tasks: BTreeMap<TaskId, Task>,
     /// When each image is there.
     images: HashMap<Image, Millis>,
     pub dead: Option<Millis>,
-    pub sick: bool,
+    pub quarantined: bool,
     pub unreachable_until: Millis,
     /// It does nothing until then.
     pub hung_until: Millis,
     /// Its reports arrive, but nothing reaches it until then.
-    pub deaf_until: Millis,
+    pub commands_lost_until: Millis,
     /// It reaches no controller until then, though direct commands reach it.
-    pub mute_until: Millis,
+    pub heartbeats_lost_until: Millis,
     /// Only this controller's answers and commands reach it until then.
-    pub hears_only: Option<(usize, Millis)>,
+    pub reached_only_by: Option<(usize, Millis)>,
     /// Whose answer renewed its lease last, and when.
     pub renewed: Option<(usize, Millis)>,
     /// When it last stopped and was back at once.
@@ -91,25 +94,25 @@
 }
 
 impl Machine {
-    fn report(&self, host: &HostId, rig: &Rig) -> Report {
-        let pick = |(id, task): (&TaskId, &Task)| Pick {
-            pick: id.to_string(),
+    fn heartbeat(&self, machine_id: &MachineId, machine_type: &MachineType) -> Heartbeat {
+        let task = |(id, task): (&TaskId, &Task)| TaskStatus {
+            task: id.to_string(),
             attempt: task.attempt,
             stage: task.stage,
             cause: task.cause,
             kept: task.kept.then_some(true),
         };
-        Report {
-            host: host.clone(),
+        Heartbeat {
+            machine_id: machine_id.clone(),
             address: self.address.clone(),
-            rig: rig.sku.clone(),
-            yard: self.zone.clone(),
-            loaners: self.spot,
-            shift: Session(self.session),
-            tally: self.tally,
-            baton: self.baton,
+            machine_type: machine_type.id.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            agent_epoch: AgentEpoch(self.agent_epoch),
+            heartbeat_sequence: self.heartbeat_sequence,
+            worker_token: self.worker_token,
             warning_s: None,
-            picks: self.tasks.iter().map(pick).collect(),
+            tasks: self.tasks.iter().map(task).collect(),
         }
     }
 }
@@ -117,9 +120,9 @@
 /// A report to be carried to a controller.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    pub host: HostId,
+    pub machine_id: MachineId,
     pub node: usize,
-    pub report: Report,
+    pub heartbeat: Heartbeat,
 }
 
 /// The run of a gang's attempt.
@@ -132,13 +135,13 @@
 }
 
 pub struct Machines {
-    pub hosts: BTreeMap<HostId, Machine>,
+    pub machine_ids: BTreeMap<MachineId, Machine>,
     pub jobs: HashMap<JobId, Description>,
     pub completed: HashSet<TaskId>,
     gangs: BTreeMap<JobId, GangRun>,
     /// Saved progress: of a gang under its first task.
     progress: HashMap<TaskId, Millis>,
-    rig: Rig,
+    machine_type: MachineType,
     timing: Timing,
     nodes: usize,
     rng: SmallRng,
@@ -159,12 +162,12 @@
 impl Machines {
     pub fn new(config: &Config, seed: u64) -> Self {
         Self {
-            hosts: BTreeMap::new(),
+            machine_ids: BTreeMap::new(),
             jobs: HashMap::new(),
             completed: HashSet::new(),
             gangs: BTreeMap::new(),
             progress: HashMap::new(),
-            rig: config.rig.clone(),
+            machine_type: config.machine_type.clone(),
             timing: config.timing,
             nodes: config.controllers,
             rng: SmallRng::seed_from_u64(seed),
@@ -177,68 +180,84 @@
         }
     }
 
-    pub fn add(&mut self, host: &HostId, zone: Zone, spot: bool, rented: Millis, up_at: Millis) {
+    pub fn add(
+        &mut self,
+        machine_id: &MachineId,
+        zone: Zone,
+        spot: bool,
+        rented: Millis,
+        up_at: Millis,
+    ) {
         let machine = Machine {
             zone,
             spot,
             rented,
             up_at,
-            session: 1,
-            tally: 0,
-            baton: Baton(0),
+            agent_epoch: 1,
+            heartbeat_sequence: 0,
+            worker_token: WorkerToken(0),
             lease_from: up_at,
             node: self.rng.random_range(0..self.nodes),
-            next_report: up_at,
+            next_heartbeat: up_at,
             in_flight: None,
             tasks: BTreeMap::new(),
             images: HashMap::new(),
             dead: None,
-            sick: false,
+            quarantined: false,
             unreachable_until: Millis(0),
             hung_until: Millis(0),
-            deaf_until: Millis(0),
-            mute_until: Millis(0),
-            hears_only: None,
+            commands_lost_until: Millis(0),
+            heartbeats_lost_until: Millis(0),
+            reached_only_by: None,
             renewed: None,
             back: Millis(0),
             address: "10.1.0.1:1".into(),
         };
-        self.hosts.insert(host.clone(), machine);
+        self.machine_ids.insert(machine_id.clone(), machine);
     }
 
     /// The cloud deletes a machine; whether it was well and at work.
-    pub fn delete(&mut self, host: &HostId, now: Millis) -> bool {
-        let Some(machine) = self.hosts.get_mut(host) else {
+    pub fn delete(&mut self, machine_id: &MachineId, now: Millis) -> bool {
+        let Some(machine) = self.machine_ids.get_mut(machine_id) else {
             return false;
         };
-        let well = machine.dead.is_none() && !machine.sick && machine.unreachable_until <= now;
+        let well =
+            machine.dead.is_none() && !machine.quarantined && machine.unreachable_until <= now;
         let at_work = well && machine.tasks.values().any(Task::on_machine);
         machine.dead.get_or_insert(now);
         machine.tasks.clear();
         at_work
     }
 
-    pub fn kill(&mut self, host: &HostId, now: Millis) {
-        if let Some(machine) = self.hosts.get_mut(host) {
+    pub fn kill(&mut self, machine_id: &MachineId, now: Millis) {
+        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
             machine.dead.get_or_insert(now);
             machine.tasks.clear();
         }
     }
 
     /// A machine stops and is back at once, with nothing on it. Its counters may begin anew.
-    pub fn reboot(&mut self, host: &HostId, anew: bool, now: Millis) {
+    pub fn reboot(&mut self, machine_id: &MachineId, anew: bool, now: Millis) {
         let node = self.rng.random_range(0..self.nodes);
-        let Some(machine) = self.hosts.get_mut(host).filter(|m| m.dead.is_none()) else {
+        let Some(machine) = self
+            .machine_ids
+            .get_mut(machine_id)
+            .filter(|m| m.dead.is_none())
+        else {
             return;
         };
         machine.back = now;
         machine.tasks.clear();
         machine.in_flight = None;
-        (machine.lease_from, machine.next_report, machine.node) = (now, now, node);
+        (machine.lease_from, machine.next_heartbeat, machine.node) = (now, now, node);
         if anew {
-            (machine.session, machine.tally, machine.baton) = (1, 0, Baton(0));
+            (
+                machine.agent_epoch,
+                machine.heartbeat_sequence,
+                machine.worker_token,
+            ) = (1, 0, WorkerToken(0));
         } else {
-            machine.session += 1;
+            machine.agent_epoch += 1;
         }
     }
 
@@ -247,87 +266,93 @@
     }
 
     /// Every task that a machine has now, in whatever state.
-    fn tasks(&self, now: Millis) -> impl Iterator<Item = (&HostId, &TaskId, &Task)> {
+    fn tasks(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId, &Task)> {
         let alive = move |m: &&Machine| m.dead.is_none() && !self.lease_over(m, now);
-        let hosts = self.hosts.iter().filter(move |(_, m)| alive(m));
-        hosts.flat_map(|(host, machine)| {
+        let machine_ids = self.machine_ids.iter().filter(move |(_, m)| alive(m));
+        machine_ids.flat_map(|(machine_id, machine)| {
             let tasks = machine.tasks.iter();
-            tasks.map(move |(id, task)| (host, id, task))
+            tasks.map(move |(id, task)| (machine_id, id, task))
         })
     }
 
     /// Every task that is on a machine now.
-    pub fn present(&self, now: Millis) -> impl Iterator<Item = (&HostId, &TaskId)> {
+    pub fn present(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now).filter(|(.., task)| task.on_machine());
-        tasks.map(|(host, id, _)| (host, id))
+        tasks.map(|(machine_id, id, _)| (machine_id, id))
     }
 
     /// Whether a task is on this machine.
-    pub fn is_on(&self, host: &HostId, task: &TaskId) -> bool {
-        let machine = self.hosts.get(host).filter(|m| m.dead.is_none());
+    pub fn is_on(&self, machine_id: &MachineId, task: &TaskId) -> bool {
+        let machine = self
+            .machine_ids
+            .get(machine_id)
+            .filter(|m| m.dead.is_none());
         let task = machine.and_then(|machine| machine.tasks.get(task));
         task.is_some_and(Task::on_machine)
     }
 
     /// Every task that holds room on a machine now: those that fetch their image, too.
     pub fn holding(&self, now: Millis) -> impl Iterator<Item = &TaskId> {
-        self.on_hosts(now).map(|(_, task)| task)
+        self.on_machines(now).map(|(_, task)| task)
     }
 
     /// The same with their machines.
-    pub fn on_hosts(&self, now: Millis) -> impl Iterator<Item = (&HostId, &TaskId)> {
+    pub fn on_machines(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now);
         let alive = tasks.filter(|(.., task)| task.stage != TaskStage::Exited);
-        alive.map(|(host, id, _)| (host, id))
+        alive.map(|(machine_id, id, _)| (machine_id, id))
     }
 
     /// Machines that are up, well, in touch with everybody, and what is free there.
     pub fn sound(&self, now: Millis) -> impl Iterator<Item = (&Machine, Room)> {
-        let sound = move |(host, m): &(&HostId, &Machine)| {
-            let apart = m.hears_only.is_some_and(|(_, until)| until > now);
-            self.reachable(host, now) && !m.sick && m.mute_until <= now && !apart
+        let sound = move |(machine_id, m): &(&MachineId, &Machine)| {
+            let apart = m.reached_only_by.is_some_and(|(_, until)| until > now);
+            self.reachable(machine_id, now)
+                && !m.quarantined
+                && m.heartbeats_lost_until <= now
+                && !apart
         };
-        let sound = self.hosts.iter().filter(sound);
-        sound.map(|(_, machine)| (machine, self.rig.room.minus(self.used(machine))))
+        let sound = self.machine_ids.iter().filter(sound);
+        sound.map(|(_, machine)| (machine, self.machine_type.room.minus(self.used(machine))))
     }
 
-    pub fn rig(&self) -> &Sku {
-        &self.rig.sku
+    pub fn machine_type(&self) -> &MachineTypeId {
+        &self.machine_type.id
     }
 
     /// Lets time pass; returns the tasks that came on a machine, and reports to be carried.
-    pub fn step(&mut self, now: Millis) -> (Vec<(HostId, TaskId)>, Vec<Outgoing>) {
-        let (mut started, mut reports) = (Vec::new(), Vec::new());
+    pub fn step(&mut self, now: Millis) -> (Vec<(MachineId, TaskId)>, Vec<Outgoing>) {
+        let (mut started, mut heartbeats) = (Vec::new(), Vec::new());
         let (timing, nodes, keep) = (self.timing, self.nodes, self.keep_past_lease);
         let spread = self.spread;
-        for (host, machine) in &mut self.hosts {
+        for (machine_id, machine) in &mut self.machine_ids {
             let idle = machine.dead.is_some() || now < machine.up_at;
             if idle || now < machine.hung_until {
                 continue;
             }
             if now > machine.lease_from + timing.lease && !keep {
-                machine.session += 1;
+                machine.agent_epoch += 1;
                 machine.lease_from = now;
                 let killed = machine.tasks.values().filter(|task| task.on_machine());
                 self.killed_by_lease += killed.count() as u64;
                 machine.tasks.clear();
                 machine.in_flight = None;
             }
-            let sick = machine.sick;
+            let quarantined = machine.quarantined;
             let mut changed = false;
             for (id, task) in &mut machine.tasks {
                 if task.stage == TaskStage::Exited || now < task.until {
                     continue;
                 }
                 let Some(job) = self.jobs.get(&id.job) else {
-                    task.exit(Cause::Unknown);
+                    task.exit(ExitCause::Unknown);
                     continue;
                 };
                 changed = true;
                 match task.stage {
-                    TaskStage::Fetching if sick || job.broken => task.exit(Cause::Error),
+                    TaskStage::Fetching if quarantined || job.broken => task.exit(ExitCause::Error),
                     TaskStage::Fetching => {
-                        started.push((host.clone(), id.clone()));
+                        started.push((machine_id.clone(), id.clone()));
                         let done = self.completed.contains(id);
                         if job.spec.shape == Shape::Gang && !done {
                             task.stage = TaskStage::Waiting;
@@ -345,9 +370,9 @@
                         task.began = now;
                         task.until = if service { NEVER } else { now + run };
                     }
-                    TaskStage::Waiting => task.exit(Cause::Alone),
+                    TaskStage::Waiting => task.exit(ExitCause::Alone),
                     TaskStage::Running => {
-                        task.exit(Cause::Done);
+                        task.exit(ExitCause::Done);
                         self.completed.insert(id.clone());
                     }
                     TaskStage::Saving => {
@@ -356,13 +381,13 @@
                         *progress = *progress + told.since(task.began);
                         self.lost = self.lost + now.since(told);
                         task.kept = true;
-                        task.exit(Cause::Stopped);
+                        task.exit(ExitCause::Stopped);
                     }
                     TaskStage::Exited => {}
                 }
             }
             if changed {
-                machine.next_report = machine.next_report.min(now + SOON);
+                machine.next_heartbeat = machine.next_heartbeat.min(now + SOON);
             }
             if machine
                 .in_flight
@@ -370,28 +395,28 @@
             {
                 machine.in_flight = None;
                 machine.node = (machine.node + 1) % nodes;
-                machine.next_report = now + Millis(1_000);
+                machine.next_heartbeat = now + Millis(1_000);
             }
-            if machine.in_flight.is_none() && now >= machine.next_report {
-                machine.tally += 1;
-                machine.in_flight = Some((now, machine.tally));
-                machine.next_report = now + timing.report;
-                reports.push(Outgoing {
-                    host: host.clone(),
+            if machine.in_flight.is_none() && now >= machine.next_heartbeat {
+                machine.heartbeat_sequence += 1;
+                machine.in_flight = Some((now, machine.heartbeat_sequence));
+                machine.next_heartbeat = now + timing.heartbeat;
+                heartbeats.push(Outgoing {
+                    machine_id: machine_id.clone(),
                     node: machine.node,
-                    report: machine.report(host, &self.rig),
+                    heartbeat: machine.heartbeat(machine_id, &self.machine_type),
                 });
             }
         }
         self.step_gangs(now);
-        (started, reports)
+        (started, heartbeats)
     }
 
     /// Gangs start together, complete together, save together, and exit when a member is gone.
     fn step_gangs(&mut self, now: Millis) {
         let keep = self.keep_past_lease;
         let mut attempts: BTreeMap<(JobId, Attempt), Vec<(TaskId, &mut Task)>> = BTreeMap::new();
-        for machine in self.hosts.values_mut() {
+        for machine in self.machine_ids.values_mut() {
             let over = now > machine.lease_from + self.timing.lease && !keep;
             if machine.dead.is_some() || over || now < machine.hung_until {
                 continue;
@@ -406,14 +431,14 @@
                 }
             }
             if before > 0 {
-                machine.next_report = machine.next_report.min(now + SOON.max(Millis(1_000)));
+                machine.next_heartbeat = machine.next_heartbeat.min(now + SOON.max(Millis(1_000)));
             }
         }
         for ((id, attempt), mut members) in attempts {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let picks = job.spec.tasks as usize;
+            let tasks = job.spec.tasks as usize;
             let first = TaskId {
                 job: id.clone(),
                 index: 0,
@@ -424,7 +449,7 @@
             };
             let run = self.gangs.get_mut(&id).filter(|run| run.attempt == attempt);
             let Some(run) = run else {
-                if count(&members, TaskStage::Waiting) == picks {
+                if count(&members, TaskStage::Waiting) == tasks {
                     let run = GangRun {
                         attempt,
                         began: now,
@@ -445,14 +470,14 @@
             if saving > 0 {
                 run.told.get_or_insert(now);
             }
-            if running == picks && now >= run.end {
+            if running == tasks && now >= run.end {
                 for (task_id, task) in members {
-                    task.exit(Cause::Done);
+                    task.exit(ExitCause::Done);
                     self.completed.insert(task_id);
                 }
                 continue;
             }
-            if saving + kept == picks || run.saved {
+            if saving + kept == tasks || run.saved {
                 if kept > 0 && !run.saved {
                     run.saved = true;
                     let told = run.told.unwrap_or(now);
@@ -463,7 +488,7 @@
             let late = run
                 .told
                 .is_some_and(|told| now.since(told) > self.timing.gang_peer);
-            let gone = members.len() < picks && run.told.is_none();
+            let gone = members.len() < tasks && run.told.is_none();
             if late || gone {
                 let mark = Millis::from_secs(job.spec.checkpoint_s);
                 let ran = run.told.unwrap_or(now).since(run.began);
@@ -475,70 +500,88 @@
                     self.progress.insert(first, saved + Millis(marks));
                 }
                 for (_, task) in members.iter_mut().filter(|(_, t)| t.on_machine()) {
-                    task.exit(Cause::PeersGone);
+                    task.exit(ExitCause::PeersGone);
                 }
             }
         }
     }
 
-    pub fn report(&self, host: &HostId) -> Option<Report> {
-        Some(self.hosts.get(host)?.report(host, &self.rig))
+    pub fn heartbeat(&self, machine_id: &MachineId) -> Option<Heartbeat> {
+        Some(
+            self.machine_ids
+                .get(machine_id)?
+                .heartbeat(machine_id, &self.machine_type),
+        )
     }
 
     /// Whether anything from outside reaches the machine.
-    pub fn reachable(&self, host: &HostId, now: Millis) -> bool {
-        let hears = |m: &Machine| m.deaf_until <= now;
-        self.speaks(host, now) && self.hosts.get(host).is_some_and(hears)
+    pub fn reachable(&self, machine_id: &MachineId, now: Millis) -> bool {
+        let receives_heartbeats = |m: &Machine| m.commands_lost_until <= now;
+        self.speaks(machine_id, now)
+            && self
+                .machine_ids
+                .get(machine_id)
+                .is_some_and(receives_heartbeats)
     }
 
     /// Whether what the machine sends arrives.
-    pub fn speaks(&self, host: &HostId, now: Millis) -> bool {
-        self.hosts.get(host).is_some_and(|m| {
+    pub fn speaks(&self, machine_id: &MachineId, now: Millis) -> bool {
+        self.machine_ids.get(machine_id).is_some_and(|m| {
             m.dead.is_none() && m.unreachable_until <= now && m.hung_until <= now && m.up_at <= now
         })
     }
 
     /// Whether what this controller sends reaches the machine.
-    pub fn hears(&self, host: &HostId, node: usize, now: Millis) -> bool {
-        let only = self.hosts.get(host).and_then(|m| m.hears_only);
+    pub fn receives_heartbeats(&self, machine_id: &MachineId, node: usize, now: Millis) -> bool {
+        let only = self
+            .machine_ids
+            .get(machine_id)
+            .and_then(|m| m.reached_only_by);
         only.is_none_or(|(only, until)| only == node || until <= now)
     }
 
     /// A controller's answer to a heartbeat.
-    pub fn answered(&mut self, out: &Outgoing, answer: ReportAnswer, now: Millis) {
+    pub fn answered(&mut self, out: &Outgoing, answer: HeartbeatResponse, now: Millis) {
         let nodes = self.nodes;
-        let hears = self.hears(&out.host, out.node, now);
-        let Some(machine) = self.hosts.get_mut(&out.host).filter(|_| hears) else {
+        let receives_heartbeats = self.receives_heartbeats(&out.machine_id, out.node, now);
+        let Some(machine) = self
+            .machine_ids
+            .get_mut(&out.machine_id)
+            .filter(|_| receives_heartbeats)
+        else {
             return;
         };
-        let alive = machine.dead.is_none() && machine.deaf_until <= now;
-        let number = out.report.tally;
+        let alive = machine.dead.is_none() && machine.commands_lost_until <= now;
+        let number = out.heartbeat.heartbeat_sequence;
         let Some((sent, _)) = machine.in_flight.filter(|(_, n)| alive && *n == number) else {
             return;
         };
         machine.in_flight = None;
         match answer {
-            ReportAnswer::Orders { baton, orders } => {
+            HeartbeatResponse::Commands {
+                worker_token,
+                commands,
+            } => {
                 // Dropped: its lease is not renewed, its commands are not executed.
-                if baton < machine.baton {
+                if worker_token < machine.worker_token {
                     return;
                 }
-                if baton > machine.baton {
-                    machine.baton = baton;
-                    machine.next_report = now + SOON;
+                if worker_token > machine.worker_token {
+                    machine.worker_token = worker_token;
+                    machine.next_heartbeat = now + SOON;
                 }
                 machine.lease_from = sent;
                 machine.renewed = Some((out.node, now));
-                self.execute(&out.host, orders, now);
+                self.execute(&out.machine_id, commands, now);
             }
-            ReportAnswer::Elsewhere(Some(foreman)) => {
-                let node = (0..nodes).find(|i| Config::label(*i) == foreman.as_str());
+            HeartbeatResponse::Redirect(Some(redirect_to)) => {
+                let node = (0..nodes).find(|i| Config::label(*i) == redirect_to.as_str());
                 machine.node = node.unwrap_or((machine.node + 1) % nodes);
-                machine.next_report = now + Millis(100);
+                machine.next_heartbeat = now + Millis(100);
             }
             _ => {
                 machine.node = (machine.node + 1) % nodes;
-                machine.next_report = now + Millis(1_000);
+                machine.next_heartbeat = now + Millis(1_000);
             }
         }
     }
@@ -546,23 +589,23 @@
     /// Orders sent directly; whether they were executed.
     pub fn direct(
         &mut self,
-        host: &HostId,
-        baton: Baton,
-        session: Session,
-        orders: Vec<Order>,
+        machine_id: &MachineId,
+        worker_token: WorkerToken,
+        agent_epoch: AgentEpoch,
+        commands: Vec<WorkerCommand>,
         now: Millis,
     ) -> bool {
-        let Some(machine) = self.hosts.get_mut(host) else {
+        let Some(machine) = self.machine_ids.get_mut(machine_id) else {
             return false;
         };
-        let obeyed = baton >= machine.baton && session.0 == machine.session;
+        let obeyed = worker_token >= machine.worker_token && agent_epoch.0 == machine.agent_epoch;
         if obeyed {
-            machine.baton = machine.baton.max(baton);
-            self.execute(host, orders, now);
+            machine.worker_token = machine.worker_token.max(worker_token);
+            self.execute(machine_id, commands, now);
         }
-        if let Some(machine) = self.hosts.get_mut(host) {
-            machine.tally += 1;
-            machine.next_report = machine.next_report.min(now + Millis(500));
+        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
+            machine.heartbeat_sequence += 1;
+            machine.next_heartbeat = machine.next_heartbeat.min(now + Millis(500));
         }
         obeyed
     }
@@ -576,28 +619,36 @@
         rooms.fold(Room::default(), Room::plus)
     }
 
-    fn fetched_at(&mut self, host: &HostId, image: &Image, gb: f64, now: Millis) -> Millis {
+    fn fetched_at(
+        &mut self,
+        machine_id: &MachineId,
+        image: &Image,
+        gb: f64,
+        now: Millis,
+    ) -> Millis {
         let takes = match self.fetch.clone() {
             Some(range) => self.rng.random_range(range) as f64,
-            None => gb / self.rig.fetch_gb_per_s * self.rng.random_range(670.0..1_330.0),
+            None => gb / self.machine_type.fetch_gb_per_s * self.rng.random_range(670.0..1_330.0),
         };
-        let machine = self.hosts.get_mut(host);
+        let machine = self.machine_ids.get_mut(machine_id);
         let Some(machine) = machine else { return NEVER };
         let there = machine.images.entry(image.clone());
         *there.or_insert(now + Millis(takes as u64))
     }
 
-    fn execute(&mut self, host: &HostId, orders: Vec<Order>, now: Millis) {
-        for order in orders {
+    fn execute(&mut self, machine_id: &MachineId, commands: Vec<WorkerCommand>, now: Millis) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => self.start(host, task, attempt, now),
-                Order::Stop {
+                WorkerCommand::Start { task, attempt } => {
+                    self.start(machine_id, task, attempt, now)
+                }
+                WorkerCommand::Stop {
                     task,
                     attempt,
                     grace_s,
-                } => self.stop(host, &task, attempt, grace_s, now),
-                Order::Forget { task, attempt } => {
-                    let Some(machine) = self.hosts.get_mut(host) else {
+                } => self.stop(machine_id, &task, attempt, grace_s, now),
+                WorkerCommand::Forget { task, attempt } => {
+                    let Some(machine) = self.machine_ids.get_mut(machine_id) else {
                         continue;
                     };
                     let over = |t: &Task| t.attempt == attempt && t.stage == TaskStage::Exited;
@@ -609,8 +660,8 @@
         }
     }
 
-    fn start(&mut self, host: &HostId, id: TaskId, attempt: Attempt, now: Millis) {
-        let Some(machine) = self.hosts.get(host) else {
+    fn start(&mut self, machine_id: &MachineId, id: TaskId, attempt: Attempt, now: Millis) {
+        let Some(machine) = self.machine_ids.get(machine_id) else {
             return;
         };
         let known = machine.tasks.get(&id);
@@ -629,23 +680,36 @@
             told: None,
         };
         match job {
-            None => task.exit(Cause::Unknown),
+            None => task.exit(ExitCause::Unknown),
             Some((room, image, gb)) => {
-                if self.used(machine).plus(room).fits_in(self.rig.room) {
-                    task.until = self.fetched_at(host, &image, gb, now);
+                if self
+                    .used(machine)
+                    .plus(room)
+                    .fits_in(self.machine_type.room)
+                {
+                    task.until = self.fetched_at(machine_id, &image, gb, now);
                 } else {
-                    task.exit(Cause::NoRoom);
+                    task.exit(ExitCause::NoRoom);
                 }
             }
         }
-        if let Some(machine) = self.hosts.get_mut(host) {
+        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
             machine.tasks.insert(id, task);
-            machine.next_report = machine.next_report.min(now + Millis(500));
+            machine.next_heartbeat = machine.next_heartbeat.min(now + Millis(500));
         }
     }
 
-    fn stop(&mut self, host: &HostId, id: &TaskId, attempt: Attempt, grace_s: f64, now: Millis) {
-        let (Some(machine), Some(job)) = (self.hosts.get_mut(host), self.jobs.get(&id.job)) else {
+    fn stop(
+        &mut self,
+        machine_id: &MachineId,
+        id: &TaskId,
+        attempt: Attempt,
+        grace_s: f64,
+        now: Millis,
+    ) {
+        let (Some(machine), Some(job)) =
+            (self.machine_ids.get_mut(machine_id), self.jobs.get(&id.job))
+        else {
             return;
         };
         let spec = &job.spec;
@@ -655,7 +719,7 @@
         }) else {
             return;
         };
-        machine.next_report = machine.next_report.min(now + SOON);
+        machine.next_heartbeat = machine.next_heartbeat.min(now + SOON);
         let saves = spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
         match task.stage {
             TaskStage::Running if saves => {
@@ -675,9 +739,9 @@
                 if spec.shape != Shape::Service {
                     self.lost = self.lost + (ran - Millis(marks));
                 }
-                task.exit(Cause::Stopped);
+                task.exit(ExitCause::Stopped);
             }
-            _ => task.exit(Cause::Stopped),
+            _ => task.exit(ExitCause::Stopped),
         }
     }
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -174,7 +174,7 @@
 }
 
 fn html_page(replays: &[Replay]) -> anyhow::Result<Markup> {
-    let report = Config::default().timing.report.secs();
+    let report = Config::default().timing.heartbeat.secs();
     let shown: Vec<&Replay> = replays.iter().filter(|replay| replay.seed == 1).collect();
     let mut plots = Vec::new();
     for replay in &shown {
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -5,7 +5,7 @@
 use jaspertiller::jobs::Spec;
 use jaspertiller::jobs::api::{JobState, Stage};
 use jaspertiller::settings::TeamSettings;
-use jaspertiller::types::{HostId, JobId, Millis, Room, TaskId, Team};
+use jaspertiller::types::{JobId, MachineId, Millis, Room, TaskId, Team};
 
 use crate::config::{Config, Timing};
 use crate::machines::Machines;
@@ -220,48 +220,54 @@
     }
 
     /// Looks at all machines after a step in which these tasks came on theirs.
-    pub fn check(&mut self, started: &[(HostId, TaskId)], machines: &Machines, now: Millis) {
+    pub fn check(&mut self, started: &[(MachineId, TaskId)], machines: &Machines, now: Millis) {
         self.starts += started.len() as u64;
-        let present: Vec<(&HostId, &TaskId)> = machines.present(now).collect();
+        let present: Vec<(&MachineId, &TaskId)> = machines.present(now).collect();
         let spec = |id: &JobId| machines.jobs.get(id).map(|job| &job.spec);
-        for (host, task) in &present {
+        for (machine_id, task) in &present {
             let told = self.aborted.get(&task.job);
             if told.is_some_and(|at| now.since(*at) > self.cancel) {
-                self.broken("ran_cancelled", format!("{task} on {host} at {}", now.0));
+                self.broken(
+                    "ran_cancelled",
+                    format!("{task} on {machine_id} at {}", now.0),
+                );
             }
         }
         if started.is_empty() {
             return;
         }
         // Tasks of the jobs that started something, by job.
-        let mut of_job: HashMap<&JobId, Vec<(&HostId, &TaskId)>> = HashMap::new();
+        let mut of_job: HashMap<&JobId, Vec<(&MachineId, &TaskId)>> = HashMap::new();
         for (_, task) in started {
             of_job.entry(&task.job).or_default();
         }
         let mut used: BTreeMap<&Team, Room> = BTreeMap::new();
-        for (host, task) in &present {
+        for (machine_id, task) in &present {
             if let Some(tasks) = of_job.get_mut(&task.job) {
-                tasks.push((host, task));
+                tasks.push((machine_id, task));
             }
             if let Some(spec) = spec(&task.job) {
                 let sum = used.entry(&spec.team).or_default();
                 *sum = sum.plus(spec.room);
             }
         }
-        for (host, task) in started {
+        for (machine_id, task) in started {
             let first = self.first_start.entry(task.job.clone());
             first.or_insert(now);
             let its = of_job.get(&task.job).map_or(&[][..], Vec::as_slice);
             let mut on = its.iter().filter(|(_, other)| *other == task);
-            if let Some((other, _)) = on.find(|(other, _)| *other != host) {
+            if let Some((other, _)) = on.find(|(other, _)| *other != machine_id) {
                 let at = now.0;
-                self.broken("ran_twice", format!("{task} on {host} and {other} at {at}"));
+                self.broken(
+                    "ran_twice",
+                    format!("{task} on {machine_id} and {other} at {at}"),
+                );
             }
             let Some(spec) = spec(&task.job) else {
                 self.broken("invented", format!("{task} started"));
                 continue;
             };
-            if let Some(why) = wrong_place(host, task, spec, its, machines) {
+            if let Some(why) = wrong_place(machine_id, task, spec, its, machines) {
                 self.broken("wrong_place", why);
             }
         }
@@ -274,7 +280,9 @@
                 let its =
                     |id: &JobId| spec(id).is_some_and(|spec| group.teams.contains(&spec.team));
                 let by = present.iter().filter(|(_, task)| its(&task.job));
-                let by: Vec<String> = by.map(|(host, task)| format!("{task} on {host}")).collect();
+                let by: Vec<String> = by
+                    .map(|(machine_id, task)| format!("{task} on {machine_id}"))
+                    .collect();
                 let what = format!("{} uses {sum:?} at {}: {by:?}", group.name, now.0);
                 self.broken("quota", what);
             }
@@ -290,22 +298,22 @@
 }
 
 fn wrong_place(
-    host: &HostId,
+    machine_id: &MachineId,
     task: &TaskId,
     spec: &Spec,
-    of_its_job: &[(&HostId, &TaskId)],
+    of_its_job: &[(&MachineId, &TaskId)],
     machines: &Machines,
 ) -> Option<String> {
-    let machine = machines.hosts.get(host)?;
+    let machine = machines.machine_ids.get(machine_id)?;
     if machine.spot && !spec.spot {
         return Some(format!("{task} on a spot machine"));
     }
-    if spec.yard.as_ref().is_some_and(|yard| *yard != machine.zone) {
+    if spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone) {
         return Some(format!("{task} in zone {}", machine.zone));
     }
     let mut zones: BTreeMap<_, u32> = BTreeMap::new();
-    for (host, _) in of_its_job {
-        if let Some(machine) = machines.hosts.get(*host) {
+    for (machine_id, _) in of_its_job {
+        if let Some(machine) = machines.machine_ids.get(*machine_id) {
             *zones.entry(&machine.zone).or_default() += 1;
         }
     }
--- a/crates/simulator/src/scale/settings.rs
+++ b/crates/simulator/src/scale/settings.rs
@@ -216,18 +216,18 @@
             },
             ..Config::default()
         };
-        config.timing.report = Millis(5_000);
+        config.timing.heartbeat = Millis(5_000);
         config.timing.lease = Millis(26_000);
         config.timing.gang_wait = Millis(35_000);
         config.timing.gang_peer = Millis(5_000);
         config.timing.cancel = Millis(46_000);
-        config.rig.room = Room {
+        config.machine_type.room = Room {
             cpus: CPUS,
             gpus: self.gpus_a_machine(),
             memory_gb: MEMORY_GB,
         };
-        config.rig.boot = Millis(2_000);
-        config.rig.fetch_gb_per_s = 2.0;
+        config.machine_type.boot = Millis(2_000);
+        config.machine_type.fetch_gb_per_s = 2.0;
         config.cloud_rps = 20.0;
         config.quota.sockets = 16_000;
         config.quota.cores = 1.0;
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -4,9 +4,9 @@
 use jaspertiller::fleet::CloudCall;
 use jaspertiller::peers::Message;
 use jaspertiller::store::{Answer, Call, Change, Txn, Update};
-use jaspertiller::workers::wire::{Order, Report, ReportAnswer};
+use jaspertiller::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
-use crate::live::workers::report_body;
+use crate::live::workers::heartbeat_body;
 use crate::meter::{Direction, NodeMeter};
 
 /// JSON around each order, change or condition, about.
@@ -21,15 +21,15 @@
         Event::Store { answer, .. } => (answer_kind(answer), answer_bytes(answer)),
         Event::Cloud { .. } => ("cloud answer", 0),
         Event::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
-        Event::Report { report, .. } => ("report", report_bytes(report)),
+        Event::Heartbeat { heartbeat, .. } => ("report", heartbeat_bytes(heartbeat)),
         Event::Submit { .. } => ("submission", 0),
         Event::Poll { .. } => ("poll", 0),
         Event::Abort { .. } => ("cancellation", 0),
         Event::Ready { .. } => ("probe", 0),
         Event::Inspected { .. } => ("inspection", 0),
         Event::Direct { answer, .. } => {
-            let report = answer.as_ref().and_then(|answer| answer.report.as_ref());
-            ("direct answer", report.map_or(0, report_bytes))
+            let heartbeat = answer.as_ref().and_then(|answer| answer.heartbeat.as_ref());
+            ("direct answer", heartbeat.map_or(0, heartbeat_bytes))
         }
     }
 }
@@ -40,9 +40,11 @@
         Effect::Store { call, .. } => (call_kind(call), call_bytes(call)),
         Effect::Cloud { call, .. } => (cloud_kind(call), 0),
         Effect::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
-        Effect::Direct { orders, .. } => ("direct orders", orders_bytes(orders)),
+        Effect::Direct { commands, .. } => ("direct orders", commands_bytes(commands)),
         Effect::Worker { answer, .. } => match answer {
-            ReportAnswer::Orders { orders, .. } => ("report answer", orders_bytes(orders)),
+            HeartbeatResponse::Commands { commands, .. } => {
+                ("report answer", commands_bytes(commands))
+            }
             _ => ("report sent on", EMPTY_ANSWER),
         },
         Effect::User { .. } => ("user answer", 0),
@@ -60,12 +62,12 @@
     }
 }
 
-fn report_bytes(report: &Report) -> usize {
-    report_body(report).to_string().len()
+fn heartbeat_bytes(heartbeat: &Heartbeat) -> usize {
+    heartbeat_body(heartbeat).to_string().len()
 }
 
-fn orders_bytes(orders: &[Order]) -> usize {
-    EMPTY_ANSWER + serde_json::to_string(orders).map_or(0, |text| text.len())
+fn commands_bytes(commands: &[WorkerCommand]) -> usize {
+    EMPTY_ANSWER + serde_json::to_string(commands).map_or(0, |text| text.len())
 }
 
 fn answer_kind(answer: &Answer) -> &'static str {
@@ -122,7 +124,7 @@
 
 fn cloud_kind(call: &CloudCall) -> &'static str {
     match call {
-        CloudCall::Flavors => "cloud types",
+        CloudCall::MachineTypes => "cloud types",
         CloudCall::List { .. } => "cloud list",
         CloudCall::Rent { .. } => "cloud rental",
         CloudCall::Delete(_) => "cloud deletion",
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use jaspertiller::controller::{Controller, DirectAnswer, Effect, Event};
+use jaspertiller::controller::{CommandReply, Controller, Effect, Event};
 use jaspertiller::fleet::CloudAnswer;
 use jaspertiller::jobs::Shape;
 use jaspertiller::jobs::api::{self, Response, Stage};
@@ -17,9 +17,10 @@
 use jaspertiller::store::lanes::{Lanes, Next, Waiting};
 use jaspertiller::store::{Answer, Call, Class, Txn};
 use jaspertiller::types::{
-    Baton, HostId, JobId, Millis, NodeId, ReplyId, Revision, Session, TaskId, Zone,
+    AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, TaskId, WorkerToken,
+    Zone,
 };
-use jaspertiller::workers::wire::{Order, ReportAnswer};
+use jaspertiller::workers::wire::{HeartbeatResponse, WorkerCommand};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -128,11 +129,20 @@
     /// A node's budget may allow another call.
     Budget(usize, u64),
     /// To a worker, when it was sent, and whether an answer is still waited for.
-    Direct(usize, u64, HostId, Baton, Session, Vec<Order>, u64, bool),
-    Report(Outgoing),
+    Direct(
+        usize,
+        u64,
+        MachineId,
+        WorkerToken,
+        AgentEpoch,
+        Vec<WorkerCommand>,
+        u64,
+        bool,
+    ),
+    Heartbeat(Outgoing),
     /// A copy of a heartbeat that was sent long ago.
     Copy(Outgoing),
-    Answer(Outgoing, ReportAnswer),
+    Answer(Outgoing, HeartbeatResponse),
     Submit(usize),
     Poll(JobId),
     Abort(JobId),
@@ -189,7 +199,7 @@
     /// nothing but the copy comes.
     pub copies: Option<(f64, std::ops::Range<u64>, f64)>,
     /// Copies that came from an earlier agent epoch of their machine.
-    pub copies_of_old_sessions: u64,
+    pub copies_of_old_agent_epochs: u64,
     /// Share of messages between controllers of which a copy comes, and how much later.
     pub peer_copies: Option<(f64, std::ops::Range<u64>)>,
     /// How many of these came.
@@ -197,8 +207,8 @@
     /// How much longer what controllers and workers send each other is on its way.
     pub slow_links: Option<std::ops::Range<u64>>,
     /// Machines whose reports are held back on their way until they are let through, and these heartbeats.
-    pub holds_reports: HashSet<HostId>,
-    pub held_reports: Vec<Outgoing>,
+    pub holds_heartbeats: HashSet<MachineId>,
+    pub held_heartbeats: Vec<Outgoing>,
     /// Share of the jobs whose user cancels, asks and submits once more as the last task ends; how often
     /// that was done.
     pub meet_ends: f64,
@@ -252,12 +262,12 @@
             held_commands: None,
             obeyed_late: 0,
             copies: None,
-            copies_of_old_sessions: 0,
+            copies_of_old_agent_epochs: 0,
             peer_copies: None,
             peer_copies_sent: 0,
             slow_links: None,
-            holds_reports: HashSet::new(),
-            held_reports: Vec::new(),
+            holds_heartbeats: HashSet::new(),
+            held_heartbeats: Vec::new(),
             meet_ends: 0.0,
             ends_met: 0,
             ended: HashSet::new(),
@@ -304,24 +314,28 @@
         self.post(at, Msg::Abort(id));
     }
 
-    fn alive(&self, index: usize) -> Option<HostId> {
-        let alive = self.machines.hosts.iter().filter(|(_, m)| m.dead.is_none());
-        alive.map(|(host, _)| host.clone()).nth(index)
+    fn alive(&self, index: usize) -> Option<MachineId> {
+        let alive = self
+            .machines
+            .machine_ids
+            .iter()
+            .filter(|(_, m)| m.dead.is_none());
+        alive.map(|(machine_id, _)| machine_id.clone()).nth(index)
     }
 
     pub fn kill_worker(&mut self, index: usize) {
-        if let Some(host) = self.alive(index) {
-            self.machines.kill(&host, Millis(self.now));
+        if let Some(machine_id) = self.alive(index) {
+            self.machines.kill(&machine_id, Millis(self.now));
         }
     }
 
     /// Every machine of a zone stops.
     pub fn lose_power(&mut self, zone: &str) {
-        let hosts = self.machines.hosts.iter();
-        let inside = hosts.filter(|(_, m)| m.zone.as_str() == zone);
-        let inside: Vec<HostId> = inside.map(|(host, _)| host.clone()).collect();
-        for host in inside {
-            self.machines.kill(&host, Millis(self.now));
+        let machine_ids = self.machines.machine_ids.iter();
+        let inside = machine_ids.filter(|(_, m)| m.zone.as_str() == zone);
+        let inside: Vec<MachineId> = inside.map(|(machine_id, _)| machine_id.clone()).collect();
+        for machine_id in inside {
+            self.machines.kill(&machine_id, Millis(self.now));
         }
     }
 
@@ -336,8 +350,10 @@
     pub fn cut_workers(&mut self, indices: &[usize], from: u64, until: u64) {
         self.run_until(from);
         for index in indices {
-            let host = self.alive(*index);
-            if let Some(machine) = host.and_then(|host| self.machines.hosts.get_mut(&host)) {
+            let machine_id = self.alive(*index);
+            if let Some(machine) =
+                machine_id.and_then(|machine_id| self.machines.machine_ids.get_mut(&machine_id))
+            {
                 machine.unreachable_until = Millis(until);
             }
         }
@@ -345,25 +361,29 @@
 
     /// A machine does nothing for a while, then goes on.
     pub fn hang_worker(&mut self, index: usize, until: u64) {
-        let host = self.alive(index);
-        if let Some(machine) = host.and_then(|host| self.machines.hosts.get_mut(&host)) {
+        let machine_id = self.alive(index);
+        if let Some(machine) =
+            machine_id.and_then(|machine_id| self.machines.machine_ids.get_mut(&machine_id))
+        {
             machine.hung_until = Millis(until);
         }
     }
 
     /// Answers and commands do not reach a machine for a while, though its heartbeats arrive.
-    pub fn deafen_worker(&mut self, index: usize, until: u64) {
-        let host = self.alive(index);
-        if let Some(machine) = host.and_then(|host| self.machines.hosts.get_mut(&host)) {
-            machine.deaf_until = Millis(until);
+    pub fn drop_commands_to_worker(&mut self, index: usize, until: u64) {
+        let machine_id = self.alive(index);
+        if let Some(machine) =
+            machine_id.and_then(|machine_id| self.machines.machine_ids.get_mut(&machine_id))
+        {
+            machine.commands_lost_until = Millis(until);
         }
     }
 
     /// Reports that were held back arrive at a controller, whatever has become of their machines. Nobody
     /// waits for the answers.
-    pub fn let_reports_through(&mut self, to: usize) {
-        self.holds_reports.clear();
-        for mut out in std::mem::take(&mut self.held_reports) {
+    pub fn let_heartbeats_through(&mut self, to: usize) {
+        self.holds_heartbeats.clear();
+        for mut out in std::mem::take(&mut self.held_heartbeats) {
             out.node = to;
             self.post(self.now + 3, Msg::Copy(out));
         }
@@ -371,15 +391,17 @@
 
     /// A machine loses all that it has and is back at once.
     pub fn reboot_worker(&mut self, index: usize, anew: bool) {
-        if let Some(host) = self.alive(index) {
-            self.machines.reboot(&host, anew, Millis(self.now));
+        if let Some(machine_id) = self.alive(index) {
+            self.machines.reboot(&machine_id, anew, Millis(self.now));
         }
     }
 
-    pub fn make_sick(&mut self, index: usize) {
-        let host = self.alive(index);
-        if let Some(machine) = host.and_then(|host| self.machines.hosts.get_mut(&host)) {
-            machine.sick = true;
+    pub fn make_quarantined(&mut self, index: usize) {
+        let machine_id = self.alive(index);
+        if let Some(machine) =
+            machine_id.and_then(|machine_id| self.machines.machine_ids.get_mut(&machine_id))
+        {
+            machine.quarantined = true;
         }
     }
 
@@ -423,9 +445,13 @@
         Some(away.map_or(until, |(_, to)| *to))
     }
 
-    fn worker_cut(&self, node: usize, host: &HostId) -> Option<Held> {
+    fn worker_cut(&self, node: usize, machine_id: &MachineId) -> Option<Held> {
         let cut = self.blocked(node, |c| c.from_workers);
-        let zone = self.machines.hosts.get(host).map(|machine| &machine.zone);
+        let zone = self
+            .machines
+            .machine_ids
+            .get(machine_id)
+            .map(|machine| &machine.zone);
         cut.or_else(|| self.zones_apart(Some(&self.settings[node].zone), zone))
     }
 
@@ -495,34 +521,51 @@
                     self.spend(node);
                 }
             }
-            Msg::Direct(node, epoch, host, baton, session, orders, sent, reply) => {
+            Msg::Direct(
+                node,
+                epoch,
+                machine_id,
+                worker_token,
+                agent_epoch,
+                commands,
+                sent,
+                reply,
+            ) => {
                 // A machine that stopped meanwhile has lost the connection it was sent on.
                 let stopped = self
                     .machines
-                    .hosts
-                    .get(&host)
+                    .machine_ids
+                    .get(&machine_id)
                     .is_some_and(|m| m.back.0 > sent);
                 if !stopped {
-                    self.direct(node, epoch, host, baton, session, orders, reply);
+                    self.direct(
+                        node,
+                        epoch,
+                        machine_id,
+                        worker_token,
+                        agent_epoch,
+                        commands,
+                        reply,
+                    );
                 } else if reply {
                     let answer = None;
-                    self.send_to(node, self.now + 1, Event::Direct { host, answer });
+                    self.send_to(node, self.now + 1, Event::Direct { machine_id, answer });
                 }
             }
-            Msg::Report(out) if self.holds_reports.contains(&out.host) => {
-                self.held_reports.push(out);
+            Msg::Heartbeat(out) if self.holds_heartbeats.contains(&out.machine_id) => {
+                self.held_heartbeats.push(out);
             }
-            Msg::Report(out) => self.report_arrives(out),
+            Msg::Heartbeat(out) => self.heartbeat_arrives(out),
             Msg::Copy(out) => {
                 // Nobody waits for the answer, and the machine may be no more.
-                let (node, report) = (out.node, out.report);
-                let machine = self.machines.hosts.get(&out.host);
-                let old = machine.is_some_and(|m| m.session > report.shift.0);
-                self.copies_of_old_sessions += u64::from(old);
-                if self.worker_cut(node, &out.host).is_none() {
+                let (node, heartbeat) = (out.node, out.heartbeat);
+                let machine = self.machines.machine_ids.get(&out.machine_id);
+                let old = machine.is_some_and(|m| m.agent_epoch > heartbeat.agent_epoch.0);
+                self.copies_of_old_agent_epochs += u64::from(old);
+                if self.worker_cut(node, &out.machine_id).is_none() {
                     self.next += 1;
                     let reply = ReplyId(self.next);
-                    self.handle(node, Event::Report { reply, report });
+                    self.handle(node, Event::Heartbeat { reply, heartbeat });
                 }
             }
             Msg::Answer(out, answer) => self.machines.answered(&out, answer, Millis(self.now)),
@@ -619,7 +662,7 @@
         let now = Millis(self.now);
         self.store.pass(now, self.during(&self.outages));
         let completed = self.machines.completed.len();
-        let (started, reports) = self.machines.step(now);
+        let (started, heartbeats) = self.machines.step(now);
         self.rules.check(&started, &self.machines, now);
         if self.machines.completed.len() > completed {
             self.meet_ends_of_jobs();
@@ -628,7 +671,7 @@
             let waiting = waits::could_run(&self.machines, &self.rules, now);
             self.rules.note_waiting(waiting, now);
         }
-        for out in reports {
+        for out in heartbeats {
             if let Some((share, later, instead)) = self.copies.clone()
                 && self.rng.random_bool(share)
             {
@@ -639,7 +682,7 @@
                 }
             }
             let delay = 3 + self.slow_link();
-            self.post(self.now + delay, Msg::Report(out));
+            self.post(self.now + delay, Msg::Heartbeat(out));
         }
         self.post(self.now + STEP, Msg::Step);
     }
@@ -683,7 +726,7 @@
         self.post(at, Msg::Node(node, epoch, Box::new(event)));
     }
 
-    fn index(&self, label: &NodeId) -> Option<usize> {
+    fn index(&self, label: &ControllerId) -> Option<usize> {
         (0..self.nodes.len()).find(|i| Config::label(*i) == label.as_str())
     }
 
@@ -714,7 +757,7 @@
                     return;
                 };
                 if !self.peers_apart(node, target) && self.nodes[target].is_some() {
-                    let from = NodeId::from(Config::label(node));
+                    let from = ControllerId::from(Config::label(node));
                     let frame = bitcode::encode(&message);
                     if let Ok(message) = bitcode::decode::<Message>(&frame) {
                         self.copy_to_peer(target, &from, &message);
@@ -723,21 +766,33 @@
                 }
             }
             Effect::Direct {
-                host,
-                baton,
-                session,
-                orders,
+                machine_id,
+                worker_token,
+                agent_epoch,
+                commands,
                 ..
-            } => match self.worker_cut(node, &host) {
+            } => match self.worker_cut(node, &machine_id) {
                 Some(cut) => {
                     if cut.hold {
-                        let host = host.clone();
-                        let msg =
-                            Msg::Direct(node, epoch, host, baton, session, orders, now, false);
+                        let machine_id = machine_id.clone();
+                        let msg = Msg::Direct(
+                            node,
+                            epoch,
+                            machine_id,
+                            worker_token,
+                            agent_epoch,
+                            commands,
+                            now,
+                            false,
+                        );
                         self.post(cut.until + 1, msg);
                     }
                     let answer = None;
-                    self.send_to(node, now + DIRECT_LIMIT, Event::Direct { host, answer });
+                    self.send_to(
+                        node,
+                        now + DIRECT_LIMIT,
+                        Event::Direct { machine_id, answer },
+                    );
                 }
                 None => {
                     let held = self.held_commands.clone();
@@ -746,21 +801,34 @@
                     // One that its sender has given up is obeyed all the same.
                     let waits = by < DIRECT_LIMIT;
                     if !waits {
-                        let (host, answer) = (host.clone(), None);
-                        self.send_to(node, now + DIRECT_LIMIT, Event::Direct { host, answer });
+                        let (machine_id, answer) = (machine_id.clone(), None);
+                        self.send_to(
+                            node,
+                            now + DIRECT_LIMIT,
+                            Event::Direct { machine_id, answer },
+                        );
                     }
-                    let msg = Msg::Direct(node, epoch, host, baton, session, orders, now, waits);
+                    let msg = Msg::Direct(
+                        node,
+                        epoch,
+                        machine_id,
+                        worker_token,
+                        agent_epoch,
+                        commands,
+                        now,
+                        waits,
+                    );
                     self.post(now + delay + by, msg);
                 }
             },
-            Effect::Inspect { host, .. } => {
-                let answered = self.worker_cut(node, &host).is_none()
-                    && self.machines.reachable(&host, Millis(now));
+            Effect::Inspect { machine_id, .. } => {
+                let answered = self.worker_cut(node, &machine_id).is_none()
+                    && self.machines.reachable(&machine_id, Millis(now));
                 self.send_to(node, now + 50, Event::Inspected { answered });
             }
             Effect::Worker { reply, answer } => {
                 if let Some(Owed::Worker(out)) = self.owed.remove(&reply)
-                    && self.worker_cut(node, &out.host).is_none()
+                    && self.worker_cut(node, &out.machine_id).is_none()
                 {
                     self.post(now + delay, Msg::Answer(out, answer));
                 }
@@ -776,7 +844,7 @@
     }
 
     /// Has a copy of a message between controllers come later, now and then.
-    fn copy_to_peer(&mut self, target: usize, from: &NodeId, message: &Message) {
+    fn copy_to_peer(&mut self, target: usize, from: &ControllerId, message: &Message) {
         let Some((share, later)) = self.peer_copies.clone() else {
             return;
         };
@@ -920,10 +988,10 @@
         } else {
             match call {
                 Call::Grant { life_ms } => Answer::Granted(self.store.grant(Millis(life_ms), now)),
-                Call::Renew(permit) if self.store.renew(permit, now) => Answer::Renewed,
+                Call::Renew(lease_id) if self.store.renew(lease_id, now) => Answer::Renewed,
                 Call::Renew(_) => Answer::NoLease,
-                Call::End(permit) => {
-                    self.store.end(permit);
+                Call::End(lease_id) => {
+                    self.store.end(lease_id);
                     Answer::Ended
                 }
                 Call::ReadRevision => Answer::Revision(Revision(self.store.revision)),
@@ -949,21 +1017,22 @@
         }
     }
 
-    fn report_arrives(&mut self, out: Outgoing) {
+    fn heartbeat_arrives(&mut self, out: Outgoing) {
         let node = out.node;
-        if let Some(Held { until, hold: true }) = self.worker_cut(node, &out.host) {
-            return self.post(until + 1, Msg::Report(out));
+        if let Some(Held { until, hold: true }) = self.worker_cut(node, &out.machine_id) {
+            return self.post(until + 1, Msg::Heartbeat(out));
         }
-        let down = self.nodes[node].is_none() || self.worker_cut(node, &out.host).is_some();
+        let down = self.nodes[node].is_none() || self.worker_cut(node, &out.machine_id).is_some();
         let now = Millis(self.now);
-        let mute = self.machines.hosts.get(&out.host);
-        let mute = mute.is_some_and(|machine| machine.mute_until > now);
-        if down || mute || !self.machines.speaks(&out.host, now) {
+        let unable_to_report = self.machines.machine_ids.get(&out.machine_id);
+        let unable_to_report =
+            unable_to_report.is_some_and(|machine| machine.heartbeats_lost_until > now);
+        if down || unable_to_report || !self.machines.speaks(&out.machine_id, now) {
             return;
         }
-        let report = out.report.clone();
+        let heartbeat = out.heartbeat.clone();
         let reply = self.owe(Owed::Worker(out));
-        self.handle(node, Event::Report { reply, report });
+        self.handle(node, Event::Heartbeat { reply, heartbeat });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -971,31 +1040,38 @@
         &mut self,
         node: usize,
         epoch: u64,
-        host: HostId,
-        baton: Baton,
-        session: Session,
-        orders: Vec<Order>,
+        machine_id: MachineId,
+        worker_token: WorkerToken,
+        agent_epoch: AgentEpoch,
+        commands: Vec<WorkerCommand>,
         reply: bool,
     ) {
         let now = Millis(self.now);
-        if !self.machines.reachable(&host, now) || !self.machines.hears(&host, node, now) {
+        if !self.machines.reachable(&machine_id, now)
+            || !self.machines.receives_heartbeats(&machine_id, node, now)
+        {
             if reply {
-                let event = Box::new(Event::Direct { host, answer: None });
+                let event = Box::new(Event::Direct {
+                    machine_id,
+                    answer: None,
+                });
                 self.post(self.now + DIRECT_LIMIT, Msg::Node(node, epoch, event));
             }
             return;
         }
-        let some = !orders.is_empty();
-        let obeyed = self.machines.direct(&host, baton, session, orders, now);
+        let some = !commands.is_empty();
+        let obeyed = self
+            .machines
+            .direct(&machine_id, worker_token, agent_epoch, commands, now);
         self.obeyed_late += u64::from(obeyed && some && !reply);
         if reply {
-            let report = self.machines.report(&host);
-            let answer = Some(DirectAnswer { report });
+            let heartbeat = self.machines.heartbeat(&machine_id);
+            let answer = Some(CommandReply { heartbeat });
             // An answer that is held up may come after newer reports.
             let held = self.held_commands.clone();
             let held = held.filter(|(share, _)| self.rng.random_bool(*share));
             let by = held.map_or(0, |_| self.rng.random_range(0..2_500));
-            let event = Box::new(Event::Direct { host, answer });
+            let event = Box::new(Event::Direct { machine_id, answer });
             self.post(self.now + 3 + by, Msg::Node(node, epoch, event));
         }
     }
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -113,15 +113,15 @@
         },
         ..Config::default()
     };
-    config.timing.report = Millis(5_000);
+    config.timing.heartbeat = Millis(5_000);
     config.timing.lease = Millis(26_500);
     config.timing.cancel = Millis(46_500);
-    config.rig.room = Room {
+    config.machine_type.room = Room {
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
     };
-    config.rig.boot = Millis(10_000);
+    config.machine_type.boot = Millis(10_000);
     config
 }
 
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use jaspertiller::store::{Answer, Change, Entry, Txn, Update};
-use jaspertiller::types::{Millis, Permit, Revision};
+use jaspertiller::types::{LeaseId, Millis, Revision};
 use serde_json::value::RawValue;
 
 use crate::config::StateLimits;
@@ -14,7 +14,7 @@
 struct Value {
     data: String,
     version: u64,
-    permit: Option<u64>,
+    lease_id: Option<u64>,
 }
 
 struct Watch {
@@ -106,10 +106,10 @@
         self.requests.take(1.0, now) && self.writes.take(changes as f64, now)
     }
 
-    pub fn get(&self, key: &str) -> Option<(&str, Revision, Option<Permit>)> {
+    pub fn get(&self, key: &str) -> Option<(&str, Revision, Option<LeaseId>)> {
         let value = self.keys.get(key)?;
-        let permit = value.permit.map(Permit);
-        Some((&value.data, Revision(value.version), permit))
+        let lease_id = value.lease_id.map(LeaseId);
+        Some((&value.data, Revision(value.version), lease_id))
     }
 
     pub fn list(&self, starts: &str, after: Option<&str>, most: usize) -> Answer {
@@ -134,25 +134,25 @@
         }
     }
 
-    pub fn grant(&mut self, life: Millis, now: Millis) -> Permit {
+    pub fn grant(&mut self, life: Millis, now: Millis) -> LeaseId {
         self.revision += 1;
         self.leases.insert(self.revision, (now + life, life));
-        Permit(self.revision)
+        LeaseId(self.revision)
     }
 
-    pub fn renew(&mut self, permit: Permit, now: Millis) -> bool {
-        let lease = self.leases.get_mut(&permit.0);
+    pub fn renew(&mut self, lease_id: LeaseId, now: Millis) -> bool {
+        let lease = self.leases.get_mut(&lease_id.0);
         lease.is_some_and(|(until, life)| {
             *until = now + *life;
             true
         })
     }
 
-    pub fn end(&mut self, permit: Permit) {
-        if self.leases.remove(&permit.0).is_none() {
+    pub fn end(&mut self, lease_id: LeaseId) {
+        if self.leases.remove(&lease_id.0).is_none() {
             return;
         }
-        let held = |value: &Value| value.permit == Some(permit.0);
+        let held = |value: &Value| value.lease_id == Some(lease_id.0);
         let keys = self.keys.iter().filter(|(_, value)| held(value));
         let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
@@ -174,10 +174,10 @@
             return;
         }
         let over = self.leases.iter().filter(|(_, (until, _))| *until < now);
-        let mut over: Vec<u64> = over.map(|(permit, _)| *permit).collect();
+        let mut over: Vec<u64> = over.map(|(lease_id, _)| *lease_id).collect();
         over.sort_unstable();
-        for permit in over {
-            self.end(Permit(permit));
+        for lease_id in over {
+            self.end(LeaseId(lease_id));
         }
         let (due, open) = std::mem::take(&mut self.watches)
             .into_iter()
@@ -297,9 +297,9 @@
         }
         let leased = |change: &Change| match change {
             Change::Put {
-                permit: Some(permit),
+                lease_id: Some(lease_id),
                 ..
-            } => self.leases.contains_key(&permit.0),
+            } => self.leases.contains_key(&lease_id.0),
             _ => true,
         };
         if !txn.changes.iter().all(leased) {
@@ -311,13 +311,17 @@
         self.revision += 1;
         for change in txn.changes {
             match change {
-                Change::Put { key, data, permit } => {
+                Change::Put {
+                    key,
+                    data,
+                    lease_id,
+                } => {
                     let data = rewritten(data);
                     self.note(key.clone(), Some(data.clone()));
                     let value = Value {
                         data,
                         version: self.revision,
-                        permit: permit.map(|p| p.0),
+                        lease_id: lease_id.map(|p| p.0),
                     };
                     self.keys.insert(key, value);
                 }
--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -78,16 +78,21 @@
     now: Millis,
 ) -> bool {
     let mut placed: BTreeMap<&Zone, u32> = BTreeMap::new();
-    for (host, _) in machines.on_hosts(now).filter(|(_, task)| task.job == *id) {
-        *placed.entry(&machines.hosts[host].zone).or_default() += 1;
+    for (machine_id, _) in machines
+        .on_machines(now)
+        .filter(|(_, task)| task.job == *id)
+    {
+        *placed
+            .entry(&machines.machine_ids[machine_id].zone)
+            .or_default() += 1;
     }
     let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
     for machine in free {
         let elsewhere = spec.one_zone && placed.keys().any(|zone| *zone != machine.zone);
         let crowded =
             spec.spread && placed.get(machine.zone).copied().unwrap_or(0) >= spec.zone_share();
-        let rig = machines.rig();
-        if spec.allows(rig, machine.zone, machine.spot) && !elsewhere && !crowded {
+        let machine_type = machines.machine_type();
+        if spec.allows(machine_type, machine.zone, machine.spot) && !elsewhere && !crowded {
             *room.entry(machine.zone).or_default() += machine.room.holds(spec.room);
         }
     }
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -121,7 +121,7 @@
         plan: |w| {
             w.run_until(15_000);
             w.cloud_down.push((15_000, 45_000));
-            w.make_sick(0);
+            w.make_quarantined(0);
             w.kill_worker(1);
         },
     },
@@ -322,8 +322,8 @@
                 world.crash(*node, *at, 3_000);
             }
             world.run_until(20_000);
-            let hosts = world.machines.hosts.iter();
-            let up = hosts.filter(|(_, m)| m.dead.is_none() && m.zone.as_str() == "b");
+            let machine_ids = world.machines.machine_ids.iter();
+            let up = machine_ids.filter(|(_, m)| m.dead.is_none() && m.zone.as_str() == "b");
             let inside: Vec<_> = up.collect();
             // Of a zone with very few machines nobody can tell whether it is cut off.
             if inside.len() < FEW {
@@ -333,16 +333,18 @@
             let at_work = inside
                 .into_iter()
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()));
-            let inside: Vec<_> = at_work.map(|(host, m)| (host.clone(), m.session)).collect();
+            let inside: Vec<_> = at_work
+                .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
+                .collect();
             seen += usize::from(!inside.is_empty());
             world.run_until(79_000);
-            for (host, session) in inside {
-                let machine = &world.machines.hosts[&host];
-                let kept = machine.dead.is_none() && machine.session == session;
+            for (machine_id, agent_epoch) in inside {
+                let machine = &world.machines.machine_ids[&machine_id];
+                let kept = machine.dead.is_none() && machine.agent_epoch == agent_epoch;
                 assert!(
                     kept,
-                    "{name} (seed {seed}): {host} {session} {} {:?}",
-                    machine.session, machine.dead
+                    "{name} (seed {seed}): {machine_id} {agent_epoch} {} {:?}",
+                    machine.agent_epoch, machine.dead
                 );
             }
         }
--- a/crates/simulator/tests/faults/combined_faults/holders.rs
+++ b/crates/simulator/tests/faults/combined_faults/holders.rs
@@ -46,8 +46,8 @@
     let mut seen = HashSet::new();
     while world.now < until {
         world.run_until((world.now + 100).min(until));
-        let block = world.store.get("jt/block/a.0");
-        seen.extend(block.map(|(_, version, _)| version));
+        let shard = world.store.get("jt/block/a.0");
+        seen.extend(shard.map(|(_, version, _)| version));
     }
     seen.len() as u64
 }
@@ -128,16 +128,18 @@
             w.run_until(AT + 35_500);
             let kept = renewed_by(w, old, AT + 25_000);
             let seen: Vec<_> = {
-                let hosts = w.machines.hosts.iter().filter(|(_, m)| m.node == old);
-                hosts.map(|(host, m)| (host.clone(), m.baton)).collect()
+                let machine_ids = w.machines.machine_ids.iter().filter(|(_, m)| m.node == old);
+                machine_ids
+                    .map(|(machine_id, m)| (machine_id.clone(), m.worker_token))
+                    .collect()
             };
             // The new holder shows them its token; what they answer is the last for a while.
             let mut silenced = HashSet::new();
             while w.now < AT + 40_000 {
                 w.run_until(w.now + 50);
-                for (host, before) in &seen {
-                    let machine = w.machines.hosts.get_mut(host).unwrap();
-                    if machine.baton > *before && silenced.insert(host.clone()) {
+                for (machine_id, before) in &seen {
+                    let machine = w.machines.machine_ids.get_mut(machine_id).unwrap();
+                    if machine.worker_token > *before && silenced.insert(machine_id.clone()) {
                         machine.unreachable_until = Millis(w.now + 14_000);
                     }
                 }
@@ -168,7 +170,7 @@
                 match round % 3 {
                     0 => w.hang_worker(index, w.now + 9_000),
                     1 => w.reboot_worker(index, round == 4),
-                    _ => w.deafen_worker(index, w.now + 5_000),
+                    _ => w.drop_commands_to_worker(index, w.now + 5_000),
                 }
             }
             w.run_until(80_000);
@@ -285,12 +287,12 @@
             for round in 0..6 {
                 w.run_until(20_000 + 9_000 * round);
                 w.reboot_worker(round as usize, false);
-                w.deafen_worker(round as usize + 2, w.now + 16_000);
+                w.drop_commands_to_worker(round as usize + 2, w.now + 16_000);
                 let old = leader(w);
                 w.crash(old, w.now + 500, 300);
             }
             w.run_until(100_000);
-            vec![("copies of earlier sessions", w.copies_of_old_sessions)]
+            vec![("copies of earlier sessions", w.copies_of_old_agent_epochs)]
         },
     },
 ];
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -3,43 +3,48 @@
 use std::collections::HashSet;
 
 use cluster_simulator::sim::{JobPlan, World, ZoneCut, job};
-use jaspertiller::types::{HostId, JobId, Millis, TaskId};
+use jaspertiller::types::{JobId, MachineId, Millis, TaskId};
 
 use super::super::alone;
 use super::holders::holds;
 use super::{AT, Meeting, at_work, leader, told};
 
 /// Machines that are up now and have tasks.
-fn busy(world: &World) -> Vec<HostId> {
-    let hosts: HashSet<&HostId> = world
+fn busy(world: &World) -> Vec<MachineId> {
+    let machine_ids: HashSet<&MachineId> = world
         .machines
         .present(Millis(world.now))
-        .map(|(host, _)| host)
+        .map(|(machine_id, _)| machine_id)
         .collect();
-    let mut hosts: Vec<HostId> = hosts.into_iter().cloned().collect();
-    hosts.sort();
-    hosts
+    let mut machine_ids: Vec<MachineId> = machine_ids.into_iter().cloned().collect();
+    machine_ids.sort();
+    machine_ids
 }
 
-fn jobs_on(world: &World, hosts: &[HostId]) -> HashSet<JobId> {
+fn jobs_on(world: &World, machine_ids: &[MachineId]) -> HashSet<JobId> {
     let present = world.machines.present(Millis(world.now));
-    let here = present.filter(|(host, _)| hosts.contains(host));
+    let here = present.filter(|(machine_id, _)| machine_ids.contains(machine_id));
     here.map(|(_, task)| task.job.clone()).collect()
 }
 
 /// These machines, a few of all, reach no controller for a while. Once that could be noticed, nothing new may
 /// be put on them.
-fn mute(world: &mut World, hosts: &[HostId], for_ms: u64) {
+fn unable_to_report(world: &mut World, machine_ids: &[MachineId], for_ms: u64) {
     const NOTICED: u64 = 7_000;
     let (from, until) = (world.now, world.now + for_ms);
-    for host in hosts {
-        world.machines.hosts.get_mut(host).unwrap().mute_until = Millis(until);
+    for machine_id in machine_ids {
+        world
+            .machines
+            .machine_ids
+            .get_mut(machine_id)
+            .unwrap()
+            .heartbeats_lost_until = Millis(until);
     }
-    let on = |world: &World| -> HashSet<(HostId, TaskId, u64)> {
-        let tasks = hosts.iter().flat_map(|host| {
-            let machine = &world.machines.hosts[host];
+    let on = |world: &World| -> HashSet<(MachineId, TaskId, u64)> {
+        let tasks = machine_ids.iter().flat_map(|machine_id| {
+            let machine = &world.machines.machine_ids[machine_id];
             let tasks = machine.tasks.iter();
-            tasks.map(|(task, known)| (host.clone(), task.clone(), known.attempt.0))
+            tasks.map(|(task, known)| (machine_id.clone(), task.clone(), known.attempt.0))
         });
         tasks.collect()
     };
@@ -105,15 +110,15 @@
             large_fleet(w);
             stream(w, AT - 10_000, AT + 45_000);
             w.run_until(AT);
-            let hosts: Vec<HostId> = busy(w).into_iter().step_by(7).collect();
-            let began = jobs_on(w, &hosts);
+            let machine_ids: Vec<MachineId> = busy(w).into_iter().step_by(7).collect();
+            let began = jobs_on(w, &machine_ids);
             for index in 0..6 {
                 w.abort_at(AT + 3_000 * index, index as usize);
             }
-            mute(w, &hosts, 40_000);
+            unable_to_report(w, &machine_ids, 40_000);
             let heard = told(w, &began, AT, AT + 40_000);
             vec![
-                ("mute with tasks", hosts.len() as u64),
+                ("mute with tasks", machine_ids.len() as u64),
                 ("cancelled there", heard),
             ]
         },
@@ -126,23 +131,30 @@
             large_fleet(w);
             stream(w, AT - 10_000, AT + 25_000);
             w.run_until(AT);
-            let hosts: Vec<HostId> = busy(w);
-            let hosts = &hosts[..hosts.len() * 3 / 4];
+            let machine_ids: Vec<MachineId> = busy(w);
+            let machine_ids = &machine_ids[..machine_ids.len() * 3 / 4];
             for index in 0..4 {
                 w.abort_at(AT + 4_000 * index, 2 * index as usize);
             }
             let before = w.cloud.deleted.len();
-            for host in hosts {
-                w.machines.hosts.get_mut(host).unwrap().mute_until = Millis(AT + 20_000);
+            for machine_id in machine_ids {
+                w.machines
+                    .machine_ids
+                    .get_mut(machine_id)
+                    .unwrap()
+                    .heartbeats_lost_until = Millis(AT + 20_000);
             }
             w.run_until(AT + 20_000);
             let deleted = w.cloud.deleted.len() - before;
             // They live, as their answers show: many at once are no reason to destroy. A controller of
             // whose machines only a few are so replaces these.
-            let what = format!("{deleted} of {} deleted", hosts.len());
-            assert!(hosts.len() >= 15 && deleted * 6 <= hosts.len(), "{what}");
+            let what = format!("{deleted} of {} deleted", machine_ids.len());
+            assert!(
+                machine_ids.len() >= 15 && deleted * 6 <= machine_ids.len(),
+                "{what}"
+            );
             vec![
-                ("mute", hosts.len() as u64),
+                ("mute", machine_ids.len() as u64),
                 ("killed by their lease", w.machines.killed_by_lease),
             ]
         },
@@ -156,13 +168,17 @@
             for (round, span) in [9_000, 22_000].into_iter().enumerate() {
                 w.run_until(AT - 10_000 + 35_000 * round as u64);
                 began.extend(at_work(w));
-                let hosts: Vec<HostId> = w.machines.hosts.keys().cloned().collect();
+                let machine_ids: Vec<MachineId> = w.machines.machine_ids.keys().cloned().collect();
                 let (from, deleted) = (w.now, w.cloud.deleted_at_work);
                 for index in 0..4 {
                     w.abort_at(from + 1_500 * index, 2 * index as usize + round);
                 }
-                for host in &hosts {
-                    w.machines.hosts.get_mut(host).unwrap().mute_until = Millis(from + span);
+                for machine_id in &machine_ids {
+                    w.machines
+                        .machine_ids
+                        .get_mut(machine_id)
+                        .unwrap()
+                        .heartbeats_lost_until = Millis(from + span);
                 }
                 changes += holds(w, from + span) - 1;
                 let deleted = w.cloud.deleted_at_work - deleted;
@@ -193,16 +209,22 @@
                 }
                 let ids: HashSet<JobId> = jobs.iter().map(|job| w.jobs[*job].id()).collect();
                 began.extend(ids.intersection(&at_work(w)).cloned());
-                let on: HashSet<HostId> = {
+                let on: HashSet<MachineId> = {
                     let present = w.machines.present(Millis(now));
                     let its = present.filter(|(_, task)| ids.contains(&task.job));
-                    its.map(|(host, _)| host.clone()).collect()
+                    its.map(|(machine_id, _)| machine_id.clone()).collect()
                 };
-                let mut on: Vec<HostId> = on.into_iter().collect();
+                let mut on: Vec<MachineId> = on.into_iter().collect();
                 on.sort();
                 w.run_until(now + 60 + 40 * round);
-                for (host, span) in on.iter().zip(spans.iter().cycle().skip(3 * round as usize)) {
-                    w.machines.hosts.get_mut(host).unwrap().hung_until = Millis(now + span);
+                for (machine_id, span) in
+                    on.iter().zip(spans.iter().cycle().skip(3 * round as usize))
+                {
+                    w.machines
+                        .machine_ids
+                        .get_mut(machine_id)
+                        .unwrap()
+                        .hung_until = Millis(now + span);
                     hung += 1;
                 }
             }
@@ -222,19 +244,22 @@
             let mut lost = 0;
             for round in 0..3 {
                 w.run_until(16_000 + 14_000 * round);
-                let hosts = busy(w);
-                let its = |w: &World, host: &HostId| {
-                    let mut tasks = w.machines.hosts[host].tasks.keys();
+                let machine_ids = busy(w);
+                let its = |w: &World, machine_id: &MachineId| {
+                    let mut tasks = w.machines.machine_ids[machine_id].tasks.keys();
                     tasks.any(|task| task.job.as_str() >= "job-000100")
                 };
-                let hosts: Vec<HostId> = hosts.into_iter().filter(|host| its(w, host)).collect();
+                let machine_ids: Vec<MachineId> = machine_ids
+                    .into_iter()
+                    .filter(|machine_id| its(w, machine_id))
+                    .collect();
                 let now = w.now;
-                for (index, host) in hosts.iter().enumerate() {
+                for (index, machine_id) in machine_ids.iter().enumerate() {
                     lost += 1;
                     match (index + round as usize) % 3 {
-                        0 => w.machines.kill(host, Millis(now)),
+                        0 => w.machines.kill(machine_id, Millis(now)),
                         1 => {
-                            let machine = w.machines.hosts.get_mut(host).unwrap();
+                            let machine = w.machines.machine_ids.get_mut(machine_id).unwrap();
                             machine.unreachable_until = Millis(now + 13_000);
                         }
                         _ => lost -= 1,
@@ -255,9 +280,9 @@
             for round in 0..3 {
                 w.run_until(25_000 + 28_000 * round);
                 let (old, began) = (leader(w), busy(w));
-                w.holds_reports.extend(began);
+                w.holds_heartbeats.extend(began);
                 w.run_until(w.now + 1_700);
-                w.holds_reports.clear();
+                w.holds_heartbeats.clear();
                 let now = w.now;
                 if round == 1 {
                     w.cuts.push(alone(old, now / 1_000, 12, true));
@@ -273,9 +298,9 @@
                 w.reboot_worker(round as usize + 1, false);
                 w.run_until(now + 8_000);
                 if leader(w) != old {
-                    arrived += w.held_reports.len() as u64;
+                    arrived += w.held_heartbeats.len() as u64;
                     let to = leader(w);
-                    w.let_reports_through(to);
+                    w.let_heartbeats_through(to);
                 }
                 w.run_until(now + 15_000);
             }
@@ -295,13 +320,17 @@
             w.run_until(AT);
             let full = gpus_of(w, "small");
             let (old, began) = (leader(w), at_work(w));
-            let hosts: Vec<HostId> = {
+            let machine_ids: Vec<MachineId> = {
                 let present = w.machines.present(Millis(w.now));
                 let its = present.filter(|(_, task)| task.job.as_str() >= "job-000100");
-                its.map(|(host, _)| host.clone()).collect()
+                its.map(|(machine_id, _)| machine_id.clone()).collect()
             };
-            for host in hosts.iter().step_by(2) {
-                w.machines.hosts.get_mut(host).unwrap().unreachable_until = Millis(AT + 18_000);
+            for machine_id in machine_ids.iter().step_by(2) {
+                w.machines
+                    .machine_ids
+                    .get_mut(machine_id)
+                    .unwrap()
+                    .unreachable_until = Millis(AT + 18_000);
             }
             w.crash(old, AT + 300, 6_000);
             // Of the team's jobs some, and some of others.
@@ -330,10 +359,10 @@
         play: |w| {
             w.run_until(AT);
             let zone = w.settings[leader(w)].zone.clone();
-            let inside: Vec<HostId> = {
-                let hosts = w.machines.hosts.iter();
-                let inside = hosts.filter(|(_, m)| m.zone == zone);
-                inside.map(|(host, _)| host.clone()).collect()
+            let inside: Vec<MachineId> = {
+                let machine_ids = w.machines.machine_ids.iter();
+                let inside = machine_ids.filter(|(_, m)| m.zone == zone);
+                inside.map(|(machine_id, _)| machine_id.clone()).collect()
             };
             let began = jobs_on(w, &inside);
             w.zone_cuts.push(ZoneCut {
--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -84,17 +84,18 @@
 
 /// Machines whose lease was renewed by this controller after a moment.
 fn renewed_by(world: &World, node: usize, after: u64) -> u64 {
-    let hosts = world.machines.hosts.values();
-    let renewed = hosts.filter(|m| m.renewed.is_some_and(|(by, at)| by == node && at.0 > after));
+    let machine_ids = world.machines.machine_ids.values();
+    let renewed =
+        machine_ids.filter(|m| m.renewed.is_some_and(|(by, at)| by == node && at.0 > after));
     renewed.count() as u64
 }
 
 /// Every other machine that reports to this controller, or all, hears nobody else for a while.
 fn hear_only(world: &mut World, node: usize, until: u64, all: bool) {
-    let hosts = world.machines.hosts.values_mut();
-    for (index, machine) in hosts.filter(|m| m.node == node).enumerate() {
+    let machine_ids = world.machines.machine_ids.values_mut();
+    for (index, machine) in machine_ids.filter(|m| m.node == node).enumerate() {
         if all || index % 2 == 0 {
-            machine.hears_only = Some((node, Millis(until)));
+            machine.reached_only_by = Some((node, Millis(until)));
         }
     }
 }
--- a/crates/simulator/tests/faults/combined_faults/pairs.rs
+++ b/crates/simulator/tests/faults/combined_faults/pairs.rs
@@ -48,7 +48,7 @@
             }
             return vec![0, 900, hand_over];
         }
-        5 => (0..6).for_each(|_| world.deafen_worker(some(luck), now + long)),
+        5 => (0..6).for_each(|_| world.drop_commands_to_worker(some(luck), now + long)),
         6 => (0..4).for_each(|_| world.hang_worker(some(luck), now + long / 3)),
         7 => hear_only(world, old, now + long, luck.random_bool(0.5)),
         8 => world.late_writes = luck.random_range(0.05..0.5),
@@ -60,16 +60,16 @@
             world.slow_store = Some((now + long, by / 4..by));
         }
         13 => {
-            let hosts = world.machines.hosts.values_mut();
-            for machine in hosts.filter(|_| luck.random_bool(0.4)) {
+            let machine_ids = world.machines.machine_ids.values_mut();
+            for machine in machine_ids.filter(|_| luck.random_bool(0.4)) {
                 machine.unreachable_until = Millis(now + long);
             }
         }
         14 => {
             let share = luck.random_range(0.1..1.0);
-            let hosts = world.machines.hosts.values_mut();
-            for machine in hosts.filter(|_| luck.random_bool(share)) {
-                machine.mute_until = Millis(now + long);
+            let machine_ids = world.machines.machine_ids.values_mut();
+            for machine in machine_ids.filter(|_| luck.random_bool(share)) {
+                machine.heartbeats_lost_until = Millis(now + long);
             }
         }
         15 => {
@@ -96,9 +96,9 @@
             });
         }
         _ => {
-            let hosts: Vec<_> = world.machines.hosts.keys().cloned().collect();
-            let held = hosts.into_iter().filter(|_| luck.random_bool(0.4));
-            world.holds_reports.extend(held);
+            let machine_ids: Vec<_> = world.machines.machine_ids.keys().cloned().collect();
+            let held = machine_ids.into_iter().filter(|_| luck.random_bool(0.4));
+            world.holds_heartbeats.extend(held);
         }
     }
     vec![0, long / 3, long]
@@ -136,7 +136,7 @@
         let kind = luck.random_range(0..20);
         // What was held back before arrives now, at whoever leads.
         let to = leader_or_first(&world);
-        world.let_reports_through(to);
+        world.let_heartbeats_through(to);
         let from = world.now;
         tracing::info!(kind, from, "a trouble begins");
         let steps = strike(&mut world, kind, &mut luck);
@@ -145,7 +145,7 @@
         world.run_until(next.max(from).min(CALM - 45_000));
     }
     let to = leader_or_first(&world);
-    world.let_reports_through(to);
+    world.let_heartbeats_through(to);
     world
 }
 
--- a/crates/simulator/tests/faults/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -86,7 +86,7 @@
                 (30_000, 4, 45_000),
             ] {
                 w.run_until(at);
-                w.deafen_worker(index, until);
+                w.drop_commands_to_worker(index, until);
             }
         },
     },
@@ -94,11 +94,11 @@
         name: "no machine hears for 20 s, then half of them for 40 s",
         play: |w| {
             w.run_until(18_000);
-            (0..40).for_each(|index| w.deafen_worker(index, 38_000));
+            (0..40).for_each(|index| w.drop_commands_to_worker(index, 38_000));
             w.run_until(60_000);
             (0..40)
                 .step_by(2)
-                .for_each(|index| w.deafen_worker(index, 100_000));
+                .for_each(|index| w.drop_commands_to_worker(index, 100_000));
         },
     },
     Day {
@@ -170,7 +170,7 @@
                 w.submit(plan);
             }
             w.run_until(15_000);
-            w.make_sick(1);
+            w.make_quarantined(1);
         },
     },
     Day {
@@ -183,7 +183,7 @@
             w.outages.push((52_000, 64_000));
             for (at, index) in [(16_000, 0), (21_000, 3), (35_000, 2)] {
                 w.run_until(at);
-                w.deafen_worker(index, at + 30_000);
+                w.drop_commands_to_worker(index, at + 30_000);
                 w.reboot_worker(index + 2, index % 2 == 0);
             }
         },
@@ -287,14 +287,14 @@
         let long = span(&mut luck, 2_000..60_000);
         let until = (at + long).min(CALM);
         match span(&mut luck, 0..9) {
-            0 | 1 => world.deafen_worker(index, until),
+            0 | 1 => world.drop_commands_to_worker(index, until),
             2 | 3 => {
                 let anew = luck.random_bool(0.5);
                 world.reboot_worker(index, anew);
             }
             4 => world.hang_worker(index, until),
             5 => world.kill_worker(index),
-            6 => world.make_sick(index),
+            6 => world.make_quarantined(index),
             _ => {}
         }
     }
@@ -344,17 +344,17 @@
             world.run_until(20_000);
             let at_work: Vec<_> = world
                 .machines
-                .hosts
+                .machine_ids
                 .iter()
                 .filter(|(_, m)| m.dead.is_none() && m.node == node)
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()))
-                .map(|(host, m)| (host.clone(), m.session))
+                .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
                 .collect();
             seen += at_work.len();
             world.run_until(79_000);
-            for (host, session) in at_work {
-                let now = world.machines.hosts[&host].session;
-                assert_eq!(now, session, "{host} of {node} (seed {seed})");
+            for (machine_id, agent_epoch) in at_work {
+                let now = world.machines.machine_ids[&machine_id].agent_epoch;
+                assert_eq!(now, agent_epoch, "{machine_id} of {node} (seed {seed})");
             }
             assert_eq!(world.cloud.deleted_at_work, 0, "{node} (seed {seed})");
         }
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -64,9 +64,9 @@
 }
 
 /// The same, with work that is lost when it is stopped, or that takes so long to save.
-fn saving(mut plan: JobPlan, mark_s: f64, stash_s: f64) -> JobPlan {
-    plan.body["markS"] = mark_s.into();
-    plan.body["stashS"] = stash_s.into();
+fn saving(mut plan: JobPlan, checkpoint_s: f64, save_s: f64) -> JobPlan {
+    plan.body["markS"] = checkpoint_s.into();
+    plan.body["stashS"] = save_s.into();
     plan
 }
 
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -4,7 +4,7 @@
 use admission_control::plan::{Demand, Plan, Standing};
 use rustc_hash::FxHashMap as HashMap;
 
-use crate::types::{Millis, NodeId, Revision};
+use crate::types::{ControllerId, Millis, Revision};
 
 /// The plan's record.
 pub const PLAN: &str = "jt/admission";
@@ -19,7 +19,7 @@
 
 /// What a controller said of itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Said {
+pub struct AdmissionReport {
     /// The plan that it obeys, if it obeys one.
     pub obeys: Revision,
     pub demand: Demand,
@@ -29,7 +29,7 @@
 pub struct Shared {
     pub plan: Plan,
     pub version: Revision,
-    pub said: HashMap<NodeId, Said>,
+    pub said: HashMap<ControllerId, AdmissionReport>,
     /// Changes written since the last measurement.
     written: f64,
     measured: Millis,
@@ -81,24 +81,24 @@
     pub fn next(
         &self,
         limit: f64,
-        controllers: impl Iterator<Item = NodeId>,
-        present: impl Fn(&NodeId) -> bool,
+        controllers: impl Iterator<Item = ControllerId>,
+        present: impl Fn(&ControllerId) -> bool,
         now: Millis,
     ) -> Option<Plan> {
         if self.writing || now.since(self.planned) < PLAN_EVERY && self.version != Revision(0) {
             return None;
         }
         let rows: Vec<(String, Standing, Demand)> = controllers
-            .map(|node| {
-                let said = self.said.get(&node).copied().unwrap_or_default();
-                let standing = if !present(&node) {
+            .map(|controller| {
+                let said = self.said.get(&controller).copied().unwrap_or_default();
+                let standing = if !present(&controller) {
                     Standing::Gone
                 } else if said.obeys == self.version && self.version != Revision(0) {
                     Standing::Obeys
                 } else {
                     Standing::Late
                 };
-                (node.to_string(), standing, said.demand)
+                (controller.to_string(), standing, said.demand)
             })
             .collect();
         let plan = self.plan.next(limit, &rows);
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -2,25 +2,25 @@
 //! while it leads.
 
 use super::{Controller, Effect, Purpose};
-use crate::admission::shared::{PLAN, Said, Shared};
-use crate::lease::{LEADER, Own, node_key};
+use crate::admission::shared::{AdmissionReport, PLAN, Shared};
+use crate::lease::{LEADER, Own, controller_key};
 use crate::store::{Class, Txn};
-use crate::types::{NodeId, Revision};
+use crate::types::{ControllerId, Revision};
 
 impl Controller {
     /// Whether we have a lease, by our own clock, and have seen all that was written before it.
     /// Without the second, a controller that is back would go by a plan that counts it for gone.
     fn obeys_plan(&self) -> bool {
-        let Own::Held { permit, until } = self.leases.own else {
+        let Own::Held { lease_id, until } = self.leases.own else {
             return false;
         };
-        let mine = self.leases.nodes.get(&self.me);
+        let mine = self.leases.controllers.get(&self.me);
         self.now < until
-            && mine.is_some_and(|(r, version)| r.permit == permit && self.applied >= *version)
+            && mine.is_some_and(|(r, version)| r.lease_id == lease_id && self.applied >= *version)
     }
 
     /// What we tell the others, at each tick.
-    fn said(&mut self) -> Said {
+    fn said(&mut self) -> AdmissionReport {
         let calls = self.calls.values().filter(|(_, w)| !w.is_empty()).count();
         let waiting = calls + self.unwritten.overdue(self.now);
         let obeys = if self.obeys_plan() {
@@ -28,7 +28,7 @@
         } else {
             Revision(0)
         };
-        Said {
+        AdmissionReport {
             obeys,
             demand: self.shared.demand(waiting, self.now),
         }
@@ -50,8 +50,8 @@
             return;
         };
         let members = self.settings.members.iter().map(|m| m.label.clone());
-        let all: Vec<NodeId> = members.chain([self.me.clone()]).collect();
-        let present = |node: &NodeId| self.leases.nodes.contains_key(node);
+        let all: Vec<ControllerId> = members.chain([self.me.clone()]).collect();
+        let present = |controller: &ControllerId| self.leases.controllers.contains_key(controller);
         let next = self
             .shared
             .next(limit, all.iter().cloned(), present, self.now);
@@ -61,8 +61,8 @@
         txn.require(LEADER.into(), lead);
         txn.require(PLAN.into(), self.shared.version);
         // One that is back meanwhile may go by a plan that counts on it.
-        for node in all.iter().filter(|node| !present(node)) {
-            txn.require(node_key(node), Revision(0));
+        for controller in all.iter().filter(|controller| !present(controller)) {
+            txn.require(controller_key(controller), Revision(0));
         }
         txn.put(PLAN.into(), &plan);
         self.shared.planned(self.now);
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -7,21 +7,23 @@
 
 use super::{Arrival, Controller, Effect, Purpose};
 use crate::fleet::plan::{Bin, Headroom, Need, plan};
-use crate::fleet::{CloudAnswer, CloudCall, FLAVORS, Flavor, Fleet, Offer, Rented, Stage};
+use crate::fleet::{
+    CloudAnswer, CloudCall, Fleet, MACHINE_TYPES_KEY, MachineTypeSpec, Offer, Rented, Stage,
+};
 use crate::jobs::cache::{Change, Evidence};
 use crate::jobs::{Rank, Shape, Spec};
 use crate::lease::LEADER;
 use crate::settings::Objective;
 use crate::store::{Class, Txn};
-use crate::types::{HostId, JobId, Millis, Room, Zone};
-use crate::workers::{Machine, block_of};
-use crate::zones::zone_health::{Seen, Suspect, Zones};
+use crate::types::{JobId, MachineId, Millis, Room, Zone};
+use crate::workers::{Machine, shard_of};
+use crate::zones::zone_health::{Suspect, ZoneObservation, Zones};
 
 const EVERY: Millis = Millis(1_000);
 /// Machines are planned for this many tasks of a job at the most.
 const MOST_NEEDED: u32 = 2_000;
 const LIST_EVERY: Millis = Millis(2_500);
-const FLAVORS_EVERY: Millis = Millis(60_000);
+const TYPE_SPECS_EVERY: Millis = Millis(60_000);
 /// After this long a new holder has asked its machines, and their workers, which give a silent
 /// controller 4 s, have found it over one or two others.
 const HOLDER_ASKS: Millis = Millis(10_000);
@@ -53,16 +55,16 @@
 const MOST_DELETED: usize = 100;
 
 /// Seconds of fetching that go with a machine's cache when it is returned.
-fn cache_worth_s(machine: &Machine, flavor: &Flavor) -> f64 {
+fn cache_worth_s(machine: &Machine, type_spec: &MachineTypeSpec) -> f64 {
     let cached = machine.images.values();
-    cached.map(|cached| flavor.slow_s(cached.gb)).sum()
+    cached.map(|cached| type_spec.slow_s(cached.gb)).sum()
 }
 
 impl Controller {
     pub(super) fn start_leading(&mut self) {
         self.fleet = Fleet::default();
         // The next answer may have to be noted.
-        self.flavors_asked = Millis(0);
+        self.type_specs_asked = Millis(0);
         self.drains.clear();
         self.zones = Zones::default();
         // Deals of an earlier term rest on it.
@@ -77,14 +79,14 @@
     }
 
     pub(super) fn keep_fleet(&mut self) {
-        let pause = if self.flavors.is_empty() {
+        let pause = if self.type_specs.is_empty() {
             RETRY
         } else {
-            FLAVORS_EVERY
+            TYPE_SPECS_EVERY
         };
-        if self.flavors_asked == Millis(0) || self.now.since(self.flavors_asked) >= pause {
-            self.flavors_asked = self.now;
-            self.call_cloud(CloudCall::Flavors);
+        if self.type_specs_asked == Millis(0) || self.now.since(self.type_specs_asked) >= pause {
+            self.type_specs_asked = self.now;
+            self.call_cloud(CloudCall::MachineTypes);
         }
         if self.synced {
             self.note_arrivals();
@@ -94,7 +96,7 @@
         if self.leading().is_none()
             || !self.may_place()
             || self.now.since(self.fleet_ticked) < EVERY
-            || self.flavors.is_empty()
+            || self.type_specs.is_empty()
         {
             return;
         }
@@ -129,7 +131,7 @@
                 continue;
             }
             let whole = self
-                .flavors
+                .type_specs
                 .iter()
                 .filter(|f| job.spec.room.fits_in(f.room))
                 .map(|f| job.spec.room.share_of(f.room))
@@ -161,15 +163,15 @@
     fn adopt_reporting(&mut self) {
         let silence = self.silence();
         for machine in self.machines.values() {
-            if self.fleet.gone.contains(&machine.host) {
+            if self.fleet.gone.contains(&machine.machine_id) {
                 continue;
             }
             let rented = self
                 .fleet
-                .hosts
-                .entry(machine.host.clone())
+                .machine_ids
+                .entry(machine.machine_id.clone())
                 .or_insert_with(|| Rented {
-                    rig: machine.rig.clone(),
+                    machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
                     stage: Stage::Running,
@@ -185,8 +187,8 @@
     }
 
     fn mark_idle(&mut self) {
-        for (host, rented) in &mut self.fleet.hosts {
-            let idle = rented.stage == Stage::Running && !self.jobs.busy(host);
+        for (machine_id, rented) in &mut self.fleet.machine_ids {
+            let idle = rented.stage == Stage::Running && !self.jobs.busy(machine_id);
             rented.idle = match (idle, rented.idle) {
                 (false, _) => None,
                 (true, None) => Some(self.now),
@@ -199,16 +201,19 @@
     /// cloud's answer is the evidence that their tasks are gone.
     fn delete_lost(&mut self) {
         let lease = Millis::from_secs(self.settings.deployment.workers.lease_s + 4.0);
-        let mut lost: Vec<HostId> = Vec::new();
+        let mut lost: Vec<MachineId> = Vec::new();
         let mut silenced: Vec<Suspect> = Vec::new();
-        let mut zones: BTreeMap<Zone, Seen> = BTreeMap::new();
-        let early = Millis::from_secs(3.2 * self.settings.deployment.workers.report_s + 1.0);
-        for (host, rented) in &self.fleet.hosts {
-            let boot = self.flavor(&rented.rig).map_or(60.0, |f| f.boot_s.max(5.0));
-            let machine = self.machines.get(host);
+        let mut zones: BTreeMap<Zone, ZoneObservation> = BTreeMap::new();
+        let early =
+            Millis::from_secs(3.2 * self.settings.deployment.workers.heartbeat_interval_s + 1.0);
+        for (machine_id, rented) in &self.fleet.machine_ids {
+            let boot = self
+                .type_spec(&rented.machine_type)
+                .map_or(60.0, |f| f.boot_s.max(5.0));
+            let machine = self.machines.get(machine_id);
             let parts = self.settings.operator.blocks_per_zone;
-            let block = block_of(host, &rented.zone, parts);
-            let silent = self.silent_for(host, &block);
+            let shard = shard_of(machine_id, &rented.zone, parts);
+            let silent = self.silent_for(machine_id, &shard);
             if rented.stage == Stage::Running {
                 let seen = zones.entry(rented.zone.clone()).or_default();
                 seen.machines += 1;
@@ -216,14 +221,14 @@
                 let (held, since_heard) = match &silent {
                     Some(silent) => (silent.held, silent.since_heard),
                     None => {
-                        let unheard = self.now.since(self.last_heard(host));
+                        let unheard = self.now.since(self.last_heard(machine_id));
                         (unheard.since(self.silence()), unheard)
                     }
                 };
                 let asked = held > HOLDER_ASKS && since_heard > self.silence();
                 seen.silent += u32::from(asked);
-                let doubtful = machine.is_some_and(|m| m.hearing.doubtful(self.now, early));
-                seen.deaf += u32::from(silent.is_some() && doubtful && since_heard > early);
+                let doubtful = machine.is_some_and(|m| m.reachability.doubtful(self.now, early));
+                seen.one_way += u32::from(silent.is_some() && doubtful && since_heard > early);
             }
             let never = rented.stage == Stage::Booting
                 && self.now.since(rented.since) > Millis::from_secs(boot * NEVER + 10.0);
@@ -232,81 +237,83 @@
                     // A new holder asks each machine itself, so a few seconds suffice for it.
                     // One that speaks and does not hear may hear again; a lease without proof is
                     // enough.
-                    let quiet = machine.is_none_or(|m| !m.hearing.doubtful(self.now, early));
+                    let quiet = machine.is_none_or(|m| !m.reachability.doubtful(self.now, early));
                     let early = quiet && silent.since_heard > early && silent.held > HOLDER_ASKS;
-                    silent.outlasts(lease) || early && self.zone_speaks(host, &rented.zone)
+                    silent.outlasts(lease) || early && self.zone_speaks(machine_id, &rented.zone)
                 });
-            let sick = machine.is_some_and(|m| m.sick || m.warned && m.tasks.is_empty())
-                && !self.jobs.busy(host)
-                && self.drained(host);
-            if rented.stage == Stage::Failed || never || sick {
-                lost.push(host.clone());
+            let quarantined = machine
+                .is_some_and(|m| m.quarantined || m.warned && m.tasks.is_empty())
+                && !self.jobs.busy(machine_id)
+                && self.drained(machine_id);
+            if rented.stage == Stage::Failed || never || quarantined {
+                lost.push(machine_id.clone());
             } else if dead {
-                silenced.push(self.suspect(host, &rented.zone));
+                silenced.push(self.suspect(machine_id, &rented.zone));
             }
         }
         // Machines that no list shows any more, though the records have tasks there: an earlier leader
         // may have had them deleted, and been kept from writing what the cloud said.
-        for host in self.jobs.hosts() {
-            if self.fleet.hosts.contains_key(host) {
+        for machine_id in self.jobs.machine_ids() {
+            if self.fleet.machine_ids.contains_key(machine_id) {
                 continue;
             }
-            let block = self
+            let shard = self
                 .jobs
-                .on_host(host)
-                .find_map(|(id, index)| Some(&self.jobs.get(id)?.task(*index).placement()?.block));
-            let Some(block) = block else { continue };
-            let silent = self.silent_for(host, block);
+                .on_machine(machine_id)
+                .find_map(|(id, index)| Some(&self.jobs.get(id)?.task(*index).placement()?.shard));
+            let Some(shard) = shard else { continue };
+            let silent = self.silent_for(machine_id, shard);
             // A holder whose last machine this was hears nobody, and can't tell. But what was there when
             // we came to lead and is on no list so long after is there no more.
             let unlisted = self.fleet.listed.since(self.led_since) > self.lists_lag()
-                && self.last_heard(host) + lease < self.now;
+                && self.last_heard(machine_id) + lease < self.now;
             if unlisted || silent.is_some_and(|silent| silent.outlasts(lease)) {
-                silenced.push(self.suspect(host, &block.zone));
+                silenced.push(self.suspect(machine_id, &shard.zone));
             }
         }
         self.observe_zones(zones);
         // What is given up counts against a bound, so it must be what is sent now.
         let deleting = &self.fleet.deleting;
-        lost.retain(|host| !deleting.contains(host));
-        silenced.retain(|suspect| !deleting.contains(&suspect.host));
+        lost.retain(|machine_id| !deleting.contains(machine_id));
+        silenced.retain(|suspect| !deleting.contains(&suspect.machine_id));
         let remaining = MOST_DELETED.saturating_sub(lost.len());
         let hold = self.settings.operator.hold;
         lost.extend(self.zones.give_up(silenced, remaining, hold, self.now));
-        for (host, machine) in &self.machines {
-            if machine.sick && !self.fleet.gone.contains(host) {
-                self.drains.insert(host.clone());
+        for (machine_id, machine) in &self.machines {
+            if machine.quarantined && !self.fleet.gone.contains(machine_id) {
+                self.drains.insert(machine_id.clone());
             }
         }
         self.delete(lost);
     }
 
-    fn delete(&mut self, hosts: Vec<HostId>) {
-        let mut hosts: Vec<HostId> = hosts
+    fn delete(&mut self, machine_ids: Vec<MachineId>) {
+        let mut machine_ids: Vec<MachineId> = machine_ids
             .into_iter()
             .filter(|h| !self.fleet.deleting.contains(h))
             .collect();
-        hosts.truncate(MOST_DELETED);
-        if !hosts.is_empty() {
-            tracing::info!(?hosts, "deleting machines");
-            self.fleet.deleting.extend(hosts.iter().cloned());
-            self.call_cloud(CloudCall::Delete(hosts));
+        machine_ids.truncate(MOST_DELETED);
+        if !machine_ids.is_empty() {
+            tracing::info!(?machine_ids, "deleting machines");
+            self.fleet.deleting.extend(machine_ids.iter().cloned());
+            self.call_cloud(CloudCall::Delete(machine_ids));
         }
     }
 
     /// Whether a machine's holder keeps it free of new tasks and we know of all it placed there.
-    fn drained(&self, host: &HostId) -> bool {
-        if !self.drains.contains(host) || self.jobs.busy(host) {
+    fn drained(&self, machine_id: &MachineId) -> bool {
+        if !self.drains.contains(machine_id) || self.jobs.busy(machine_id) {
             return false;
         }
-        let Some(machine) = self.machines.get(host) else {
+        let Some(machine) = self.machines.get(machine_id) else {
             return false;
         };
-        if self.token_for(&machine.block).is_some() {
+        if self.token_for(&machine.shard).is_some() {
             return true;
         }
         machine.draining
-            && (self.word_of(&machine.heard_by)).is_some_and(|peer| self.applied >= peer.revision)
+            && (self.recent_status(&machine.heard_by))
+                .is_some_and(|peer| self.applied >= peer.revision)
     }
 
     fn sold_out(&self, offer: &Offer) -> bool {
@@ -319,17 +326,17 @@
     fn rent_and_return(&mut self) {
         let mut bins = Vec::new();
         let mut draining_idle = Vec::new();
-        for (host, rented) in &self.fleet.hosts {
-            let Some(flavor) = self.flavor(&rented.rig) else {
+        for (machine_id, rented) in &self.fleet.machine_ids {
+            let Some(type_spec) = self.type_spec(&rented.machine_type) else {
                 continue;
             };
-            let machine = self.machines.get(host);
-            let bad = machine.is_some_and(|m| m.sick || m.warned)
-                || self.fleet.deleting.contains(host)
+            let machine = self.machines.get(machine_id);
+            let bad = machine.is_some_and(|m| m.quarantined || m.warned)
+                || self.fleet.deleting.contains(machine_id)
                 || rented.stage == Stage::Failed;
             // One that is late is not counted on.
             let late = rented.stage == Stage::Booting
-                && self.now.since(rented.since).secs() > flavor.boot_s * 1.8 + 5.0;
+                && self.now.since(rented.since).secs() > type_spec.boot_s * 1.8 + 5.0;
             // One that nobody could tell to start a task is no room, though it may be at work.
             let patience = if self.zones.out_of_reach(&rented.zone) {
                 1
@@ -341,33 +348,37 @@
             if bad || late || silent {
                 continue;
             }
-            if self.drains.contains(host) {
-                draining_idle.push(host.clone());
+            if self.drains.contains(machine_id) {
+                draining_idle.push(machine_id.clone());
                 continue;
             }
-            let taken = self.jobs.taken(host);
+            let taken = self.jobs.taken(machine_id);
             let kept = self
                 .nominations
-                .on(host, self.now)
+                .on(machine_id, self.now)
                 .fold(Room::default(), |sum, (_, room)| sum.plus(room));
             bins.push(Bin {
-                host: Some(host.clone()),
-                offer: (rented.rig.clone(), rented.zone.clone(), rented.spot),
-                whole: flavor.room,
-                free: flavor.room.minus(taken.plus(kept)),
-                soft: self.jobs.host_use(host).soft,
+                machine_id: Some(machine_id.clone()),
+                offer: (
+                    rented.machine_type.clone(),
+                    rented.zone.clone(),
+                    rented.spot,
+                ),
+                whole: type_spec.room,
+                free: type_spec.room.minus(taken.plus(kept)),
+                soft: self.jobs.host_use(machine_id).soft,
                 idle_for: rented.idle.map_or(Millis(0), |since| self.now.since(since)),
-                worth_s: machine.map_or(0.0, |m| cache_worth_s(m, flavor)),
+                worth_s: machine.map_or(0.0, |m| cache_worth_s(m, type_spec)),
             });
         }
         for (offer, count) in self.fleet.renting.values() {
-            let flavor = self.flavor(&offer.0);
+            let type_spec = self.type_spec(&offer.0);
             for _ in 0..*count {
-                bins.extend(flavor.map(|flavor| Bin {
-                    host: None,
+                bins.extend(type_spec.map(|type_spec| Bin {
+                    machine_id: None,
                     offer: offer.clone(),
-                    whole: flavor.room,
-                    free: flavor.room,
+                    whole: type_spec.room,
+                    free: type_spec.room,
                     soft: Room::default(),
                     idle_for: Millis(0),
                     worth_s: 0.0,
@@ -412,7 +423,7 @@
             bins,
             &needs,
             &self.headroom(),
-            &self.flavors,
+            &self.type_specs,
             |offer| self.sold_out(offer) || self.zones.out_of_reach(&offer.1),
             self.settings.operator.idle_return,
         );
@@ -445,28 +456,28 @@
             self.consolidate();
         }
         self.drains.extend(plan.release);
-        let ready: Vec<HostId> = draining_idle
+        let ready: Vec<MachineId> = draining_idle
             .into_iter()
-            .filter(|host| self.drained(host))
+            .filter(|machine_id| self.drained(machine_id))
             .collect();
         self.delete(ready);
     }
 
     /// Room is short: machines that were to be returned are kept instead of renting more.
     fn keep_drained(&mut self) -> bool {
-        let kept: Vec<HostId> = self
+        let kept: Vec<MachineId> = self
             .drains
             .iter()
-            .filter(|host| !self.fleet.deleting.contains(*host))
-            .filter(|host| {
+            .filter(|machine_id| !self.fleet.deleting.contains(*machine_id))
+            .filter(|machine_id| {
                 self.machines
-                    .get(*host)
-                    .is_some_and(|m| !m.sick && !m.warned)
+                    .get(*machine_id)
+                    .is_some_and(|m| !m.quarantined && !m.warned)
             })
             .cloned()
             .collect();
-        for host in &kept {
-            self.drains.remove(host);
+        for machine_id in &kept {
+            self.drains.remove(machine_id);
         }
         !kept.is_empty()
     }
@@ -474,18 +485,18 @@
     /// Empties the machine with the least on it if all that would find room elsewhere: replicas
     /// where their image is at hand, so that they are back at once; arrays end by themselves.
     fn consolidate(&mut self) {
-        let mut bins: Vec<(HostId, Room, Room)> = Vec::new();
-        for (host, rented) in &self.fleet.hosts {
+        let mut bins: Vec<(MachineId, Room, Room)> = Vec::new();
+        for (machine_id, rented) in &self.fleet.machine_ids {
             let usable = self
                 .machines
-                .get(host)
+                .get(machine_id)
                 .is_some_and(|m| self.ours(m) || self.others(m));
-            let flavor = self.flavor(&rented.rig);
-            if let (true, Some(flavor)) = (usable, flavor) {
+            let type_spec = self.type_spec(&rented.machine_type);
+            if let (true, Some(type_spec)) = (usable, type_spec) {
                 bins.push((
-                    host.clone(),
-                    flavor.room,
-                    flavor.room.minus(self.jobs.taken(host)),
+                    machine_id.clone(),
+                    type_spec.room,
+                    type_spec.room.minus(self.jobs.taken(machine_id)),
                 ));
             }
         }
@@ -496,18 +507,23 @@
             .filter(|h| !h.spot)
             .map(|h| h.machines as usize)
             .sum();
-        let ready = |host: &HostId| {
-            self.jobs.yielding(host) && self.fleet.hosts.get(host).is_some_and(|r| !r.spot)
+        let ready = |machine_id: &MachineId| {
+            self.jobs.yielding(machine_id)
+                && self
+                    .fleet
+                    .machine_ids
+                    .get(machine_id)
+                    .is_some_and(|r| !r.spot)
         };
-        for (index, (host, whole, free)) in bins.iter().enumerate().take(MOST_EMPTIED) {
+        for (index, (machine_id, whole, free)) in bins.iter().enumerate().take(MOST_EMPTIED) {
             let mut left: Vec<_> = bins.clone();
             left.remove(index);
             left.retain(|(other, _, _)| !self.drains.contains(other));
             if free == whole || free.share_of(*whole) < EMPTY_ENOUGH {
                 continue;
             }
-            let mut broken: HashSet<HostId> = HashSet::default();
-            let fits = self.jobs.on_host(host).all(|(id, _)| {
+            let mut broken: HashSet<MachineId> = HashSet::default();
+            let fits = self.jobs.on_machine(machine_id).all(|(id, _)| {
                 let Some(job) = self.jobs.get(id) else {
                     return true;
                 };
@@ -518,10 +534,10 @@
                 // The fullest machine that will do, as the cycle would choose.
                 let target = left.iter_mut().rev().find(|(other, _, room)| {
                     self.machines.get(other).is_some_and(|m| {
-                        spec.allows(&m.rig, &m.zone, m.spot)
+                        spec.allows(&m.machine_type, &m.zone, m.spot)
                             && (spec.yields()
                                 || job.record.tasks == 1
-                                || Some(&m.zone) == self.machines.get(host).map(|m| &m.zone))
+                                || Some(&m.zone) == self.machines.get(machine_id).map(|m| &m.zone))
                             && (spec.yields() || m.images.contains_key(&spec.image))
                             && (spec.yields() || !ready(other))
                     }) && spec.room.fits_in(*room)
@@ -541,9 +557,9 @@
                 .iter()
                 .filter(|(other, _, _)| ready(other) && !broken.contains(other))
                 .count();
-            if fits && (still_ready >= wanted || !ready(host)) {
-                tracing::info!(%host, "emptying the machine");
-                self.drains.insert(host.clone());
+            if fits && (still_ready >= wanted || !ready(machine_id)) {
+                tracing::info!(%machine_id, "emptying the machine");
+                self.drains.insert(machine_id.clone());
                 return;
             }
         }
@@ -557,16 +573,16 @@
         self.fleet.logged = self.now;
         let (mut booting, mut idle, mut busy, mut spot) = (0, 0, 0, 0);
         let (mut whole, mut used) = (Room::default(), Room::default());
-        for (host, rented) in &self.fleet.hosts {
+        for (machine_id, rented) in &self.fleet.machine_ids {
             match (rented.stage, rented.idle) {
                 (Stage::Running, None) => busy += 1,
                 (Stage::Running, Some(_)) => idle += 1,
                 _ => booting += 1,
             }
             spot += u32::from(rented.spot);
-            if let Some(flavor) = self.flavor(&rented.rig) {
-                whole = whole.plus(flavor.room);
-                used = used.plus(self.jobs.taken(host));
+            if let Some(type_spec) = self.type_spec(&rented.machine_type) {
+                whole = whole.plus(type_spec.room);
+                used = used.plus(self.jobs.taken(machine_id));
             }
         }
         let waiting: u32 = self
@@ -591,9 +607,14 @@
     /// Tasks that may use spot machines but run on ordinary ones that would else stand ready.
     fn misplaced(&self) -> Vec<Need<'_>> {
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (host, _) in self.fleet.hosts.iter().filter(|(_, rented)| !rented.spot) {
-            if !self.drains.contains(host) && self.jobs.yielding(host) {
-                for (id, _) in self.jobs.on_host(host) {
+        for (machine_id, _) in self
+            .fleet
+            .machine_ids
+            .iter()
+            .filter(|(_, rented)| !rented.spot)
+        {
+            if !self.drains.contains(machine_id) && self.jobs.yielding(machine_id) {
+                for (id, _) in self.jobs.on_machine(machine_id) {
                     *counts.entry(id).or_default() += 1;
                 }
             }
@@ -619,8 +640,8 @@
 
     /// Whole machines that should stand ready: what urgent work asks for while one boots.
     pub(super) fn headroom(&self) -> Vec<Headroom> {
-        let Some(flavor) = self
-            .flavors
+        let Some(type_spec) = self
+            .type_specs
             .iter()
             .min_by(|a, b| a.price.total_cmp(&b.price))
         else {
@@ -629,7 +650,7 @@
         // A machine serves once it has booted and fetched an image.
         let images_gb: f64 = self.arrivals.iter().map(|a| a.image_gb).sum();
         let mean_gb = images_gb / self.arrivals.len().max(1) as f64;
-        let lead_s = flavor.boot_s + QUICK_FETCH_S + flavor.slow_s(mean_gb);
+        let lead_s = type_spec.boot_s + QUICK_FETCH_S + type_spec.slow_s(mean_gb);
         [false, true]
             .map(|spot| {
                 // What comes while a machine boots; in a large fleet about as much comes free
@@ -648,7 +669,7 @@
                     spot,
                     machines: machines(true),
                     empty: machines(false),
-                    room: flavor.room,
+                    room: type_spec.room,
                 }
             })
             .to_vec()
@@ -656,12 +677,12 @@
 
     fn rent(&mut self, offer: Offer, count: u32) {
         let Some(lead) = self.leading() else { return };
-        self.fleet.hires += 1;
+        self.fleet.rental_requests += 1;
         // Unique for good: no two terms of leadership begin at the same revision.
-        let hire = format!("{}-{}-{}", self.me, lead.0, self.fleet.hires);
-        tracing::info!(hire, ?offer, count, "renting");
+        let request_id = format!("{}-{}-{}", self.me, lead.0, self.fleet.rental_requests);
+        tracing::info!(request_id, ?offer, count, "renting");
         let call = CloudCall::Rent {
-            hire,
+            request_id,
             offer: offer.clone(),
             count,
         };
@@ -674,26 +695,26 @@
             return;
         };
         match (call, answer) {
-            (CloudCall::Flavors, CloudAnswer::Flavors(flavors)) => {
-                if self.flavors.is_empty() {
-                    tracing::info!(types = flavors.len(), "know the machine types");
+            (CloudCall::MachineTypes, CloudAnswer::MachineTypes(type_specs)) => {
+                if self.type_specs.is_empty() {
+                    tracing::info!(types = type_specs.len(), "know the machine types");
                 }
-                self.keep_flavors(&flavors);
-                self.flavors = flavors;
+                self.store_machine_types(&type_specs);
+                self.type_specs = type_specs;
             }
-            (CloudCall::List { .. }, CloudAnswer::Page { hosts, more }) => {
-                let last = hosts.last().map(|listed| listed.host.clone());
-                for listed in hosts {
-                    if self.fleet.gone.contains(&listed.host) {
+            (CloudCall::List { .. }, CloudAnswer::Page { machine_ids, more }) => {
+                let last = machine_ids.last().map(|listed| listed.machine_id.clone());
+                for listed in machine_ids {
+                    if self.fleet.gone.contains(&listed.machine_id) {
                         continue;
                     }
                     let now = self.now;
                     let rented = self
                         .fleet
-                        .hosts
-                        .entry(listed.host)
+                        .machine_ids
+                        .entry(listed.machine_id)
                         .or_insert_with(|| Rented {
-                            rig: listed.rig,
+                            machine_type: listed.machine_type,
                             zone: listed.zone,
                             spot: listed.spot,
                             stage: listed.stage,
@@ -714,27 +735,30 @@
                 }
             }
             (CloudCall::List { .. }, _) => self.fleet.listing = false,
-            (CloudCall::Rent { offer, .. }, CloudAnswer::Rented(hosts)) => {
+            (CloudCall::Rent { offer, .. }, CloudAnswer::Rented(machine_ids)) => {
                 let asked = self
                     .fleet
                     .renting
                     .remove(&tag)
                     .map_or(0, |(_, count)| count);
-                if (hosts.len() as u32) < asked {
+                if (machine_ids.len() as u32) < asked {
                     self.fleet
                         .refused
                         .insert(offer.clone(), self.now + SOLD_OUT);
                 }
-                for host in hosts {
-                    self.fleet.hosts.entry(host).or_insert_with(|| Rented {
-                        rig: offer.0.clone(),
-                        zone: offer.1.clone(),
-                        spot: offer.2,
-                        stage: Stage::Booting,
-                        since: self.now,
-                        seen: self.now,
-                        idle: None,
-                    });
+                for machine_id in machine_ids {
+                    self.fleet
+                        .machine_ids
+                        .entry(machine_id)
+                        .or_insert_with(|| Rented {
+                            machine_type: offer.0.clone(),
+                            zone: offer.1.clone(),
+                            spot: offer.2,
+                            stage: Stage::Booting,
+                            since: self.now,
+                            seen: self.now,
+                            idle: None,
+                        });
                 }
             }
             (CloudCall::Rent { offer, .. }, answer) => {
@@ -745,23 +769,26 @@
                 };
                 self.fleet.refused.insert(offer, self.now + pause);
             }
-            (CloudCall::Delete(hosts), CloudAnswer::Deleted) => self.deleted(hosts),
-            (CloudCall::Delete(hosts), _) => {
-                for host in hosts {
-                    self.fleet.deleting.remove(&host);
+            (CloudCall::Delete(machine_ids), CloudAnswer::Deleted) => self.deleted(machine_ids),
+            (CloudCall::Delete(machine_ids), _) => {
+                for machine_id in machine_ids {
+                    self.fleet.deleting.remove(&machine_id);
                 }
             }
-            (CloudCall::Flavors, _) => {}
+            (CloudCall::MachineTypes, _) => {}
         }
     }
 
     /// Notes the machine types in the state service when they are new there.
-    fn keep_flavors(&mut self, flavors: &[Flavor]) {
-        if let Some(lead) = self.leading().filter(|_| self.kept_flavors != flavors) {
+    fn store_machine_types(&mut self, type_specs: &[MachineTypeSpec]) {
+        if let Some(lead) = self
+            .leading()
+            .filter(|_| self.stored_type_specs != type_specs)
+        {
             let mut txn = Txn::default();
             // Carried out late, it would bring back what a later leader has replaced.
             txn.require(LEADER.into(), lead);
-            txn.put(FLAVORS.into(), flavors);
+            txn.put(MACHINE_TYPES_KEY.into(), type_specs);
             self.transact(Class::Rest, txn, Purpose::Note);
         }
     }
@@ -776,33 +803,33 @@
         self.fleet.listing = false;
         self.fleet.listed = self.now;
         let (lag, now) = (self.lists_lag(), self.now);
-        let vanished: Vec<HostId> = self
+        let vanished: Vec<MachineId> = self
             .fleet
-            .hosts
+            .machine_ids
             .iter()
             .filter(|(_, rented)| now.since(rented.seen) > lag)
-            .map(|(host, _)| host.clone())
+            .map(|(machine_id, _)| machine_id.clone())
             .collect();
         // Lists lag and disagree: only the answer to a deletion proves it.
         self.delete(vanished);
     }
 
-    fn deleted(&mut self, hosts: Vec<HostId>) {
+    fn deleted(&mut self, machine_ids: Vec<MachineId>) {
         let mut changes = Vec::new();
-        for host in hosts {
-            self.fleet.deleting.remove(&host);
-            self.fleet.hosts.remove(&host);
-            self.drains.remove(&host);
-            self.machines.remove(&host);
-            self.gone_from(&host, &mut changes);
-            self.fleet.gone.insert(host);
+        for machine_id in machine_ids {
+            self.fleet.deleting.remove(&machine_id);
+            self.fleet.machine_ids.remove(&machine_id);
+            self.drains.remove(&machine_id);
+            self.machines.remove(&machine_id);
+            self.gone_from(&machine_id, &mut changes);
+            self.fleet.gone.insert(machine_id);
         }
         self.note_changes(changes);
     }
 
     /// What the records still have on a machine that is deleted has left it.
-    fn gone_from(&self, host: &HostId, changes: &mut Vec<(JobId, u32, Change)>) {
-        for (id, index) in self.jobs.on_host(host) {
+    fn gone_from(&self, machine_id: &MachineId, changes: &mut Vec<(JobId, u32, Change)>) {
+        for (id, index) in self.jobs.on_machine(machine_id) {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
@@ -820,14 +847,14 @@
     /// copy of a heartbeat, or what was to be written of it was overtaken: nobody else will ever see
     /// these tasks leave.
     fn leave_the_gone(&mut self) {
-        let hosts = self.jobs.hosts();
-        let gone: Vec<HostId> = hosts
+        let machine_ids = self.jobs.machine_ids();
+        let gone: Vec<MachineId> = machine_ids
             .filter(|h| self.fleet.gone.contains(*h))
             .cloned()
             .collect();
         let mut changes = Vec::new();
-        for host in gone {
-            self.gone_from(&host, &mut changes);
+        for machine_id in gone {
+            self.gone_from(&machine_id, &mut changes);
         }
         self.note_changes(changes);
     }
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -2,16 +2,16 @@
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Task};
-use crate::types::{Attempt, BlockId, Session};
+use crate::types::{AgentEpoch, Attempt, ShardId};
 
 /// A holder that had not heard of a deletion placed a task on the machine after it: the task was
 /// on no machine, and in the records for ever.
 #[test]
 fn what_is_placed_on_a_deleted_machine_is_released_whenever_it_was_placed() {
     let here = Task::Placed(Placement {
-        host: "vm-a".into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(1),
+        machine_id: "vm-a".into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     });
     for (gone, released) in [(false, false), (true, true)] {
@@ -46,33 +46,35 @@
         (true, 1, false, false, 90, false),
         (true, 60, true, false, 90, false),
     ];
-    for (known, silent_s, listed, hears, led_s, deleted) in cases {
+    for (known, silent_s, listed, receives_heartbeats, led_s, deleted) in cases {
         let here = Task::Placed(Placement {
-            host: "vm-2".into(),
-            block: BlockId::parse("a.0").unwrap(),
-            session: Session(1),
+            machine_id: "vm-2".into(),
+            shard: ShardId::parse("a.0").unwrap(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         });
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.shape, spec.tasks) = (Shape::Array, 1);
         let (mut controller, _) = controller(spec, vec![here]);
         controller.now = Millis(100_000);
-        controller.hears = true;
-        controller.last_report = controller.now - Millis(if hears { 0 } else { 60_000 });
+        controller.receives_heartbeats = true;
+        controller.last_heartbeat =
+            controller.now - Millis(if receives_heartbeats { 0 } else { 60_000 });
         controller.led_since = controller.now - Millis(led_s * 1_000);
         controller.fleet.listed = controller.now;
-        let block = BlockId::parse("a.0").unwrap();
-        controller.moved.insert(block.clone(), Millis(1));
-        let host = HostId::from("vm-2");
+        let shard = ShardId::parse("a.0").unwrap();
+        controller.moved.insert(shard.clone(), Millis(1));
+        let machine_id = MachineId::from("vm-2");
         if known {
-            let (rig, zone, by) = ("g8".into(), "a".into(), "n0".into());
-            let mut machine = Machine::new(host.clone(), rig, zone, false, block, by);
+            let (machine_type, zone, by) = ("g8".into(), "a".into(), "n0".into());
+            let mut machine =
+                Machine::new(machine_id.clone(), machine_type, zone, false, shard, by);
             machine.heard = controller.now - Millis(silent_s * 1_000);
-            controller.machines.insert(host.clone(), machine);
+            controller.machines.insert(machine_id.clone(), machine);
         }
         if listed {
             let rented = Rented {
-                rig: "g8".into(),
+                machine_type: "g8".into(),
                 zone: "a".into(),
                 spot: false,
                 stage: Stage::Running,
@@ -80,10 +82,17 @@
                 seen: controller.now,
                 idle: None,
             };
-            controller.fleet.hosts.insert(host.clone(), rented);
+            controller
+                .fleet
+                .machine_ids
+                .insert(machine_id.clone(), rented);
         }
         controller.delete_lost();
-        let case = format!("{known}, {silent_s} s, {listed}, {hears}, {led_s} s");
-        assert_eq!(controller.fleet.deleting.contains(&host), deleted, "{case}");
+        let case = format!("{known}, {silent_s} s, {listed}, {receives_heartbeats}, {led_s} s");
+        assert_eq!(
+            controller.fleet.deleting.contains(&machine_id),
+            deleted,
+            "{case}"
+        );
     }
 }
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -4,16 +4,16 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Shape, Task};
 use crate::store::Call;
-use crate::types::{Attempt, BlockId, Revision, Session};
+use crate::types::{AgentEpoch, Attempt, Revision, ShardId};
 
 /// What the cache does not show yet of a job that is being cancelled may be on its machine when
 /// its user hears that it is over.
 #[test]
 fn a_job_is_over_once_all_that_was_placed_of_it_is_known_and_gone() {
     let here = Task::Placed(Placement {
-        host: "vm-a".into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(1),
+        machine_id: "vm-a".into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     });
     let cases = [
--- a/src/controller/candidates.rs
+++ b/src/controller/candidates.rs
@@ -5,10 +5,10 @@
 use super::Controller;
 use crate::cycle::index::{Class, Entry, Group, Having, Level};
 use crate::cycle::{self, Asking, Candidate, Choice};
-use crate::fleet::{Flavor, fetch_rate};
+use crate::fleet::{MachineTypeSpec, fetch_rate};
 use crate::jobs::cache::Job;
 use crate::queue::Check;
-use crate::types::{HostId, Image, JobId, Millis, Room, Sku, Zone};
+use crate::types::{Image, JobId, MachineId, MachineTypeId, Millis, Room, Zone};
 use crate::workers::Machine;
 
 /// The fleet is looked over again after this long.
@@ -32,47 +32,50 @@
 }
 
 impl Controller {
-    pub(super) fn flavor(&self, rig: &Sku) -> Option<&Flavor> {
-        self.flavors.iter().find(|flavor| flavor.sku == *rig)
+    pub(super) fn type_spec(&self, machine_type: &MachineTypeId) -> Option<&MachineTypeSpec> {
+        self.type_specs
+            .iter()
+            .find(|type_spec| type_spec.id == *machine_type)
     }
 
     pub(super) fn whole(&self, machine: &Machine) -> Room {
-        let flavor = self.flavor(&machine.rig);
-        flavor.map(|f| f.room).unwrap_or_default()
+        let type_spec = self.type_spec(&machine.machine_type);
+        type_spec.map(|f| f.room).unwrap_or_default()
     }
 
     pub(super) fn free(&self, machine: &Machine) -> Room {
-        self.whole(machine).minus(self.jobs.taken(&machine.host))
+        self.whole(machine)
+            .minus(self.jobs.taken(&machine.machine_id))
     }
 
     /// Fit for tasks that we place ourselves: in a shard of ours, and heard under its token.
     pub(super) fn ours(&self, machine: &Machine) -> bool {
-        self.token_for(&machine.block).is_some_and(|token| {
-            machine.baton.token() == token
+        self.token_for(&machine.shard).is_some_and(|token| {
+            machine.worker_token.token() == token
                 && machine.answered.is_some_and(|(under, _)| under == token)
                 && machine.fit(self.now, self.silence())
-                && !self.drains.contains(&machine.host)
-                && !self.fleet.gone.contains(&machine.host)
+                && !self.drains.contains(&machine.machine_id)
+                && !self.fleet.gone.contains(&machine.machine_id)
         })
     }
 
     /// Fit as far as its holder says.
     pub(super) fn others(&self, machine: &Machine) -> bool {
-        self.token_for(&machine.block).is_none()
+        self.token_for(&machine.shard).is_none()
             && self
                 .leases
-                .blocks
-                .get(&machine.block)
+                .shards
+                .get(&machine.shard)
                 .is_some_and(|(holder, _)| *holder == machine.heard_by)
             && machine.fit(self.now, self.silence())
-            && !self.drains.contains(&machine.host)
-            && !self.fleet.gone.contains(&machine.host)
+            && !self.drains.contains(&machine.machine_id)
+            && !self.fleet.gone.contains(&machine.machine_id)
     }
 
     /// Brings the index of free room up to date: with what has changed, and once in a while with all
     /// machines, since some become fit or unfit as time passes.
     pub(super) fn refresh_pool(&mut self) {
-        let mut changed = self.jobs.take_changed_hosts();
+        let mut changed = self.jobs.take_changed_machines();
         changed.extend(std::mem::take(&mut self.pool.touched));
         if self.now.since(self.pool.built) >= POOL_HOLDS {
             // Images are entered when a machine is named; a sweep looks at the rest.
@@ -84,12 +87,12 @@
     }
 
     /// Enters these machines as they stand now.
-    fn enter(&mut self, hosts: impl IntoIterator<Item = HostId>) {
-        for host in hosts {
-            let entry = self.machines.get(&host).and_then(|m| self.entry(m));
+    fn enter(&mut self, machine_ids: impl IntoIterator<Item = MachineId>) {
+        for machine_id in machine_ids {
+            let entry = self.machines.get(&machine_id).and_then(|m| self.entry(m));
             match entry {
-                Some(entry) => self.pool.room.update(&host, entry),
-                None => self.pool.room.remove(&host),
+                Some(entry) => self.pool.room.update(&machine_id, entry),
+                None => self.pool.room.remove(&machine_id),
             }
         }
     }
@@ -105,8 +108,8 @@
         Some(Entry {
             group: Group {
                 own,
-                block: machine.block.clone(),
-                rig: machine.rig.clone(),
+                shard: machine.shard.clone(),
+                machine_type: machine.machine_type.clone(),
                 spot: machine.spot,
             },
             level: self.level(machine),
@@ -115,43 +118,53 @@
     }
 
     fn level(&self, machine: &Machine) -> Level {
-        let on_it = self.jobs.host_use(&machine.host);
+        let on_it = self.jobs.host_use(&machine.machine_id);
         let free = self.whole(machine).minus(on_it.taken);
         Level::new(free, on_it.soft, machine.coming.len())
     }
 
     /// Looks over all machines. What the index should have known is entered, and said.
     fn sweep_pool(&mut self) {
-        let mut stale: Vec<HostId> = Vec::new();
+        let mut stale: Vec<MachineId> = Vec::new();
         let mut usable = 0;
-        for (host, machine) in &self.machines {
+        for (machine_id, machine) in &self.machines {
             let own = self.ours(machine);
             if !own && !self.others(machine) {
                 continue;
             }
             usable += 1;
             let level = self.level(machine);
-            let (block, images) = (&machine.block, machine.images.len());
-            let stands = self.pool.room.stands(host, own, block, level, images);
+            let (shard, images) = (&machine.shard, machine.images.len());
+            let stands = self.pool.room.stands(machine_id, own, shard, level, images);
             if !stands {
-                stale.push(host.clone());
+                stale.push(machine_id.clone());
             }
         }
         self.work.swept.add(self.machines.len());
         let entered = stale.len();
         self.enter(stale);
         if self.pool.room.len() > usable {
-            let unfit = |host: &&HostId| {
-                let machine = self.machines.get(*host);
+            let unfit = |machine_id: &&MachineId| {
+                let machine = self.machines.get(*machine_id);
                 machine.is_none_or(|m| !self.ours(m) && !self.others(m))
             };
-            let unfit: Vec<HostId> = self.pool.room.hosts().filter(unfit).cloned().collect();
-            for host in unfit {
-                self.pool.room.remove(&host);
+            let unfit: Vec<MachineId> = self
+                .pool
+                .room
+                .machine_ids()
+                .filter(unfit)
+                .cloned()
+                .collect();
+            for machine_id in unfit {
+                self.pool.room.remove(&machine_id);
             }
         }
         let ready: u32 = self.headroom().iter().map(|h| h.machines).sum();
-        let empty = self.pool.room.hosts().filter(|host| !self.jobs.busy(host));
+        let empty = self
+            .pool
+            .room
+            .machine_ids()
+            .filter(|machine_id| !self.jobs.busy(machine_id));
         self.pool.spare = empty.count() > ready as usize;
         self.pool.built = self.now;
         tracing::trace!(usable, entered, "looked over the fleet");
@@ -163,8 +176,8 @@
         self.refresh_pool();
         let swept = self.pool.built == self.now;
         let mut differs = Vec::new();
-        for (host, entered) in self.pool.room.entries() {
-            let machine = self.machines.get(host);
+        for (machine_id, entered) in self.pool.room.entries() {
+            let machine = self.machines.get(machine_id);
             let should = machine.and_then(|machine| self.entry(machine));
             let right = match &should {
                 Some(should) if swept => should == entered,
@@ -174,7 +187,7 @@
                 None => !swept,
             };
             if !right {
-                differs.push(format!("{host}: {entered:?}, should be {should:?}"));
+                differs.push(format!("{machine_id}: {entered:?}, should be {should:?}"));
             }
         }
         let usable = self.machines.values().filter(|m| self.entry(m).is_some());
@@ -200,7 +213,9 @@
         });
         let groups = groups.filter(|group| {
             zone.is_none_or(|zone| group.zone() == zone)
-                && job.spec.allows(&group.rig, group.zone(), group.spot)
+                && job
+                    .spec
+                    .allows(&group.machine_type, group.zone(), group.spot)
         });
         groups.collect()
     }
@@ -223,11 +238,11 @@
         let mut passed = 0;
         for class in from_both_ends(&classes) {
             let mut of_class = 0;
-            for host in class.hosts.iter().take(MOST_LOOKED_OF_CLASS) {
+            for machine_id in class.machine_ids.iter().take(MOST_LOOKED_OF_CLASS) {
                 if of_class == MOST_OF_CLASS || passed == most {
                     break;
                 }
-                let Some(machine) = self.machines.get(host) else {
+                let Some(machine) = self.machines.get(machine_id) else {
                     continue;
                 };
                 self.work.candidates.add(1);
@@ -242,8 +257,8 @@
 
     /// A machine as a cycle for the job sees it.
     pub(super) fn candidate<'a>(&self, job: &Job, machine: &'a Machine) -> Candidate<'a> {
-        let (whole, on_it) = (self.whole(machine), self.jobs.host_use(&machine.host));
-        let rate = fetch_rate(&self.flavors, &machine.rig);
+        let (whole, on_it) = (self.whole(machine), self.jobs.host_use(&machine.machine_id));
+        let rate = fetch_rate(&self.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Candidate {
             machine,
@@ -263,21 +278,21 @@
         scope: Scope,
         zone: Option<&Zone>,
         raise: Option<u32>,
-    ) -> Result<HostId, BTreeSet<Check>> {
+    ) -> Result<MachineId, BTreeSet<Check>> {
         loop {
             self.refresh_pool();
             let Some(job) = self.jobs.get(id) else {
                 return Err(BTreeSet::new());
             };
-            let mut asking = Asking::new(job, self.full_blocks(job, raise));
+            let mut asking = Asking::new(job, self.full_shards(job, raise));
             asking.keeps_off_empty = self.keeps_off_empty(job);
-            let host = self.survey(&asking, scope, zone)?;
+            let machine_id = self.survey(&asking, scope, zone)?;
             let usable = |m: &Machine| self.ours(m) || self.others(m);
-            if self.machines.get(&host).is_some_and(usable) {
-                return Ok(host);
+            if self.machines.get(&machine_id).is_some_and(usable) {
+                return Ok(machine_id);
             }
             // Not fit any more: the index is behind.
-            self.pool.room.remove(&host);
+            self.pool.room.remove(&machine_id);
         }
     }
 
@@ -287,17 +302,20 @@
         asking: &Asking,
         scope: Scope,
         zone: Option<&Zone>,
-    ) -> Result<HostId, BTreeSet<Check>> {
+    ) -> Result<MachineId, BTreeSet<Check>> {
         let job = asking.job;
         let mut choice = Choice::default();
         let mut open = Vec::new();
         for group in self.groups(job, scope, zone) {
-            let whole = self.flavor(&group.rig).map(|f| f.room).unwrap_or_default();
+            let whole = self
+                .type_spec(&group.machine_type)
+                .map(|f| f.room)
+                .unwrap_or_default();
             let ever = job.spec.room.fits_in(whole);
             if ever && self.pool.room.any_too_full(group, job.spec.room) {
                 choice.reject(Check::Room);
             }
-            match asking.closes(&group.block) {
+            match asking.closes(&group.shard) {
                 None => open.push(group),
                 Some(check) => {
                     let having = Having::Any;
@@ -326,12 +344,12 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let asking = Asking::new(job, self.full_blocks(job, None));
+        let asking = Asking::new(job, self.full_shards(job, None));
         let having = Having::Image(&job.spec.image);
         let groups = self.groups(job, scope, None);
         let mut open = groups
             .into_iter()
-            .filter(|g| asking.closes(&g.block).is_none());
+            .filter(|g| asking.closes(&g.shard).is_none());
         if !job.whole_gang() {
             return open.any(|group| {
                 let passes = |c: Candidate| cycle::filter(&asking, &c).is_none();
@@ -343,7 +361,7 @@
             let zone = job.spec.one_zone.then_some(group.zone());
             let tasks = zones.entry(zone).or_default();
             let classes = self.pool.room.fitting(having, group, job.spec.room);
-            for machine in classes.flat_map(|class| class.hosts) {
+            for machine in classes.flat_map(|class| class.machine_ids) {
                 if *tasks >= job.record.tasks {
                     return true;
                 }
@@ -369,12 +387,12 @@
         let asking = Asking::new(job, Vec::new());
         let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
         for group in self.groups(job, scope, None) {
-            if asking.closes(&group.block).is_some() {
+            if asking.closes(&group.shard).is_some() {
                 continue;
             }
             for class in self.pool.room.fitting(Having::Any, group, job.spec.room) {
                 let each = class.level.free().holds(job.spec.room);
-                let there = each.saturating_mul(class.hosts.len() as u32);
+                let there = each.saturating_mul(class.machine_ids.len() as u32);
                 let sum = room.entry(group.zone()).or_default();
                 *sum = sum.saturating_add(there);
             }
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -3,7 +3,7 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{Phase, Placement, Rank, Shape, Spec, Task};
-use crate::types::{Attempt, Baton, BlockId, Revision, Session, Token};
+use crate::types::{AgentEpoch, Attempt, FencingToken, Revision, ShardId, WorkerToken};
 
 const NOW: Millis = Millis(10_000);
 
@@ -15,11 +15,11 @@
         gpus,
         memory_gb: gpus * 60.0,
     };
-    (spec.one_zone, spec.spread, spec.rigs) = (false, false, None);
+    (spec.one_zone, spec.spread, spec.machine_types) = (false, false, None);
     spec
 }
 
-fn host(index: usize) -> HostId {
+fn machine_id(index: usize) -> MachineId {
     format!("vm-{index:05}").into()
 }
 
@@ -28,21 +28,30 @@
     let (mut controller, id) = controller(spec(1.0, Rank::Urgent), vec![Task::FRESH; 4]);
     controller.machines.clear();
     controller.now = NOW;
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     for index in 0..machines {
-        let (host, zone) = (host(index), "a".into());
-        let mut machine = Machine::new(host, "g8".into(), zone, false, block.clone(), "n0".into());
-        machine.hearing.prove();
+        let (machine_id, zone) = (machine_id(index), "a".into());
+        let mut machine = Machine::new(
+            machine_id,
+            "g8".into(),
+            zone,
+            false,
+            shard.clone(),
+            "n0".into(),
+        );
+        machine.reachability.prove();
         (machine.heard, machine.reported) = (NOW, NOW);
-        machine.baton = Baton::of(Token(5));
-        machine.answered = Some((Token(5), NOW));
-        controller.machines.insert(machine.host.clone(), machine);
+        machine.worker_token = WorkerToken::of(FencingToken(5));
+        machine.answered = Some((FencingToken(5), NOW));
+        controller
+            .machines
+            .insert(machine.machine_id.clone(), machine);
     }
     let placed = (0..machines).filter(|index| taken(*index)).map(|index| {
         Task::Placed(Placement {
-            host: host(index),
-            block: block.clone(),
-            session: Session(1),
+            machine_id: machine_id(index),
+            shard: shard.clone(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         })
     });
@@ -165,25 +174,25 @@
         ("nothing", |_| {}),
         ("a task is placed", |controller| {
             let placed = Task::Placed(Placement {
-                host: host(3),
-                block: BlockId::parse("a.0").unwrap(),
-                session: Session(1),
+                machine_id: machine_id(3),
+                shard: ShardId::parse("a.0").unwrap(),
+                agent_epoch: AgentEpoch(1),
                 attempt: Attempt(1),
             });
             occupy(controller, vec![placed]);
         }),
         ("an image comes", |controller| {
-            let machine = controller.machines.get_mut(&host(4)).unwrap();
+            let machine = controller.machines.get_mut(&machine_id(4)).unwrap();
             machine.note_image(&"img-1".into(), 1.0, 100.0, NOW);
-            controller.pool.touched.push(host(4));
+            controller.pool.touched.push(machine_id(4));
         }),
         ("a machine falls silent", |controller| {
             controller.now = NOW + Millis(500);
-            controller.machines.get_mut(&host(5)).unwrap().heard = Millis(0);
+            controller.machines.get_mut(&machine_id(5)).unwrap().heard = Millis(0);
             controller.now = NOW + controller.silence();
         }),
         ("a machine is gone", |controller| {
-            controller.machines.remove(&host(6));
+            controller.machines.remove(&machine_id(6));
             controller.now = NOW + Millis(1_000);
         }),
     ];
@@ -198,7 +207,7 @@
 #[test]
 fn a_sweep_mends_the_index() {
     let (mut controller, _) = fleet(12, |_| false);
-    controller.pool.room.remove(&host(2));
+    controller.pool.room.remove(&machine_id(2));
     controller.now = NOW + Millis(1_000);
     assert_eq!(controller.recount_pool(), Vec::<String>::new());
 }
