--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -8,12 +8,12 @@
 use crate::jobs::cache::{Change, Evidence, Job, Writing};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{Phase, Rank, Shape, Task};
-use crate::lease::{LEADER, block_key};
+use crate::lease::{LEADER, shard_key};
 use crate::peers::{Left, Message};
 use crate::quota;
 use crate::settings::TeamSettings;
 use crate::store::{Answer, Class, Txn};
-use crate::types::{Attempt, BlockId, HostId, JobId, Millis, Revision, Room};
+use crate::types::{Attempt, JobId, MachineId, Millis, Revision, Room, ShardId};
 
 /// Pages of one transaction: with 8 KiB each they stay below 64 KiB.
 const MOST_PAGES: usize = 6;
@@ -100,13 +100,14 @@
             return false;
         };
         let home = &job.record.home;
-        let there = self.leases.nodes.contains_key(home) && self.word_of(home).is_some();
+        let there =
+            self.leases.controllers.contains_key(home) && self.recent_status(home).is_some();
         if *home == self.me || !there {
             return false;
         }
         let token = |index| {
-            let block = &job.task(index).placement()?.block;
-            self.leases.holds(block, &self.me)
+            let shard = &job.task(index).placement()?.shard;
+            self.leases.holds(shard, &self.me)
         };
         self.ends.tell(home, job, token, self.now)
     }
@@ -144,7 +145,7 @@
             let Task::Placed(placement) = job.task(left.index) else {
                 continue;
             };
-            let token = self.leases.blocks.get(&placement.block).map(|(_, t)| t.0);
+            let token = self.leases.shards.get(&placement.shard).map(|(_, t)| t.0);
             if placement.attempt.0 == left.attempt && token == Some(left.token) {
                 changes.push((id, left.index, left.change()));
             }
@@ -208,23 +209,23 @@
             }
             // No higher token may exist when this is written. The leader places in shards of
             // others too: whoever holds the shard then starts the task.
-            let held = |block| self.leases.holds(block, &self.me);
-            let known = |block| self.leases.blocks.get(block).map(|(_, token)| *token);
+            let held = |shard| self.leases.holds(shard, &self.me);
+            let known = |shard| self.leases.shards.get(shard).map(|(_, token)| *token);
             let leads = self.leading().is_some();
             let next = match (change, job.task(*index)) {
                 (Change::Place(placement), Task::Waiting { tried })
                     if job.active() && *tried < placement.attempt =>
                 {
                     // Somebody else may have placed a task there since this one was reserved.
-                    let machine = self.machines.get(&placement.host).filter(|machine| {
-                        machine.session == placement.session
+                    let machine = self.machines.get(&placement.machine_id).filter(|machine| {
+                        machine.agent_epoch == placement.agent_epoch
                             && Room::default().fits_in(self.free(machine))
                     });
-                    let token = held(&placement.block);
-                    let token = token.or_else(|| known(&placement.block).filter(|_| leads));
+                    let token = held(&placement.shard);
+                    let token = token.or_else(|| known(&placement.shard).filter(|_| leads));
                     let token = token.filter(|_| machine.is_some());
                     let next = Task::Placed(placement.clone());
-                    token.map(|token| (next, Some((&placement.block, token))))
+                    token.map(|token| (next, Some((&placement.shard, token))))
                 }
                 (Change::Release { attempt, evidence }, Task::Placed(placement))
                     if placement.attempt == *attempt =>
@@ -232,8 +233,8 @@
                     let tried = placement.attempt;
                     let under = match evidence {
                         Evidence::Deleted => Some(None),
-                        Evidence::Holder(token) if known(&placement.block) == Some(*token) => {
-                            Some(Some((&placement.block, *token)))
+                        Evidence::Holder(token) if known(&placement.shard) == Some(*token) => {
+                            Some(Some((&placement.shard, *token)))
                         }
                         Evidence::Holder(_) => None,
                     };
@@ -242,8 +243,8 @@
                 (Change::Finish { attempt }, Task::Placed(placement))
                     if placement.attempt == *attempt =>
                 {
-                    known(&placement.block)
-                        .map(|token| (Task::Done, Some((&placement.block, token))))
+                    known(&placement.shard)
+                        .map(|token| (Task::Done, Some((&placement.shard, token))))
                 }
                 _ => None,
             };
@@ -253,9 +254,9 @@
                 unplaced |= places;
                 continue;
             };
-            if let Some((block, token)) = under {
-                txn.require(block_key(block), Revision(token.0));
-                borrowed |= places && self.leases.holds(block, &self.me).is_none();
+            if let Some((shard, token)) = under {
+                txn.require(shard_key(shard), Revision(token.0));
+                borrowed |= places && self.leases.holds(shard, &self.me).is_none();
             }
             placing |= places;
             let tasks = pages.entry(page).or_insert_with(|| job.page_tasks(page));
@@ -292,19 +293,19 @@
         if placing && tied && !pages.contains_key(&0) {
             pages.insert(0, job.page_tasks(0));
         }
-        let mut blocks: Vec<(BlockId, u32)> = Vec::new();
+        let mut shards: Vec<(ShardId, u32)> = Vec::new();
         for (_, change) in &changes {
             if let Change::Place(placement) = change {
-                match blocks.iter_mut().find(|(b, _)| *b == placement.block) {
+                match shards.iter_mut().find(|(b, _)| *b == placement.shard) {
                     Some((_, tasks)) => *tasks += 1,
-                    None => blocks.push((placement.block.clone(), 1)),
+                    None => shards.push((placement.shard.clone(), 1)),
                 }
             }
         }
         // Others may have placed tasks of the job since these were reserved. A gang is placed as a
         // whole, and nothing beyond the shares of its team's limit.
         let whole = !(unplaced && job.whole_gang());
-        if !whole || placing && !job.zones_allowed() || !self.require_shares(job, &mut txn, &blocks)
+        if !whole || placing && !job.zones_allowed() || !self.require_shares(job, &mut txn, &shards)
         {
             return self.settle(id);
         }
@@ -367,15 +368,15 @@
                 }
                 self.commit(&id);
                 self.consider(&id);
-                let hosts: BTreeSet<HostId> = changes
+                let machine_ids: BTreeSet<MachineId> = changes
                     .into_iter()
                     .filter_map(|(_, change)| match change {
-                        Change::Place(placement) => Some(placement.host),
+                        Change::Place(placement) => Some(placement.machine_id),
                         _ => None,
                     })
                     .collect();
-                for host in hosts {
-                    self.poke(&host);
+                for machine_id in machine_ids {
+                    self.push_commands(&machine_id);
                 }
             }
             Answer::Conflict(revision) => {
@@ -409,9 +410,9 @@
                 .changes
                 .iter()
                 .filter(|(_, c)| !matches!(c, Change::Place(_)));
-            let hosts =
-                left.filter_map(|(index, _)| Some(job.task(*index).placement()?.host.clone()));
-            hosts.collect::<BTreeSet<HostId>>()
+            let machine_ids = left
+                .filter_map(|(index, _)| Some(job.task(*index).placement()?.machine_id.clone()));
+            machine_ids.collect::<BTreeSet<MachineId>>()
         });
         // What is done stays done, and other holders say it only once.
         let done: Vec<(u32, Change)> = self
@@ -427,8 +428,8 @@
             job.writing = Writing::Idle;
             self.fail_later(id);
         }
-        for host in ended.unwrap_or_default() {
-            self.look_again(&host);
+        for machine_id in ended.unwrap_or_default() {
+            self.look_again(&machine_id);
         }
         for (index, change) in done {
             let noted = |job: &Job| job.changes.contains_key(&index);
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -6,14 +6,14 @@
 use crate::lease::Own;
 use crate::settings::{Settings, tests::settings};
 use crate::store::Call;
-use crate::types::{Permit, Session, Token};
+use crate::types::{AgentEpoch, FencingToken, LeaseId};
 use crate::workers::Machine;
 
-fn placed(host: &str, block: &str, attempt: u64) -> Task {
+fn placed(machine_id: &str, shard: &str, attempt: u64) -> Task {
     Task::Placed(Placement {
-        host: host.into(),
-        block: BlockId::parse(block).unwrap(),
-        session: Session(1),
+        machine_id: machine_id.into(),
+        shard: ShardId::parse(shard).unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(attempt),
     })
 }
@@ -32,24 +32,24 @@
     let mut controller = Controller::new(Arc::new(settings), 1);
     controller.synced = true;
     controller.leases.own = Own::Held {
-        permit: Permit(1),
+        lease_id: LeaseId(1),
         until: Millis(60_000),
     };
-    for block in ["a.0", "b.0"] {
+    for shard in ["a.0", "b.0"] {
         let record = r#"{"holder":"n0","permit":1}"#;
-        controller.feed(&format!("jt/block/{block}"), Some(record), Revision(5));
+        controller.feed(&format!("jt/block/{shard}"), Some(record), Revision(5));
     }
-    let flavor = r#"[{"sku":"g8","room":{"cpus":96.0,"gpus":8.0,"memory_gb":768.0},"cache_gb":100.0,
+    let type_spec = r#"[{"sku":"g8","room":{"cpus":96.0,"gpus":8.0,"memory_gb":768.0},"cache_gb":100.0,
         "fetch_gb_per_s":1.0,"price":10.0,"spot_price":4.0,"boot_s":30.0,"zones":["a","b"]}]"#;
-    controller.feed("jt/flavors", Some(flavor), Revision(1));
-    for (host, zone) in [("vm-a", "a"), ("vm-b", "b")] {
-        let block = BlockId {
+    controller.feed("jt/flavors", Some(type_spec), Revision(1));
+    for (machine_id, zone) in [("vm-a", "a"), ("vm-b", "b")] {
+        let shard = ShardId {
             zone: zone.into(),
             part: 0,
         };
-        let (id, by) = (HostId::from(host), "n0".into());
-        let mut machine = Machine::new(id.clone(), "g8".into(), zone.into(), false, block, by);
-        machine.session = Session(1);
+        let (id, by) = (MachineId::from(machine_id), "n0".into());
+        let mut machine = Machine::new(id.clone(), "g8".into(), zone.into(), false, shard, by);
+        machine.agent_epoch = AgentEpoch(1);
         controller.machines.insert(id, machine);
     }
     let id = JobId::from("job-1");
@@ -74,13 +74,13 @@
 fn what_the_records_have_overtaken_is_not_written() {
     let release = |attempt, token| Change::Release {
         attempt: Attempt(attempt),
-        evidence: Evidence::Holder(Token(token)),
+        evidence: Evidence::Holder(FencingToken(token)),
     };
     let deleted = |attempt| Change::Release {
         attempt: Attempt(attempt),
         evidence: Evidence::Deleted,
     };
-    let place = |host: &str, block: &str, attempt| match placed(host, block, attempt) {
+    let place = |machine_id: &str, shard: &str, attempt| match placed(machine_id, shard, attempt) {
         Task::Placed(placement) => Change::Place(placement),
         _ => unreachable!(),
     };
@@ -191,7 +191,7 @@
     };
     let release = Change::Release {
         attempt: Attempt(2),
-        evidence: Evidence::Holder(Token(5)),
+        evidence: Evidence::Holder(FencingToken(5)),
     };
     let cases = [
         // the other task, what is noted of it, the gang is done
@@ -230,7 +230,7 @@
 fn while_changes_are_short_starts_wait_for_company_and_releases_do_not() {
     let release = Change::Release {
         attempt: Attempt(2),
-        evidence: Evidence::Holder(Token(5)),
+        evidence: Evidence::Holder(FencingToken(5)),
     };
     let Task::Placed(free) = placed("vm-b", "b.0", 3) else {
         unreachable!()
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -7,8 +7,8 @@
 use crate::jobs::cache::{Change, Job};
 use crate::jobs::crash_loop::Trials;
 use crate::peers::Message;
-use crate::queue::Order;
-use crate::types::{HostId, JobId};
+use crate::queue::QueueKey;
+use crate::types::{JobId, MachineId};
 use crate::workers::Machine;
 
 impl Controller {
@@ -19,27 +19,28 @@
 
     /// Tasks of these jobs failed on a machine of ours: all controllers are told, since any of them
     /// may place the next.
-    pub(super) fn tasks_failed(&mut self, failed: BTreeSet<JobId>, host: &HostId) {
+    pub(super) fn tasks_failed(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
         for id in failed {
             self.failed_jobs.insert(id.clone());
-            let (job, on) = (id.to_string(), host.to_string());
+            let (job, on) = (id.to_string(), machine_id.to_string());
             for member in &self.settings.members {
                 let to = member.label.clone();
-                let (job, host) = (job.clone(), on.clone());
-                let message = Message::Failed { job, host };
+                let (job, machine_id) = (job.clone(), on.clone());
+                let message = Message::Failed { job, machine_id };
                 self.effects.push(Effect::Peer { to, message });
             }
-            self.note_failed(&id, host);
+            self.note_failed(&id, machine_id);
         }
     }
 
     /// A task of the job failed on that machine, by our own word or another's.
-    pub(super) fn note_failed(&mut self, id: &JobId, host: &HostId) {
+    pub(super) fn note_failed(&mut self, id: &JobId, machine_id: &MachineId) {
         let Some(job) = self.jobs.get(id).filter(|job| job.active()) else {
             return;
         };
         let fails_everywhere = job.done == 0;
-        let newly = fails_everywhere && (self.trials).failed(id, job.spec.shape, host, self.now);
+        let newly =
+            fails_everywhere && (self.trials).failed(id, job.spec.shape, machine_id, self.now);
         let jobs = &self.jobs;
         let suspect = |trials: &Trials, id: &JobId| {
             let done = jobs.get(id).is_some_and(|job| job.done > 0);
@@ -47,24 +48,24 @@
         };
         // Its holder judges a machine, and tells the others.
         let (leases, me) = (&self.leases, &self.me);
-        let ours = |machine: &&mut Machine| leases.holds(&machine.block, me).is_some();
-        if let Some(machine) = self.machines.get_mut(host).filter(ours) {
+        let ours = |machine: &&mut Machine| leases.holds(&machine.shard, me).is_some();
+        if let Some(machine) = self.machines.get_mut(machine_id).filter(ours) {
             machine.note_failure(id, self.now);
             machine.judge(|id| suspect(&self.trials, id));
-            if machine.sick {
-                tracing::info!(%host, "the machine is sick");
-                self.trials.sick(host, self.now);
+            if machine.quarantined {
+                tracing::info!(%machine_id, "the machine is sick");
+                self.trials.quarantined(machine_id, self.now);
             }
         }
         if newly {
             tracing::info!(job = %id, "fails wherever it is tried: tried seldom from now on");
             // What it did to machines before that was not their fault.
-            for (host, machine) in self.machines.iter_mut() {
+            for (machine_id, machine) in self.machines.iter_mut() {
                 if machine.failed.contains_key(id) && ours(&machine) {
-                    let was = machine.sick;
+                    let was = machine.quarantined;
                     machine.judge(|id| suspect(&self.trials, id));
-                    if was && !machine.sick {
-                        self.drains.remove(host);
+                    if was && !machine.quarantined {
+                        self.drains.remove(machine_id);
                     }
                 }
             }
@@ -73,7 +74,7 @@
 
     /// Holds a suspect job back: one task of it at a time, and not before its wait is over. True if
     /// it was held.
-    pub(super) fn hold_suspect(&mut self, id: &JobId, order: Order) -> bool {
+    pub(super) fn hold_suspect(&mut self, id: &JobId, order: QueueKey) -> bool {
         let Some(job) = self.jobs.get(id).filter(|job| self.suspected(job)) else {
             return false;
         };
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -4,16 +4,18 @@
 
 use rustc_hash::FxHashSet as HashSet;
 
-use super::{Controller, DirectAnswer, Effect, PeerState};
-use crate::fleet::{Flavor, fetch_rate};
+use super::{CommandReply, Controller, Effect, PeerState};
+use crate::fleet::{MachineTypeSpec, fetch_rate};
 use crate::jobs::Shape;
 use crate::jobs::cache::{Change, Evidence, Job};
 use crate::queue;
-use crate::types::{Attempt, BlockId, HostId, JobId, Millis, NodeId, ReplyId, TaskId, Token, Zone};
-use crate::workers::reachability::Said;
+use crate::types::{
+    Attempt, ControllerId, FencingToken, JobId, MachineId, Millis, ReplyId, ShardId, TaskId, Zone,
+};
+use crate::workers::reachability::HeartbeatObservation;
 use crate::workers::reconcile::{Stop, reconcile};
-use crate::workers::wire::{Cause, Order, Report, ReportAnswer, TaskStage};
-use crate::workers::{FETCHES_LAST, Machine, block_of};
+use crate::workers::wire::{ExitCause, Heartbeat, HeartbeatResponse, TaskStage, WorkerCommand};
+use crate::workers::{FETCHES_LAST, Machine, shard_of};
 
 /// A start that was refused for room shows that the machine holds more than we know.
 const AFTER_REFUSAL: Millis = Millis(3_000);
@@ -25,13 +27,13 @@
 const HANDED_EARLY: Millis = Millis(10_000);
 /// A controller that gave its shards up, took some since, and heard nobody again waits so much longer before
 /// it tries once more. Workers that reach nobody had shards change hands every few seconds.
-const DEAF_AGAIN: Millis = Millis(10_000);
-const MOST_DEAF: u32 = 3;
+const RELEASE_BACKOFF: Millis = Millis(10_000);
+const MAX_RELEASE_BACKOFF_DOUBLINGS: u32 = 3;
 
-fn pause_of(gave_up: u32) -> Millis {
-    match gave_up {
+fn pause_of(shards_given_up: u32) -> Millis {
+    match shards_given_up {
         0 => Millis(0),
-        again => Millis(DEAF_AGAIN.0 << (again - 1).min(MOST_DEAF)),
+        again => Millis(RELEASE_BACKOFF.0 << (again - 1).min(MAX_RELEASE_BACKOFF_DOUBLINGS)),
     }
 }
 
@@ -55,9 +57,9 @@
     }
 }
 
-fn starts(orders: &[Order]) -> impl Iterator<Item = (TaskId, Attempt)> + '_ {
-    orders.iter().filter_map(|order| match order {
-        Order::Start { task, attempt } => Some((task.clone(), *attempt)),
+fn starts(commands: &[WorkerCommand]) -> impl Iterator<Item = (TaskId, Attempt)> + '_ {
+    commands.iter().filter_map(|order| match order {
+        WorkerCommand::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
     })
 }
@@ -65,99 +67,109 @@
 impl Controller {
     /// A worker that is silent for longer gets no new tasks.
     pub(super) fn silence(&self) -> Millis {
-        Millis::from_secs(self.settings.deployment.workers.report_s * 2.5)
+        Millis::from_secs(self.settings.deployment.workers.heartbeat_interval_s * 2.5)
     }
 
-    pub(super) fn on_report(&mut self, reply: ReplyId, report: Report) {
-        self.last_report = self.now;
-        self.hears = true;
-        self.gave_up_deaf = 0;
-        let answer = self.answer_report(report);
+    pub(super) fn on_heartbeat(&mut self, reply: ReplyId, heartbeat: Heartbeat) {
+        self.last_heartbeat = self.now;
+        self.receives_heartbeats = true;
+        self.shard_release_streak = 0;
+        let answer = self.answer_heartbeat(heartbeat);
         self.effects.push(Effect::Worker { reply, answer });
     }
 
     /// A controller that none of its workers reaches gives its shards up, and takes some again
     /// once it reaches workers.
     pub(super) fn keep_hearing(&mut self) {
-        if !self.hears {
+        if !self.receives_heartbeats {
             if self.now.since(self.inspected) >= INSPECT_EVERY {
                 self.inspected = self.now;
                 let asked = self
                     .machines
                     .values()
-                    .filter(|m| !self.fleet.gone.contains(&m.host))
+                    .filter(|m| !self.fleet.gone.contains(&m.machine_id))
                     .max_by_key(|m| m.heard)
-                    .and_then(|m| Some((m.host.clone(), m.address?)));
-                if let Some((host, address)) = asked {
-                    self.effects.push(Effect::Inspect { host, address });
+                    .and_then(|m| Some((m.machine_id.clone(), m.address?)));
+                if let Some((machine_id, address)) = asked {
+                    self.effects.push(Effect::Inspect {
+                        machine_id,
+                        address,
+                    });
                 }
             }
             return;
         }
-        let deaf = Millis(self.silence().0 + 2_000);
+        let one_way = Millis(self.silence().0 + 2_000);
         let expected = self
             .machines
             .values()
-            .filter(|m| m.answered.is_some() && !self.fleet.gone.contains(&m.host))
+            .filter(|m| m.answered.is_some() && !self.fleet.gone.contains(&m.machine_id))
             .filter(|m| {
-                self.token_for(&m.block).is_some()
+                self.token_for(&m.shard).is_some()
                     && self
                         .moved
-                        .get(&m.block)
-                        .is_none_or(|at| self.now.since(*at) > deaf)
-                    && self.now.since(m.heard).0 < 4 * deaf.0
+                        .get(&m.shard)
+                        .is_none_or(|at| self.now.since(*at) > one_way)
+                    && self.now.since(m.heard).0 < 4 * one_way.0
             })
             .count();
-        if expected >= 2 && self.now.since(self.last_report) > deaf && !self.all_are_deaf() {
+        if expected >= 2
+            && self.now.since(self.last_heartbeat) > one_way
+            && !self.no_controller_receives_heartbeats()
+        {
             tracing::info!(expected, "no worker reaches us: giving up our blocks");
-            self.hears = false;
-            self.inspected = self.now + pause_of(self.gave_up_deaf);
-            self.gave_up_deaf += 1;
+            self.receives_heartbeats = false;
+            self.inspected = self.now + pause_of(self.shard_release_streak);
+            self.shard_release_streak += 1;
         }
     }
 
     /// Whether no other controller hears workers either: then it is they who can't report, and nobody would
     /// do better with our shards.
-    fn all_are_deaf(&self) -> bool {
+    fn no_controller_receives_heartbeats(&self) -> bool {
         let members = &self.settings.members;
-        let deaf = |label| self.word_of(label).is_some_and(|peer| !peer.hears);
-        !members.is_empty() && members.iter().all(|member| deaf(&member.label))
+        let one_way = |label| {
+            self.recent_status(label)
+                .is_some_and(|peer| !peer.receives_heartbeats)
+        };
+        !members.is_empty() && members.iter().all(|member| one_way(&member.label))
     }
 
     pub(super) fn on_inspected(&mut self, answered: bool) {
-        if answered && !self.hears {
+        if answered && !self.receives_heartbeats {
             tracing::info!("workers can be reached again");
-            self.hears = true;
-            self.last_report = self.now;
+            self.receives_heartbeats = true;
+            self.last_heartbeat = self.now;
         }
     }
 
     /// What another controller said last, if that was just now.
-    pub(super) fn word_of(&self, node: &NodeId) -> Option<&PeerState> {
-        let peer = self.peers.get(node);
+    pub(super) fn recent_status(&self, controller: &ControllerId) -> Option<&PeerState> {
+        let peer = self.peers.get(controller);
         peer.filter(|peer| self.now.since(peer.heard) <= WORD_HOLDS)
     }
 
     /// When anybody heard a machine last, as far as we know; 0: never.
-    pub(super) fn last_heard(&self, host: &HostId) -> Millis {
-        let known = self.machines.get(host).map(|m| m.heard);
-        let heard = known.or(self.heard_of.get(host).copied());
+    pub(super) fn last_heard(&self, machine_id: &MachineId) -> Millis {
+        let known = self.machines.get(machine_id).map(|m| m.heard);
+        let heard = known.or(self.relayed_heartbeats.get(machine_id).copied());
         heard.unwrap_or_default()
     }
 
     /// How long a machine has been silent, by the word of whoever holds its shard now; nobody
     /// else can tell. A holder that hears nobody can't either.
-    pub(super) fn silent_for(&self, host: &HostId, block: &BlockId) -> Option<Silence> {
-        let (holder, _) = self.leases.blocks.get(block)?;
+    pub(super) fn silent_for(&self, machine_id: &MachineId, shard: &ShardId) -> Option<Silence> {
+        let (holder, _) = self.leases.shards.get(shard)?;
         let held = self
             .moved
-            .get(block)
+            .get(shard)
             .map_or(self.now, |at| self.now.since(*at));
-        let heard = self.last_heard(host);
+        let heard = self.last_heard(machine_id);
         let can_tell = if *holder == self.me {
-            self.hears && self.now.since(self.last_report) <= self.silence()
+            self.receives_heartbeats && self.now.since(self.last_heartbeat) <= self.silence()
         } else {
-            self.word_of(holder).is_some_and(|peer| peer.hears)
+            self.recent_status(holder)
+                .is_some_and(|peer| peer.receives_heartbeats)
         };
         can_tell.then(|| Silence {
             since_heard: self.now.since(heard),
@@ -167,12 +179,16 @@
 
     /// Whether most other machines of the zone are heard: then it is the machine that is silent,
     /// not the network.
-    pub(super) fn zone_speaks(&self, host: &HostId, zone: &Zone) -> bool {
+    pub(super) fn zone_speaks(&self, machine_id: &MachineId, zone: &Zone) -> bool {
         let fresh = self.silence();
         let others: Vec<bool> = self
             .machines
             .values()
-            .filter(|m| m.zone == *zone && m.host != *host && !self.fleet.gone.contains(&m.host))
+            .filter(|m| {
+                m.zone == *zone
+                    && m.machine_id != *machine_id
+                    && !self.fleet.gone.contains(&m.machine_id)
+            })
             .filter(|m| self.now.since(m.heard).0 < 8 * fresh.0)
             .map(|m| self.now.since(m.heard) <= fresh)
             .collect();
@@ -180,30 +196,30 @@
         speaking >= 2 && speaking * 3 >= others.len() * 2
     }
 
-    pub(super) fn answer_report(&mut self, report: Report) -> ReportAnswer {
+    pub(super) fn answer_heartbeat(&mut self, heartbeat: Heartbeat) -> HeartbeatResponse {
         let parts = self.settings.operator.blocks_per_zone;
-        let block = block_of(&report.host, &report.yard, parts);
-        let Some(token) = self.token_for(&block) else {
-            if let Some(kept) = self.keep_for_others(&block, report.baton) {
+        let shard = shard_of(&heartbeat.machine_id, &heartbeat.zone, parts);
+        let Some(token) = self.token_for(&shard) else {
+            if let Some(kept) = self.keep_for_others(&shard, heartbeat.worker_token) {
                 return kept;
             }
-            return match self.leases.blocks.get(&block) {
-                Some((holder, _)) => ReportAnswer::Elsewhere(Some(holder.clone())),
-                None => ReportAnswer::Later,
+            return match self.leases.shards.get(&shard) {
+                Some((holder, _)) => HeartbeatResponse::Redirect(Some(holder.clone())),
+                None => HeartbeatResponse::RetryLater,
             };
         };
-        let baton = self.baton(token);
-        if report.baton > baton {
+        let worker_token = self.worker_token(token);
+        if heartbeat.worker_token > worker_token {
             // Somebody holds this shard under a higher token, whatever we have heard so far.
-            return ReportAnswer::Elsewhere(None);
+            return HeartbeatResponse::Redirect(None);
         }
         if !self.may_answer() {
-            return ReportAnswer::Later;
+            return HeartbeatResponse::RetryLater;
         }
-        let complete = self.complete(&block);
-        let none = ReportAnswer::Orders {
-            baton,
-            orders: Vec::new(),
+        let complete = self.complete(&shard);
+        let none = HeartbeatResponse::Commands {
+            worker_token,
+            commands: Vec::new(),
         };
         let (now, me) = (self.now, self.me.clone());
         let silence = self.silence();
@@ -211,126 +227,134 @@
         // An agent epoch that ends sooner after an answer has not heard it.
         let most = Millis::from_secs(lease_s * 0.75);
         let lease = Millis::from_secs(lease_s * 1.05 + 2.0);
-        let machine = self.machines.entry(report.host.clone()).or_insert_with(|| {
-            let (rig, zone) = (report.rig.clone(), report.yard.clone());
-            Machine::new(
-                report.host.clone(),
-                rig,
-                zone,
-                report.loaners,
-                block,
-                me.clone(),
-            )
-        });
+        let machine = self
+            .machines
+            .entry(heartbeat.machine_id.clone())
+            .or_insert_with(|| {
+                let (machine_type, zone) = (heartbeat.machine_type.clone(), heartbeat.zone.clone());
+                Machine::new(
+                    heartbeat.machine_id.clone(),
+                    machine_type,
+                    zone,
+                    heartbeat.spot,
+                    shard,
+                    me.clone(),
+                )
+            });
         // Whatever its age, the worker's lease may be renewed by this answer.
         let answered = machine.answered.replace((token, now));
-        if !machine.newer(report.shift, report.tally) {
+        if !machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
             return none;
         }
-        let was_fit = machine.fit(now, silence) && machine.baton.token() >= token;
-        let said = Said {
-            session: report.shift,
+        let was_fit = machine.fit(now, silence) && machine.worker_token.token() >= token;
+        let said = HeartbeatObservation {
+            agent_epoch: heartbeat.agent_epoch,
             unexpected: now.since(machine.heard) > silence,
-            broken: report.shift > machine.session
+            broken: heartbeat.agent_epoch > machine.agent_epoch
                 && answered.is_some_and(|(under, at)| under == token && now.since(at) < most),
-            obeyed: machine.obeyed(&report),
+            obeyed: machine.obeyed(&heartbeat),
         };
-        machine.hearing.reported(said, lease, now);
+        machine.reachability.reported(said, lease, now);
         machine.reported = now;
-        machine.take_in(&report, now, &me);
+        machine.take_in(&heartbeat, now, &me);
         machine.note_aware(token, now);
-        let ask = !machine.hearing.proved();
-        let host = report.host.clone();
+        let ask = !machine.reachability.proved();
+        let machine_id = heartbeat.machine_id.clone();
         if ask {
             // Whether it is there, and hears us, is asked at once.
-            self.ask(&host);
+            self.ask(&machine_id);
         }
-        let Some(machine) = self.machines.get_mut(&host) else {
+        let Some(machine) = self.machines.get_mut(&machine_id) else {
             return none;
         };
-        if machine.baton.token() < token || !complete {
+        if machine.worker_token.token() < token || !complete {
             // Its first heartbeat to us: it sees our token in the answer and reports again at once. A
             // holder that does not know yet what was placed before it came gives no commands: a
             // task that has left the machine since would start there once more.
             return none;
         }
-        machine.direct.enter(token, machine.session);
-        machine.direct.riding.clear();
+        machine.direct.enter(token, machine.agent_epoch);
+        machine.direct.piggybacked_starts.clear();
         let fit = machine.fit(now, silence);
         if fit && !was_fit {
-            self.wake(queue::Event::Machine(host.clone()));
+            self.wake(queue::Event::Machine(machine_id.clone()));
         }
-        let orders = self.see_to(&host, token);
-        if let Some(machine) = self.machines.get_mut(&host) {
-            machine.direct.riding = starts(&orders).collect();
+        let commands = self.see_to(&machine_id, token);
+        if let Some(machine) = self.machines.get_mut(&machine_id) {
+            machine.direct.piggybacked_starts = starts(&commands).collect();
+        }
+        HeartbeatResponse::Commands {
+            worker_token,
+            commands,
         }
-        ReportAnswer::Orders { baton, orders }
     }
 
     /// Sends a worker its starts and stops without waiting for its heartbeat. Only to one that was
     /// heard just now: a start that stays without an answer ties the task to the machine.
-    pub(super) fn poke(&mut self, host: &HostId) {
-        let Some(machine) = self.machines.get(host) else {
+    pub(super) fn push_commands(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
-        let Some(token) = self.token_for(&machine.block) else {
+        let Some(token) = self.token_for(&machine.shard) else {
             return;
         };
-        let seen = machine.baton.token() == token && self.complete(&machine.block);
+        let seen = machine.worker_token.token() == token && self.complete(&machine.shard);
         let (Some(address), true) = (machine.address, seen) else {
             return;
         };
         let heard = machine.answered.is_some_and(|(under, _)| under == token)
-            && machine.hearing.proved()
+            && machine.reachability.proved()
             && self.now.since(machine.heard) <= self.silence();
         if !heard || !self.may_answer() {
             return;
         }
         let gathering = |job: &Job| self.gathering(job);
-        let mut orders = reconcile(machine, token, &self.jobs, &self.stops, gathering).orders;
+        let mut commands = reconcile(machine, token, &self.jobs, &self.stops, gathering).commands;
         // An attempt is forgotten, and one that waited alone is started once more, only by the
         // answer to a heartbeat: direct commands may come minutes late.
-        let forgotten: HashSet<(TaskId, Attempt)> = orders
+        let forgotten: HashSet<(TaskId, Attempt)> = commands
             .iter()
             .filter_map(|order| match order {
-                Order::Forget { task, attempt } => Some((task.clone(), *attempt)),
+                WorkerCommand::Forget { task, attempt } => Some((task.clone(), *attempt)),
                 _ => None,
             })
             .collect();
-        orders.retain(|order| match order {
-            Order::Forget { .. } => false,
-            Order::Start { task, attempt } => !forgotten.contains(&(task.clone(), *attempt)),
-            Order::Stop { .. } => true,
+        commands.retain(|order| match order {
+            WorkerCommand::Forget { .. } => false,
+            WorkerCommand::Start { task, attempt } => {
+                !forgotten.contains(&(task.clone(), *attempt))
+            }
+            WorkerCommand::Stop { .. } => true,
         });
-        let session = machine.session;
-        let Some(machine) = self.machines.get_mut(host) else {
+        let agent_epoch = machine.agent_epoch;
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if orders.is_empty() || machine.direct.busy {
-            machine.direct.again |= !orders.is_empty();
+        if commands.is_empty() || machine.direct.busy {
+            machine.direct.again |= !commands.is_empty();
             return;
         }
-        machine.direct.enter(token, session);
+        machine.direct.enter(token, agent_epoch);
         machine.direct.busy = true;
         machine.direct.again = false;
-        let loose = &mut machine.direct.loose;
-        machine.direct.sent = starts(&orders)
+        let unacknowledged_starts = &mut machine.direct.unacknowledged_starts;
+        machine.direct.sent = starts(&commands)
             // One that is loose already stays so, whatever becomes of this request.
-            .filter(|start| loose.insert(start.clone()))
+            .filter(|start| unacknowledged_starts.insert(start.clone()))
             .collect();
-        let (host, baton) = (host.clone(), self.baton(token));
+        let (machine_id, worker_token) = (machine_id.clone(), self.worker_token(token));
         self.effects.push(Effect::Direct {
-            host,
+            machine_id,
             address,
-            baton,
-            session,
-            orders,
+            worker_token,
+            agent_epoch,
+            commands,
         });
     }
 
-    pub(super) fn on_direct(&mut self, host: &HostId, answer: Option<DirectAnswer>) {
+    pub(super) fn on_direct(&mut self, machine_id: &MachineId, answer: Option<CommandReply>) {
         let (now, me, silence) = (self.now, self.me.clone(), self.silence());
-        let Some(machine) = self.machines.get_mut(host) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         machine.direct.busy = false;
@@ -338,101 +362,109 @@
         let sent = std::mem::take(&mut machine.direct.sent);
         let Some(answer) = answer else { return };
         for start in sent {
-            machine.direct.loose.remove(&start);
+            machine.direct.unacknowledged_starts.remove(&start);
         }
-        let block = machine.block.clone();
-        let mute = self.is_mute(host);
-        if let (Some(report), Some(token)) = (answer.report, self.token_for(&block))
-            && let Some(machine) = self.machines.get_mut(host)
-            && report.host == *host
-            && report.baton.token() <= token
-            && machine.newer(report.shift, report.tally)
+        let shard = machine.shard.clone();
+        let unable_to_report = self.is_unable_to_report(machine_id);
+        if let (Some(heartbeat), Some(token)) = (answer.heartbeat, self.token_for(&shard))
+            && let Some(machine) = self.machines.get_mut(machine_id)
+            && heartbeat.machine_id == *machine_id
+            && heartbeat.worker_token.token() <= token
+            && machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence)
         {
-            let was_fit = machine.fit(now, silence) && machine.baton.token() >= token;
-            if mute {
-                machine.hearing.mute(now);
+            let was_fit = machine.fit(now, silence) && machine.worker_token.token() >= token;
+            if unable_to_report {
+                machine.reachability.unable_to_report(now);
             } else {
-                machine.hearing.prove();
+                machine.reachability.prove();
             }
-            if report.shift != machine.session {
+            if heartbeat.agent_epoch != machine.agent_epoch {
                 // The lease of an agent epoch that we did not know of runs from when it began, not from
                 // when we answered a heartbeat last.
                 machine.aware = None;
             }
-            machine.take_in(&report, now, &me);
+            machine.take_in(&heartbeat, now, &me);
             machine.note_aware(token, now);
-            if machine.baton.token() == token {
-                machine.direct.enter(token, report.shift);
+            if machine.worker_token.token() == token {
+                machine.direct.enter(token, heartbeat.agent_epoch);
                 if machine.fit(now, silence) && !was_fit {
-                    self.wake(queue::Event::Machine(host.clone()));
+                    self.wake(queue::Event::Machine(machine_id.clone()));
                 }
-                if mute {
-                    self.leave_mute(host);
+                if unable_to_report {
+                    self.evacuate_unable_to_report(machine_id);
                 }
-                let orders = self.see_to(host, token);
-                if mute {
-                    self.stop_on_mute(host, token, orders);
+                let commands = self.see_to(machine_id, token);
+                if unable_to_report {
+                    self.stop_where_unable_to_report(machine_id, token, commands);
                 }
             }
         }
         if again {
-            self.poke(host);
+            self.push_commands(machine_id);
         }
     }
 
     /// Draws from a machine's newest report what it still proves.
-    pub(super) fn look_again(&mut self, host: &HostId) {
-        let Some(machine) = self.machines.get(host) else {
+    pub(super) fn look_again(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
-        if let Some(token) = self.token_for(&machine.block)
-            && self.complete(&machine.block)
+        if let Some(token) = self.token_for(&machine.shard)
+            && self.complete(&machine.shard)
         {
-            self.see_to(host, token);
+            self.see_to(machine_id, token);
         }
     }
 
     /// Whether tasks of a gang may still be fetching its image, wherever they were placed.
     fn gathering(&self, job: &Job) -> bool {
-        let rates = self.flavors.iter().map(Flavor::rate);
+        let rates = self.type_specs.iter().map(MachineTypeSpec::rate);
         let fetch_s = job.spec.image_gb / rates.fold(f64::MAX, f64::min);
         let most = self.settings.deployment.workers.gang_wait_s + FETCHES_LAST * fetch_s;
         job.whole_gang() && self.now.since(job.settled) < Millis::from_secs(most)
     }
 
     /// Compares a machine's newest report with the records.
-    pub(super) fn see_to(&mut self, host: &HostId, token: Token) -> Vec<Order> {
-        self.note_images(host);
-        self.drain_warned(host);
-        let Some(machine) = self.machines.get(host) else {
+    pub(super) fn see_to(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+    ) -> Vec<WorkerCommand> {
+        self.note_images(machine_id);
+        self.drain_warned(machine_id);
+        let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
         let gathering = |job: &Job| self.gathering(job);
         let outcome = reconcile(machine, token, &self.jobs, &self.stops, gathering);
         let refused_until = self.now + AFTER_REFUSAL;
-        if let Some(machine) = self.machines.get_mut(host) {
+        if let Some(machine) = self.machines.get_mut(machine_id) {
             if outcome.successes > 0 {
                 machine.note_success();
             }
-            if outcome.failures.iter().any(|(_, c)| *c == Cause::NoRoom) {
+            if outcome
+                .failures
+                .iter()
+                .any(|(_, c)| *c == ExitCause::NoRoom)
+            {
                 machine.refused_until = refused_until;
             }
         }
         let mut failed = BTreeSet::new();
         for (job, cause) in &outcome.failures {
-            tracing::debug!(%job, %host, ?cause, "a task failed");
-            if *cause == Cause::Error {
+            tracing::debug!(%job, %machine_id, ?cause, "a task failed");
+            if *cause == ExitCause::Error {
                 failed.insert(job.clone());
             } else {
                 self.failed_jobs.insert(job.clone());
             }
         }
-        self.tasks_failed(failed, host);
+        self.tasks_failed(failed, machine_id);
         if !outcome.changes.is_empty() {
             self.note_changes(outcome.changes);
-            self.wake(queue::Event::Freed(host.clone()));
+            self.wake(queue::Event::Freed(machine_id.clone()));
         }
-        outcome.orders
+        outcome.commands
     }
 
     pub(super) fn note_changes(&mut self, changes: Vec<(JobId, u32, Change)>) {
@@ -449,19 +481,23 @@
     }
 
     /// A task past its fetch shows that its image is in the machine's cache.
-    fn note_images(&mut self, host: &HostId) {
-        let Some(machine) = self.machines.get(host) else {
+    fn note_images(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
-        let cache_gb = self.flavor(&machine.rig).map_or(f64::MAX, |f| f.cache_gb);
-        let Some(machine) = self.machines.get_mut(host) else {
+        let cache_gb = self
+            .type_spec(&machine.machine_type)
+            .map_or(f64::MAX, |f| f.cache_gb);
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let mut used = Vec::new();
         for (task, seen) in &machine.tasks {
             let fetched = match seen.stage {
                 TaskStage::Fetching => false,
-                TaskStage::Exited => matches!(seen.cause, Some(Cause::Done | Cause::Stopped)),
+                TaskStage::Exited => {
+                    matches!(seen.cause, Some(ExitCause::Done | ExitCause::Stopped))
+                }
                 _ => true,
             };
             if fetched && let Some(job) = self.jobs.get(&task.job) {
@@ -472,10 +508,10 @@
             if let Some(coming) = machine.coming.get(image) {
                 let took_s = self.now.since(coming.used).secs();
                 let others = machine.coming.len() - 1;
-                tracing::debug!(%host, image = image.as_str(), gb, took_s, others, "fetched");
+                tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "fetched");
             }
             if machine.note_image(image, gb, cache_gb, self.now) {
-                self.pool.touched.push(host.clone());
+                self.pool.touched.push(machine_id.clone());
             }
         }
     }
@@ -490,37 +526,40 @@
         let draining = self
             .machines
             .values()
-            .filter(|m| self.drains.contains(&m.host));
-        for machine in draining.filter(|m| self.token_for(&m.block).is_some()) {
-            let replica = self.jobs.on_host(&machine.host).find_map(|(id, index)| {
-                let job = self.jobs.get(id)?;
-                let placement = job.task(*index).placement()?;
-                let task = TaskId {
-                    job: id.clone(),
-                    index: *index,
-                };
-                let service = job.spec.shape == Shape::Service
-                    && job.active()
-                    && self.now.since(job.settled) > LONG_ENOUGH;
-                let home = service
-                    && !self.stops.contains_key(&task)
-                    && self.machines.values().any(|m| {
-                        (self.ours(m) || self.others(m))
+            .filter(|m| self.drains.contains(&m.machine_id));
+        for machine in draining.filter(|m| self.token_for(&m.shard).is_some()) {
+            let replica = self
+                .jobs
+                .on_machine(&machine.machine_id)
+                .find_map(|(id, index)| {
+                    let job = self.jobs.get(id)?;
+                    let placement = job.task(*index).placement()?;
+                    let task = TaskId {
+                        job: id.clone(),
+                        index: *index,
+                    };
+                    let service = job.spec.shape == Shape::Service
+                        && job.active()
+                        && self.now.since(job.settled) > LONG_ENOUGH;
+                    let home = service
+                        && !self.stops.contains_key(&task)
+                        && self.machines.values().any(|m| {
+                            (self.ours(m) || self.others(m))
                             && m.images.contains_key(&job.spec.image)
                             // With several replicas the zone is part of the bargain.
                             && (job.record.tasks == 1 || m.zone == machine.zone)
-                            && job.spec.allows(&m.rig, &m.zone, m.spot)
+                            && job.spec.allows(&m.machine_type, &m.zone, m.spot)
                             && job.spec.room.fits_in(self.free(m))
-                    });
-                home.then(|| (task, placement.attempt, machine.host.clone()))
-            });
+                        });
+                    home.then(|| (task, placement.attempt, machine.machine_id.clone()))
+                });
             moved.extend(replica);
         }
-        for (task, attempt, host) in moved {
-            tracing::info!(?task, %host, "moving a replica");
+        for (task, attempt, machine_id) in moved {
+            tracing::info!(?task, %machine_id, "moving a replica");
             let save = false;
             self.stops.insert(task, Stop { attempt, save });
-            self.poke(&host);
+            self.push_commands(&machine_id);
             self.moved_replica = self.now;
         }
     }
@@ -540,21 +579,22 @@
         let lease = Millis::from_secs(lease_s * 1.002 + 1.5);
         let mut changes = Vec::new();
         for machine in self.machines.values() {
-            let Some(token) = self.token_for(&machine.block) else {
+            let Some(token) = self.token_for(&machine.shard) else {
                 continue;
             };
             // While we keep machines alive anybody may renew their leases.
-            if self.keeping.on() || !machine.lease_over(token, lease, self.now) {
+            if self.partition_mode.on() || !machine.lease_over(token, lease, self.now) {
                 continue;
             }
-            for (id, index) in self.jobs.on_host(&machine.host) {
+            for (id, index) in self.jobs.on_machine(&machine.machine_id) {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
                 let Some(placement) = job.task(*index).placement() else {
                     continue;
                 };
-                if placement.session <= machine.session && !job.changes.contains_key(index) {
+                if placement.agent_epoch <= machine.agent_epoch && !job.changes.contains_key(index)
+                {
                     let release = Change::Release {
                         attempt: placement.attempt,
                         evidence: Evidence::Holder(token),
@@ -566,7 +606,7 @@
         self.note_changes(changes);
         let now = self.now;
         for machine in self.machines.values_mut().filter(|m| !m.coming.is_empty()) {
-            machine.forget_fetches(fetch_rate(&self.flavors, &machine.rig), now);
+            machine.forget_fetches(fetch_rate(&self.type_specs, &machine.machine_type), now);
         }
         let jobs = &self.jobs;
         self.stops.retain(|task, stop| {
@@ -597,8 +637,9 @@
         });
         self.handed_early
             .retain(|_, since| now.since(*since) < HANDED_EARLY);
-        self.machines
-            .retain(|host, machine| now.since(machine.heard) < FORGET || jobs.busy(host));
+        self.machines.retain(|machine_id, machine| {
+            now.since(machine.heard) < FORGET || jobs.busy(machine_id)
+        });
         self.reconsider_all();
     }
 }
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -4,7 +4,7 @@
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Task};
-use crate::types::{Baton, Revision, Session};
+use crate::types::{AgentEpoch, Revision, WorkerToken};
 
 /// A machine came back at once and said so in its answer to direct commands. Its last answered
 /// report was of the agent epoch before, so its lease was taken for over while its tasks ran, and
@@ -14,23 +14,23 @@
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.shape, spec.tasks) = (Shape::Array, 1);
     let here = Task::Placed(Placement {
-        host: "vm-a".into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(2),
+        machine_id: "vm-a".into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(2),
         attempt: Attempt(1),
     });
     let (mut controller, id) = controller(spec, vec![here]);
     let lease = Millis::from_secs(controller.settings.deployment.workers.lease_s);
-    let host = HostId::from("vm-a");
-    let machine = controller.machines.get_mut(&host).unwrap();
-    machine.baton = Baton::of(Token(5));
-    machine.answered = Some((Token(5), Millis(1_000)));
-    let report = json!({"host": "vm-a", "address": "", "rig": "g8", "yard": "a",
-        "loaners": false, "shift": 2, "tally": 9, "baton": Baton::of(Token(5)),
+    let machine_id = MachineId::from("vm-a");
+    let machine = controller.machines.get_mut(&machine_id).unwrap();
+    machine.worker_token = WorkerToken::of(FencingToken(5));
+    machine.answered = Some((FencingToken(5), Millis(1_000)));
+    let heartbeat = json!({"host": "vm-a", "address": "", "rig": "g8", "yard": "a",
+        "loaners": false, "shift": 2, "tally": 9, "baton": WorkerToken::of(FencingToken(5)),
         "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
     controller.now = lease;
-    let report = Some(serde_json::from_value(report).unwrap());
-    controller.on_direct(&host, Some(DirectAnswer { report }));
+    let heartbeat = Some(serde_json::from_value(heartbeat).unwrap());
+    controller.on_direct(&machine_id, Some(CommandReply { heartbeat }));
     let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
     for (after_s, gone) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
@@ -58,9 +58,9 @@
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.shape, spec.tasks) = (Shape::Array, 1);
         let here = Task::Placed(Placement {
-            host: "vm-2".into(),
-            block: BlockId::parse("a.0").unwrap(),
-            session: Session(1),
+            machine_id: "vm-2".into(),
+            shard: ShardId::parse("a.0").unwrap(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         });
         let (mut controller, id) = controller(spec, vec![here]);
@@ -69,29 +69,36 @@
             (21.0..27.0).contains(&lease_s),
             "the cases are for {lease_s}"
         );
-        let (host, rig, zone) = (HostId::from("vm-2"), "g8".into(), "a".into());
-        let block = BlockId::parse("a.0").unwrap();
-        let machine = Machine::new(host.clone(), rig, zone, false, block, "n0".into());
-        controller.machines.insert(host.clone(), machine);
-        let report = |tally: u64, seen: Token| {
-            let report = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-                "loaners": false, "shift": 1, "tally": tally, "baton": Baton::of(seen),
+        let (machine_id, machine_type, zone) = (MachineId::from("vm-2"), "g8".into(), "a".into());
+        let shard = ShardId::parse("a.0").unwrap();
+        let machine = Machine::new(
+            machine_id.clone(),
+            machine_type,
+            zone,
+            false,
+            shard,
+            "n0".into(),
+        );
+        controller.machines.insert(machine_id.clone(), machine);
+        let heartbeat = |heartbeat_sequence: u64, seen: FencingToken| {
+            let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
+                "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(seen),
                 "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
-            serde_json::from_value::<Report>(report).unwrap()
+            serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
         };
         if let Some(before) = before {
             controller.now = Millis(before * 1_000);
-            controller.answer_report(report(1, Token(4)));
+            controller.answer_heartbeat(heartbeat(1, FencingToken(4)));
         }
         controller.now = Millis(shown * 1_000);
-        let report_of_answer = Some(report(2, Token(5)));
-        let answer = DirectAnswer {
-            report: report_of_answer,
+        let heartbeat_of_answer = Some(heartbeat(2, FencingToken(5)));
+        let answer = CommandReply {
+            heartbeat: heartbeat_of_answer,
         };
-        controller.on_direct(&host, Some(answer));
+        controller.on_direct(&machine_id, Some(answer));
         if let Some(after) = after {
             controller.now = Millis(after * 1_000);
-            controller.answer_report(report(3, Token(5)));
+            controller.answer_heartbeat(heartbeat(3, FencingToken(5)));
         }
         controller.now = Millis(shown * 1_000) + Millis::from_secs(then_s);
         controller.notice_silence();
@@ -106,27 +113,27 @@
 /// A copy of a heartbeat came after its machine was deleted. It was taken for the machine, tasks were
 /// placed there, and nobody ever saw them leave.
 #[test]
-fn a_machine_that_is_met_by_a_report_gets_work_once_it_has_answered() {
+fn a_machine_that_is_met_by_a_heartbeat_gets_work_once_it_has_answered() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::FRESH]);
     controller.now = Millis(20_000);
-    let report = |tally| {
-        let report = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-            "loaners": false, "shift": 1, "tally": tally, "baton": Baton::of(Token(5)),
+    let heartbeat = |heartbeat_sequence| {
+        let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
+            "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(FencingToken(5)),
             "picks": []});
-        serde_json::from_value::<Report>(report).unwrap()
+        serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
     };
-    let host = HostId::from("vm-2");
-    let fit = |c: &Controller| c.ours(&c.machines[&host]);
-    for tally in [4, 5] {
+    let machine_id = MachineId::from("vm-2");
+    let fit = |c: &Controller| c.ours(&c.machines[&machine_id]);
+    for heartbeat_sequence in [4, 5] {
         controller.effects.clear();
-        controller.answer_report(report(tally));
-        assert!(!fit(&controller), "after report {tally}");
+        controller.answer_heartbeat(heartbeat(heartbeat_sequence));
+        assert!(!fit(&controller), "after report {heartbeat_sequence}");
     }
-    let asked = |c: &Controller| c.machines[&host].direct.busy;
+    let asked = |c: &Controller| c.machines[&machine_id].direct.busy;
     assert!(asked(&controller), "it is asked");
-    let answer = Some(report(6));
-    controller.on_direct(&host, Some(DirectAnswer { report: answer }));
+    let answer = Some(heartbeat(6));
+    controller.on_direct(&machine_id, Some(CommandReply { heartbeat: answer }));
     assert!(fit(&controller), "it answered");
 }
 
@@ -143,31 +150,35 @@
         (Some(true), 2, Some(22_000)),
         (Some(true), 9, Some(82_000)),
     ];
-    for (peer_hears, before, expected) in cases {
+    for (peer_receives_heartbeats, before, expected) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, _) = controller(spec, vec![Task::FRESH]);
         controller.now = Millis(100_000);
-        (controller.hears, controller.gave_up_deaf) = (true, before);
-        controller.last_report = controller.now - Millis(controller.silence().0 + 2_001);
+        (
+            controller.receives_heartbeats,
+            controller.shard_release_streak,
+        ) = (true, before);
+        controller.last_heartbeat = controller.now - Millis(controller.silence().0 + 2_001);
         for machine in controller.machines.values_mut() {
-            machine.answered = Some((Token(5), Millis(1)));
-            (machine.heard, machine.address) = (controller.last_report, "10.0.0.9:1".parse().ok());
+            machine.answered = Some((FencingToken(5), Millis(1)));
+            (machine.heard, machine.address) =
+                (controller.last_heartbeat, "10.0.0.9:1".parse().ok());
         }
         controller.moved.clear();
         for member in controller.settings.members.clone() {
-            let said = peer_hears.map(|hears| PeerState {
+            let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerState {
                 heard: controller.now,
                 revision: Revision(1),
                 without_store: Millis(0),
-                hears,
+                receives_heartbeats,
             });
             controller
                 .peers
                 .extend(said.map(|said| (member.label, said)));
         }
         controller.keep_hearing();
-        let case = format!("{peer_hears:?}, {before}");
-        assert_eq!(controller.hears, expected.is_none(), "{case}");
+        let case = format!("{peer_receives_heartbeats:?}, {before}");
+        assert_eq!(controller.receives_heartbeats, expected.is_none(), "{case}");
         let Some(expected) = expected else { continue };
         let from = controller.now;
         for (after, asks) in [(expected - 1, false), (expected, true)] {
--- a/src/controller/hierarchical_quota.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -10,13 +10,13 @@
 use crate::jobs::{Rank, Shape};
 use crate::peers::Message;
 use crate::preempt::{Offer, Site};
-use crate::queue::{Check, Event, Order};
+use crate::queue::{Check, Event, QueueKey};
 use crate::quota;
 use crate::quota::hierarchical::{Force, HEAD, Owed, Standing};
 use crate::quota::reclaim::{Ledger, steps_over};
 use crate::settings::TeamSettings;
 use crate::store::{Answer, Class, Txn};
-use crate::types::{HostId, JobId, Millis, Revision, Room, TaskId, Team};
+use crate::types::{JobId, MachineId, Millis, Revision, Room, TaskId, Team};
 use crate::workers::reconcile::Stop;
 
 /// Demand is looked over this often.
@@ -159,7 +159,7 @@
         for (id, nomination) in &self.nominations.jobs {
             let other = self.jobs.get(id).filter(|_| *id != job.id);
             if let Some(other) = other.filter(|_| nomination.until > self.now) {
-                let room = nomination.room.times(nomination.hosts.len() as f64);
+                let room = nomination.room.times(nomination.machine_ids.len() as f64);
                 coming.push((other.spec.team.clone(), room));
             }
         }
@@ -186,9 +186,9 @@
         id: &JobId,
         ledger: Ledger,
         sites: &[Site],
-    ) -> Option<(HostId, Vec<TaskId>)> {
+    ) -> Option<(MachineId, Vec<TaskId>)> {
         let job = self.jobs.get(id).filter(|_| self.several(id))?;
-        let whole = self.flavors.iter().map(|flavor| flavor.room);
+        let whole = self.type_specs.iter().map(|type_spec| type_spec.room);
         let large = whole.into_iter().any(|whole| {
             let part = job.spec.room.share_of(whole);
             (LARGE..=1.0).contains(&part)
@@ -198,7 +198,7 @@
         }
         let rest_s = |site: &Site, stopped: &[TaskId]| {
             let mut rest: f64 = 0.0;
-            for (id, index) in self.jobs.on_host(&site.host) {
+            for (id, index) in self.jobs.on_machine(&site.machine_id) {
                 let job = self.jobs.get(id)?;
                 let task = TaskId {
                     job: id.clone(),
@@ -230,23 +230,27 @@
     }
 
     /// Stops what may be stopped there, and keeps room for the job as it comes free.
-    pub(super) fn gather_on(&mut self, id: &JobId, (host, victims): (HostId, Vec<TaskId>)) -> bool {
+    pub(super) fn gather_on(
+        &mut self,
+        id: &JobId,
+        (machine_id, victims): (MachineId, Vec<TaskId>),
+    ) -> bool {
         let Some(room) = self.jobs.get(id).map(|job| job.spec.room) else {
             return false;
         };
-        tracing::info!(job = %id, %host, ?victims, "gathering room");
+        tracing::info!(job = %id, %machine_id, ?victims, "gathering room");
         let (now, pause) = (self.now, GATHERED.0 * GATHER_PAUSE);
         self.gathered.retain(|_, next| now.since(*next) < FORGOTTEN);
         self.gathered.insert(id.clone(), now + Millis(pause));
-        self.nominations.add(id, &host, room, now + GATHERED);
-        match self.machines.get(&host) {
+        self.nominations.add(id, &machine_id, room, now + GATHERED);
+        match self.machines.get(&machine_id) {
             Some(machine) if !self.ours(machine) => {
                 let to = machine.heard_by.clone();
-                let (job, host) = (id.to_string(), host.to_string());
-                let message = Message::MakeRoom { job, host };
+                let (job, machine_id) = (id.to_string(), machine_id.to_string());
+                let message = Message::MakeRoom { job, machine_id };
                 self.effects.push(Effect::Peer { to, message });
             }
-            _ => self.stop_victims(&host, victims),
+            _ => self.stop_victims(&machine_id, victims),
         }
         true
     }
@@ -267,7 +271,7 @@
 
     /// Each team's first job that waits.
     fn foremost_jobs(&self) -> Vec<JobId> {
-        let mut first: BTreeMap<&Team, (Order, &JobId)> = BTreeMap::new();
+        let mut first: BTreeMap<&Team, (QueueKey, &JobId)> = BTreeMap::new();
         for job in self.jobs.iter() {
             let waits = job.active() && job.waiting() > 0 && !job.whole_gang();
             if !waits || !self.in_tree(&job.spec.team) {
@@ -283,18 +287,21 @@
     /// Room came free on a machine. Whoever holds it sees that first, and takes up work that is
     /// within its share: other controllers learn of the room seconds later, and by then work beyond
     /// its share would have it.
-    pub(super) fn take_due(&mut self, host: &HostId) {
+    pub(super) fn take_due(&mut self, machine_id: &MachineId) {
         if self.foremost.is_empty() {
             return;
         }
-        let Some(machine) = self.machines.get(host).filter(|m| self.ours(m)) else {
+        let Some(machine) = self.machines.get(machine_id).filter(|m| self.ours(m)) else {
             return;
         };
         let mut free = self.free(machine);
         let jobs = self.foremost.iter().filter_map(|id| self.jobs.get(id));
-        let mut due: Vec<(Order, &Job)> = jobs
+        let mut due: Vec<(QueueKey, &Job)> = jobs
             .filter(|job| job.waiting() > 0 && job.spec.room.fits_in(free))
-            .filter(|job| job.spec.allows(&machine.rig, &machine.zone, machine.spot))
+            .filter(|job| {
+                job.spec
+                    .allows(&machine.machine_type, &machine.zone, machine.spot)
+            })
             .filter(|job| self.guaranteed(job))
             .map(|job| (self.order(job), job))
             .collect();
@@ -338,24 +345,24 @@
         let Some(job) = self.jobs.get(id).filter(|_| self.several(id)) else {
             return self.nominations.remove(id);
         };
-        let hosts: Vec<HostId> = job
+        let machine_ids: Vec<MachineId> = job
             .changes
             .values()
             .filter_map(|change| match change {
-                Change::Place(placement) => Some(placement.host.clone()),
+                Change::Place(placement) => Some(placement.machine_id.clone()),
                 _ => None,
             })
             .collect();
-        for host in hosts {
-            self.nominations.taken(id, &host);
+        for machine_id in machine_ids {
+            self.nominations.taken(id, &machine_id);
         }
     }
 
     /// Another controller placed tasks of a job.
-    pub(super) fn placed_elsewhere(&mut self, id: &JobId, hosts: &[HostId]) {
+    pub(super) fn placed_elsewhere(&mut self, id: &JobId, machine_ids: &[MachineId]) {
         if self.nested.force().is_some() {
-            for host in hosts {
-                self.nominations.taken(id, host);
+            for machine_id in machine_ids {
+                self.nominations.taken(id, machine_id);
             }
         }
     }
@@ -397,12 +404,12 @@
         // Shards of ours, each for its part of the excess.
         let ours: Vec<_> = self
             .jobs
-            .blocks_of(&team.name)
-            .filter(|block| self.leases.holds(block, &self.me).is_some())
+            .shards_of(&team.name)
+            .filter(|shard| self.leases.holds(shard, &self.me).is_some())
             .cloned()
             .collect();
-        for block in ours {
-            let here = self.jobs.used_in(&team.name, &block);
+        for shard in ours {
+            let here = self.jobs.used_in(&team.name, &shard);
             let mut excess = Room {
                 cpus: cpus * here.cpus / used.cpus.max(1e-9),
                 gpus: gpus * here.gpus / used.gpus.max(1e-9),
@@ -418,7 +425,7 @@
                 {
                     continue;
                 }
-                let here = job.placements().filter(|(_, p)| p.block == block);
+                let here = job.placements().filter(|(_, p)| p.shard == shard);
                 for index in here.map(|(index, _)| index) {
                     let task = TaskId {
                         job: job.id.clone(),
@@ -441,7 +448,7 @@
                     .then(a.3.total_cmp(&b.3))
                     .then(a.4.cmp(&b.4))
             });
-            let mut hosts = BTreeSet::new();
+            let mut machine_ids = BTreeSet::new();
             for (.., task) in tasks {
                 if excess.cpus <= 1e-6 && excess.gpus <= 1e-6 {
                     break;
@@ -453,15 +460,15 @@
                     continue;
                 };
                 excess = excess.minus(job.spec.room);
-                hosts.insert(placement.host.clone());
+                machine_ids.insert(placement.machine_id.clone());
                 let (attempt, save) = (placement.attempt, !job.spec.cheap_to_kill());
                 self.stops.insert(task, Stop { attempt, save });
             }
-            if !hosts.is_empty() {
-                tracing::info!(team = %team.name, %block, ?hosts, "over a limit that was lowered");
+            if !machine_ids.is_empty() {
+                tracing::info!(team = %team.name, %shard, ?machine_ids, "over a limit that was lowered");
             }
-            for host in hosts {
-                self.poke(&host);
+            for machine_id in machine_ids {
+                self.push_commands(&machine_id);
             }
         }
     }
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -6,7 +6,7 @@
 use crate::quota::hierarchical::Nested;
 use crate::settings::TeamSettings;
 use crate::store::Call;
-use crate::types::{Attempt, BlockId, Session};
+use crate::types::{AgentEpoch, Attempt, ShardId};
 use hierarchical_quota::TreeSpec;
 
 /// A controller that leads, has one job of eight tasks, and a tree in force at revision 11 that
@@ -50,9 +50,9 @@
 
 fn place(controller: &mut Controller, id: &JobId, task: u32) -> Option<Txn> {
     let placement = Placement {
-        host: "vm-a".into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(1),
+        machine_id: "vm-a".into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     };
     controller.jobs.want(id, task, Change::Place(placement));
@@ -120,9 +120,9 @@
     let (mut controller, id) = with_tree(11, 5);
     for task in 0..5 {
         let placement = Placement {
-            host: "vm-a".into(),
-            block: BlockId::parse("a.0").unwrap(),
-            session: Session(1),
+            machine_id: "vm-a".into(),
+            shard: ShardId::parse("a.0").unwrap(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         };
         controller.jobs.want(&id, task, Change::Place(placement));
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -4,13 +4,13 @@
 
 use super::{After, Controller, Pool, Purpose};
 use crate::admission::shared::PLAN;
-use crate::fleet::FLAVORS;
+use crate::fleet::MACHINE_TYPES_KEY;
 use crate::jobs::cache::{Jobs, Touched, Writing};
-use crate::lease::{self, BlockRecord, LEADER, LeaderRecord, Moved, NodeRecord, Own};
+use crate::lease::{self, ControllerRecord, LEADER, LeaderRecord, Moved, Own, ShardRecord};
 use crate::queue::{self, Queue};
 use crate::quota;
 use crate::store::{Answer, Call, Class, Txn, Update};
-use crate::types::{BlockId, HostId, JobId, Millis, Revision, Token};
+use crate::types::{FencingToken, JobId, MachineId, Millis, Revision, ShardId};
 
 /// A watch waits this long for changes.
 const WATCH_MS: u64 = 10_000;
@@ -41,12 +41,12 @@
             // may still be on its way.
             match self
                 .leases
-                .nodes
+                .controllers
                 .get(&self.me)
-                .map(|(record, _)| record.permit)
+                .map(|(record, _)| record.lease_id)
             {
-                Some(permit) if self.busy_membership.insert("end") => {
-                    self.call_store(Class::Leases, Call::End(permit), Purpose::EndOld);
+                Some(lease_id) if self.busy_membership.insert("end") => {
+                    self.call_store(Class::Leases, Call::End(lease_id), Purpose::EndOld);
                 }
                 Some(_) => {}
                 None => self.ended_old = true,
@@ -61,17 +61,15 @@
                 self.call_store(Class::Leases, Call::Grant { life_ms }, purpose);
             }
             Own::Asked => {}
-            Own::Held { permit, .. } => {
+            Own::Held { lease_id, .. } => {
                 let due = self.leases.renewed + Millis(self.settings.operator.lease.0 / 4);
                 if self.now >= due && self.busy_membership.insert("renew") {
                     let purpose = Purpose::Renew { sent: self.now };
-                    self.call_store(Class::Leases, Call::Renew(permit), purpose);
+                    self.call_store(Class::Leases, Call::Renew(lease_id), purpose);
                 }
-                let registered = self
-                    .leases
-                    .nodes
-                    .get(&self.me)
-                    .is_some_and(|(r, _)| r.permit == permit && r.hears == self.hears);
+                let registered = self.leases.controllers.get(&self.me).is_some_and(|(r, _)| {
+                    r.lease_id == lease_id && r.receives_heartbeats == self.receives_heartbeats
+                });
                 if registered {
                     self.keep_leadership();
                 } else {
@@ -82,49 +80,49 @@
     }
 
     fn register(&mut self) {
-        let Some(permit) = self.leases.permit() else {
+        let Some(lease_id) = self.leases.lease_id() else {
             return;
         };
         if !self.busy_membership.insert("register") {
             return;
         }
-        let key = lease::node_key(&self.me);
+        let key = lease::controller_key(&self.me);
         let version = self
             .leases
-            .nodes
+            .controllers
             .get(&self.me)
             .map_or(Revision(0), |(_, v)| *v);
-        let record = NodeRecord {
-            permit,
+        let record = ControllerRecord {
+            lease_id,
             zone: self.settings.zone.clone(),
-            hears: self.hears,
+            receives_heartbeats: self.receives_heartbeats,
         };
         let mut txn = Txn::default();
         txn.require(key.clone(), version);
-        txn.put_leased(key, &record, permit);
+        txn.put_leased(key, &record, lease_id);
         self.transact(Class::Leases, txn, Purpose::Register);
     }
 
     fn keep_leadership(&mut self) {
-        let Some(permit) = self.leases.permit() else {
+        let Some(lease_id) = self.leases.lease_id() else {
             return;
         };
         if self.leases.leader.is_none() && self.busy_membership.insert("lead") {
             let record = LeaderRecord {
                 leader: self.me.clone(),
-                permit,
+                lease_id,
             };
             let mut txn = Txn::default();
             txn.require(LEADER.into(), Revision(0));
-            txn.put_leased(LEADER.into(), &record, permit);
+            txn.put_leased(LEADER.into(), &record, lease_id);
             self.transact(Class::Leases, txn, Purpose::Lead);
         }
         if let Some(version) = self.leading() {
-            self.assign_blocks(version);
+            self.assign_shards(version);
         }
     }
 
-    fn assign_blocks(&mut self, lead: Revision) {
+    fn assign_shards(&mut self, lead: Revision) {
         if self.busy_membership.contains("assign") {
             return;
         }
@@ -132,24 +130,24 @@
         let parts = self.settings.operator.blocks_per_zone;
         let mut txn = Txn::default();
         txn.require(LEADER.into(), lead);
-        for (block, node) in lease::rightful(zones, parts, &self.leases.nodes) {
-            let present = self.leases.blocks.get(&block);
-            if present.is_some_and(|(holder, _)| *holder == node) {
+        for (shard, controller) in lease::rightful(zones, parts, &self.leases.controllers) {
+            let present = self.leases.shards.get(&shard);
+            if present.is_some_and(|(holder, _)| *holder == controller) {
                 continue;
             }
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            let Some((record, version)) = self.leases.nodes.get(&node) else {
+            let Some((record, version)) = self.leases.controllers.get(&controller) else {
                 continue;
             };
             let known = present.map_or(Revision(0), |(_, token)| Revision(token.0));
-            let key = lease::block_key(&block);
+            let key = lease::shard_key(&shard);
             txn.require(key.clone(), known);
-            txn.require(lease::node_key(&node), *version);
-            let permit = record.permit;
-            let holder = node;
-            txn.put_leased(key, &BlockRecord { holder, permit }, permit);
+            txn.require(lease::controller_key(&controller), *version);
+            let lease_id = record.lease_id;
+            let holder = controller;
+            txn.put_leased(key, &ShardRecord { holder, lease_id }, lease_id);
         }
         if !txn.changes.is_empty() {
             self.busy_membership.insert("assign");
@@ -161,10 +159,10 @@
         match purpose {
             Purpose::Grant { sent } => {
                 self.leases.own = match answer {
-                    Answer::Granted(permit) => {
+                    Answer::Granted(lease_id) => {
                         self.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
-                        Own::Held { permit, until }
+                        Own::Held { lease_id, until }
                     }
                     _ => Own::None,
                 };
@@ -172,10 +170,10 @@
             Purpose::Renew { sent } => {
                 self.busy_membership.remove("renew");
                 match (answer, self.leases.own) {
-                    (Answer::Renewed, Own::Held { permit, .. }) => {
+                    (Answer::Renewed, Own::Held { lease_id, .. }) => {
                         self.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
-                        self.leases.own = Own::Held { permit, until };
+                        self.leases.own = Own::Held { lease_id, until };
                     }
                     (Answer::NoLease, _) => {
                         tracing::info!("our lease is over");
@@ -326,8 +324,8 @@
         self.leases.lose(&self.me);
         self.jobs = Jobs::default();
         self.pool = Pool::default();
-        self.leases.nodes.clear();
-        self.leases.blocks.clear();
+        self.leases.controllers.clear();
+        self.leases.shards.clear();
         self.leases.leader = None;
         self.shares = quota::Shares::default();
         self.nested.start_over();
@@ -344,9 +342,9 @@
     }
 
     pub(super) fn feed(&mut self, key: &str, data: Option<&str>, version: Revision) {
-        if let Some(block) = key.strip_prefix(quota::SHARES) {
-            if let Some(block) = BlockId::parse(block)
-                && self.shares.feed(block, data, version)
+        if let Some(shard) = key.strip_prefix(quota::SHARES) {
+            if let Some(shard) = ShardId::parse(shard)
+                && self.shares.feed(shard, data, version)
             {
                 self.wake(queue::Event::Dealt);
             }
@@ -358,12 +356,12 @@
         if key == PLAN {
             return self.shared.feed(data, version);
         }
-        if key == FLAVORS {
-            self.kept_flavors = data
+        if key == MACHINE_TYPES_KEY {
+            self.stored_type_specs = data
                 .and_then(|d| serde_json::from_str(d).ok())
                 .unwrap_or_default();
-            if self.flavors.is_empty() {
-                self.flavors.clone_from(&self.kept_flavors);
+            if self.type_specs.is_empty() {
+                self.type_specs.clone_from(&self.stored_type_specs);
             }
             return;
         }
@@ -392,16 +390,16 @@
                     self.reconsider_all();
                 }
             }
-            Moved::Node(_) => {
+            Moved::Controller(_) => {
                 if self.synced && self.leading().is_some() {
                     self.reconsider_all();
                 }
             }
-            Moved::Block(block) => {
-                self.moved.insert(block.clone(), self.now);
-                let holder = self.leases.blocks.get(&block);
+            Moved::Shard(shard) => {
+                self.moved.insert(shard.clone(), self.now);
+                let holder = self.leases.shards.get(&shard);
                 if let Some((_, token)) = holder.filter(|(holder, _)| *holder == self.me) {
-                    tracing::info!(%block, token = token.0, "holding");
+                    tracing::info!(%shard, token = token.0, "holding");
                 }
             }
         }
@@ -418,20 +416,24 @@
             }
         }
         if let Some(job) = self.jobs.get(&id) {
-            for host in &touched.taken {
-                if let Some(machine) = self.machines.get_mut(host) {
+            for machine_id in &touched.taken {
+                if let Some(machine) = self.machines.get_mut(machine_id) {
                     machine.expect_image(&job.spec.image, job.spec.image_gb, self.now);
                 }
             }
         }
-        let unwanted: BTreeSet<HostId> = self
+        let unwanted: BTreeSet<MachineId> = self
             .jobs
             .get(&id)
             .filter(|job| !job.active())
-            .map(|job| job.placements().map(|(_, p)| p.host.clone()).collect())
+            .map(|job| {
+                job.placements()
+                    .map(|(_, p)| p.machine_id.clone())
+                    .collect()
+            })
             .unwrap_or_default();
-        for host in unwanted {
-            self.poke(&host);
+        for machine_id in unwanted {
+            self.push_commands(&machine_id);
         }
         // What another controller placed on machines of ours: a gang over several holders.
         let foreign = self
@@ -439,8 +441,8 @@
             .get(&id)
             .is_some_and(|job| job.writing == Writing::Idle);
         if foreign {
-            for host in touched.taken {
-                self.poke(&host);
+            for machine_id in touched.taken {
+                self.push_commands(&machine_id);
             }
         }
         if !touched.freed.is_empty() {
@@ -449,8 +451,8 @@
                 self.wake(queue::Event::TeamFreed(team));
             }
         }
-        for host in touched.freed {
-            self.wake(queue::Event::Freed(host));
+        for machine_id in touched.freed {
+            self.wake(queue::Event::Freed(machine_id));
         }
     }
 
@@ -561,7 +563,7 @@
 
     pub(super) fn ready(&self) -> bool {
         let lost = self.without_store().0 > 3_500;
-        self.synced && !self.flavors.is_empty() && (!lost || self.outage_is_common())
+        self.synced && !self.type_specs.is_empty() && (!lost || self.outage_is_common())
     }
 
     /// Whether reports may be answered. A controller that lost the state service goes on: nothing
@@ -573,8 +575,8 @@
     }
 
     /// The token under which a machine's worker is answered.
-    pub(super) fn token_for(&self, block: &crate::types::BlockId) -> Option<Token> {
-        self.leases.holds(block, &self.me)
+    pub(super) fn token_for(&self, shard: &crate::types::ShardId) -> Option<FencingToken> {
+        self.leases.holds(shard, &self.me)
     }
 }
 
--- a/src/controller/membership/tests.rs
+++ b/src/controller/membership/tests.rs
@@ -52,7 +52,7 @@
     use crate::jobs::record::{JobRecord, job_key};
     use crate::jobs::{Phase, Placement, Shape};
     use crate::queue::Check;
-    use crate::types::{Attempt, BlockId, JobId, Session};
+    use crate::types::{AgentEpoch, Attempt, JobId, ShardId};
     for (check, phase) in [
         (Check::Team, Phase::Done),
         (Check::Team, Phase::Aborted),
@@ -61,9 +61,9 @@
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.shape, spec.tasks) = (Shape::Array, 1);
         let here = Task::Placed(Placement {
-            host: "vm-a".into(),
-            block: BlockId::parse("a.0").unwrap(),
-            session: Session(1),
+            machine_id: "vm-a".into(),
+            shard: ShardId::parse("a.0").unwrap(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         });
         let (mut controller, first) = controller(spec, vec![here]);
@@ -79,7 +79,7 @@
             .fail(&second, 1, checks, order, now, &mut controller.rng);
         let rejected = |c: &Controller| {
             let cause = c.queue.waits_for(&second);
-            matches!(cause, Some(crate::queue::Cause::Rejected { .. }))
+            matches!(cause, Some(crate::queue::WaitReason::Rejected { .. }))
         };
         assert!(rejected(&controller), "{check:?}");
         let over = JobRecord {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -34,7 +34,7 @@
 use crate::admission::backlog::Backlog;
 use crate::admission::shared::Shared;
 use crate::cycle::index::FreeRoom;
-use crate::fleet::{CloudAnswer, CloudCall, Flavor, Fleet};
+use crate::fleet::{CloudAnswer, CloudCall, Fleet, MachineTypeSpec};
 use crate::jobs::api::{Refusal, Refused, Response};
 use crate::jobs::cache::Jobs;
 use crate::jobs::cancel::Cancelling;
@@ -49,19 +49,20 @@
 use crate::settings::Settings;
 use crate::store::{Answer, Call, Class, Txn};
 use crate::types::{
-    Baton, BlockId, HostId, JobId, Millis, NodeId, ReplyId, Revision, Room, Session,
+    AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, Room, ShardId,
+    WorkerToken,
 };
 use crate::workers::Machine;
 use crate::workers::reconcile::Stops;
-use crate::workers::wire::{Order, Report, ReportAnswer};
-use crate::zones::partition_mode::Keeping;
+use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
+use crate::zones::partition_mode::PartitionMode;
 use crate::zones::zone_health::Zones;
 use work_counters::Work;
 
 /// A worker's answer to commands that were sent to it directly: its heartbeat after them, or what it
 /// refused them with.
-pub struct DirectAnswer {
-    pub report: Option<Report>,
+pub struct CommandReply {
+    pub heartbeat: Option<Heartbeat>,
 }
 
 pub enum Event {
@@ -76,12 +77,12 @@
         answer: CloudAnswer,
     },
     Peer {
-        from: NodeId,
+        from: ControllerId,
         message: Message,
     },
-    Report {
+    Heartbeat {
         reply: ReplyId,
-        report: Report,
+        heartbeat: Heartbeat,
     },
     Submit {
         reply: ReplyId,
@@ -104,8 +105,8 @@
     },
     /// What came of commands sent directly; none: no answer.
     Direct {
-        host: HostId,
-        answer: Option<DirectAnswer>,
+        machine_id: MachineId,
+        answer: Option<CommandReply>,
     },
 }
 
@@ -113,16 +114,16 @@
 pub enum Effect {
     /// Asks a worker for its heartbeat, to see whether workers can be reached.
     Inspect {
-        host: HostId,
+        machine_id: MachineId,
         address: SocketAddr,
     },
     /// Orders that do not wait for the worker's next heartbeat.
     Direct {
-        host: HostId,
+        machine_id: MachineId,
         address: SocketAddr,
-        baton: Baton,
-        session: Session,
-        orders: Vec<Order>,
+        worker_token: WorkerToken,
+        agent_epoch: AgentEpoch,
+        commands: Vec<WorkerCommand>,
     },
     Store {
         tag: u64,
@@ -138,7 +139,7 @@
         call: CloudCall,
     },
     Peer {
-        to: NodeId,
+        to: ControllerId,
         message: Message,
     },
     User {
@@ -147,7 +148,7 @@
     },
     Worker {
         reply: ReplyId,
-        answer: ReportAnswer,
+        answer: HeartbeatResponse,
     },
     Ready {
         reply: ReplyId,
@@ -190,14 +191,14 @@
     /// New shares of the teams' limits.
     Deal {
         /// A shard whose share it is conditioned on, and the version of that.
-        rests_on: (BlockId, Revision),
+        rests_on: (ShardId, Revision),
     },
     /// The tree of quotas, page by page.
     Tree,
     /// Makes sure that a transaction of unknown fate is not applied from now on.
     Void {
         jobs: Vec<JobId>,
-        block: BlockId,
+        shard: ShardId,
     },
     /// Who may write how much.
     Plan,
@@ -254,45 +255,45 @@
 #[derive(Debug, Default)]
 struct Nominations {
     jobs: HashMap<JobId, Nomination>,
-    hosts: HashMap<HostId, Vec<JobId>>,
+    machine_ids: HashMap<MachineId, Vec<JobId>>,
 }
 
 /// Room on each of these machines, for one task each.
 #[derive(Debug)]
 struct Nomination {
-    hosts: Vec<HostId>,
+    machine_ids: Vec<MachineId>,
     room: Room,
     until: Millis,
 }
 
 impl Nominations {
-    fn add(&mut self, job: &JobId, host: &HostId, room: Room, until: Millis) {
+    fn add(&mut self, job: &JobId, machine_id: &MachineId, room: Room, until: Millis) {
         let nomination = self.jobs.entry(job.clone()).or_insert(Nomination {
-            hosts: Vec::new(),
+            machine_ids: Vec::new(),
             room,
             until,
         });
         nomination.until = until;
-        if !nomination.hosts.contains(host) {
-            nomination.hosts.push(host.clone());
-            let jobs = self.hosts.entry(host.clone()).or_default();
+        if !nomination.machine_ids.contains(machine_id) {
+            nomination.machine_ids.push(machine_id.clone());
+            let jobs = self.machine_ids.entry(machine_id.clone()).or_default();
             jobs.push(job.clone());
         }
     }
 
     /// The job has its task on a machine where room was made for it.
-    fn taken(&mut self, job: &JobId, host: &HostId) {
+    fn taken(&mut self, job: &JobId, machine_id: &MachineId) {
         let Some(nomination) = self.jobs.get_mut(job) else {
             return;
         };
-        nomination.hosts.retain(|other| other != host);
-        if nomination.hosts.is_empty() {
+        nomination.machine_ids.retain(|other| other != machine_id);
+        if nomination.machine_ids.is_empty() {
             self.jobs.remove(job);
         }
-        if let Some(jobs) = self.hosts.get_mut(host) {
+        if let Some(jobs) = self.machine_ids.get_mut(machine_id) {
             jobs.retain(|other| other != job);
             if jobs.is_empty() {
-                self.hosts.remove(host);
+                self.machine_ids.remove(machine_id);
             }
         }
     }
@@ -301,25 +302,25 @@
         let Some(nomination) = self.jobs.remove(job) else {
             return;
         };
-        for host in nomination.hosts {
-            if let Some(jobs) = self.hosts.get_mut(&host) {
+        for machine_id in nomination.machine_ids {
+            if let Some(jobs) = self.machine_ids.get_mut(&machine_id) {
                 jobs.retain(|other| other != job);
                 if jobs.is_empty() {
-                    self.hosts.remove(&host);
+                    self.machine_ids.remove(&machine_id);
                 }
             }
         }
     }
 
     /// The machines where room is being made for a job.
-    fn of(&self, job: &JobId, now: Millis) -> Option<&[HostId]> {
+    fn of(&self, job: &JobId, now: Millis) -> Option<&[MachineId]> {
         let nomination = self.jobs.get(job).filter(|n| n.until > now)?;
-        Some(&nomination.hosts)
+        Some(&nomination.machine_ids)
     }
 
     /// The jobs that room is being made for on a machine, and how much.
-    fn on(&self, host: &HostId, now: Millis) -> impl Iterator<Item = (&JobId, Room)> {
-        let jobs = self.hosts.get(host).into_iter().flatten();
+    fn on(&self, machine_id: &MachineId, now: Millis) -> impl Iterator<Item = (&JobId, Room)> {
+        let jobs = self.machine_ids.get(machine_id).into_iter().flatten();
         jobs.filter_map(move |job| {
             let nomination = self.jobs.get(job).filter(|n| n.until > now)?;
             Some((job, nomination.room))
@@ -336,7 +337,7 @@
     spare: bool,
     room: FreeRoom,
     /// Hosts of which something else than what is taken has changed.
-    touched: Vec<HostId>,
+    touched: Vec<MachineId>,
 }
 
 /// Work that came and should not have to wait for a machine to boot.
@@ -360,12 +361,12 @@
     /// How long it had been without the state service.
     without_store: Millis,
     /// Whether workers reach it.
-    hears: bool,
+    receives_heartbeats: bool,
 }
 
 pub struct Controller {
     settings: Arc<Settings>,
-    me: NodeId,
+    me: ControllerId,
     now: Millis,
     rng: SmallRng,
     effects: Vec<Effect>,
@@ -386,16 +387,16 @@
     ended_old: bool,
 
     leases: Leases,
-    keeping: Keeping,
+    partition_mode: PartitionMode,
     zones: Zones,
     /// When each shard last changed hands, as far as we saw.
-    moved: HashMap<BlockId, Millis>,
+    moved: HashMap<ShardId, Millis>,
     /// Whether we hear from workers; without that we can hold no shards.
-    hears: bool,
-    last_report: Millis,
+    receives_heartbeats: bool,
+    last_heartbeat: Millis,
     inspected: Millis,
     /// How often in a row we gave our shards up since no worker reached us.
-    gave_up_deaf: u32,
+    shard_release_streak: u32,
     /// Most of our machines have not reported for a while.
     most_are_quiet: bool,
     moved_replica: Millis,
@@ -417,11 +418,11 @@
     dealing: u32,
     /// Deals without an answer that may still be carried out: a shard of each, and the version of its
     /// share that the deal rests on.
-    unsure_deals: Vec<(BlockId, Revision)>,
+    unsure_deals: Vec<(ShardId, Revision)>,
     dealt: Millis,
     voided: Millis,
     /// Jobs with a transaction of unknown fate that must come to nothing before its room is free.
-    to_void: HashMap<JobId, BlockId>,
+    to_void: HashMap<JobId, ShardId>,
     submitting: HashMap<JobId, Vec<ReplyId>>,
     cancelling: Cancelling,
     fresh: Freshness,
@@ -430,7 +431,7 @@
     handed: HashSet<JobId>,
     /// Handed over, since when, before the watch brought them.
     handed_early: HashMap<JobId, Millis>,
-    machines: HashMap<HostId, Machine>,
+    machines: HashMap<MachineId, Machine>,
     stops: Stops,
     nominations: Nominations,
     pool: Pool,
@@ -447,30 +448,30 @@
     /// Pages of jobs that are over are being dropped.
     dropping: bool,
     /// Jobs that the leader wants room made for in our shards.
-    to_preempt: HashMap<JobId, HostId>,
+    to_preempt: HashMap<JobId, MachineId>,
     /// Jobs whose last task failed.
     failed_jobs: HashSet<JobId>,
     trials: Trials,
     swept: Millis,
-    drains: HashSet<HostId>,
+    drains: HashSet<MachineId>,
     drains_heard: Millis,
 
-    flavors: Vec<Flavor>,
+    type_specs: Vec<MachineTypeSpec>,
     /// As the state service has them.
-    kept_flavors: Vec<Flavor>,
-    flavors_asked: Millis,
+    stored_type_specs: Vec<MachineTypeSpec>,
+    type_specs_asked: Millis,
     fleet: Fleet,
     fleet_ticked: Millis,
     arrivals: Vec<Arrival>,
     arrivals_until: Millis,
     arrivals_since: Millis,
 
-    peers: HashMap<NodeId, PeerState>,
+    peers: HashMap<ControllerId, PeerState>,
     status_sent: Millis,
     /// When machines were heard that others speak of and that we know nothing else of yet.
-    heard_of: HashMap<HostId, Millis>,
+    relayed_heartbeats: HashMap<MachineId, Millis>,
     /// What the others were told of each machine, as a hash.
-    told: HashMap<HostId, u64>,
+    told: HashMap<MachineId, u64>,
 }
 
 impl Controller {
@@ -499,13 +500,13 @@
             store_heard: Millis(0),
             ended_old: false,
             leases: Leases::default(),
-            keeping: Keeping::default(),
+            partition_mode: PartitionMode::default(),
             zones: Zones::default(),
             moved: HashMap::default(),
-            hears: true,
-            last_report: Millis(0),
+            receives_heartbeats: true,
+            last_heartbeat: Millis(0),
             inspected: Millis(0),
-            gave_up_deaf: 0,
+            shard_release_streak: 0,
             most_are_quiet: false,
             moved_replica: Millis(0),
             busy_membership: HashSet::default(),
@@ -553,9 +554,9 @@
             swept: Millis(0),
             drains: HashSet::default(),
             drains_heard: Millis(0),
-            flavors: Vec::new(),
-            kept_flavors: Vec::new(),
-            flavors_asked: Millis(0),
+            type_specs: Vec::new(),
+            stored_type_specs: Vec::new(),
+            type_specs_asked: Millis(0),
             fleet: Fleet::default(),
             fleet_ticked: Millis(0),
             arrivals: Vec::new(),
@@ -563,7 +564,7 @@
             arrivals_since: Millis(0),
             peers: HashMap::default(),
             status_sent: Millis(0),
-            heard_of: HashMap::default(),
+            relayed_heartbeats: HashMap::default(),
             told: HashMap::default(),
             settings,
         }
@@ -577,12 +578,12 @@
             Event::Store { tag, answer } => self.on_store(tag, answer),
             Event::Cloud { tag, answer } => self.on_cloud(tag, answer),
             Event::Peer { from, message } => self.on_peer(from, message),
-            Event::Report { reply, report } => self.on_report(reply, report),
+            Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
             Event::Poll { reply, job } => self.on_poll(reply, job),
             Event::Abort { reply, job } => self.on_abort(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
-            Event::Direct { host, answer } => self.on_direct(&host, answer),
+            Event::Direct { machine_id, answer } => self.on_direct(&machine_id, answer),
             Event::Ready { reply } => {
                 let ready = self.ready();
                 self.effects.push(Effect::Ready { reply, ready });
@@ -678,7 +679,7 @@
             Purpose::Dropped => self.dropping = false,
             Purpose::Deal { rests_on } => self.on_dealt(rests_on, answer),
             Purpose::Tree => self.on_tree(&answer),
-            Purpose::Void { jobs, block } => self.on_void(jobs, block, answer),
+            Purpose::Void { jobs, shard } => self.on_void(jobs, shard, answer),
             Purpose::Plan => self.shared.writing = false,
             Purpose::Note => {}
         }
@@ -706,11 +707,11 @@
 
     /// How many machines of its own shards this controller knows.
     pub fn machines_held(&self) -> usize {
-        let held = |machine: &&Machine| self.token_for(&machine.block).is_some();
+        let held = |machine: &&Machine| self.token_for(&machine.shard).is_some();
         self.machines.values().filter(held).count()
     }
 
-    fn leader(&self) -> Option<&NodeId> {
+    fn leader(&self) -> Option<&ControllerId> {
         self.leases.leader.as_ref().map(|(leader, _)| leader)
     }
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -6,13 +6,14 @@
 
 use super::preemption::Where;
 use super::{Controller, Effect};
-use crate::admission::shared::Said;
-use crate::peers::{MachineView, Message, Pulse, Status};
+use crate::admission::shared::AdmissionReport;
+use crate::peers::{MachineHeartbeat, MachineView, Message, Status};
 use crate::queue::Event;
 use crate::types::{
-    BlockId, HostId, JobId, Millis, NodeId, Permit, Revision, Session, Token, Zone,
+    AgentEpoch, ControllerId, FencingToken, JobId, LeaseId, MachineId, Millis, Revision, ShardId,
+    Zone,
 };
-use crate::workers::{Cached, Machine, block_of};
+use crate::workers::{Cached, Machine, shard_of};
 use admission_control::plan::Demand;
 
 const STATUS_EVERY: Millis = Millis(1_000);
@@ -24,7 +25,7 @@
 const DRAIN_HOLDS: Millis = Millis(15_000);
 
 impl Controller {
-    pub(super) fn on_peer(&mut self, from: NodeId, message: Message) {
+    pub(super) fn on_peer(&mut self, from: ControllerId, message: Message) {
         match message {
             Message::Hello { .. } => {}
             Message::Unplaced { job } => {
@@ -37,19 +38,21 @@
             }
             Message::Place { job, preempt } => {
                 let job = JobId::from(job);
-                if let Some(host) = preempt {
-                    self.to_preempt.insert(job.clone(), host.into());
+                if let Some(machine_id) = preempt {
+                    self.to_preempt.insert(job.clone(), machine_id.into());
                 }
                 self.take_over(&job);
             }
-            Message::MakeRoom { job, host } => {
+            Message::MakeRoom { job, machine_id } => {
                 let job = JobId::from(job);
-                if self.preempt(&job, Where::On(host.into())) {
+                if self.preempt(&job, Where::On(machine_id.into())) {
                     self.expect_task(&job);
                 }
             }
             Message::Left(left) => self.on_left(left),
-            Message::Failed { job, host } => self.note_failed(&job.into(), &host.into()),
+            Message::Failed { job, machine_id } => {
+                self.note_failed(&job.into(), &machine_id.into())
+            }
             Message::Status(status) => self.on_status(from, status),
         }
     }
@@ -68,12 +71,12 @@
         }
     }
 
-    pub(super) fn on_status(&mut self, from: NodeId, status: Status) {
+    pub(super) fn on_status(&mut self, from: ControllerId, status: Status) {
         // One that lost the state service has lost its lease too, and goes on; one that did not is
         // no more, and says so late.
-        let over = |permit| self.leases.is_over(Permit(permit));
+        let over = |lease_id| self.leases.is_over(LeaseId(lease_id));
         let went_on = Millis(status.without_store_ms) > self.settings.operator.lease;
-        if status.permit.is_some_and(over) && !went_on {
+        if status.lease_id.is_some_and(over) && !went_on {
             tracing::debug!(%from, "a message of a process that is no more");
             return;
         }
@@ -82,7 +85,7 @@
             heard: now,
             revision: Revision(status.revision),
             without_store: Millis(status.without_store_ms),
-            hears: status.hears,
+            receives_heartbeats: status.receives_heartbeats,
         };
         self.peers.insert(from.clone(), state);
         let demand = Demand {
@@ -92,32 +95,33 @@
         let obeys = Revision(status.plan);
         self.shared
             .said
-            .insert(from.clone(), Said { obeys, demand });
-        for (block, token) in status.blocks {
-            let Some(block) = BlockId::parse(&block) else {
+            .insert(from.clone(), AdmissionReport { obeys, demand });
+        for (shard, token) in status.shards {
+            let Some(shard) = ShardId::parse(&shard) else {
                 continue;
             };
-            let token = Token(token);
-            if self.leases.supersede(&block, &from, token) {
-                tracing::info!(%block, holder = %from, token = token.0, "superseded");
-                self.moved.insert(block, now);
+            let token = FencingToken(token);
+            if self.leases.supersede(&shard, &from, token) {
+                tracing::info!(%shard, holder = %from, token = token.0, "superseded");
+                self.moved.insert(shard, now);
             }
         }
         let silence = self.silence();
         let mut fit = Vec::new();
         for view in status.views {
-            let host = HostId::from(view.host);
-            let machine = match self.machines.get_mut(&host) {
+            let machine_id = MachineId::from(view.machine_id);
+            let machine = match self.machines.get_mut(&machine_id) {
                 Some(machine) => machine,
                 None => {
                     let zone = Zone::from(view.zone);
-                    let block = block_of(&host, &zone, parts);
-                    let (rig, by) = (view.rig.into(), from.clone());
-                    let new = Machine::new(host.clone(), rig, zone, view.spot, block, by);
-                    self.machines.entry(host).or_insert(new)
+                    let shard = shard_of(&machine_id, &zone, parts);
+                    let (machine_type, by) = (view.machine_type.into(), from.clone());
+                    let new =
+                        Machine::new(machine_id.clone(), machine_type, zone, view.spot, shard, by);
+                    self.machines.entry(machine_id).or_insert(new)
                 }
             };
-            if self.leases.holds(&machine.block, &self.me).is_some() {
+            if self.leases.holds(&machine.shard, &self.me).is_some() {
                 continue;
             }
             machine.address = view.address.parse().ok().or(machine.address);
@@ -126,48 +130,49 @@
                 (image.into(), Cached { used: now, gb })
             };
             machine.images = view.images.into_iter().map(cached).collect();
-            self.pool.touched.push(machine.host.clone());
+            self.pool.touched.push(machine.machine_id.clone());
         }
         for pulse in status.machines {
-            let host = HostId::from(pulse.host);
+            let machine_id = MachineId::from(pulse.machine_id);
             // One that we know nothing of yet is described soon. Until then it must not be taken
             // for one that its holder never heard.
-            let Some(machine) = self.machines.get_mut(&host) else {
-                self.heard_of.insert(host, now - Millis(pulse.silent_ms));
+            let Some(machine) = self.machines.get_mut(&machine_id) else {
+                self.relayed_heartbeats
+                    .insert(machine_id, now - Millis(pulse.silent_ms));
                 continue;
             };
-            if self.leases.holds(&machine.block, &self.me).is_some() {
+            if self.leases.holds(&machine.shard, &self.me).is_some() {
                 continue;
             }
             let was_fit = machine.fit(now, silence);
             machine.heard = machine.heard.max(now - Millis(pulse.silent_ms));
             machine.heard_by = from.clone();
-            let session = Session(pulse.session);
-            if session != machine.session {
+            let agent_epoch = AgentEpoch(pulse.agent_epoch);
+            if agent_epoch != machine.agent_epoch {
                 // What we know of its counter is of another agent epoch.
-                (machine.session, machine.tally) = (session, 0);
+                (machine.agent_epoch, machine.heartbeat_sequence) = (agent_epoch, 0);
             }
-            machine.hearing.told(!pulse.doubtful, now);
+            machine.reachability.told(!pulse.doubtful, now);
             machine.warned = pulse.warned;
-            if machine.sick && !pulse.sick {
+            if machine.quarantined && !pulse.quarantined {
                 // It was the jobs, not the machine.
-                self.drains.remove(&machine.host);
+                self.drains.remove(&machine.machine_id);
             }
-            if pulse.sick && !machine.sick {
-                self.trials.sick(&machine.host, now);
+            if pulse.quarantined && !machine.quarantined {
+                self.trials.quarantined(&machine.machine_id, now);
             }
-            machine.sick = pulse.sick;
+            machine.quarantined = pulse.quarantined;
             machine.draining = pulse.draining;
             if !was_fit && machine.fit(now, silence) {
-                fit.push(machine.host.clone());
+                fit.push(machine.machine_id.clone());
             }
         }
         if self.leader() == Some(&from) {
-            self.drains = status.draining.into_iter().map(HostId::from).collect();
+            self.drains = status.draining.into_iter().map(MachineId::from).collect();
             self.drains_heard = now;
         }
-        for host in fit {
-            self.wake(Event::Machine(host));
+        for machine_id in fit {
+            self.wake(Event::Machine(machine_id));
         }
     }
 
@@ -186,18 +191,18 @@
         let round = self.now.0 / STATUS_EVERY.0 % TOLD_AGAIN;
         let (mut machines, mut views) = (Vec::new(), Vec::new());
         for machine in self.machines.values() {
-            let token = self.leases.holds(&machine.block, &self.me);
-            if token != Some(machine.baton.token()) {
+            let token = self.leases.holds(&machine.shard, &self.me);
+            if token != Some(machine.worker_token.token()) {
                 continue;
             }
-            machines.push(Pulse {
-                host: machine.host.to_string(),
+            machines.push(MachineHeartbeat {
+                machine_id: machine.machine_id.to_string(),
                 silent_ms: self.now.since(machine.heard).0,
-                session: machine.session.0,
-                doubtful: !machine.hearing.proved(),
+                agent_epoch: machine.agent_epoch.0,
+                doubtful: !machine.reachability.proved(),
                 warned: machine.warned,
-                sick: machine.sick,
-                draining: self.drains.contains(&machine.host),
+                quarantined: machine.quarantined,
+                draining: self.drains.contains(&machine.machine_id),
             });
             // The same images in any order give the same sum.
             let images = machine
@@ -206,13 +211,13 @@
                 .map(|image| FxBuildHasher.hash_one(image));
             let images = images.fold(0u64, u64::wrapping_add);
             let state = FxBuildHasher.hash_one((machine.address, images));
-            let changed = self.told.insert(machine.host.clone(), state) != Some(state);
-            let turn = FxBuildHasher.hash_one(&machine.host) % TOLD_AGAIN;
+            let changed = self.told.insert(machine.machine_id.clone(), state) != Some(state);
+            let turn = FxBuildHasher.hash_one(&machine.machine_id) % TOLD_AGAIN;
             if changed || turn == round {
                 views.push(MachineView {
-                    host: machine.host.to_string(),
+                    machine_id: machine.machine_id.to_string(),
                     address: machine.address.map(|a| a.to_string()).unwrap_or_default(),
-                    rig: machine.rig.as_str().into(),
+                    machine_type: machine.machine_type.as_str().into(),
                     zone: machine.zone.as_str().into(),
                     spot: machine.spot,
                     images: machine
@@ -224,34 +229,37 @@
             }
         }
         let (known, now) = (&self.machines, self.now);
-        self.heard_of
-            .retain(|host, heard| !known.contains_key(host) && now.since(*heard) < HEARD_OF);
-        self.told.retain(|host, _| known.contains_key(host));
+        self.relayed_heartbeats.retain(|machine_id, heard| {
+            !known.contains_key(machine_id) && now.since(*heard) < HEARD_OF
+        });
+        self.told
+            .retain(|machine_id, _| known.contains_key(machine_id));
         let draining = if self.leading().is_some() {
             // What is placed on a machine that is being deleted dies at once: its holder places nothing there
             // either.
             let gone = self.fleet.gone.iter();
-            let gone = gone.filter(|host| self.machines.contains_key(*host));
+            let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
             let leaving = self.fleet.deleting.union(&self.drains).chain(gone);
-            leaving.map(|host| host.to_string()).collect()
+            leaving.map(|machine_id| machine_id.to_string()).collect()
         } else {
             Vec::new()
         };
         let said = self.shared.said.get(&self.me).copied().unwrap_or_default();
         let status = Status {
-            permit: self.leases.permit().map(|permit| permit.0),
+            lease_id: self.leases.lease_id().map(|lease_id| lease_id.0),
             plan: said.obeys.0,
             used_milli: (said.demand.used * 1e3) as u64,
             waiting: said.demand.waiting as u64,
             revision: self.applied.0,
             without_store_ms: self.without_store().0,
-            hears: self.hears && self.now.since(self.last_report) <= self.silence(),
-            blocks: self
+            receives_heartbeats: self.receives_heartbeats
+                && self.now.since(self.last_heartbeat) <= self.silence(),
+            shards: self
                 .leases
-                .blocks
+                .shards
                 .iter()
                 .filter(|(_, (holder, _))| *holder == self.me)
-                .map(|(block, (_, token))| (block.to_string(), token.0))
+                .map(|(shard, (_, token))| (shard.to_string(), token.0))
                 .collect(),
             machines,
             views,
--- a/src/controller/placement.rs
+++ b/src/controller/placement.rs
@@ -11,10 +11,10 @@
 use crate::jobs::cache::{Change, Job, Writing};
 use crate::jobs::{Placement, Rank, Shape};
 use crate::peers::Message;
-use crate::queue::{Check, Order};
+use crate::queue::{Check, QueueKey};
 use crate::quota;
 use crate::settings::TeamSettings;
-use crate::types::{Attempt, HostId, JobId, Millis, Zone};
+use crate::types::{Attempt, JobId, MachineId, Millis, Zone};
 
 /// Cycles in one go, so that other events are not kept waiting.
 const MOST_CYCLES: usize = 64;
@@ -39,7 +39,7 @@
 
     /// Runs cycles until nothing is active.
     pub(super) fn schedule(&mut self) {
-        if !self.may_place() || self.flavors.is_empty() {
+        if !self.may_place() || self.type_specs.is_empty() {
             return;
         }
         // What can't be written soon is better decided later: by then more is known, and what is
@@ -144,7 +144,7 @@
     /// Fetching an image takes far longer than the way over the leader, or than stopping work that
     /// gives way: where our shards lack the image, a job is placed where it is, and room is made
     /// there for an urgent one. False: the ordinary cycle goes on.
-    fn quicker(&mut self, id: &JobId, order: Order) -> bool {
+    fn quicker(&mut self, id: &JobId, order: QueueKey) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -157,7 +157,7 @@
         } else {
             None
         };
-        if asked.is_some_and(|host| self.preempt(id, Where::On(host))) {
+        if asked.is_some_and(|machine_id| self.preempt(id, Where::On(machine_id))) {
             self.queue.expect_room(id, 0, order, self.now);
             return true;
         }
@@ -196,7 +196,7 @@
     }
 
     /// No machine of ours will do.
-    fn not_placed(&mut self, id: &JobId, fails: u32, checks: BTreeSet<Check>, order: Order) {
+    fn not_placed(&mut self, id: &JobId, fails: u32, checks: BTreeSet<Check>, order: QueueKey) {
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
         tracing::debug!(job = %id, fails, ?checks, "does not fit our blocks");
         let mut parked = checks;
@@ -204,7 +204,7 @@
         let gang = self.jobs.get(id).is_some_and(Job::whole_gang);
         if !blocked && !nominated {
             let asked = self.to_preempt.remove(id);
-            if asked.is_some_and(|host| self.preempt(id, Where::On(host))) {
+            if asked.is_some_and(|machine_id| self.preempt(id, Where::On(machine_id))) {
                 return self.queue.expect_room(id, fails, order, self.now);
             } else if self.leading().is_some() && gang {
                 // Tried over the whole fleet already.
@@ -213,8 +213,8 @@
                 }
             } else if self.leading().is_some() {
                 match self.choose(id, Scope::Others, None, None) {
-                    Ok(host) => {
-                        let holder = self.machines.get(&host).map(|m| m.heard_by.clone());
+                    Ok(machine_id) => {
+                        let holder = self.machines.get(&machine_id).map(|m| m.heard_by.clone());
                         if let Some(to) = holder {
                             let job = id.to_string();
                             let preempt = None;
@@ -275,8 +275,8 @@
             };
             let attempt = Attempt(tried.0 + 1);
             let mut checks = match self.reserve(id, index, attempt, Scope::Own, None, None) {
-                Ok(host) => {
-                    self.fill(id, &host);
+                Ok(machine_id) => {
+                    self.fill(id, &machine_id);
                     return Ok(());
                 }
                 Err(checks) => checks,
@@ -308,16 +308,16 @@
         };
         if count > 1 && scope == Scope::All {
             self.refresh_pool();
-            let hosts: Option<Vec<HostId>> = match self.nominations.of(id, self.now) {
-                Some(hosts) => Some(hosts.to_vec()),
+            let machine_ids: Option<Vec<MachineId>> = match self.nominations.of(id, self.now) {
+                Some(machine_ids) => Some(machine_ids.to_vec()),
                 None => match self.gang_offers(id) {
                     Some(offers) if offers.iter().any(|offer| !offer.victims.is_empty()) => {
                         return Err(BTreeSet::from([Check::Room]));
                     }
-                    offers => offers.map(|o| o.into_iter().map(|offer| offer.host).collect()),
+                    offers => offers.map(|o| o.into_iter().map(|offer| offer.machine_id).collect()),
                 },
             };
-            if hosts.is_some_and(|hosts| self.reserve_on(id, attempt, &hosts)) {
+            if machine_ids.is_some_and(|machine_ids| self.reserve_on(id, attempt, &machine_ids)) {
                 return Ok(());
             }
         }
@@ -352,27 +352,31 @@
     }
 
     /// Reserves these machines for a gang, if all have room for it.
-    fn reserve_on(&mut self, id: &JobId, attempt: Attempt, hosts: &[HostId]) -> bool {
+    fn reserve_on(&mut self, id: &JobId, attempt: Attempt, machine_ids: &[MachineId]) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let asking = Asking::new(job, self.full_blocks(job, Some(job.record.tasks)));
-        let fits = |host: &HostId| {
-            self.machines.get(host).is_some_and(|m| {
+        let asking = Asking::new(job, self.full_shards(job, Some(job.record.tasks)));
+        let fits = |machine_id: &MachineId| {
+            self.machines.get(machine_id).is_some_and(|m| {
                 let free = self.free_for(m, id);
                 (self.ours(m) || self.others(m))
                     && asking.allows(m)
                     && job.spec.room.fits_in(free)
-                    && job.spec.allows(&m.rig, &m.zone, m.spot)
+                    && job.spec.allows(&m.machine_type, &m.zone, m.spot)
             })
         };
-        let zone = |host: &HostId| self.machines.get(host).map(|m| m.zone.clone());
-        let together = !job.spec.one_zone || hosts.iter().all(|h| zone(h) == zone(&hosts[0]));
-        if hosts.len() != job.record.tasks as usize || !together || !hosts.iter().all(fits) {
+        let zone = |machine_id: &MachineId| self.machines.get(machine_id).map(|m| m.zone.clone());
+        let together =
+            !job.spec.one_zone || machine_ids.iter().all(|h| zone(h) == zone(&machine_ids[0]));
+        if machine_ids.len() != job.record.tasks as usize
+            || !together
+            || !machine_ids.iter().all(fits)
+        {
             return false;
         }
-        for (index, host) in (0..).zip(hosts) {
-            self.reserve_at(id, index, attempt, host.clone());
+        for (index, machine_id) in (0..).zip(machine_ids) {
+            self.reserve_at(id, index, attempt, machine_id.clone());
         }
         true
     }
@@ -385,16 +389,16 @@
         scope: Scope,
         zone: Option<&Zone>,
         raise: Option<u32>,
-    ) -> Result<HostId, BTreeSet<Check>> {
-        let host = self.choose(id, scope, zone, raise)?;
-        self.reserve_at(id, index, attempt, host.clone());
-        Ok(host)
+    ) -> Result<MachineId, BTreeSet<Check>> {
+        let machine_id = self.choose(id, scope, zone, raise)?;
+        self.reserve_at(id, index, attempt, machine_id.clone());
+        Ok(machine_id)
     }
 
     /// Further tasks of an array go to the machine that was just chosen for one, as long as cycles
     /// of their own would choose it again: its score is no lower than it was, and no other machine's
     /// has changed. A cycle looks at the whole pool, and an array may have 25,000 tasks.
-    fn fill(&mut self, id: &JobId, host: &HostId) {
+    fn fill(&mut self, id: &JobId, machine_id: &MachineId) {
         let waiting = self.jobs.get(id).map(|job| job.next_waiting(MOST_FILLED));
         for (index, tried) in waiting.unwrap_or_default() {
             let Some(job) = self.jobs.get(id) else { return };
@@ -405,10 +409,10 @@
             let keeps = |team: &TeamSettings| {
                 quota::within(self.jobs.usage(&team.name).plus(spec.room), team)
             };
-            let Some(machine) = self.machines.get(host) else {
+            let Some(machine) = self.machines.get(machine_id) else {
                 return;
             };
-            let asking = Asking::new(job, self.full_blocks(job, None));
+            let asking = Asking::new(job, self.full_shards(job, None));
             let mut candidate = self.candidate(job, machine);
             let failed = machine.failed.contains_key(id);
             if !self.limits(job).iter().all(keeps) || cycle::filter(&asking, &candidate).is_some() {
@@ -419,25 +423,25 @@
             if now < cycle::score(spec, &candidate, failed) {
                 return;
             }
-            self.reserve_at(id, index, Attempt(tried.0 + 1), host.clone());
+            self.reserve_at(id, index, Attempt(tried.0 + 1), machine_id.clone());
         }
     }
 
-    fn reserve_at(&mut self, id: &JobId, index: u32, attempt: Attempt, host: HostId) {
-        if let (Some(machine), Some(job)) = (self.machines.get(&host), self.jobs.get(id)) {
+    fn reserve_at(&mut self, id: &JobId, index: u32, attempt: Attempt, machine_id: MachineId) {
+        if let (Some(machine), Some(job)) = (self.machines.get(&machine_id), self.jobs.get(id)) {
             let cached = machine.images.contains_key(&job.spec.image);
             let (class, age) = (&job.spec.class, self.now.since(job.born).secs());
             let image = job.spec.image.as_str();
-            tracing::debug!(job = %id, class, index, %host, image, cached, age, "reserved");
+            tracing::debug!(job = %id, class, index, %machine_id, image, cached, age, "reserved");
             let placement = Placement {
-                host: host.clone(),
-                block: machine.block.clone(),
-                session: machine.session,
+                machine_id: machine_id.clone(),
+                shard: machine.shard.clone(),
+                agent_epoch: machine.agent_epoch,
                 attempt,
             };
             let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
             self.jobs.want(id, index, Change::Place(placement));
-            if let Some(machine) = self.machines.get_mut(&host) {
+            if let Some(machine) = self.machines.get_mut(&machine_id) {
                 machine.expect_image(&image, gb, self.now);
             }
         }
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -3,8 +3,8 @@
 use crate::jobs::Task;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::job_key;
-use crate::peers::{Pulse, Status};
-use crate::types::{Revision, Session};
+use crate::peers::{MachineHeartbeat, Status};
+use crate::types::{AgentEpoch, Revision};
 
 /// A message between controllers takes a millisecond, the watch up to a pause of its own: jobs
 /// that were handed to the leader at once were unknown there, and waited a second.
@@ -42,7 +42,7 @@
 /// Its counter was held against that of the agent epoch that we knew, so what it said counted as old
 /// for minutes, and it was given up for silence.
 #[test]
-fn a_counter_is_of_its_own_session() {
+fn a_counter_is_of_its_own_agent_epoch() {
     let cases = [
         // agent epoch that the other holder told of, agent epoch and counter that the machine shows, newer
         (1, 1, 50, false),
@@ -50,21 +50,21 @@
         (2, 2, 5, true),
         (3, 2, 900, false),
     ];
-    for (told, session, tally, newer) in cases {
+    for (told, agent_epoch, heartbeat_sequence, newer) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, _) = controller(spec, vec![Task::FRESH; 8]);
-        let host = HostId::from("vm-a");
-        let machine = controller.machines.get_mut(&host).unwrap();
-        (machine.session, machine.tally) = (Session(1), 50);
+        let machine_id = MachineId::from("vm-a");
+        let machine = controller.machines.get_mut(&machine_id).unwrap();
+        (machine.agent_epoch, machine.heartbeat_sequence) = (AgentEpoch(1), 50);
         let held = r#"{"holder":"n1","permit":2}"#;
         controller.feed("jt/block/a.0", Some(held), Revision(20));
-        let pulse = Pulse {
-            host: host.to_string(),
+        let pulse = MachineHeartbeat {
+            machine_id: machine_id.to_string(),
             silent_ms: 0,
-            session: told,
+            agent_epoch: told,
             doubtful: false,
             warned: false,
-            sick: false,
+            quarantined: false,
             draining: false,
         };
         let status = Status {
@@ -72,10 +72,13 @@
             ..Status::default()
         };
         controller.on_peer("n1".into(), Message::Status(status));
-        let machine = &controller.machines[&host];
-        assert_eq!(machine.session, Session(told));
-        let taken = machine.newer(Session(session), tally);
-        assert_eq!(taken, newer, "told of {told}, shows {session} {tally}");
+        let machine = &controller.machines[&machine_id];
+        assert_eq!(machine.agent_epoch, AgentEpoch(told));
+        let taken = machine.newer(AgentEpoch(agent_epoch), heartbeat_sequence);
+        assert_eq!(
+            taken, newer,
+            "told of {told}, shows {agent_epoch} {heartbeat_sequence}"
+        );
     }
 }
 
@@ -149,10 +152,10 @@
             Revision(8),
         );
         let mut status = status.expect("a status");
-        status.blocks.clear();
+        status.shards.clear();
         holder.on_peer("n1".into(), Message::Status(status));
         assert_eq!(
-            holder.drains.contains(&HostId::from("vm-a")),
+            holder.drains.contains(&MachineId::from("vm-a")),
             told,
             "{name}, {leads}"
         );
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -14,7 +14,7 @@
 use crate::peers::Message;
 use crate::preempt::{self, Offer, Site, Victim};
 use crate::quota;
-use crate::types::{HostId, JobId, Millis, Room, TaskId, Zone};
+use crate::types::{JobId, MachineId, Millis, Room, TaskId, Zone};
 use crate::workers::Machine;
 use crate::workers::reconcile::Stop;
 
@@ -33,7 +33,7 @@
 /// Where room may be made.
 pub(super) enum Where {
     /// On this machine of ours.
-    On(HostId),
+    On(MachineId),
     /// Where the job would start soonest, if that is by stopping work rather than by a fetch.
     Quickest,
     Anywhere,
@@ -75,7 +75,7 @@
     /// Seconds that stopping a task wastes: saving, or its work so far, and starting it again.
     pub(super) fn waste(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
-        let whole = self.flavors.first().map(|f| f.room);
+        let whole = self.type_specs.first().map(|f| f.room);
         let share = victim.spec.room.share_of(whole.unwrap_or(victim.spec.room));
         let lost = if spec.cheap_to_kill() {
             spec.checkpoint_s / 2.0 + 2.0
@@ -99,7 +99,10 @@
         };
         let guaranteed = !self.order(job).beyond_guarantee;
         let sites = match &place {
-            Where::On(host) => self.site_on(job, guaranteed, host).into_iter().collect(),
+            Where::On(machine_id) => self
+                .site_on(job, guaranteed, machine_id)
+                .into_iter()
+                .collect(),
             Where::Quickest | Where::Anywhere => self.sites(job, guaranteed),
         };
         let room = job.spec.room;
@@ -129,28 +132,33 @@
         }
         let several = offers.len() > 1;
         let until = self.now + self.kept_for(id, &offers).unwrap_or(NOMINATED);
-        for Offer { host, victims, .. } in offers {
-            tracing::info!(job = %id, %host, ?victims, "making room");
-            self.nominations.add(id, &host, room, until);
-            match self.machines.get(&host) {
+        for Offer {
+            machine_id,
+            victims,
+            ..
+        } in offers
+        {
+            tracing::info!(job = %id, %machine_id, ?victims, "making room");
+            self.nominations.add(id, &machine_id, room, until);
+            match self.machines.get(&machine_id) {
                 Some(machine) if !self.ours(machine) => {
                     let to = machine.heard_by.clone();
-                    let (job, host) = (id.to_string(), host.to_string());
+                    let (job, machine_id) = (id.to_string(), machine_id.to_string());
                     let message = if several {
-                        Message::MakeRoom { job, host }
+                        Message::MakeRoom { job, machine_id }
                     } else {
-                        let preempt = Some(host);
+                        let preempt = Some(machine_id);
                         Message::Place { job, preempt }
                     };
                     self.effects.push(Effect::Peer { to, message });
                 }
-                _ => self.stop_victims(&host, victims),
+                _ => self.stop_victims(&machine_id, victims),
             }
         }
         true
     }
 
-    pub(super) fn stop_victims(&mut self, host: &HostId, victims: Vec<TaskId>) {
+    pub(super) fn stop_victims(&mut self, machine_id: &MachineId, victims: Vec<TaskId>) {
         for task in victims {
             let attempt = self
                 .jobs
@@ -165,7 +173,7 @@
                 self.stops.insert(task, Stop { attempt, save });
             }
         }
-        self.poke(host);
+        self.push_commands(machine_id);
     }
 
     /// Where a gang would start soonest, all in one zone if it must: on machines that are free, and
@@ -174,10 +182,10 @@
         let job = self.jobs.get(id)?;
         let guaranteed = !self.order(job).beyond_guarantee;
         let (room, count) = (job.spec.room, job.record.tasks as usize);
-        let asking = Asking::new(job, self.full_blocks(job, Some(job.record.tasks)));
+        let asking = Asking::new(job, self.full_shards(job, Some(job.record.tasks)));
         let mut zones: BTreeMap<Option<&Zone>, Vec<Site>> = BTreeMap::new();
         let mut groups = self.groups(job, Scope::All, None);
-        groups.retain(|group| asking.closes(&group.block).is_none());
+        groups.retain(|group| asking.closes(&group.shard).is_none());
         let search = self.search(job, guaranteed, groups.len(), count);
         for group in groups {
             let zone = job.spec.one_zone.then_some(group.zone());
@@ -203,29 +211,31 @@
         let Some(room) = self.jobs.get(id).map(|job| job.spec.room) else {
             return false;
         };
-        tracing::info!(job = %id, hosts = ?offers.iter().map(|o| &o.host).collect::<Vec<_>>(),
+        tracing::info!(job = %id, machine_ids = ?offers.iter().map(|o| &o.machine_id).collect::<Vec<_>>(),
             "making room for a gang");
         let until = self.now + NOMINATED;
         for offer in offers {
-            self.nominations.add(id, &offer.host, room, until);
-            match self.machines.get(&offer.host) {
+            self.nominations.add(id, &offer.machine_id, room, until);
+            match self.machines.get(&offer.machine_id) {
                 Some(machine) if !self.ours(machine) => {
                     let to = machine.heard_by.clone();
-                    let (job, host) = (id.to_string(), offer.host.to_string());
-                    let message = Message::MakeRoom { job, host };
+                    let (job, machine_id) = (id.to_string(), offer.machine_id.to_string());
+                    let message = Message::MakeRoom { job, machine_id };
                     self.effects.push(Effect::Peer { to, message });
                 }
-                _ => self.stop_victims(&offer.host, offer.victims),
+                _ => self.stop_victims(&offer.machine_id, offer.victims),
             }
         }
         true
     }
 
     /// A machine of ours as a place where room could be made.
-    fn site_on(&self, job: &Job, guaranteed: bool, host: &HostId) -> Option<Site> {
+    fn site_on(&self, job: &Job, guaranteed: bool, machine_id: &MachineId) -> Option<Site> {
         let asking = Asking::new(job, Vec::new());
-        let machine = self.machines.get(host).filter(|m| {
-            self.ours(m) && job.spec.allows(&m.rig, &m.zone, m.spot) && asking.zone_allowed(&m.zone)
+        let machine = self.machines.get(machine_id).filter(|m| {
+            self.ours(m)
+                && job.spec.allows(&m.machine_type, &m.zone, m.spot)
+                && asking.zone_allowed(&m.zone)
         })?;
         Some(self.site(job, guaranteed, machine))
     }
@@ -265,34 +275,34 @@
     /// free, others that are free, and those where enough could be stopped.
     fn sites_of(&self, job: &Job, search: &Search, group: &Group) -> Vec<Site> {
         let room = job.spec.room;
-        let mut found: HashMap<&HostId, Site> = HashMap::default();
+        let mut found: HashMap<&MachineId, Site> = HashMap::default();
         for having in [Having::Image(&job.spec.image), Having::Any] {
             let free = self.pool.room.fitting(having, group, room);
-            for host in free.flat_map(|class| class.hosts).take(search.sites) {
-                if let Some(machine) = self.machines.get(host)
-                    && !found.contains_key(host)
+            for machine_id in free.flat_map(|class| class.machine_ids).take(search.sites) {
+                if let Some(machine) = self.machines.get(machine_id)
+                    && !found.contains_key(machine_id)
                 {
-                    found.insert(host, self.site(job, search.guaranteed, machine));
+                    found.insert(machine_id, self.site(job, search.guaranteed, machine));
                 }
             }
         }
         let mut offered = 0;
         let full = self.pool.room.too_full(group, room);
-        for host in full.flat_map(|class| class.hosts).take(search.looked) {
+        for machine_id in full.flat_map(|class| class.machine_ids).take(search.looked) {
             if offered >= search.sites {
                 break;
             }
             self.work.candidates.add(1);
-            let Some(machine) = self.machines.get(host) else {
+            let Some(machine) = self.machines.get(machine_id) else {
                 continue;
             };
-            let lower = self.jobs.host_use(host).below(job.spec.rank);
+            let lower = self.jobs.host_use(machine_id).below(job.spec.rank);
             if !search.borrowed && !room.fits_in(self.free(machine).plus(lower)) {
                 continue;
             }
             let site = self.site(job, search.guaranteed, machine);
             offered += usize::from(preempt::offer(room, &site).is_some());
-            found.insert(host, site);
+            found.insert(machine_id, site);
         }
         found.into_values().collect()
     }
@@ -332,12 +342,12 @@
         let free = self.free_for(machine, &job.id);
         // Where the task fits as it is, nobody has to be weighed, but for shares of a tree.
         let fits = job.spec.room.fits_in(free) && !self.in_tree(&job.spec.team);
-        let on_it = self.jobs.on_host(&machine.host).filter(|_| !fits);
+        let on_it = self.jobs.on_machine(&machine.machine_id).filter(|_| !fits);
         let victims = on_it.filter_map(victim).collect();
-        let rate = fetch_rate(&self.flavors, &machine.rig);
+        let rate = fetch_rate(&self.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Site {
-            host: machine.host.clone(),
+            machine_id: machine.machine_id.clone(),
             free,
             victims,
             delay_s: machine.image_s(image, gb, rate, self.now),
@@ -349,7 +359,7 @@
     pub(super) fn free_for(&self, machine: &Machine, id: &JobId) -> Room {
         let mut free = self.free(machine);
         let mut rank = None;
-        for (other, room) in self.nominations.on(&machine.host, self.now) {
+        for (other, room) in self.nominations.on(&machine.machine_id, self.now) {
             let rank = rank.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.rank));
             let above = |job: &Job| *rank <= Some(job.spec.rank);
             if other != id && self.jobs.get(other).is_some_and(above) {
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -4,19 +4,19 @@
 
 use super::Controller;
 use crate::jobs::cache::Job;
-use crate::queue::{Check, Event, Order};
-use crate::types::{HostId, JobId};
+use crate::queue::{Check, Event, QueueKey};
+use crate::types::{JobId, MachineId};
 
 impl Controller {
     pub(super) fn responsible(&self, job: &Job) -> bool {
         let home = &job.record.home;
         *home == self.me
             || self.handed.contains(&job.id)
-            || (self.leading().is_some() && !self.leases.nodes.contains_key(home))
+            || (self.leading().is_some() && !self.leases.controllers.contains_key(home))
     }
 
-    pub(super) fn order(&self, job: &Job) -> Order {
-        Order {
+    pub(super) fn order(&self, job: &Job) -> QueueKey {
+        QueueKey {
             beyond_guarantee: !self.guaranteed(job),
             rank: std::cmp::Reverse(job.spec.rank),
             born: job.born,
@@ -69,16 +69,16 @@
 
     /// Tells the parked jobs of a change in the cluster.
     pub(super) fn wake(&mut self, event: Event) {
-        if let Event::Freed(host) = &event {
-            self.take_due(host);
+        if let Event::Freed(machine_id) = &event {
+            self.take_due(machine_id);
         }
         let machine = match &event {
-            Event::Machine(host) | Event::Freed(host) => self.machines.get(host),
+            Event::Machine(machine_id) | Event::Freed(machine_id) => self.machines.get(machine_id),
             _ => None,
         };
         let room = machine.map(|m| (m, self.free(m)));
-        if let Event::Machine(host) = &event {
-            self.pool.touched.push(host.clone());
+        if let Event::Machine(machine_id) = &event {
+            self.pool.touched.push(machine_id.clone());
         }
         let jobs = &self.jobs;
         let mut queue = std::mem::take(&mut self.queue);
@@ -87,19 +87,20 @@
             let Some(job) = jobs.get(id) else { return true };
             // A gang waits until all of its machines are free; of other jobs any task may start.
             let all = job.whole_gang() || self.nested.force().is_none();
-            let hosts = self.nominations.of(id, self.now).filter(|_| all);
-            let hosts = hosts.unwrap_or_default();
-            let fits = |host: &HostId| {
-                let machine = self.machines.get(host);
+            let machine_ids = self.nominations.of(id, self.now).filter(|_| all);
+            let machine_ids = machine_ids.unwrap_or_default();
+            let fits = |machine_id: &MachineId| {
+                let machine = self.machines.get(machine_id);
                 machine.is_some_and(|m| job.spec.room.fits_in(self.free(m)))
             };
-            if hosts.len() > 1 && check == Check::Room && !hosts.iter().all(fits) {
+            if machine_ids.len() > 1 && check == Check::Room && !machine_ids.iter().all(fits) {
                 return false;
             }
             match (check, &event) {
                 (Check::Room | Check::Machine, Event::Machine(_) | Event::Freed(_)) => {
                     room.as_ref().is_some_and(|(machine, free)| {
-                        job.spec.allows(&machine.rig, &machine.zone, machine.spot)
+                        job.spec
+                            .allows(&machine.machine_type, &machine.zone, machine.spot)
                             && job.spec.room.fits_in(*free)
                     })
                 }
--- a/src/controller/quota_allocation.rs
+++ b/src/controller/quota_allocation.rs
@@ -7,7 +7,7 @@
 use crate::quota::{self, Dealt, Share, share_key};
 use crate::settings::TeamSettings;
 use crate::store::{Answer, Class, Txn};
-use crate::types::{BlockId, JobId, Millis, Revision, Room};
+use crate::types::{JobId, Millis, Revision, Room, ShardId};
 
 const DEAL_EVERY: Millis = Millis(4_000);
 const VOID_EVERY: Millis = Millis(500);
@@ -19,16 +19,16 @@
     }
 
     /// Whether the cache shows all that was placed in a shard before we came to hold it.
-    pub(super) fn complete(&self, block: &BlockId) -> bool {
-        let token = self.leases.blocks.get(block).map_or(0, |(_, t)| t.0);
+    pub(super) fn complete(&self, shard: &ShardId) -> bool {
+        let token = self.leases.shards.get(shard).map_or(0, |(_, t)| t.0);
         self.applied.0 >= token
     }
 
     /// The shards in which the next task of a job would exceed the share of its team, or of a node
     /// above it. With `raise`,
     /// the leader adds to a share what it places, as long as the limit has room for `tasks`.
-    pub(super) fn full_blocks(&self, job: &Job, raise: Option<u32>) -> Vec<BlockId> {
-        let mut full: Vec<BlockId> = Vec::new();
+    pub(super) fn full_shards(&self, job: &Job, raise: Option<u32>) -> Vec<ShardId> {
+        let mut full: Vec<ShardId> = Vec::new();
         for team in self.limits(job) {
             let raises = raise.is_some_and(|tasks| {
                 let room = job.spec.room.times(f64::from(tasks));
@@ -37,16 +37,16 @@
             if raises {
                 continue;
             }
-            let fits = |block: &BlockId| {
-                let used = self.jobs.used_in(&team.name, block).plus(job.spec.room);
-                let share = self.shares.share(block, &team.name);
+            let fits = |shard: &ShardId| {
+                let used = self.jobs.used_in(&team.name, shard).plus(job.spec.room);
+                let share = self.shares.share(shard, &team.name);
                 // What is placed in another's shard has to be added to its share.
-                let ours = self.leases.holds(block, &self.me).is_some();
-                let keeps = (ours || raise.is_none()) && self.complete(block);
+                let ours = self.leases.holds(shard, &self.me).is_some();
+                let keeps = (ours || raise.is_none()) && self.complete(shard);
                 keeps && quota::within_share(used, share, team)
             };
-            let blocks = self.leases.blocks.keys();
-            full.extend(blocks.filter(|block| !fits(block)).cloned());
+            let shards = self.leases.shards.keys();
+            full.extend(shards.filter(|shard| !fits(shard)).cloned());
         }
         full
     }
@@ -63,44 +63,44 @@
             // Whatever was placed by an earlier tree is known, and nothing can be any more.
             && self.nested.settled()
             && self.applied >= self.nested.version()
-            && self.leases.blocks.keys().all(|block| self.complete(block))
+            && self.leases.shards.keys().all(|shard| self.complete(shard))
     }
 
-    fn all_blocks(&self, team: &TeamSettings) -> Vec<BlockId> {
-        let mut blocks: Vec<BlockId> = self.shares.blocks.keys().cloned().collect();
-        blocks.extend(self.leases.blocks.keys().cloned());
-        blocks.extend(self.jobs.blocks_of(&team.name).cloned());
-        blocks.sort();
-        blocks.dedup();
-        blocks
+    fn all_shards(&self, team: &TeamSettings) -> Vec<ShardId> {
+        let mut shards: Vec<ShardId> = self.shares.shards.keys().cloned().collect();
+        shards.extend(self.leases.shards.keys().cloned());
+        shards.extend(self.jobs.shards_of(&team.name).cloned());
+        shards.sort();
+        shards.dedup();
+        shards
     }
 
     fn dealt_out(&self, team: &TeamSettings) -> Vec<Dealt> {
-        let dealt = |block: BlockId| Dealt {
-            share: self.shares.share(&block, &team.name),
-            used: Share::of(self.jobs.used_in(&team.name, &block)),
-            live: self.leases.blocks.contains_key(&block),
+        let dealt = |shard: ShardId| Dealt {
+            share: self.shares.share(&shard, &team.name),
+            used: Share::of(self.jobs.used_in(&team.name, &shard)),
+            live: self.leases.shards.contains_key(&shard),
         };
-        self.all_blocks(team).into_iter().map(dealt).collect()
+        self.all_shards(team).into_iter().map(dealt).collect()
     }
 
     /// The same with the shares as they will be raised for what is reserved in others' shards.
     fn to_be_dealt(&self, team: &TeamSettings) -> Vec<Dealt> {
-        let raised = |block: BlockId, dealt: Dealt| {
-            let room = self.jobs.reserved_in(&team.name, &block);
-            let used = self.jobs.used_in(&team.name, &block).minus(room);
-            let own = self.own(&block);
+        let raised = |shard: ShardId, dealt: Dealt| {
+            let room = self.jobs.reserved_in(&team.name, &shard);
+            let used = self.jobs.used_in(&team.name, &shard).minus(room);
+            let own = self.own(&shard);
             let share = quota::raised(dealt.share, used, room, own);
             Dealt { share, ..dealt }
         };
-        let blocks = self.all_blocks(team).into_iter();
-        let dealt = blocks.zip(self.dealt_out(team));
-        dealt.map(|(block, dealt)| raised(block, dealt)).collect()
+        let shards = self.all_shards(team).into_iter();
+        let dealt = shards.zip(self.dealt_out(team));
+        dealt.map(|(shard, dealt)| raised(shard, dealt)).collect()
     }
 
     /// Whether we hold a shard and know all that is placed there.
-    fn own(&self, block: &BlockId) -> bool {
-        self.leases.holds(block, &self.me).is_some() && self.complete(block)
+    fn own(&self, shard: &ShardId) -> bool {
+        self.leases.holds(shard, &self.me).is_some() && self.complete(shard)
     }
 
     /// The leader deals the teams' limits out anew where shares are far off.
@@ -109,7 +109,7 @@
             return;
         }
         let least = self
-            .flavors
+            .type_specs
             .iter()
             .map(|f| f.room)
             .fold(Room::default(), |least, room| Room {
@@ -119,13 +119,13 @@
             });
         let mut records = BTreeMap::new();
         for team in self.nested.limited() {
-            let blocks = self.all_blocks(&team);
+            let shards = self.all_shards(&team);
             let shares = quota::deal(&team, least, &self.dealt_out(&team));
-            for (block, share) in blocks.into_iter().zip(shares) {
-                if share != self.shares.share(&block, &team.name) {
+            for (shard, share) in shards.into_iter().zip(shares) {
+                if share != self.shares.share(&shard, &team.name) {
                     records
-                        .entry(block.clone())
-                        .or_insert_with(|| self.shares.record(&block))
+                        .entry(shard.clone())
+                        .or_insert_with(|| self.shares.record(&shard))
                         .insert(team.name.clone(), share);
                 }
             }
@@ -142,12 +142,12 @@
         txn.require(crate::lease::LEADER.into(), lead);
         // Dealt by another tree, the shares might exceed the limits of the one in force.
         self.require_tree(&mut txn);
-        for (block, record) in records {
+        for (shard, record) in records {
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            txn.require(share_key(&block), self.shares.version(&block));
-            txn.put(share_key(&block), &record);
+            txn.require(share_key(&shard), self.shares.version(&shard));
+            txn.put(share_key(&shard), &record);
         }
         self.transact(Class::Duties, txn, Purpose::Deal { rests_on });
     }
@@ -159,20 +159,20 @@
         &self,
         job: &Job,
         txn: &mut Txn,
-        placed: &[(BlockId, u32)],
+        placed: &[(ShardId, u32)],
     ) -> bool {
         let limits = self.limits(job);
         if limits.is_empty() {
             return true;
         }
-        for (block, tasks) in placed {
-            let own = self.own(block);
-            txn.require(share_key(block), self.shares.version(block));
+        for (shard, tasks) in placed {
+            let own = self.own(shard);
+            txn.require(share_key(shard), self.shares.version(shard));
             let mut record = None;
             for team in limits {
                 // What is reserved counts as used already.
-                let used = self.jobs.used_in(&team.name, block);
-                let share = self.shares.share(block, &team.name);
+                let used = self.jobs.used_in(&team.name, shard);
+                let share = self.shares.share(shard, &team.name);
                 if own && quota::within_share(used, share, team) {
                     continue;
                 }
@@ -180,12 +180,12 @@
                     return false;
                 }
                 let room = job.spec.room.times(f64::from(*tasks));
-                let record = record.get_or_insert_with(|| self.shares.record(block));
+                let record = record.get_or_insert_with(|| self.shares.record(shard));
                 let raised = quota::raised(share, used.minus(room), room, own);
                 record.insert(team.name.clone(), raised);
             }
             if let Some(record) = record {
-                txn.put(share_key(block), &record);
+                txn.put(share_key(shard), &record);
             }
         }
         true
@@ -198,20 +198,20 @@
     pub(super) fn void_later(&mut self, id: &JobId, changes: &[(u32, Change)]) -> bool {
         let job = self.jobs.get(id);
         let limited = job.is_some_and(|job| !self.limits(job).is_empty());
-        let block = changes.iter().find_map(|(_, change)| match change {
-            Change::Place(placement) => Some(placement.block.clone()),
+        let shard = changes.iter().find_map(|(_, change)| match change {
+            Change::Place(placement) => Some(placement.shard.clone()),
             _ => None,
         });
-        let Some(block) = block.filter(|_| limited) else {
+        let Some(shard) = shard.filter(|_| limited) else {
             return false;
         };
-        self.to_void.insert(id.clone(), block);
+        self.to_void.insert(id.clone(), shard);
         true
     }
 
     /// A deal went unanswered and may be carried out late, after others that were reckoned without
     /// it. Nothing is dealt or raised before a change of a share that it rests on rules that out.
-    pub(super) fn on_dealt(&mut self, rests_on: (BlockId, Revision), answer: Answer) {
+    pub(super) fn on_dealt(&mut self, rests_on: (ShardId, Revision), answer: Answer) {
         if matches!(answer, Answer::Unknown) {
             self.unsure_deals.push(rests_on);
         }
@@ -220,7 +220,7 @@
     fn forget_sure_deals(&mut self) {
         let shares = &self.shares;
         self.unsure_deals
-            .retain(|(block, version)| shares.version(block) <= *version);
+            .retain(|(shard, version)| shares.version(shard) <= *version);
     }
 
     pub(super) fn void_unknown(&mut self) {
@@ -230,25 +230,25 @@
             return;
         }
         self.voided = self.now;
-        let mut blocks: BTreeMap<BlockId, Vec<JobId>> = BTreeMap::new();
-        for (job, block) in std::mem::take(&mut self.to_void) {
-            blocks.entry(block).or_default().push(job);
+        let mut shards: BTreeMap<ShardId, Vec<JobId>> = BTreeMap::new();
+        for (job, shard) in std::mem::take(&mut self.to_void) {
+            shards.entry(shard).or_default().push(job);
         }
         if self.dealing == 0 {
-            for (block, _) in &self.unsure_deals {
-                blocks.entry(block.clone()).or_default();
+            for (shard, _) in &self.unsure_deals {
+                shards.entry(shard.clone()).or_default();
             }
         }
-        for (block, jobs) in blocks {
+        for (shard, jobs) in shards {
             let mut txn = Txn::default();
-            let record = self.shares.record(&block);
-            txn.require(share_key(&block), self.shares.version(&block));
-            txn.put(share_key(&block), &record);
-            self.transact(Class::Duties, txn, Purpose::Void { jobs, block });
+            let record = self.shares.record(&shard);
+            txn.require(share_key(&shard), self.shares.version(&shard));
+            txn.put(share_key(&shard), &record);
+            self.transact(Class::Duties, txn, Purpose::Void { jobs, shard });
         }
     }
 
-    pub(super) fn on_void(&mut self, jobs: Vec<JobId>, block: BlockId, answer: Answer) {
+    pub(super) fn on_void(&mut self, jobs: Vec<JobId>, shard: ShardId, answer: Answer) {
         for id in jobs {
             match answer {
                 // Either way the share has changed: the transaction was applied before that, or
@@ -260,7 +260,7 @@
                     self.settle_at(id, revision);
                 }
                 _ => {
-                    self.to_void.insert(id, block.clone());
+                    self.to_void.insert(id, shard.clone());
                 }
             }
         }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -6,7 +6,7 @@
 use crate::lease::LEADER;
 use crate::settings::tests::settings;
 use crate::store::{Call, Change as Write};
-use crate::types::{Attempt, Session, Token};
+use crate::types::{AgentEpoch, Attempt, FencingToken};
 
 fn leading(tasks: Vec<Task>) -> (Controller, JobId) {
     leading_with(8.0, 64.0, tasks)
@@ -28,11 +28,11 @@
     (controller, id)
 }
 
-fn placement(host: &str, block: &str) -> Placement {
+fn placement(machine_id: &str, shard: &str) -> Placement {
     Placement {
-        host: host.into(),
-        block: BlockId::parse(block).unwrap(),
-        session: Session(1),
+        machine_id: machine_id.into(),
+        shard: ShardId::parse(shard).unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     }
 }
@@ -60,7 +60,7 @@
 /// carried out after it: both shards could use it.
 #[test]
 fn a_deal_without_an_answer_is_ruled_out_before_the_next() {
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     let cases = [
         (Answer::Committed(Revision(30)), false),
         (Answer::Conflict(Revision(30)), false),
@@ -69,18 +69,18 @@
     ];
     for (answer, unsure) in cases {
         let (mut controller, _) = leading(vec![Task::FRESH]);
-        let rests_on = (block.clone(), controller.shares.version(&block));
+        let rests_on = (shard.clone(), controller.shares.version(&shard));
         assert!(controller.may_raise());
         let name = format!("{answer:?}");
         controller.on_dealt(rests_on, answer);
         assert_eq!(controller.may_raise(), !unsure, "{name}");
         controller.now = Millis(9_000);
         controller.void_unknown();
-        let rewritten = written(&controller).contains(&share_key(&block));
+        let rewritten = written(&controller).contains(&share_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
         controller.dealing = 0;
         // The watch shows that the share has changed: the deal was carried out before, or never is.
-        controller.feed(&share_key(&block), Some("{}"), Revision(31));
+        controller.feed(&share_key(&shard), Some("{}"), Revision(31));
         controller.void_unknown();
         assert!(controller.may_raise(), "{name}");
     }
@@ -90,7 +90,7 @@
 /// placement got no answer, the other shard's share was rewritten, and it could still be carried out
 /// after its room had been given away.
 #[test]
-fn a_placement_without_an_answer_is_ruled_out_by_its_own_block() {
+fn a_placement_without_an_answer_is_ruled_out_by_its_own_shard() {
     let (mut controller, id) = leading(vec![Task::FRESH, Task::FRESH]);
     let limited = !controller
         .limits(controller.jobs.get(&id).unwrap())
@@ -104,21 +104,21 @@
     controller.on_changes(id, vec![(1, sent)], Answer::Unknown);
     controller.now = Millis(9_000);
     controller.void_unknown();
-    let b = share_key(&BlockId::parse("b.0").unwrap());
+    let b = share_key(&ShardId::parse("b.0").unwrap());
     assert_eq!(written(&controller), [b]);
 }
 
 /// A leader placed in another's shard by raising its share. That was carried out after its term,
 /// when its successor had dealt the same room to others.
 #[test]
-fn what_a_leader_places_in_blocks_of_others_rests_on_its_term() {
-    for (holder, permit, required) in [("n0", 1, false), ("n1", 2, true)] {
+fn what_a_leader_places_in_shards_of_others_rests_on_its_term() {
+    for (holder, lease_id, required) in [("n0", 1, false), ("n1", 2, true)] {
         let (mut controller, id) = leading(vec![Task::FRESH]);
-        let record = format!("{{\"holder\":\"{holder}\",\"permit\":{permit}}}");
-        let block = BlockId::parse("b.0").unwrap();
-        let key = crate::lease::block_key(&block);
+        let record = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
+        let shard = ShardId::parse("b.0").unwrap();
+        let key = crate::lease::shard_key(&shard);
         controller.feed(&key, Some(&record), Revision(40));
-        assert_eq!(controller.leases.blocks[&block].1, Token(40));
+        assert_eq!(controller.leases.shards[&shard].1, FencingToken(40));
         controller.effects.clear();
         let change = Change::Place(placement("vm-b", "b.0"));
         controller.jobs.want(&id, 0, change);
@@ -155,12 +155,12 @@
     for (holder, share, other, tasks, raised) in cases {
         let (mut controller, id) = leading_with(1.0, 6.0, vec![Task::FRESH; 4]);
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":1}}");
-        let [a, b] = ["a.0", "b.0"].map(|name| BlockId::parse(name).unwrap());
-        controller.feed(&crate::lease::block_key(&b), Some(&record), Revision(20));
+        let [a, b] = ["a.0", "b.0"].map(|name| ShardId::parse(name).unwrap());
+        controller.feed(&crate::lease::shard_key(&b), Some(&record), Revision(20));
         let team = controller.jobs.get(&id).unwrap().spec.team.clone();
-        for (block, gpus) in [(&a, other), (&b, share)] {
+        for (shard, gpus) in [(&a, other), (&b, share)] {
             let record = format!("{{\"{team}\":{{\"cpus\":0.0,\"gpus\":{gpus:?}}}}}");
-            controller.feed(&share_key(block), Some(&record), Revision(21));
+            controller.feed(&share_key(shard), Some(&record), Revision(21));
         }
         for index in 0..tasks {
             let change = Change::Place(placement("vm-b", "b.0"));
--- a/src/controller/reachability/mod.rs
+++ b/src/controller/reachability/mod.rs
@@ -4,9 +4,9 @@
 use super::Controller;
 use super::Effect;
 use crate::jobs::Shape;
-use crate::types::{HostId, Millis, TaskId, Token};
+use crate::types::{FencingToken, MachineId, Millis, TaskId};
 use crate::workers::reconcile::Stop;
-use crate::workers::wire::{Order, TaskStage};
+use crate::workers::wire::{TaskStage, WorkerCommand};
 
 /// A machine in doubt is asked this often.
 const ASK_EVERY: Millis = Millis(2_500);
@@ -26,12 +26,13 @@
     /// spells are over before a lease is, or before one that begins meanwhile: what answers directly is used
     /// as if it reported. Left as single mute ones are, nearly all work was stopped for nothing.
     pub(super) fn note_quiet(&mut self) {
-        let often = Millis::from_secs(self.settings.deployment.workers.report_s * QUIET);
+        let often =
+            Millis::from_secs(self.settings.deployment.workers.heartbeat_interval_s * QUIET);
         let (mut all, mut quiet) = (0, 0);
         for machine in self.machines.values() {
             let since = self.now.since(machine.reported);
             let counts = machine.reported > Millis(0) && since < super::heartbeats::FORGET;
-            if counts && self.token_for(&machine.block).is_some() {
+            if counts && self.token_for(&machine.shard).is_some() {
                 all += 1;
                 quiet += usize::from(since > often);
             }
@@ -41,15 +42,15 @@
 
     /// Whether a machine of ours has not reported for so long that its worker must be unable to. What it
     /// says to direct commands renews no lease.
-    pub(super) fn is_mute(&self, host: &HostId) -> bool {
+    pub(super) fn is_unable_to_report(&self, machine_id: &MachineId) -> bool {
         if self.most_are_quiet {
             return false;
         }
-        self.machines.get(host).is_some_and(|machine| {
-            let took = self.moved.get(&machine.block).copied().unwrap_or_default();
+        self.machines.get(machine_id).is_some_and(|machine| {
+            let took = self.moved.get(&machine.shard).copied().unwrap_or_default();
             let silent = self.now.since(machine.reported) > self.silence();
             // Taken from a holder that knew it as mute already, it stays so until it reports.
-            silent && (self.now.since(took) > FOUND || !machine.hearing.proved())
+            silent && (self.now.since(took) > FOUND || !machine.reachability.proved())
         })
     }
 
@@ -57,30 +58,33 @@
     pub(super) fn ask_silent(&mut self) {
         let (now, silence) = (self.now, self.silence());
         let silent = self.machines.values().filter(|m| {
-            let ours = self.token_for(&m.block) == Some(m.baton.token());
+            let ours = self.token_for(&m.shard) == Some(m.worker_token.token());
             let since = now.since(m.heard);
             ours && since > silence
                 && since < super::heartbeats::FORGET
-                && !m.hearing.doubtful(now, silence)
+                && !m.reachability.doubtful(now, silence)
                 && now.since(m.direct.asked) >= ASK_EVERY
         });
-        let silent: Vec<HostId> = silent.map(|m| m.host.clone()).take(MOST_ASKED).collect();
-        for host in silent {
-            self.ask(&host);
+        let silent: Vec<MachineId> = silent
+            .map(|m| m.machine_id.clone())
+            .take(MOST_ASKED)
+            .collect();
+        for machine_id in silent {
+            self.ask(&machine_id);
         }
     }
 
     /// A machine can't report, so its lease runs out: what was not begun there is placed elsewhere at once,
     /// and what runs is saved while there is time for it.
-    pub(super) fn leave_mute(&mut self, host: &HostId) {
-        let Some(machine) = self.machines.get(host) else {
+    pub(super) fn evacuate_unable_to_report(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         let lease = Millis::from_secs(self.settings.deployment.workers.lease_s);
         let left = (machine.reported + lease).since(self.now);
         let here: Vec<TaskId> = self
             .jobs
-            .on_host(host)
+            .on_machine(machine_id)
             .map(|(id, index)| TaskId {
                 job: id.clone(),
                 index: *index,
@@ -126,8 +130,8 @@
     }
 
     /// The cloud takes the machine away: what can save its work is told to.
-    pub(super) fn drain_warned(&mut self, host: &HostId) {
-        let Some(machine) = self.machines.get(host).filter(|m| m.warned) else {
+    pub(super) fn drain_warned(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id).filter(|m| m.warned) else {
             return;
         };
         let running: Vec<TaskId> = machine
@@ -145,10 +149,15 @@
     }
 
     /// Only stops go to a machine that can't report: what is started there dies with its lease.
-    pub(super) fn stop_on_mute(&mut self, host: &HostId, token: Token, mut orders: Vec<Order>) {
-        orders.retain(|order| matches!(order, Order::Stop { .. }));
-        if !orders.is_empty() && self.may_answer() {
-            self.send_direct(host, token, orders);
+    pub(super) fn stop_where_unable_to_report(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        mut commands: Vec<WorkerCommand>,
+    ) {
+        commands.retain(|order| matches!(order, WorkerCommand::Stop { .. }));
+        if !commands.is_empty() && self.may_answer() {
+            self.send_direct(machine_id, token, commands);
         }
     }
 
@@ -158,30 +167,38 @@
     pub(super) fn fence(&mut self) {
         let (now, silence) = (self.now, self.silence());
         let unaware = self.machines.values().filter(|m| {
-            let token = self.token_for(&m.block);
-            let unaware = token.is_some_and(|token| m.baton < self.baton(token));
+            let token = self.token_for(&m.shard);
+            let unaware = token.is_some_and(|token| m.worker_token < self.worker_token(token));
             let due = now.since(m.direct.asked) >= ASK_EVERY;
-            unaware || token.is_some() && due && m.hearing.doubtful(now, silence)
+            unaware || token.is_some() && due && m.reachability.doubtful(now, silence)
         });
-        let unaware: Vec<HostId> = unaware.map(|m| m.host.clone()).collect();
-        for host in unaware {
-            self.ask(&host);
+        let unaware: Vec<MachineId> = unaware.map(|m| m.machine_id.clone()).collect();
+        for machine_id in unaware {
+            self.ask(&machine_id);
         }
     }
 
     /// Sends a machine of ours nothing but our token. Its answer is new, and proves that it hears.
-    pub(super) fn ask(&mut self, host: &HostId) {
-        let token = self.machines.get(host).map(|m| self.token_for(&m.block));
+    pub(super) fn ask(&mut self, machine_id: &MachineId) {
+        let token = self
+            .machines
+            .get(machine_id)
+            .map(|m| self.token_for(&m.shard));
         if let Some(Some(token)) = token {
-            self.send_direct(host, token, Vec::new());
+            self.send_direct(machine_id, token, Vec::new());
         }
     }
 
     /// Sends a machine commands that start nothing, unless an exchange is under way.
-    fn send_direct(&mut self, host: &HostId, token: Token, orders: Vec<Order>) {
-        let baton = self.baton(token);
-        let gone = self.fleet.gone.contains(host);
-        let machine = self.machines.get_mut(host);
+    fn send_direct(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        commands: Vec<WorkerCommand>,
+    ) {
+        let worker_token = self.worker_token(token);
+        let gone = self.fleet.gone.contains(machine_id);
+        let machine = self.machines.get_mut(machine_id);
         let Some(machine) = machine.filter(|m| !m.direct.busy && !gone) else {
             return;
         };
@@ -191,13 +208,13 @@
         machine.direct.busy = true;
         machine.direct.asked = self.now;
         machine.direct.sent.clear();
-        let (host, session) = (host.clone(), machine.session);
+        let (machine_id, agent_epoch) = (machine_id.clone(), machine.agent_epoch);
         self.effects.push(Effect::Direct {
-            host,
+            machine_id,
             address,
-            baton,
-            session,
-            orders,
+            worker_token,
+            agent_epoch,
+            commands,
         });
     }
 }
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -1,27 +1,29 @@
 use serde_json::json;
 
 use crate::controller::commits::tests::controller;
-use crate::controller::{Controller, DirectAnswer, Effect};
+use crate::controller::{CommandReply, Controller, Effect};
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, job_key};
 use crate::jobs::{Phase, Placement, Shape, Task};
-use crate::types::{Attempt, Baton, BlockId, HostId, JobId, Millis, Revision, Session, Token};
+use crate::types::{
+    AgentEpoch, Attempt, FencingToken, JobId, MachineId, Millis, Revision, ShardId, WorkerToken,
+};
 use crate::workers::Machine;
-use crate::workers::wire::{Order, Report};
+use crate::workers::wire::{Heartbeat, WorkerCommand};
 
 const HOST: &str = "vm-2";
 /// When its last heartbeat came.
 const REPORTED: u64 = 60_000;
 
-fn report(id: &JobId, tally: u64, stages: &[&str]) -> Report {
-    let picks = stages
+fn heartbeat(id: &JobId, heartbeat_sequence: u64, stages: &[&str]) -> Heartbeat {
+    let tasks = stages
         .iter()
         .enumerate()
         .map(|(index, stage)| json!({"pick": format!("{id}/{index}"), "try": 1, "stage": stage}));
-    let report = json!({"host": HOST, "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-        "loaners": false, "shift": 1, "tally": tally, "baton": Baton::of(Token(5)),
-        "picks": picks.collect::<Vec<_>>()});
-    serde_json::from_value(report).unwrap()
+    let heartbeat = json!({"host": HOST, "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
+        "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(FencingToken(5)),
+        "picks": tasks.collect::<Vec<_>>()});
+    serde_json::from_value(heartbeat).unwrap()
 }
 
 /// An array of two tasks on a machine that reported, with the first running and the second not begun.
@@ -29,45 +31,52 @@
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.shape, spec.tasks) = (Shape::Array, 2);
     let here = Task::Placed(Placement {
-        host: HOST.into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(1),
+        machine_id: HOST.into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     });
     let (mut controller, id) = controller(spec, vec![here.clone(), here]);
-    let block = BlockId::parse("a.0").unwrap();
-    let (host, rig, zone) = (HostId::from(HOST), "g8".into(), "a".into());
-    let mut machine = Machine::new(host.clone(), rig, zone, false, block, "n0".into());
-    machine.hearing.prove();
-    controller.machines.insert(host, machine);
+    let shard = ShardId::parse("a.0").unwrap();
+    let (machine_id, machine_type, zone) = (MachineId::from(HOST), "g8".into(), "a".into());
+    let mut machine = Machine::new(
+        machine_id.clone(),
+        machine_type,
+        zone,
+        false,
+        shard,
+        "n0".into(),
+    );
+    machine.reachability.prove();
+    controller.machines.insert(machine_id, machine);
     controller.now = Millis(REPORTED);
-    controller.last_report = controller.now;
-    controller.answer_report(report(&id, 1, &["running"]));
-    let machine = controller.machines.get_mut(&HostId::from(HOST)).unwrap();
-    machine.hearing.prove();
+    controller.last_heartbeat = controller.now;
+    controller.answer_heartbeat(heartbeat(&id, 1, &["running"]));
+    let machine = controller.machines.get_mut(&MachineId::from(HOST)).unwrap();
+    machine.reachability.prove();
     machine.direct.busy = false;
     // What rode on the answer was dropped.
-    machine.direct.riding.clear();
+    machine.direct.piggybacked_starts.clear();
     controller.effects.clear();
     (controller, id)
 }
 
-fn answers(controller: &mut Controller, report: Report, at: u64) {
+fn answers(controller: &mut Controller, heartbeat: Heartbeat, at: u64) {
     controller.now = Millis(at);
-    let answer = DirectAnswer {
-        report: Some(report),
+    let answer = CommandReply {
+        heartbeat: Some(heartbeat),
     };
-    controller.on_direct(&HostId::from(HOST), Some(answer));
+    controller.on_direct(&MachineId::from(HOST), Some(answer));
 }
 
 /// Orders that were sent to the machine since.
-fn sent(controller: &mut Controller) -> Vec<Order> {
+fn sent(controller: &mut Controller) -> Vec<WorkerCommand> {
     let effects = std::mem::take(&mut controller.effects).into_iter();
-    let orders = effects.filter_map(|effect| match effect {
-        Effect::Direct { orders, .. } => Some(orders),
+    let commands = effects.filter_map(|effect| match effect {
+        Effect::Direct { commands, .. } => Some(commands),
         _ => None,
     });
-    orders.flatten().collect()
+    commands.flatten().collect()
 }
 
 /// Machines that answered direct commands, and could not report, were given tasks by such commands again and
@@ -75,7 +84,7 @@
 #[test]
 fn what_answers_and_can_not_report_is_no_room() {
     let silence = reported().0.silence().0;
-    for (after, block_taken, known_mute, room) in [
+    for (after, shard_taken, known_unable_to_report, room) in [
         (silence, 0, false, true),
         (silence + 1, 0, false, false),
         // A holder that came just now may not have been found yet.
@@ -84,25 +93,29 @@
         (silence + 12_000, REPORTED, false, false),
     ] {
         let (mut controller, id) = reported();
-        if known_mute {
-            let machine = controller.machines.get_mut(&HostId::from(HOST));
-            machine.unwrap().hearing.mute(controller.now);
+        if known_unable_to_report {
+            let machine = controller.machines.get_mut(&MachineId::from(HOST));
+            machine
+                .unwrap()
+                .reachability
+                .unable_to_report(controller.now);
         }
-        let block = BlockId::parse("a.0").unwrap();
-        controller.moved.insert(block, Millis(block_taken));
+        let shard = ShardId::parse("a.0").unwrap();
+        controller.moved.insert(shard, Millis(shard_taken));
         answers(
             &mut controller,
-            report(&id, 2, &["running"]),
+            heartbeat(&id, 2, &["running"]),
             REPORTED + after,
         );
-        let fit = controller.ours(&controller.machines[&HostId::from(HOST)]);
-        let case = format!("{after} ms after, the block taken at {block_taken}, {known_mute}");
+        let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
+        let case =
+            format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
         assert_eq!(fit, room, "{case}");
         // Its next heartbeat makes it sound again, once it has answered what is asked then.
-        let (now, host) = (controller.now, HostId::from(HOST));
-        controller.answer_report(report(&id, 3, &["running"]));
-        answers(&mut controller, report(&id, 4, &["running"]), now.0 + 10);
-        assert!(controller.ours(&controller.machines[&host]), "{case}");
+        let (now, machine_id) = (controller.now, MachineId::from(HOST));
+        controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
+        answers(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
+        assert!(controller.ours(&controller.machines[&machine_id]), "{case}");
     }
 }
 
@@ -130,12 +143,16 @@
             controller.feed(&job_key(&id), Some(&text), Revision(20));
             controller.effects.clear();
         }
-        answers(&mut controller, report(&id, 2, running), REPORTED + after);
+        answers(
+            &mut controller,
+            heartbeat(&id, 2, running),
+            REPORTED + after,
+        );
         let sent = sent(&mut controller);
         let case = format!("cancelled {cancelled}, after {after} ms: {sent:?}");
-        let stop = |order: &&Order| matches!(order, Order::Stop { task, .. } if task.index == 0);
+        let stop = |order: &&WorkerCommand| matches!(order, WorkerCommand::Stop { task, .. } if task.index == 0);
         assert_eq!(sent.iter().filter(stop).count(), stops, "{case}");
-        let starts = |order: &Order| matches!(order, Order::Start { .. });
+        let starts = |order: &WorkerCommand| matches!(order, WorkerCommand::Start { .. });
         assert!(!sent.iter().any(starts), "{case}");
         let changes = &controller.jobs.get(&id).unwrap().changes;
         assert_eq!(changes.contains_key(&1), given_up, "{case}");
@@ -160,29 +177,31 @@
 /// stopped, though the spell was over before their leases were.
 #[test]
 fn where_most_are_quiet_what_answers_is_used() {
-    let (report_s, silence) = {
+    let (heartbeat_interval_s, silence) = {
         let settings = reported().0;
-        let report_s = settings.settings.deployment.workers.report_s;
-        (report_s, settings.silence().0)
+        let heartbeat_interval_s = settings.settings.deployment.workers.heartbeat_interval_s;
+        (heartbeat_interval_s, settings.silence().0)
     };
-    let quiet = (report_s * 1_600.0) as u64;
+    let quiet = (heartbeat_interval_s * 1_600.0) as u64;
     for (machines, quiet_ones, used) in [(1, 1, false), (3, 3, true), (9, 4, false), (9, 5, true)] {
         let (mut controller, id) = reported();
         controller.moved.clear();
-        controller.machines.retain(|host, _| host.as_str() == HOST);
+        controller
+            .machines
+            .retain(|machine_id, _| machine_id.as_str() == HOST);
         let at = REPORTED + silence + 1;
-        let one = controller.machines[&HostId::from(HOST)].clone();
+        let one = controller.machines[&MachineId::from(HOST)].clone();
         for index in 1..machines {
             let mut other = one.clone();
-            other.host = HostId::from(format!("vm-{}", 100 + index));
+            other.machine_id = MachineId::from(format!("vm-{}", 100 + index));
             let since = if index < quiet_ones { quiet + 1 } else { quiet };
             other.reported = Millis(at - since);
-            controller.machines.insert(other.host.clone(), other);
+            controller.machines.insert(other.machine_id.clone(), other);
         }
         controller.now = Millis(at);
         controller.note_quiet();
-        answers(&mut controller, report(&id, 2, &["running"]), at);
-        let fit = controller.ours(&controller.machines[&HostId::from(HOST)]);
+        answers(&mut controller, heartbeat(&id, 2, &["running"]), at);
+        let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
         assert_eq!(fit, used, "{quiet_ones} of {machines}");
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -26,14 +26,14 @@
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
         }
-        if !self.synced || self.flavors.is_empty() || self.without_store() > STORE_LOST {
+        if !self.synced || self.type_specs.is_empty() || self.without_store() > STORE_LOST {
             return self.tell(reply, Response::Later(2));
         }
         if let Some(waiting) = self.submitting.get_mut(&id) {
             waiting.push(reply);
             return;
         }
-        let spec = match api::admit(spec, &self.settings, &self.flavors) {
+        let spec = match api::admit(spec, &self.settings, &self.type_specs) {
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -5,18 +5,18 @@
 use super::Controller;
 use crate::jobs::Shape;
 use crate::lease::Own;
-use crate::types::{Baton, BlockId, HostId, Token, Zone};
-use crate::workers::wire::ReportAnswer;
+use crate::types::{FencingToken, MachineId, ShardId, WorkerToken, Zone};
+use crate::workers::wire::HeartbeatResponse;
 use crate::zones::partition_mode::{Circumstances, may_renew};
-use crate::zones::zone_health::{Seen, Suspect, Worth};
+use crate::zones::zone_health::{Suspect, Worth, ZoneObservation};
 
 impl Controller {
     /// What workers are told of a token that we hold.
-    pub(super) fn baton(&self, token: Token) -> Baton {
-        if self.keeping.on() {
-            Baton::keeping(token)
+    pub(super) fn worker_token(&self, token: FencingToken) -> WorkerToken {
+        if self.partition_mode.on() {
+            WorkerToken::partitioned(token)
         } else {
-            Baton::of(token)
+            WorkerToken::of(token)
         }
     }
 
@@ -26,9 +26,9 @@
         let seen = Circumstances {
             lease_over: over && self.synced,
             outage: over && self.outage_is_common(),
-            holds: self.leases.blocks.values().any(|(h, _)| *h == self.me),
+            holds: self.leases.shards.values().any(|(h, _)| *h == self.me),
         };
-        if self.keeping.begins(seen, self.now) {
+        if self.partition_mode.begins(seen, self.now) {
             tracing::info!("cut off: keeping our machines at work");
             // Before we might crash: only marked machines may be renewed by others then.
             self.fence();
@@ -38,7 +38,7 @@
     /// The state service is there again. Our tokens are marked as keeping, under which silence
     /// proves nothing, so they are given up.
     pub(super) fn leave_keeping(&mut self) {
-        if let Some(kept) = self.keeping.end(self.now) {
+        if let Some(kept) = self.partition_mode.end(self.now) {
             tracing::info!(kept_s = kept.secs(), "the state service is there again");
             self.ended_old = false;
             self.leases.lose(&self.me);
@@ -46,25 +46,29 @@
     }
 
     /// A worker whose holder keeps it came to us instead: its lease is renewed, and that is all.
-    pub(super) fn keep_for_others(&self, block: &BlockId, baton: Baton) -> Option<ReportAnswer> {
-        let cut_off = !self.synced || self.keeping.on();
-        let holder = self.leases.blocks.get(block).map(|(holder, _)| holder);
-        let speaks = holder.is_some_and(|holder| self.word_of(holder).is_some());
-        let renews = self.may_answer() && may_renew(baton, cut_off, speaks);
-        renews.then(|| ReportAnswer::Orders {
-            baton,
-            orders: Vec::new(),
+    pub(super) fn keep_for_others(
+        &self,
+        shard: &ShardId,
+        worker_token: WorkerToken,
+    ) -> Option<HeartbeatResponse> {
+        let cut_off = !self.synced || self.partition_mode.on();
+        let holder = self.leases.shards.get(shard).map(|(holder, _)| holder);
+        let speaks = holder.is_some_and(|holder| self.recent_status(holder).is_some());
+        let renews = self.may_answer() && may_renew(worker_token, cut_off, speaks);
+        renews.then(|| HeartbeatResponse::Commands {
+            worker_token,
+            commands: Vec::new(),
         })
     }
 
     /// Takes in how each zone looks to the leader now.
-    pub(super) fn observe_zones(&mut self, zones: BTreeMap<Zone, Seen>) {
+    pub(super) fn observe_zones(&mut self, zones: BTreeMap<Zone, ZoneObservation>) {
         for (zone, mut seen) in zones {
             let members = self.settings.members.iter().map(|m| (&m.label, &m.zone));
             let all = members.chain([(&self.me, &self.settings.zone)]);
             let mut inside = all.filter(|(_, its)| **its == zone).peekable();
             seen.controllers_silent = inside.peek().is_some()
-                && inside.all(|(label, _)| !self.leases.nodes.contains_key(label));
+                && inside.all(|(label, _)| !self.leases.controllers.contains_key(label));
             if let Some(standing) = self.zones.observe(&zone, seen, self.now) {
                 let (machines, silent) = (seen.machines, seen.silent);
                 tracing::info!(%zone, ?standing, machines, silent, "a zone stands otherwise");
@@ -73,8 +77,8 @@
     }
 
     /// A machine that is thought lost, and what would be lost with it.
-    pub(super) fn suspect(&self, host: &HostId, zone: &Zone) -> Suspect {
-        let jobs = self.jobs.on_host(host);
+    pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> Suspect {
+        let jobs = self.jobs.on_machine(machine_id);
         let worth = jobs.filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.shape));
         let worth = worth.map(|shape| match shape {
             Shape::Array => Worth::Arrays,
@@ -82,7 +86,7 @@
             Shape::Service => Worth::Replicas,
         });
         Suspect {
-            host: host.clone(),
+            machine_id: machine_id.clone(),
             zone: zone.clone(),
             worth: worth.max().unwrap_or(Worth::Idle),
         }
--- a/src/cycle.rs
+++ b/src/cycle.rs
@@ -7,7 +7,7 @@
 use crate::jobs::Spec;
 use crate::jobs::cache::Job;
 use crate::queue::Check;
-use crate::types::{BlockId, HostId, Room, Zone};
+use crate::types::{MachineId, Room, ShardId, Zone};
 use crate::workers::Machine;
 
 /// A machine as the cycle sees it.
@@ -47,13 +47,13 @@
     /// Where the job's tasks are; only for jobs whose zones depend on it.
     zones: BTreeMap<Zone, u32>,
     /// Shards where the team's share is used up.
-    full: Vec<BlockId>,
+    full: Vec<ShardId>,
     /// Empty machines are not for it: no more stand ready than urgent work needs.
     pub keeps_off_empty: bool,
 }
 
 impl<'a> Asking<'a> {
-    pub fn new(job: &'a Job, full: Vec<BlockId>) -> Self {
+    pub fn new(job: &'a Job, full: Vec<ShardId>) -> Self {
         let tied = job.spec.one_zone || job.spec.spread;
         let zones = if tied { job.zones() } else { BTreeMap::new() };
         Self {
@@ -66,15 +66,15 @@
 
     /// Whether the machine's zone and shard are open to the job.
     pub fn allows(&self, machine: &Machine) -> bool {
-        self.closes(&machine.block).is_none()
+        self.closes(&machine.shard).is_none()
     }
 
     /// Why no machine of a shard is open to the job, if none is.
-    pub fn closes(&self, block: &BlockId) -> Option<Check> {
-        if !self.zone_allowed(&block.zone) {
+    pub fn closes(&self, shard: &ShardId) -> Option<Check> {
+        if !self.zone_allowed(&shard.zone) {
             return Some(Check::Zones);
         }
-        self.full.contains(block).then_some(Check::Share)
+        self.full.contains(shard).then_some(Check::Share)
     }
 
     /// `oneZone` counts tasks of old attempts too, until they are proven gone; so does `spread`.
@@ -92,13 +92,13 @@
     let (spec, machine) = (&asking.job.spec, candidate.machine);
     if !spec.room.fits_in(candidate.free) {
         let ever = spec.room.fits_in(candidate.whole)
-            && spec.allows(&machine.rig, &machine.zone, machine.spot);
+            && spec.allows(&machine.machine_type, &machine.zone, machine.spot);
         return Some(if ever { Check::Room } else { Check::Machine });
     }
-    if !spec.allows(&machine.rig, &machine.zone, machine.spot) {
+    if !spec.allows(&machine.machine_type, &machine.zone, machine.spot) {
         return Some(Check::Machine);
     }
-    if let Some(check) = asking.closes(&machine.block) {
+    if let Some(check) = asking.closes(&machine.shard) {
         return Some(check);
     }
     if asking.keeps_off_empty && candidate.free == candidate.whole {
@@ -131,7 +131,7 @@
 /// The choice among candidates that come one by one.
 pub struct Choice<'a> {
     rejected: BTreeSet<Check>,
-    best: Option<(f64, &'a HostId)>,
+    best: Option<(f64, &'a MachineId)>,
 }
 
 impl Default for Choice<'_> {
@@ -157,17 +157,20 @@
         }
         let (job, machine) = (asking.job, candidate.machine);
         let score = score(&job.spec, candidate, machine.failed.contains_key(&job.id));
-        let better =
-            |(high, host): (f64, &HostId)| score > high || (score == high && machine.host < *host);
+        let better = |(high, machine_id): (f64, &MachineId)| {
+            score > high || (score == high && machine.machine_id < *machine_id)
+        };
         if self.best.is_none_or(better) {
-            self.best = Some((score, &machine.host));
+            self.best = Some((score, &machine.machine_id));
         }
         true
     }
 
     /// The best machine, or the checks that rejected all.
-    pub fn made(self) -> Result<HostId, BTreeSet<Check>> {
-        self.best.map(|(_, host)| host.clone()).ok_or(self.rejected)
+    pub fn made(self) -> Result<MachineId, BTreeSet<Check>> {
+        self.best
+            .map(|(_, machine_id)| machine_id.clone())
+            .ok_or(self.rejected)
     }
 }
 
--- a/src/cycle/index.rs
+++ b/src/cycle/index.rs
@@ -10,21 +10,21 @@
 
 use rustc_hash::FxHashMap as HashMap;
 
-use crate::types::{BlockId, HostId, Image, Room, Sku, Zone};
+use crate::types::{Image, MachineId, MachineTypeId, Room, ShardId, Zone};
 
 /// Machines that are allowed, or not, to a job as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
     /// Of a shard that this controller holds.
     pub own: bool,
-    pub block: BlockId,
-    pub rig: Sku,
+    pub shard: ShardId,
+    pub machine_type: MachineTypeId,
     pub spot: bool,
 }
 
 impl Group {
     pub fn zone(&self) -> &Zone {
-        &self.block.zone
+        &self.shard.zone
     }
 }
 
@@ -124,24 +124,24 @@
 }
 
 /// Machines by group and level.
-type Shelf = BTreeMap<Group, BTreeMap<Level, BTreeSet<HostId>>>;
+type Shelf = BTreeMap<Group, BTreeMap<Level, BTreeSet<MachineId>>>;
 
-fn put(shelf: &mut Shelf, host: &HostId, group: &Group, level: Level) {
+fn put(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: Level) {
     if !shelf.contains_key(group) {
         shelf.insert(group.clone(), BTreeMap::new());
     }
     if let Some(levels) = shelf.get_mut(group) {
-        levels.entry(level).or_default().insert(host.clone());
+        levels.entry(level).or_default().insert(machine_id.clone());
     }
 }
 
-fn take(shelf: &mut Shelf, host: &HostId, group: &Group, level: Level) {
+fn take(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: Level) {
     let Some(levels) = shelf.get_mut(group) else {
         return;
     };
-    if let Some(hosts) = levels.get_mut(&level) {
-        hosts.remove(host);
-        if hosts.is_empty() {
+    if let Some(machine_ids) = levels.get_mut(&level) {
+        machine_ids.remove(machine_id);
+        if machine_ids.is_empty() {
             levels.remove(&level);
         }
     }
@@ -155,7 +155,7 @@
 pub struct Class<'a> {
     pub group: &'a Group,
     pub level: Level,
-    pub hosts: &'a BTreeSet<HostId>,
+    pub machine_ids: &'a BTreeSet<MachineId>,
 }
 
 /// Which machines a look-up is about.
@@ -169,7 +169,7 @@
 /// Machines that can take tasks.
 #[derive(Debug, Default)]
 pub struct FreeRoom {
-    entries: HashMap<HostId, Entry>,
+    entries: HashMap<MachineId, Entry>,
     all: Shelf,
     with_image: HashMap<Image, Shelf>,
 }
@@ -184,57 +184,57 @@
     }
 
     /// All machines, in no order.
-    pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
+    pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
         self.entries.keys()
     }
 
     /// All that is entered.
-    pub fn entries(&self) -> impl Iterator<Item = (&HostId, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &Entry)> {
         self.entries.iter()
     }
 
     /// Whether a machine is entered at this level, with so many images, in such a shard.
     pub fn stands(
         &self,
-        host: &HostId,
+        machine_id: &MachineId,
         own: bool,
-        block: &BlockId,
+        shard: &ShardId,
         level: Level,
         images: usize,
     ) -> bool {
-        let entry = self.entries.get(host);
+        let entry = self.entries.get(machine_id);
         entry.is_some_and(|entry| {
             entry.group.own == own
-                && entry.group.block == *block
+                && entry.group.shard == *shard
                 && entry.level == level
                 && entry.images.len() == images
         })
     }
 
     /// Enters a machine, or what has changed of it.
-    pub fn update(&mut self, host: &HostId, entry: Entry) {
-        if self.entries.get(host) == Some(&entry) {
+    pub fn update(&mut self, machine_id: &MachineId, entry: Entry) {
+        if self.entries.get(machine_id) == Some(&entry) {
             return;
         }
-        self.remove(host);
+        self.remove(machine_id);
         let (group, level) = (&entry.group, entry.level);
-        put(&mut self.all, host, group, level);
+        put(&mut self.all, machine_id, group, level);
         for image in &entry.images {
             let shelf = self.with_image.entry(image.clone()).or_default();
-            put(shelf, host, group, level);
+            put(shelf, machine_id, group, level);
         }
-        self.entries.insert(host.clone(), entry);
+        self.entries.insert(machine_id.clone(), entry);
     }
 
     /// A machine can take no tasks any more.
-    pub fn remove(&mut self, host: &HostId) {
-        let Some(entry) = self.entries.remove(host) else {
+    pub fn remove(&mut self, machine_id: &MachineId) {
+        let Some(entry) = self.entries.remove(machine_id) else {
             return;
         };
-        take(&mut self.all, host, &entry.group, entry.level);
+        take(&mut self.all, machine_id, &entry.group, entry.level);
         for image in &entry.images {
             if let Some(shelf) = self.with_image.get_mut(image) {
-                take(shelf, host, &entry.group, entry.level);
+                take(shelf, machine_id, &entry.group, entry.level);
                 if shelf.is_empty() {
                     self.with_image.remove(image);
                 }
@@ -267,10 +267,10 @@
             .into_iter()
             .flat_map(move |levels| levels.range(from));
         let fitting = levels.filter(move |(level, _)| room.fits_in(level.free));
-        fitting.map(move |(level, hosts)| Class {
+        fitting.map(move |(level, machine_ids)| Class {
             group,
             level: *level,
-            hosts,
+            machine_ids,
         })
     }
 
@@ -290,10 +290,10 @@
         let levels = self.all.get(group).into_iter();
         let levels = levels.flat_map(|levels| levels.iter().rev());
         let full = levels.filter(move |(level, _)| !room.fits_in(level.free));
-        full.map(move |(level, hosts)| Class {
+        full.map(move |(level, machine_ids)| Class {
             group,
             level: *level,
-            hosts,
+            machine_ids,
         })
     }
 }
