--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -18,11 +18,11 @@
     Entry {
         group: Group {
             own: rng.random_bool(0.5),
-            block: BlockId {
+            shard: ShardId {
                 zone,
                 part: rng.random_range(0..2),
             },
-            rig: "g8".into(),
+            machine_type: "g8".into(),
             spot: rng.random_bool(0.5),
         },
         level: Level::new(
@@ -40,16 +40,16 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = FreeRoom::default();
-        let mut all: BTreeMap<HostId, Entry> = BTreeMap::new();
+        let mut all: BTreeMap<MachineId, Entry> = BTreeMap::new();
         for _ in 0..400 {
-            let host = HostId::from(format!("vm-{}", rng.random_range(0..60)));
+            let machine_id = MachineId::from(format!("vm-{}", rng.random_range(0..60)));
             if rng.random_bool(0.3) {
-                index.remove(&host);
-                all.remove(&host);
+                index.remove(&machine_id);
+                all.remove(&machine_id);
             } else {
                 let entry = entry(&mut rng);
-                index.update(&host, entry.clone());
-                all.insert(host, entry);
+                index.update(&machine_id, entry.clone());
+                all.insert(machine_id, entry);
             }
         }
         assert_eq!(index.len(), all.len());
@@ -58,28 +58,28 @@
         assert_eq!(groups, expected);
         for group in groups {
             for wanted in [room(0.0), room(1.0), room(5.0), room(8.0)] {
-                let walk = |image: Option<&Image>, fits: bool| -> BTreeSet<&HostId> {
+                let walk = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
                     let found = all.iter().filter(|(_, entry)| {
                         entry.group == *group
                             && image.is_none_or(|image| entry.images.contains(image))
                             && wanted.fits_in(entry.level.free()) == fits
                     });
-                    found.map(|(host, _)| host).collect()
+                    found.map(|(machine_id, _)| machine_id).collect()
                 };
-                let any: BTreeSet<&HostId> = index
+                let any: BTreeSet<&MachineId> = index
                     .fitting(Having::Any, group, wanted)
-                    .flat_map(|class| class.hosts)
+                    .flat_map(|class| class.machine_ids)
                     .collect();
                 assert_eq!(any, walk(None, true));
                 let image = Image::from("img-1");
-                let cached: BTreeSet<&HostId> = index
+                let cached: BTreeSet<&MachineId> = index
                     .fitting(Having::Image(&image), group, wanted)
-                    .flat_map(|class| class.hosts)
+                    .flat_map(|class| class.machine_ids)
                     .collect();
                 assert_eq!(cached, walk(Some(&image), true));
-                let full: BTreeSet<&HostId> = index
+                let full: BTreeSet<&MachineId> = index
                     .too_full(group, wanted)
-                    .flat_map(|class| class.hosts)
+                    .flat_map(|class| class.machine_ids)
                     .collect();
                 assert_eq!(full, walk(None, false));
                 assert_eq!(index.any_too_full(group, wanted), !full.is_empty());
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::jobs::Rank;
 use crate::jobs::api::{parse, tests::body};
-use crate::types::BlockId;
+use crate::types::ShardId;
 
 fn room(gpus: f64) -> Room {
     Room {
@@ -27,9 +27,10 @@
         (0.12, true, true),
     ];
     for (rate, cached, fills) in cases {
-        let block = BlockId::parse("a.0").unwrap();
-        let (rig, zone) = ("g4".into(), "a".into());
-        let mut machine = Machine::new("vm-1".into(), rig, zone, false, block, "n0".into());
+        let shard = ShardId::parse("a.0").unwrap();
+        let (machine_type, zone) = ("g4".into(), "a".into());
+        let mut machine =
+            Machine::new("vm-1".into(), machine_type, zone, false, shard, "n0".into());
         if cached {
             machine.note_image(&spec.image, 7.0, 80.0, crate::types::Millis(0));
         }
@@ -54,9 +55,9 @@
 fn who_keeps_off_empty_machines_finds_room_beside_others() {
     let (jobs, id) = crate::jobs::cache::tests::jobs(1, &[]);
     let job = jobs.get(&id).unwrap();
-    let block = BlockId::parse("a.0").unwrap();
-    let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-    let machine = &Machine::new(host, rig, zone, false, block, "n0".into());
+    let shard = ShardId::parse("a.0").unwrap();
+    let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+    let machine = &Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
     for (keeps_off, taken, rejected) in [
         (false, 0.0, None),
         (true, 0.0, Some(Check::Room)),
@@ -89,10 +90,17 @@
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.shape, spec.rank) = (crate::jobs::Shape::Service, Rank::Critical);
     (spec.room, spec.image_gb) = (room(1.0), 7.0);
-    let block = BlockId::parse("a.0").unwrap();
-    let machine = |host: &str| {
-        let (rig, zone) = ("g4".into(), "a".into());
-        Machine::new(host.into(), rig, zone, false, block.clone(), "n0".into())
+    let shard = ShardId::parse("a.0").unwrap();
+    let machine = |machine_id: &str| {
+        let (machine_type, zone) = ("g4".into(), "a".into());
+        Machine::new(
+            machine_id.into(),
+            machine_type,
+            zone,
+            false,
+            shard.clone(),
+            "n0".into(),
+        )
     };
     let (empty, used) = (machine("vm-2"), machine("vm-1"));
     let cases = [(0.8, true), (0.5, true), (0.12, false)];
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -15,13 +15,13 @@
 use crate::jobs::Spec;
 use crate::jobs::api::{Refused, Response};
 use crate::peers::link::{PeerMessage, Peers};
-use crate::request_queue::{Intake, Kind};
+use crate::request_queue::{RequestKind, RequestQueue};
 use crate::settings::Settings;
 use crate::sockets::{Budget, Patience};
 use crate::store::{Store, StoreAnswer};
 use crate::types::{JobId, Millis, ReplyId};
-use crate::workers::direct::{Direct, Errand, Outcome, What};
-use crate::workers::wire::{Report, ReportAnswer};
+use crate::workers::direct::{DirectClient, DirectRequest, DirectRequestKind, DirectResponse};
+use crate::workers::wire::{Heartbeat, HeartbeatResponse};
 
 const TICK: Duration = Duration::from_millis(100);
 
@@ -39,9 +39,9 @@
         job: JobId,
         reply: oneshot::Sender<Response>,
     },
-    Report {
-        report: Report,
-        reply: oneshot::Sender<ReportAnswer>,
+    Heartbeat {
+        heartbeat: Heartbeat,
+        reply: oneshot::Sender<HeartbeatResponse>,
     },
     Ready {
         reply: oneshot::Sender<bool>,
@@ -49,11 +49,13 @@
 }
 
 impl Request {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> RequestKind {
         match self {
-            Request::Ready { .. } => Kind::Probe,
-            Request::Report { .. } => Kind::Report,
-            Request::Submit { .. } | Request::Poll { .. } | Request::Abort { .. } => Kind::User,
+            Request::Ready { .. } => RequestKind::Probe,
+            Request::Heartbeat { .. } => RequestKind::Heartbeat,
+            Request::Submit { .. } | Request::Poll { .. } | Request::Abort { .. } => {
+                RequestKind::User
+            }
         }
     }
 
@@ -63,7 +65,7 @@
             Request::Submit { reply, .. }
             | Request::Poll { reply, .. }
             | Request::Abort { reply, .. } => reply.is_closed(),
-            Request::Report { reply, .. } => reply.is_closed(),
+            Request::Heartbeat { reply, .. } => reply.is_closed(),
             Request::Ready { reply } => reply.is_closed(),
         }
     }
@@ -79,7 +81,7 @@
 /// Answers that are still owed.
 enum Owed {
     User(oneshot::Sender<Response>),
-    Worker(oneshot::Sender<ReportAnswer>),
+    Worker(oneshot::Sender<HeartbeatResponse>),
     Ready(oneshot::Sender<bool>),
 }
 
@@ -89,7 +91,7 @@
     store: Store,
     cloud: Cloud,
     peers: Peers,
-    workers: Direct,
+    workers: DirectClient,
     owed: HashMap<ReplyId, Owed>,
     next_reply: u64,
 }
@@ -112,15 +114,15 @@
         store: Store::start(&settings, clock, store_answers),
         cloud: Cloud::start(&settings, clock, cloud_answers),
         peers: Peers::start(&settings, budget.peers, peer_messages),
-        workers: Direct::start(to_workers, budget.direct, clock, outcomes),
+        workers: DirectClient::start(to_workers, budget.direct, clock, outcomes),
         owed: HashMap::new(),
         next_reply: 0,
     };
-    let report = Millis::from_secs(settings.deployment.workers.report_s);
-    let patience = Patience::for_reports_every(report);
+    let heartbeat = Millis::from_secs(settings.deployment.workers.heartbeat_interval_s);
+    let patience = Patience::for_heartbeats_every(heartbeat);
     let serving = http_server::serve(settings.public_addr, inbox, budget.server, patience, clock);
     let mut server = tokio::spawn(serving);
-    let mut intake = Intake::new(MOST_WAITING);
+    let mut intake = RequestQueue::new(MOST_WAITING);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -143,8 +145,8 @@
                 daemon.handle(Event::Peer { from, message });
             }
             Some(outcome) = from_workers.recv() => match outcome {
-                Outcome::Inspected(answered) => daemon.handle(Event::Inspected { answered }),
-                Outcome::Direct(host, answer) => daemon.handle(Event::Direct { host, answer }),
+                DirectResponse::Inspected(answered) => daemon.handle(Event::Inspected { answered }),
+                DirectResponse::Commands(machine_id, answer) => daemon.handle(Event::Direct { machine_id, answer }),
             },
             () = std::future::ready(()), if !intake.is_empty() => {
                 if let Some(request) = intake.pop(daemon.clock.now(), &mut Vec::new())
@@ -182,9 +184,9 @@
                 let reply = self.owe(Owed::User(reply));
                 Event::Abort { reply, job }
             }
-            Request::Report { report, reply } => {
+            Request::Heartbeat { heartbeat, reply } => {
                 let reply = self.owe(Owed::Worker(reply));
-                Event::Report { reply, report }
+                Event::Heartbeat { reply, heartbeat }
             }
             Request::Ready { reply } => {
                 let reply = self.owe(Owed::Ready(reply));
@@ -206,28 +208,31 @@
         match effect {
             Effect::Store { tag, class, call } => self.store.send(tag, class, call),
             Effect::Allow { writes } => self.store.allow(writes),
-            Effect::Inspect { host, address } => {
-                let what = What::Inspect;
-                self.workers.send(Errand {
-                    host,
+            Effect::Inspect {
+                machine_id,
+                address,
+            } => {
+                let what = DirectRequestKind::Inspect;
+                self.workers.send(DirectRequest {
+                    machine_id,
                     address,
                     what,
                 });
             }
             Effect::Direct {
-                host,
+                machine_id,
                 address,
-                baton,
-                session,
-                orders,
+                worker_token,
+                agent_epoch,
+                commands,
             } => {
-                let what = What::Orders {
-                    baton,
-                    session,
-                    orders,
+                let what = DirectRequestKind::Orders {
+                    worker_token,
+                    agent_epoch,
+                    commands,
                 };
-                self.workers.send(Errand {
-                    host,
+                self.workers.send(DirectRequest {
+                    machine_id,
                     address,
                     what,
                 });
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -5,7 +5,7 @@
 use http::Method;
 use tokio::sync::mpsc;
 
-use super::wire::{FlavorsBody, Hosts, ListBody, RentBody};
+use super::wire::{ListBody, MachineTypesBody, Machines, RentBody};
 use super::{CloudAnswer, CloudCall};
 use crate::clock::Clock;
 use crate::http_client::HttpClient;
@@ -63,7 +63,7 @@
 async fn perform(client: &HttpClient, call: &CloudCall) -> CloudAnswer {
     let body_of = |value: Result<Vec<u8>, serde_json::Error>| value.unwrap_or_default();
     let (method, path, body) = match call {
-        CloudCall::Flavors => (Method::GET, "/flavors".to_string(), Vec::new()),
+        CloudCall::MachineTypes => (Method::GET, "/flavors".to_string(), Vec::new()),
         CloudCall::List { after } => {
             let from = after
                 .as_ref()
@@ -75,12 +75,16 @@
                 Vec::new(),
             )
         }
-        CloudCall::Rent { hire, offer, count } => {
+        CloudCall::Rent {
+            request_id,
+            offer,
+            count,
+        } => {
             let body = RentBody {
-                hire,
-                rig: &offer.0,
-                yard: &offer.1,
-                loaners: offer.2,
+                request_id,
+                machine_type: &offer.0,
+                zone: &offer.1,
+                spot: offer.2,
                 count: *count,
             };
             (
@@ -89,9 +93,9 @@
                 body_of(serde_json::to_vec(&body)),
             )
         }
-        CloudCall::Delete(hosts) => {
-            let hosts = hosts.clone();
-            let body = body_of(serde_json::to_vec(&Hosts { hosts }));
+        CloudCall::Delete(machine_ids) => {
+            let machine_ids = machine_ids.clone();
+            let body = body_of(serde_json::to_vec(&Machines { machine_ids }));
             (Method::POST, "/rentals/delete".into(), body)
         }
     };
@@ -99,17 +103,19 @@
         return CloudAnswer::Failed;
     };
     let parsed = match (call, status) {
-        (CloudCall::Flavors, 200) => serde_json::from_slice(&body).map(|b: FlavorsBody| {
-            CloudAnswer::Flavors(b.rigs.into_iter().map(Into::into).collect())
-        }),
+        (CloudCall::MachineTypes, 200) => {
+            serde_json::from_slice(&body).map(|b: MachineTypesBody| {
+                CloudAnswer::MachineTypes(b.machine_types.into_iter().map(Into::into).collect())
+            })
+        }
         (CloudCall::List { .. }, 200) => {
             serde_json::from_slice(&body).map(|b: ListBody| CloudAnswer::Page {
-                hosts: b.hosts.into_iter().map(Into::into).collect(),
+                machine_ids: b.machine_ids.into_iter().map(Into::into).collect(),
                 more: b.truncated,
             })
         }
         (CloudCall::Rent { .. }, 200) => {
-            serde_json::from_slice(&body).map(|b: Hosts| CloudAnswer::Rented(b.hosts))
+            serde_json::from_slice(&body).map(|b: Machines| CloudAnswer::Rented(b.machine_ids))
         }
         (CloudCall::Rent { .. }, 503) if body.windows(8).any(|w| w == b"capacity") => {
             Ok(CloudAnswer::NoCapacity)
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,12 +10,13 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 use serde::{Deserialize, Serialize};
 
-use crate::types::{HostId, Millis, Room, Sku, Zone};
+use crate::types::{MachineId, MachineTypeId, Millis, Room, Zone};
 
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
-    pub sku: Sku,
+pub struct MachineTypeSpec {
+    #[serde(rename = "sku")]
+    pub id: MachineTypeId,
     pub room: Room,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
@@ -28,7 +29,7 @@
 /// A fetch that takes no more than this part of a boot is quick: it is not worth spending machines on.
 const QUICK: f64 = 0.5;
 
-impl Flavor {
+impl MachineTypeSpec {
     /// Seconds that an image takes to fetch, beyond a quick fetch.
     pub fn slow_s(&self, gb: f64) -> f64 {
         (gb / self.rate() - QUICK * self.boot_s).max(0.0)
@@ -41,16 +42,16 @@
 }
 
 /// Gigabytes a second at which a machine of a type fetches images.
-pub fn fetch_rate(flavors: &[Flavor], sku: &Sku) -> f64 {
-    let flavor = flavors.iter().find(|flavor| flavor.sku == *sku);
-    flavor.map_or(1.0, Flavor::rate)
+pub fn fetch_rate(type_specs: &[MachineTypeSpec], id: &MachineTypeId) -> f64 {
+    let type_spec = type_specs.iter().find(|type_spec| type_spec.id == *id);
+    type_spec.map_or(1.0, MachineTypeSpec::rate)
 }
 
 /// Where the leader keeps the machine types, for controllers that start while the cloud is away.
-pub const FLAVORS: &str = "jt/flavors";
+pub const MACHINE_TYPES_KEY: &str = "jt/flavors";
 
 /// What can be rented: a type, in a zone, spot or ordinary.
-pub type Offer = (Sku, Zone, bool);
+pub type Offer = (MachineTypeId, Zone, bool);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
@@ -62,7 +63,7 @@
 /// A rented machine as the cloud has it.
 #[derive(Clone, Debug)]
 pub struct Rented {
-    pub rig: Sku,
+    pub machine_type: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
     pub stage: Stage,
@@ -75,22 +76,22 @@
 
 #[derive(Clone, Debug)]
 pub enum CloudCall {
-    Flavors,
+    MachineTypes,
     List {
-        after: Option<HostId>,
+        after: Option<MachineId>,
     },
     Rent {
-        hire: String,
+        request_id: String,
         offer: Offer,
         count: u32,
     },
-    Delete(Vec<HostId>),
+    Delete(Vec<MachineId>),
 }
 
 #[derive(Clone, Debug)]
 pub struct Listed {
-    pub host: HostId,
-    pub rig: Sku,
+    pub machine_id: MachineId,
+    pub machine_type: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
     pub stage: Stage,
@@ -99,9 +100,12 @@
 
 #[derive(Clone, Debug)]
 pub enum CloudAnswer {
-    Flavors(Vec<Flavor>),
-    Page { hosts: Vec<Listed>, more: bool },
-    Rented(Vec<HostId>),
+    MachineTypes(Vec<MachineTypeSpec>),
+    Page {
+        machine_ids: Vec<Listed>,
+        more: bool,
+    },
+    Rented(Vec<MachineId>),
     NoCapacity,
     Deleted,
     Failed,
@@ -110,16 +114,16 @@
 /// What the leader knows of the fleet.
 #[derive(Default)]
 pub struct Fleet {
-    pub hosts: BTreeMap<HostId, Rented>,
+    pub machine_ids: BTreeMap<MachineId, Rented>,
     /// Being deleted.
-    pub deleting: HashSet<HostId>,
+    pub deleting: HashSet<MachineId>,
     /// The cloud answered that they are gone; lists may still show them.
-    pub gone: HashSet<HostId>,
+    pub gone: HashSet<MachineId>,
     /// Offers that had no capacity: not asked again before.
     pub refused: HashMap<Offer, Millis>,
     /// Rental requests under way.
     pub renting: HashMap<u64, (Offer, u32)>,
-    pub hires: u64,
+    pub rental_requests: u64,
     /// When machines were last chosen to be returned.
     pub returned: Millis,
     pub logged: Millis,
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use super::{Flavor, Offer};
+use super::{MachineTypeSpec, Offer};
 use crate::jobs::{Shape, Spec};
-use crate::types::{HostId, Millis, Room, Zone};
+use crate::types::{MachineId, Millis, Room, Zone};
 
 /// A machine that is there or on its way.
 #[derive(Clone, Debug)]
 pub struct Bin {
     /// None: would have to be rented.
-    pub host: Option<HostId>,
+    pub machine_id: Option<MachineId>,
     pub offer: Offer,
     pub whole: Room,
     pub free: Room,
@@ -71,33 +71,33 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Plan {
     pub rent: BTreeMap<Offer, u32>,
-    pub release: Vec<HostId>,
+    pub release: Vec<MachineId>,
 }
 
 /// The cheapest offer that the spec allows and that is not known to be sold out.
 pub fn cheapest(
     spec_allows: impl Fn(&Offer) -> bool,
     room: Room,
-    flavors: &[Flavor],
+    type_specs: &[MachineTypeSpec],
     sold_out: impl Fn(&Offer) -> bool,
     count_in: impl Fn(&Zone) -> usize,
 ) -> Option<(Offer, Room)> {
     let mut best: Option<((f64, usize), Offer, Room)> = None;
-    for flavor in flavors.iter().filter(|f| room.fits_in(f.room)) {
-        for zone in &flavor.zones {
+    for type_spec in type_specs.iter().filter(|f| room.fits_in(f.room)) {
+        for zone in &type_spec.zones {
             for spot in [true, false] {
-                let offer = (flavor.sku.clone(), zone.clone(), spot);
+                let offer = (type_spec.id.clone(), zone.clone(), spot);
                 if !spec_allows(&offer) || sold_out(&offer) {
                     continue;
                 }
                 let price = if spot {
-                    flavor.spot_price
+                    type_spec.spot_price
                 } else {
-                    flavor.price
+                    type_spec.price
                 };
                 let key = (price, count_in(zone));
                 if best.as_ref().is_none_or(|(low, _, _)| key < *low) {
-                    best = Some((key, offer, flavor.room));
+                    best = Some((key, offer, type_spec.room));
                 }
             }
         }
@@ -200,7 +200,7 @@
     mut bins: Vec<Bin>,
     needs: &[Need],
     headroom: &[Headroom],
-    flavors: &[Flavor],
+    type_specs: &[MachineTypeSpec],
     sold_out: impl Fn(&Offer) -> bool,
     idle_return: Millis,
 ) -> Plan {
@@ -216,12 +216,12 @@
     let mut bins = Bins::new(bins, needs);
     let mut add = |bins: &mut Bins, allows: &dyn Fn(&Offer) -> bool, room: Room| -> Option<Zone> {
         let count_in = |zone: &Zone| in_zone.get(zone).copied().unwrap_or(0);
-        let (offer, whole) = cheapest(allows, room, flavors, &sold_out, count_in)?;
+        let (offer, whole) = cheapest(allows, room, type_specs, &sold_out, count_in)?;
         let zone = offer.1.clone();
         *in_zone.entry(zone.clone()).or_default() += 1;
         *plan.rent.entry(offer.clone()).or_insert(0) += 1;
         bins.add(Bin {
-            host: None,
+            machine_id: None,
             offer,
             whole,
             free: whole,
@@ -285,14 +285,14 @@
             .all
             .iter()
             .filter(kind)
-            .filter(|bin| bin.host.is_some() && bin.empty())
+            .filter(|bin| bin.machine_id.is_some() && bin.empty())
             .collect();
         idle.sort_by_key(|bin| bin.idle_for);
         for bin in idle {
             if spare > 0 {
                 spare -= 1;
             } else if bin.idle_for >= idle_return + Millis::from_secs(bin.worth_s) {
-                plan.release.extend(bin.host.clone());
+                plan.release.extend(bin.machine_id.clone());
             }
         }
     }
--- a/src/fleet/plan/tests.rs
+++ b/src/fleet/plan/tests.rs
@@ -10,9 +10,9 @@
     }
 }
 
-fn flavors() -> Vec<Flavor> {
-    vec![Flavor {
-        sku: "g8".into(),
+fn type_specs() -> Vec<MachineTypeSpec> {
+    vec![MachineTypeSpec {
+        id: "g8".into(),
         room: room(8.0),
         cache_gb: 100.0,
         fetch_gb_per_s: 1.0,
@@ -35,7 +35,7 @@
 
 fn bin(name: &str, spot: bool, free: f64, idle_s: u64) -> Bin {
     Bin {
-        host: Some(name.into()),
+        machine_id: Some(name.into()),
         offer: ("g8".into(), "a".into(), spot),
         whole: room(8.0),
         free: room(free),
@@ -128,7 +128,7 @@
             bins,
             &needs,
             &headroom,
-            &flavors(),
+            &type_specs(),
             sold_out,
             Millis(20_000),
         );
@@ -175,7 +175,7 @@
             vec![bin],
             &[],
             &[headroom],
-            &flavors(),
+            &type_specs(),
             |_| false,
             idle_return,
         );
@@ -212,7 +212,7 @@
             count,
             spot_only: false,
         }];
-        let plan = plan(bins, &needs, &[], &flavors(), |_| false, Millis(20_000));
+        let plan = plan(bins, &needs, &[], &type_specs(), |_| false, Millis(20_000));
         let rented = |zone: &str| -> u32 {
             let of = plan.rent.iter().filter(|(o, _)| o.1.as_str() == zone);
             of.map(|(_, n)| n).sum()
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -2,17 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Flavor, Listed, Stage};
-use crate::types::{HostId, Millis, Room, Sku, Zone};
+use super::{Listed, MachineTypeSpec, Stage};
+use crate::types::{MachineId, MachineTypeId, Millis, Room, Zone};
 
 #[derive(Deserialize)]
-pub struct FlavorsBody {
-    pub rigs: Vec<FlavorBody>,
+pub struct MachineTypesBody {
+    #[serde(rename = "rigs")]
+    pub machine_types: Vec<MachineTypeBody>,
 }
 
 #[derive(Deserialize)]
-pub struct FlavorBody {
-    sku: Sku,
+pub struct MachineTypeBody {
+    #[serde(rename = "sku")]
+    id: MachineTypeId,
     vcpus: f64,
     accelerators: f64,
     #[serde(rename = "memoryGb")]
@@ -26,13 +28,14 @@
     market_price: f64,
     #[serde(rename = "bootS", default)]
     boot_s: f64,
-    yards: Vec<Zone>,
+    #[serde(rename = "yards")]
+    zones: Vec<Zone>,
 }
 
-impl From<FlavorBody> for Flavor {
-    fn from(b: FlavorBody) -> Self {
+impl From<MachineTypeBody> for MachineTypeSpec {
+    fn from(b: MachineTypeBody) -> Self {
         Self {
-            sku: b.sku,
+            id: b.id,
             room: Room {
                 cpus: b.vcpus,
                 gpus: b.accelerators,
@@ -43,38 +46,47 @@
             price: b.price,
             spot_price: b.market_price,
             boot_s: b.boot_s,
-            zones: b.yards,
+            zones: b.zones,
         }
     }
 }
 
 #[derive(Serialize)]
 pub struct RentBody<'a> {
-    pub hire: &'a str,
-    pub rig: &'a Sku,
-    pub yard: &'a Zone,
-    pub loaners: bool,
+    #[serde(rename = "hire")]
+    pub request_id: &'a str,
+    #[serde(rename = "rig")]
+    pub machine_type: &'a MachineTypeId,
+    #[serde(rename = "yard")]
+    pub zone: &'a Zone,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     pub count: u32,
 }
 
 #[derive(Serialize, Deserialize)]
-pub struct Hosts {
-    pub hosts: Vec<HostId>,
+pub struct Machines {
+    #[serde(rename = "hosts")]
+    pub machine_ids: Vec<MachineId>,
 }
 
 #[derive(Deserialize)]
 pub struct ListBody {
-    pub hosts: Vec<ListItem>,
+    #[serde(rename = "hosts")]
+    pub machine_ids: Vec<ListItem>,
     #[serde(default)]
     pub truncated: bool,
 }
 
 #[derive(Deserialize)]
 pub struct ListItem {
-    id: HostId,
-    rig: Sku,
-    yard: Zone,
-    loaners: bool,
+    id: MachineId,
+    #[serde(rename = "rig")]
+    machine_type: MachineTypeId,
+    #[serde(rename = "yard")]
+    zone: Zone,
+    #[serde(rename = "loaners")]
+    spot: bool,
     stage: StageBody,
     #[serde(rename = "ageS", default)]
     age_s: f64,
@@ -91,10 +103,10 @@
 impl From<ListItem> for Listed {
     fn from(item: ListItem) -> Self {
         Self {
-            host: item.id,
-            rig: item.rig,
-            zone: item.yard,
-            spot: item.loaners,
+            machine_id: item.id,
+            machine_type: item.machine_type,
+            zone: item.zone,
+            spot: item.spot,
             stage: match item.stage {
                 StageBody::Booting => Stage::Booting,
                 StageBody::Running => Stage::Running,
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -18,8 +18,8 @@
 use crate::daemon::{Inbox, Request};
 use crate::jobs::api::{self, Response};
 use crate::sockets::{Patience, connection_acceptor};
-use crate::types::{Baton, JobId, NodeId};
-use crate::workers::wire::{LARGEST_REPORT, Order, Report, ReportAnswer};
+use crate::types::{ControllerId, JobId, WorkerToken};
+use crate::workers::wire::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES, WorkerCommand};
 
 /// No request is worked on for longer: users wait 5 s, workers 4.
 const ANSWER_LIMIT: Duration = Duration::from_millis(3_800);
@@ -38,15 +38,18 @@
 }
 
 #[derive(Serialize)]
-struct Foreman {
+struct RedirectBody {
     #[serde(skip_serializing_if = "Option::is_none")]
-    foreman: Option<NodeId>,
+    #[serde(rename = "foreman")]
+    redirect_to: Option<ControllerId>,
 }
 
 #[derive(Serialize)]
 struct Orders {
-    baton: Baton,
-    orders: Vec<Order>,
+    #[serde(rename = "baton")]
+    worker_token: WorkerToken,
+    #[serde(rename = "orders")]
+    commands: Vec<WorkerCommand>,
 }
 
 fn json(status: StatusCode, body: &impl Serialize) -> HttpResponse {
@@ -77,13 +80,23 @@
     }
 }
 
-fn worker_response(answer: ReportAnswer) -> HttpResponse {
+fn worker_response(answer: HeartbeatResponse) -> HttpResponse {
     match answer {
-        ReportAnswer::Orders { baton, orders } => json(StatusCode::OK, &Orders { baton, orders }),
-        ReportAnswer::Elsewhere(foreman) => {
-            json(StatusCode::MISDIRECTED_REQUEST, &Foreman { foreman })
-        }
-        ReportAnswer::Later => later(1),
+        HeartbeatResponse::Commands {
+            worker_token,
+            commands,
+        } => json(
+            StatusCode::OK,
+            &Orders {
+                worker_token,
+                commands,
+            },
+        ),
+        HeartbeatResponse::Redirect(redirect_to) => json(
+            StatusCode::MISDIRECTED_REQUEST,
+            &RedirectBody { redirect_to },
+        ),
+        HeartbeatResponse::RetryLater => later(1),
     }
 }
 
@@ -106,16 +119,18 @@
     Ok(user_response(response.unwrap_or_else(Response::later)))
 }
 
-async fn report(inbox: Inbox, body: Bytes) -> Result<HttpResponse, Infallible> {
-    let report: Report = match serde_json::from_slice(&body) {
-        Ok(report) => report,
+async fn heartbeat(inbox: Inbox, body: Bytes) -> Result<HttpResponse, Infallible> {
+    let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => {
             tracing::error!(%error, "a report makes no sense");
             return Ok(reason(StatusCode::BAD_REQUEST, &error.to_string()));
         }
     };
-    let answer = ask(&inbox, |reply| Request::Report { report, reply }).await;
-    Ok(worker_response(answer.unwrap_or(ReportAnswer::Later)))
+    let answer = ask(&inbox, |reply| Request::Heartbeat { heartbeat, reply }).await;
+    Ok(worker_response(
+        answer.unwrap_or(HeartbeatResponse::RetryLater),
+    ))
 }
 
 async fn rejected(rejection: warp::Rejection) -> Result<HttpResponse, Infallible> {
@@ -199,11 +214,11 @@
             let job = job.as_str().into();
             ask_for_user(inbox, |reply| Request::Abort { job, reply })
         });
-    let reports = warp::path!("v1" / "report")
+    let heartbeats = warp::path!("v1" / "report")
         .and(warp::post())
         .and(inbox.clone())
-        .and(bounded(LARGEST_REPORT))
-        .and_then(report);
+        .and(bounded(MAX_HEARTBEAT_BYTES))
+        .and_then(heartbeat);
     let ready =
         warp::path!("ready")
             .and(warp::get())
@@ -217,7 +232,7 @@
                 })
             });
     let routes = poll
-        .or(reports)
+        .or(heartbeats)
         .unify()
         .or(submit)
         .unify()
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Rank, Shape, Spec};
-use crate::fleet::Flavor;
+use crate::fleet::MachineTypeSpec;
 use crate::settings::Settings;
-use crate::types::{Image, JobId, Room, Sku, Team, Zone};
+use crate::types::{Image, JobId, MachineTypeId, Room, Team, Zone};
 
 /// No request body is larger.
 pub const LARGEST_BODY: usize = 64 * 1024;
@@ -19,30 +19,37 @@
 #[derive(Deserialize)]
 struct SubmitBody {
     id: String,
-    lot: String,
-    crew: Team,
+    #[serde(rename = "lot")]
+    class: String,
+    #[serde(rename = "crew")]
+    team: Team,
     shape: Shape,
     rank: Rank,
-    picks: u64,
+    #[serde(rename = "picks")]
+    tasks: u64,
     vcpus: f64,
     accelerators: f64,
     #[serde(rename = "memoryGb")]
     memory_gb: f64,
-    kit: Image,
+    #[serde(rename = "kit")]
+    image: Image,
     #[serde(rename = "sizeGb")]
     size_gb: f64,
-    rigs: Option<Vec<Sku>>,
-    yard: Option<Zone>,
+    #[serde(rename = "rigs")]
+    machine_types: Option<Vec<MachineTypeId>>,
+    #[serde(rename = "yard")]
+    zone: Option<Zone>,
     #[serde(rename = "oneZone")]
     one_zone: bool,
     spread: bool,
-    loaners: bool,
+    #[serde(rename = "loaners")]
+    spot: bool,
     #[serde(rename = "expectS")]
-    expect_s: f64,
+    estimate_s: f64,
     #[serde(rename = "markS")]
-    mark_s: f64,
+    checkpoint_s: f64,
     #[serde(rename = "stashS")]
-    stash_s: f64,
+    save_s: f64,
     #[serde(rename = "dueS")]
     due_s: Option<f64>,
 }
@@ -101,7 +108,7 @@
     if !JobId::well_formed(&b.id) {
         return Err(malformed("id: must be job- and digits"));
     }
-    if b.picks == 0 || b.picks > MOST_TASKS {
+    if b.tasks == 0 || b.tasks > MOST_TASKS {
         return Err(malformed("picks: must lie between 1 and 100000"));
     }
     let amounts = [
@@ -109,9 +116,9 @@
         ("accelerators", b.accelerators),
         ("memoryGb", b.memory_gb),
         ("sizeGb", b.size_gb),
-        ("expectS", b.expect_s),
-        ("markS", b.mark_s),
-        ("stashS", b.stash_s),
+        ("expectS", b.estimate_s),
+        ("markS", b.checkpoint_s),
+        ("stashS", b.save_s),
         ("dueS", b.due_s.unwrap_or(0.0)),
     ];
     for (field, amount) in amounts {
@@ -120,9 +127,9 @@
         }
     }
     let names = [
-        ("lot", b.lot.as_str()),
-        ("kit", b.kit.as_str()),
-        ("crew", b.crew.as_str()),
+        ("lot", b.class.as_str()),
+        ("kit", b.image.as_str()),
+        ("crew", b.team.as_str()),
     ];
     for (field, name) in names {
         if name.is_empty() || name.len() > LONGEST_NAME {
@@ -132,26 +139,26 @@
         }
     }
     let spec = Spec {
-        class: b.lot,
-        team: b.crew,
+        class: b.class,
+        team: b.team,
         shape: b.shape,
         rank: b.rank,
-        tasks: b.picks as u32,
+        tasks: b.tasks as u32,
         room: Room {
             cpus: b.vcpus,
             gpus: b.accelerators,
             memory_gb: b.memory_gb,
         },
-        image: b.kit,
+        image: b.image,
         image_gb: b.size_gb,
-        rigs: b.rigs,
-        yard: b.yard,
+        machine_types: b.machine_types,
+        zone: b.zone,
         one_zone: b.one_zone,
         spread: b.spread,
-        spot: b.loaners,
-        estimate_s: b.expect_s,
-        checkpoint_s: b.mark_s,
-        save_s: b.stash_s,
+        spot: b.spot,
+        estimate_s: b.estimate_s,
+        checkpoint_s: b.checkpoint_s,
+        save_s: b.save_s,
         due_s: b.due_s,
     };
     Ok((b.id.as_str().into(), spec))
@@ -159,18 +166,22 @@
 
 /// Whether the job can ever run; drops the allowed types that don't exist, so that the record
 /// stays small whatever the user listed.
-pub fn admit(mut spec: Spec, settings: &Settings, flavors: &[Flavor]) -> Result<Spec, Refusal> {
+pub fn admit(
+    mut spec: Spec,
+    settings: &Settings,
+    type_specs: &[MachineTypeSpec],
+) -> Result<Spec, Refusal> {
     let never = |reason: String| Err(Refusal::NeverRuns(reason));
     let Some(team) = settings.team(&spec.team) else {
         return never(format!("crew: no team is called {}", spec.team));
     };
-    if let Some(rigs) = &mut spec.rigs {
-        rigs.retain(|rig| flavors.iter().any(|f| f.sku == *rig));
-        rigs.dedup();
+    if let Some(machine_types) = &mut spec.machine_types {
+        machine_types.retain(|machine_type| type_specs.iter().any(|f| f.id == *machine_type));
+        machine_types.dedup();
     }
-    let roomy = flavors.iter().filter(|f| spec.room.fits_in(f.room));
-    let places = roomy.flat_map(|f| f.zones.iter().map(move |zone| (&f.sku, zone)));
-    let places = places.filter(|(rig, zone)| spec.allows(rig, zone, false));
+    let roomy = type_specs.iter().filter(|f| spec.room.fits_in(f.room));
+    let places = roomy.flat_map(|f| f.zones.iter().map(move |zone| (&f.id, zone)));
+    let places = places.filter(|(machine_type, zone)| spec.allows(machine_type, zone, false));
     let zones: BTreeSet<&Zone> = places.map(|(_, zone)| zone).collect();
     if zones.is_empty() {
         return never("a task fits no allowed machine type".into());
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -150,8 +150,8 @@
     settings["deployment"]["teams"] = json!([{"name": "vision", "cpus": 0.0, "cpus_max": 0.0,
         "gpus": 0.0, "gpus_max": 16.0}]);
     let settings = Settings::parse("f", &settings.to_string()).unwrap();
-    let flavor = |sku: &str, zones: &[&str], gpus: f64| Flavor {
-        sku: sku.into(),
+    let type_spec = |id: &str, zones: &[&str], gpus: f64| MachineTypeSpec {
+        id: id.into(),
         room: Room {
             cpus: 96.0,
             gpus,
@@ -164,7 +164,10 @@
         spot_price: 4.0,
         boot_s: 30.0,
     };
-    let flavors = [flavor("g8", &["a", "b"], 8.0), flavor("c1", &["a"], 0.0)];
+    let type_specs = [
+        type_spec("g8", &["a", "b"], 8.0),
+        type_spec("c1", &["a"], 0.0),
+    ];
     let cases: Vec<(Vec<(&str, Value)>, bool)> = vec![
         // what is changed, whether it can ever run
         (vec![], true),
@@ -223,7 +226,7 @@
             job[*field] = value.clone();
         }
         let (_, spec) = parse(job.to_string().as_bytes()).unwrap();
-        let verdict = admit(spec, &settings, &flavors);
+        let verdict = admit(spec, &settings, &type_specs);
         assert_eq!(verdict.is_ok(), runs, "{changes:?}: {verdict:?}");
     }
 }
--- a/src/jobs/cache.rs
+++ b/src/jobs/cache.rs
@@ -7,7 +7,9 @@
 use super::record::{JobRecord, decode_page, parse_page_key};
 use super::{Phase, Placement, Rank, Shape, Spec, Task};
 use crate::jobs::api::{JobState, Stage};
-use crate::types::{Attempt, BlockId, HostId, JobId, Millis, Revision, Room, Team, Token, Zone};
+use crate::types::{
+    Attempt, FencingToken, JobId, MachineId, Millis, Revision, Room, ShardId, Team, Zone,
+};
 
 /// What this controller wants the record of a task to say next. What is known of an attempt holds
 /// for that attempt alone: by the time it is written, the task may be elsewhere with another.
@@ -35,7 +37,7 @@
 pub enum Evidence {
     /// Seen by the holder of the machine's shard, under this token: under another, somebody else
     /// may have started the task since.
-    Holder(Token),
+    Holder(FencingToken),
     /// The cloud answered that the machine is deleted.
     Deleted,
 }
@@ -85,7 +87,7 @@
     pub changes: BTreeMap<u32, Change>,
     /// Tasks that are known to have left their machines, though that is not written yet: their room
     /// is free, but they count for the team and for zones.
-    left: BTreeMap<u32, HostId>,
+    left: BTreeMap<u32, MachineId>,
     pub writing: Writing,
 }
 
@@ -186,7 +188,7 @@
             _ => None,
         });
         for placement in self.placements().map(|(_, p)| p).chain(placing) {
-            *zones.entry(placement.block.zone.clone()).or_insert(0) += 1;
+            *zones.entry(placement.shard.zone.clone()).or_insert(0) += 1;
         }
         zones
     }
@@ -244,10 +246,10 @@
 pub struct Touched {
     pub job: Option<JobId>,
     /// Hosts that lost a task, and the team that uses less for it.
-    pub freed: Vec<HostId>,
+    pub freed: Vec<MachineId>,
     pub team: Option<Team>,
     /// Hosts that gained one.
-    pub taken: Vec<HostId>,
+    pub taken: Vec<MachineId>,
 }
 
 /// What is taken of a machine. Kept as tasks come and go, so that looking at a machine costs the same
@@ -259,7 +261,7 @@
     /// By committed tasks that give way to urgent work.
     pub soft: Room,
     /// By committed tasks of each priority, the lowest first.
-    by_rank: [Room; RANKS],
+    by_priority: [Room; RANKS],
     tasks: u32,
     /// Committed tasks that do not give way.
     firm: u32,
@@ -276,7 +278,7 @@
 
     /// Taken by committed tasks of lower priority.
     pub fn below(&self, rank: Rank) -> Room {
-        let lower = self.by_rank.iter().take(rank as usize);
+        let lower = self.by_priority.iter().take(rank as usize);
         lower.fold(Room::default(), |sum, room| sum.plus(*room))
     }
 
@@ -284,8 +286,8 @@
         self.tasks += 1;
         self.taken = self.taken.plus(spec.room);
         if committed {
-            let of_rank = &mut self.by_rank[spec.rank as usize];
-            *of_rank = of_rank.plus(spec.room);
+            let of_priority = &mut self.by_priority[spec.rank as usize];
+            *of_priority = of_priority.plus(spec.room);
         }
         if committed && spec.yields() {
             self.soft = self.soft.plus(spec.room);
@@ -299,8 +301,8 @@
         self.tasks -= 1;
         self.taken = self.taken.minus(spec.room);
         if committed {
-            let of_rank = &mut self.by_rank[spec.rank as usize];
-            *of_rank = of_rank.minus(spec.room);
+            let of_priority = &mut self.by_priority[spec.rank as usize];
+            *of_priority = of_priority.minus(spec.room);
         }
         if committed && spec.yields() {
             self.soft = self.soft.minus(spec.room);
@@ -314,29 +316,29 @@
 /// What is taken of all machines, and where that has changed since somebody asked.
 #[derive(Default)]
 struct HostUses {
-    by_host: HashMap<HostId, HostUse>,
-    changed: HashSet<HostId>,
+    by_machine: HashMap<MachineId, HostUse>,
+    changed: HashSet<MachineId>,
 }
 
 impl HostUses {
-    fn occupy(&mut self, host: &HostId, spec: &Spec, committed: bool) {
-        let taken = self.by_host.entry(host.clone()).or_default();
+    fn occupy(&mut self, machine_id: &MachineId, spec: &Spec, committed: bool) {
+        let taken = self.by_machine.entry(machine_id.clone()).or_default();
         taken.add(spec, committed);
-        self.changed.insert(host.clone());
+        self.changed.insert(machine_id.clone());
     }
 
-    fn vacate(&mut self, host: &HostId, spec: &Spec, committed: bool) {
+    fn vacate(&mut self, machine_id: &MachineId, spec: &Spec, committed: bool) {
         // An empty machine is forgotten, and with it what rounding left of its sums.
-        if let Some(taken) = self.by_host.get_mut(host)
+        if let Some(taken) = self.by_machine.get_mut(machine_id)
             && !taken.remove(spec, committed)
         {
-            self.by_host.remove(host);
+            self.by_machine.remove(machine_id);
         }
-        self.changed.insert(host.clone());
+        self.changed.insert(machine_id.clone());
     }
 }
 
-type InBlock = HashMap<Team, HashMap<BlockId, (Room, u32)>>;
+type InShard = HashMap<Team, HashMap<ShardId, (Room, u32)>>;
 
 /// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
 pub type Groups = HashMap<Team, Vec<Team>>;
@@ -346,34 +348,34 @@
     std::iter::once(team).chain(groups.get(team).into_iter().flatten())
 }
 
-fn enter(blocks: &mut InBlock, groups: &Groups, block: &BlockId, spec: &Spec) {
+fn enter(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &Spec) {
     for team in with_groups(groups, &spec.team) {
-        let blocks = blocks.entry(team.clone()).or_default();
-        let (room, tasks) = blocks.entry(block.clone()).or_default();
+        let shards = shards.entry(team.clone()).or_default();
+        let (room, tasks) = shards.entry(shard.clone()).or_default();
         *room = room.plus(spec.room);
         *tasks += 1;
     }
 }
 
-fn leave(blocks: &mut InBlock, groups: &Groups, block: &BlockId, spec: &Spec) {
+fn leave(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &Spec) {
     for team in with_groups(groups, &spec.team) {
-        let Some(blocks) = blocks.get_mut(team) else {
+        let Some(shards) = shards.get_mut(team) else {
             continue;
         };
-        if let Some((room, tasks)) = blocks.get_mut(block) {
+        if let Some((room, tasks)) = shards.get_mut(shard) {
             *room = room.minus(spec.room);
             *tasks -= 1;
             if *tasks == 0 {
-                blocks.remove(block);
+                shards.remove(shard);
             }
         }
     }
 }
 
-fn room_in(blocks: &InBlock, team: &Team, block: &BlockId) -> Room {
-    let blocks = blocks.get(team);
-    blocks
-        .and_then(|blocks| blocks.get(block))
+fn room_in(shards: &InShard, team: &Team, shard: &ShardId) -> Room {
+    let shards = shards.get(team);
+    shards
+        .and_then(|shards| shards.get(shard))
         .map(|(room, _)| *room)
         .unwrap_or_default()
 }
@@ -397,7 +399,7 @@
 pub struct Jobs {
     jobs: HashMap<JobId, Job>,
     over: HashMap<JobId, Over>,
-    on_host: HashMap<HostId, BTreeSet<(JobId, u32)>>,
+    on_machine: HashMap<MachineId, BTreeSet<(JobId, u32)>>,
     uses: HostUses,
     /// What the placed tasks of each team, and of each group of teams, use.
     usage: HashMap<Team, Room>,
@@ -406,11 +408,11 @@
     /// Groups are counted as teams are, under names of their own.
     groups: Groups,
     /// What each team's tasks use in each shard, reserved ones included, and how many they are.
-    in_block: InBlock,
+    in_shard: InShard,
     /// Placed in memory, not yet committed.
     reserved_by: HashMap<Team, Room>,
     /// The same by shard.
-    reserved_in: InBlock,
+    reserved_in: InShard,
     /// Pages that came before their job's record.
     early: HashMap<JobId, BTreeMap<u32, (Revision, String)>>,
     /// Pages of jobs that are over, of no use any more.
@@ -455,36 +457,40 @@
         self.jobs.values()
     }
 
-    pub fn on_host(&self, host: &HostId) -> impl Iterator<Item = &(JobId, u32)> {
-        self.on_host.get(host).into_iter().flatten()
+    pub fn on_machine(&self, machine_id: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+        self.on_machine.get(machine_id).into_iter().flatten()
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
-        self.on_host.keys()
+    pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
+        self.on_machine.keys()
     }
 
-    pub fn busy(&self, host: &HostId) -> bool {
-        self.uses.by_host.contains_key(host)
+    pub fn busy(&self, machine_id: &MachineId) -> bool {
+        self.uses.by_machine.contains_key(machine_id)
     }
 
     /// What is taken of a machine.
-    pub fn host_use(&self, host: &HostId) -> HostUse {
-        self.uses.by_host.get(host).copied().unwrap_or_default()
+    pub fn host_use(&self, machine_id: &MachineId) -> HostUse {
+        self.uses
+            .by_machine
+            .get(machine_id)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Hosts of which more or less is taken than when this was asked last.
-    pub fn take_changed_hosts(&mut self) -> HashSet<HostId> {
+    pub fn take_changed_machines(&mut self) -> HashSet<MachineId> {
         std::mem::take(&mut self.uses.changed)
     }
 
     /// Room taken on a machine: by what the records place there and by what is reserved.
-    pub fn taken(&self, host: &HostId) -> Room {
-        self.host_use(host).taken
+    pub fn taken(&self, machine_id: &MachineId) -> Room {
+        self.host_use(machine_id).taken
     }
 
     /// Whether all work on a machine gives way to urgent work.
-    pub fn yielding(&self, host: &HostId) -> bool {
-        self.host_use(host).yielding()
+    pub fn yielding(&self, machine_id: &MachineId) -> bool {
+        self.host_use(machine_id).yielding()
     }
 
     /// What a team's tasks use, by the records and by what is reserved.
@@ -501,12 +507,12 @@
         self.left_by.clear();
         self.reserved_by.clear();
         self.reserved_in.clear();
-        self.in_block.clear();
+        self.in_shard.clear();
         for job in self.jobs.values() {
             let (groups, spec) = (&self.groups, &job.spec);
             for (_, placement) in job.placements() {
                 count(&mut self.usage, groups, &spec.team, spec.room);
-                enter(&mut self.in_block, groups, &placement.block, spec);
+                enter(&mut self.in_shard, groups, &placement.shard, spec);
             }
             for _ in &job.left {
                 count(&mut self.left_by, groups, &spec.team, spec.room);
@@ -514,8 +520,8 @@
             for change in job.changes.values() {
                 if let Change::Place(placement) = change {
                     count(&mut self.reserved_by, groups, &spec.team, spec.room);
-                    enter(&mut self.reserved_in, groups, &placement.block, spec);
-                    enter(&mut self.in_block, groups, &placement.block, spec);
+                    enter(&mut self.reserved_in, groups, &placement.shard, spec);
+                    enter(&mut self.in_shard, groups, &placement.shard, spec);
                 }
             }
         }
@@ -540,18 +546,18 @@
     }
 
     /// What a team's tasks use in one shard, reserved ones included.
-    pub fn used_in(&self, team: &Team, block: &BlockId) -> Room {
-        room_in(&self.in_block, team, block)
+    pub fn used_in(&self, team: &Team, shard: &ShardId) -> Room {
+        room_in(&self.in_shard, team, shard)
     }
 
     /// Of that, what is reserved and not yet in the records.
-    pub fn reserved_in(&self, team: &Team, block: &BlockId) -> Room {
-        room_in(&self.reserved_in, team, block)
+    pub fn reserved_in(&self, team: &Team, shard: &ShardId) -> Room {
+        room_in(&self.reserved_in, team, shard)
     }
 
     /// The shards that a team has tasks in.
-    pub fn blocks_of(&self, team: &Team) -> impl Iterator<Item = &BlockId> {
-        self.in_block.get(team).into_iter().flat_map(|b| b.keys())
+    pub fn shards_of(&self, team: &Team) -> impl Iterator<Item = &ShardId> {
+        self.in_shard.get(team).into_iter().flat_map(|b| b.keys())
     }
 
     pub fn feed_job(&mut self, id: &JobId, text: &str, version: Revision, now: Millis) -> Touched {
@@ -701,16 +707,16 @@
                     if job.left.remove(&entry.1).is_some() {
                         returned = returned.minus(job.spec.room);
                     } else {
-                        self.uses.vacate(&p.host, &job.spec, true);
+                        self.uses.vacate(&p.machine_id, &job.spec, true);
                     }
-                    leave(&mut self.in_block, &self.groups, &p.block, &job.spec);
-                    if let Some(tasks) = self.on_host.get_mut(&p.host) {
+                    leave(&mut self.in_shard, &self.groups, &p.shard, &job.spec);
+                    if let Some(tasks) = self.on_machine.get_mut(&p.machine_id) {
                         tasks.remove(&entry);
                         if tasks.is_empty() {
-                            self.on_host.remove(&p.host);
+                            self.on_machine.remove(&p.machine_id);
                         }
                     }
-                    touched.freed.push(p.host.clone());
+                    touched.freed.push(p.machine_id.clone());
                     touched.team.get_or_insert_with(|| job.spec.team.clone());
                 }
                 Task::Done => job.done -= 1,
@@ -720,13 +726,13 @@
                 Task::Placed(p) => {
                     job.placed += 1;
                     change = change.plus(job.spec.room);
-                    self.uses.occupy(&p.host, &job.spec, true);
-                    enter(&mut self.in_block, &self.groups, &p.block, &job.spec);
-                    self.on_host
-                        .entry(p.host.clone())
+                    self.uses.occupy(&p.machine_id, &job.spec, true);
+                    enter(&mut self.in_shard, &self.groups, &p.shard, &job.spec);
+                    self.on_machine
+                        .entry(p.machine_id.clone())
                         .or_default()
                         .insert(entry);
-                    touched.taken.push(p.host.clone());
+                    touched.taken.push(p.machine_id.clone());
                 }
                 Task::Done => job.done += 1,
                 Task::Waiting { .. } => {}
@@ -749,16 +755,16 @@
             return;
         };
         if let Change::Place(placement) = &change {
-            self.uses.occupy(&placement.host, &job.spec, false);
+            self.uses.occupy(&placement.machine_id, &job.spec, false);
             let (groups, spec) = (&self.groups, &job.spec);
-            enter(&mut self.in_block, groups, &placement.block, spec);
-            enter(&mut self.reserved_in, groups, &placement.block, spec);
+            enter(&mut self.in_shard, groups, &placement.shard, spec);
+            enter(&mut self.reserved_in, groups, &placement.shard, spec);
             count(&mut self.reserved_by, groups, &spec.team, spec.room);
-        } else if let Some(host) = job.task(index).placement().map(|p| p.host.clone()) {
-            self.uses.vacate(&host, &job.spec, true);
+        } else if let Some(machine_id) = job.task(index).placement().map(|p| p.machine_id.clone()) {
+            self.uses.vacate(&machine_id, &job.spec, true);
             let (team, room) = (&job.spec.team, job.spec.room);
             left(&mut self.left_by, &self.groups, team, room);
-            job.left.insert(index, host);
+            job.left.insert(index, machine_id);
         }
         job.changes.insert(index, change);
     }
@@ -771,16 +777,16 @@
         for index in indices {
             let change = job.changes.remove(index);
             // Still placed by the records.
-            if let Some(host) = job.left.remove(index) {
-                self.uses.occupy(&host, &job.spec, true);
+            if let Some(machine_id) = job.left.remove(index) {
+                self.uses.occupy(&machine_id, &job.spec, true);
                 let less = Room::default().minus(job.spec.room);
                 left(&mut self.left_by, &self.groups, &job.spec.team, less);
             }
             if let Some(Change::Place(placement)) = change {
-                self.uses.vacate(&placement.host, &job.spec, false);
+                self.uses.vacate(&placement.machine_id, &job.spec, false);
                 let (groups, spec) = (&self.groups, &job.spec);
-                leave(&mut self.in_block, groups, &placement.block, spec);
-                leave(&mut self.reserved_in, groups, &placement.block, spec);
+                leave(&mut self.in_shard, groups, &placement.shard, spec);
+                leave(&mut self.reserved_in, groups, &placement.shard, spec);
                 let less = Room::default().minus(spec.room);
                 count(&mut self.reserved_by, groups, &spec.team, less);
             }
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{encode_page, job_key, page_key};
-use crate::types::{BlockId, Session};
+use crate::types::{AgentEpoch, ShardId};
 
-fn placed(host: &str) -> Task {
+fn placed(machine_id: &str) -> Task {
     Task::Placed(Placement {
-        host: host.into(),
-        block: BlockId::parse("a.0").unwrap(),
-        session: Session(1),
+        machine_id: machine_id.into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     })
 }
@@ -106,14 +106,14 @@
     let key = page_key(&id, 0);
     jobs.feed(&key, Some(&page(&first)), Revision(3), Millis(1));
     let each = jobs.get(&id).unwrap().spec.room.gpus;
-    let gpus = |jobs: &Jobs, host: &str| jobs.taken(&host.into()).gpus / each;
+    let gpus = |jobs: &Jobs, machine_id: &str| jobs.taken(&machine_id.into()).gpus / each;
     assert_eq!(gpus(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
     jobs.want(&id, 0, Change::Finish { attempt });
     assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
     let used = |jobs: &Jobs| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
-        jobs.used_in(&team, &BlockId::parse("a.0").unwrap()).gpus / each
+        jobs.used_in(&team, &ShardId::parse("a.0").unwrap()).gpus / each
     };
     assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
     jobs.discard(&id, &[0]);
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -11,7 +11,7 @@
 
 use crate::jobs::cache::{Change, Evidence, Job};
 use crate::peers::Left;
-use crate::types::{Attempt, JobId, Millis, NodeId, Token};
+use crate::types::{Attempt, ControllerId, FencingToken, JobId, Millis};
 
 /// What was told is told again after this long: a message may be lost.
 const AGAIN: Millis = Millis(4_000);
@@ -28,7 +28,7 @@
     /// Jobs with many changes, when they were looked over last, and whether there is more since.
     looked: HashMap<JobId, (Millis, bool)>,
     told: HashMap<JobId, BTreeMap<u32, (Attempt, Millis)>>,
-    outbox: BTreeMap<NodeId, Vec<Left>>,
+    outbox: BTreeMap<ControllerId, Vec<Left>>,
 }
 
 /// What is told of a change, if it is one that another may write: evidence of its holder.
@@ -36,7 +36,7 @@
     id: &JobId,
     index: u32,
     change: &Change,
-    token: impl Fn(u32) -> Option<Token>,
+    token: impl Fn(u32) -> Option<FencingToken>,
 ) -> Option<Left> {
     let (attempt, token, done) = match change {
         Change::Finish { attempt } => (*attempt, token(index)?, true),
@@ -87,9 +87,9 @@
     /// then nothing is told.
     pub fn tell(
         &mut self,
-        home: &NodeId,
+        home: &ControllerId,
         job: &Job,
-        token: impl Fn(u32) -> Option<Token>,
+        token: impl Fn(u32) -> Option<FencingToken>,
         now: Millis,
     ) -> bool {
         let changes = job.changes.iter();
@@ -113,7 +113,7 @@
     }
 
     /// What is to be sent, by home.
-    pub fn take(&mut self) -> BTreeMap<NodeId, Vec<Left>> {
+    pub fn take(&mut self) -> BTreeMap<ControllerId, Vec<Left>> {
         std::mem::take(&mut self.outbox)
     }
 
@@ -134,7 +134,7 @@
         } else {
             Change::Release {
                 attempt,
-                evidence: Evidence::Holder(Token(self.token)),
+                evidence: Evidence::Holder(FencingToken(self.token)),
             }
         }
     }
--- a/src/jobs/crash_loop.rs
+++ b/src/jobs/crash_loop.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap as HashMap;
 
 use super::Shape;
-use crate::types::{HostId, JobId, Millis};
+use crate::types::{JobId, MachineId, Millis};
 
 /// A job is suspect once it failed on this many machines.
 const SUSPECT_AFTER: usize = 2;
@@ -23,11 +23,11 @@
 /// then.
 const FORGET: Millis = Millis(300_000);
 /// Machines that are remembered of a job.
-const MOST_HOSTS: usize = 8;
+const MOST_MACHINES: usize = 8;
 
 #[derive(Debug, Default)]
 struct Trial {
-    failed_on: BTreeSet<HostId>,
+    failed_on: BTreeSet<MachineId>,
     suspect: bool,
     waits: u32,
     not_before: Millis,
@@ -41,14 +41,20 @@
 
 impl Trials {
     /// A task of the job failed on a machine. True if the job is suspect since this failure.
-    pub fn failed(&mut self, job: &JobId, shape: Shape, host: &HostId, now: Millis) -> bool {
+    pub fn failed(
+        &mut self,
+        job: &JobId,
+        shape: Shape,
+        machine_id: &MachineId,
+        now: Millis,
+    ) -> bool {
         let trial = self.jobs.entry(job.clone()).or_default();
         if now.since(trial.last) > FORGET {
             *trial = Trial::default();
         }
         trial.last = now;
-        if trial.failed_on.len() < MOST_HOSTS {
-            trial.failed_on.insert(host.clone());
+        if trial.failed_on.len() < MOST_MACHINES {
+            trial.failed_on.insert(machine_id.clone());
         }
         let enough = match shape {
             Shape::Service => SERVICE_SUSPECT_AFTER,
@@ -75,9 +81,9 @@
     }
 
     /// A machine turned out to be quarantined: what failed there does not speak against jobs any more.
-    pub fn sick(&mut self, host: &HostId, now: Millis) {
+    pub fn quarantined(&mut self, machine_id: &MachineId, now: Millis) {
         for trial in self.jobs.values_mut() {
-            if trial.failed_on.remove(host) {
+            if trial.failed_on.remove(machine_id) {
                 trial.suspect &= trial.failed_on.len() >= SUSPECT_AFTER;
                 trial.not_before = now;
             }
--- a/src/jobs/crash_loop/tests.rs
+++ b/src/jobs/crash_loop/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_job_that_fails_on_several_machines_is_tried_ever_more_seldom() {
     let job = JobId::from("job-1");
-    let hosts: Vec<HostId> = (0..4).map(|i| format!("vm-{i}").as_str().into()).collect();
+    let machine_ids: Vec<MachineId> = (0..4).map(|i| format!("vm-{i}").as_str().into()).collect();
     // Shape, where it failed, suspect.
     let cases: [(Shape, &[usize], bool); 5] = [
         (Shape::Array, &[0], false),
@@ -17,7 +17,7 @@
     for (shape, failed, suspect) in cases {
         let mut trials = Trials::default();
         for index in failed {
-            trials.failed(&job, shape, &hosts[*index], Millis(5));
+            trials.failed(&job, shape, &machine_ids[*index], Millis(5));
         }
         assert_eq!(trials.suspect(&job), suspect, "{shape:?} on {failed:?}");
         assert_eq!(trials.not_before(&job).is_some(), suspect);
@@ -25,28 +25,28 @@
         assert!(!trials.suspect(&job), "one success clears it");
     }
     let mut trials = Trials::default();
-    for (host, at) in [(0, 5), (1, 5), (2, 6), (0, 9)] {
-        trials.failed(&job, Shape::Gang, &hosts[host], Millis(at));
+    for (machine_id, at) in [(0, 5), (1, 5), (2, 6), (0, 9)] {
+        trials.failed(&job, Shape::Gang, &machine_ids[machine_id], Millis(at));
     }
     // It was the machines after all.
-    for (sick, suspect) in [(2, true), (1, false), (0, false)] {
-        trials.sick(&hosts[sick], Millis(20));
-        assert_eq!(trials.suspect(&job), suspect, "{sick} is sick");
+    for (quarantined, suspect) in [(2, true), (1, false), (0, false)] {
+        trials.quarantined(&machine_ids[quarantined], Millis(20));
+        assert_eq!(trials.suspect(&job), suspect, "{quarantined} is sick");
     }
     // A service meets a faulty machine every ten minutes.
     let mut trials = Trials::default();
-    for (round, host) in hosts.iter().enumerate() {
+    for (round, machine_id) in machine_ids.iter().enumerate() {
         let at = Millis(5 + 600_000 * round as u64);
-        trials.failed(&job, Shape::Service, host, at);
+        trials.failed(&job, Shape::Service, machine_id, at);
     }
     assert!(!trials.suspect(&job));
     let mut trials = Trials::default();
     let mut now = Millis(1_000);
     let mut waits = Vec::new();
     for round in 0..8 {
-        for host in &hosts[..2] {
-            let newly = trials.failed(&job, Shape::Array, host, now);
-            assert_eq!(newly, round == 0 && *host == hosts[1]);
+        for machine_id in &machine_ids[..2] {
+            let newly = trials.failed(&job, Shape::Array, machine_id, now);
+            assert_eq!(newly, round == 0 && *machine_id == machine_ids[1]);
         }
         let next = trials.not_before(&job).unwrap();
         waits.push(next.since(now).0 / 1_000);
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -9,7 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Attempt, BlockId, HostId, Image, Room, Session, Sku, Team, Zone};
+use crate::types::{
+    AgentEpoch, Attempt, Image, MachineId, MachineTypeId, Room, ShardId, Team, Zone,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -53,10 +55,12 @@
     pub image_gb: f64,
     /// Allowed machine types; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rigs: Option<Vec<Sku>>,
+    #[serde(rename = "rigs")]
+    pub machine_types: Option<Vec<MachineTypeId>>,
     /// The only allowed zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub yard: Option<Zone>,
+    #[serde(rename = "yard")]
+    pub zone: Option<Zone>,
     pub one_zone: bool,
     pub spread: bool,
     /// Whether spot machines will do.
@@ -69,9 +73,11 @@
 }
 
 impl Spec {
-    pub fn allows(&self, rig: &Sku, zone: &Zone, spot: bool) -> bool {
-        self.rigs.as_ref().is_none_or(|rigs| rigs.contains(rig))
-            && self.yard.as_ref().is_none_or(|allowed| allowed == zone)
+    pub fn allows(&self, machine_type: &MachineTypeId, zone: &Zone, spot: bool) -> bool {
+        self.machine_types
+            .as_ref()
+            .is_none_or(|machine_types| machine_types.contains(machine_type))
+            && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
 
@@ -95,9 +101,9 @@
 /// Where a task was put, as committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    pub host: HostId,
-    pub block: BlockId,
-    pub session: Session,
+    pub machine_id: MachineId,
+    pub shard: ShardId,
+    pub agent_epoch: AgentEpoch,
     pub attempt: Attempt,
 }
 
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Phase, Placement, Spec, Task};
-use crate::types::{Attempt, BlockId, HostId, JobId, NodeId, Session};
+use crate::types::{AgentEpoch, Attempt, ControllerId, JobId, MachineId, ShardId};
 
 pub const JOBS: &str = "jt/job/";
 pub const PAGES: &str = "jt/task/";
@@ -29,7 +29,7 @@
 pub struct JobRecord {
     pub phase: Phase,
     /// The controller that took the job and tries to place it first.
-    pub home: NodeId,
+    pub home: ControllerId,
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per page.
@@ -65,7 +65,7 @@
     #[serde(rename = "d")]
     Done(u32),
     #[serde(rename = "p")]
-    Placed(HostId, String, u64, u64),
+    Placed(MachineId, String, u64, u64),
 }
 
 pub fn encode_page(tasks: &[Task]) -> String {
@@ -79,9 +79,9 @@
             (Task::Waiting { tried }, _) => runs.push(Run::Waiting(1, tried.0)),
             (Task::Done, _) => runs.push(Run::Done(1)),
             (Task::Placed(p), _) => runs.push(Run::Placed(
-                p.host.clone(),
-                p.block.to_string(),
-                p.session.0,
+                p.machine_id.clone(),
+                p.shard.to_string(),
+                p.agent_epoch.0,
                 p.attempt.0,
             )),
         }
@@ -104,12 +104,14 @@
             Run::Done(count) => {
                 tasks.extend(std::iter::repeat_n(Task::Done, room.min(count as usize)));
             }
-            Run::Placed(host, block, session, attempt) => tasks.push(Task::Placed(Placement {
-                host,
-                block: BlockId::parse(&block)?,
-                session: Session(session),
-                attempt: Attempt(attempt),
-            })),
+            Run::Placed(machine_id, shard, agent_epoch, attempt) => {
+                tasks.push(Task::Placed(Placement {
+                    machine_id,
+                    shard: ShardId::parse(&shard)?,
+                    agent_epoch: AgentEpoch(agent_epoch),
+                    attempt: Attempt(attempt),
+                }))
+            }
         }
     }
     (tasks.len() == len as usize).then_some(tasks)
--- a/src/jobs/record/tests.rs
+++ b/src/jobs/record/tests.rs
@@ -2,9 +2,9 @@
 
 fn placed(n: u64) -> Task {
     Task::Placed(Placement {
-        host: format!("vm-{n:06}").as_str().into(),
-        block: BlockId::parse("a-long-zone-name.1").unwrap(),
-        session: Session(n),
+        machine_id: format!("vm-{n:06}").as_str().into(),
+        shard: ShardId::parse("a-long-zone-name.1").unwrap(),
+        agent_epoch: AgentEpoch(n),
         attempt: Attempt(2),
     })
 }
@@ -45,9 +45,9 @@
     for (value_kb, zone) in [(8.0, 18), (8.0, 100), (2.0, 18)] {
         let name = "z".repeat(zone);
         let task = Task::Placed(Placement {
-            host: "vm-000000000000231".into(),
-            block: BlockId::parse(&format!("{name}.63")).unwrap(),
-            session: Session(999_999_999),
+            machine_id: "vm-000000000000231".into(),
+            shard: ShardId::parse(&format!("{name}.63")).unwrap(),
+            agent_epoch: AgentEpoch(999_999_999),
             attempt: Attempt(999_999_999),
         });
         let tasks = vec![task; page_size(value_kb, zone) as usize];
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -7,41 +7,45 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{BlockId, Millis, NodeId, Permit, Revision, Token, Zone};
+use crate::types::{ControllerId, FencingToken, LeaseId, Millis, Revision, ShardId, Zone};
 
-pub const NODES: &str = "jt/node/";
+pub const CONTROLLERS: &str = "jt/node/";
 pub const LEADER: &str = "jt/lead";
-pub const BLOCKS: &str = "jt/block/";
+pub const SHARDS: &str = "jt/block/";
 
-pub fn node_key(node: &NodeId) -> String {
-    format!("{NODES}{node}")
+pub fn controller_key(controller: &ControllerId) -> String {
+    format!("{CONTROLLERS}{controller}")
 }
 
-pub fn block_key(block: &BlockId) -> String {
-    format!("{BLOCKS}{block}")
+pub fn shard_key(shard: &ShardId) -> String {
+    format!("{SHARDS}{shard}")
 }
 
 /// A controller's own record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NodeRecord {
-    pub permit: Permit,
+pub struct ControllerRecord {
+    #[serde(rename = "permit")]
+    pub lease_id: LeaseId,
     pub zone: Zone,
     /// Whether it can hold shards: it hears from workers.
-    pub hears: bool,
+    #[serde(rename = "hears")]
+    pub receives_heartbeats: bool,
 }
 
 /// A lease belongs to a process, not to a label: to the lease that the process took itself. One
 /// that was started again reads what the process before it held, and must not take it for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    pub leader: NodeId,
-    pub permit: Permit,
+    pub leader: ControllerId,
+    #[serde(rename = "permit")]
+    pub lease_id: LeaseId,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRecord {
-    pub holder: NodeId,
-    pub permit: Permit,
+pub struct ShardRecord {
+    pub holder: ControllerId,
+    #[serde(rename = "permit")]
+    pub lease_id: LeaseId,
 }
 
 /// The lease of this controller.
@@ -51,7 +55,7 @@
     Asked,
     /// Held at least until `until` by our clock.
     Held {
-        permit: Permit,
+        lease_id: LeaseId,
         until: Millis,
     },
 }
@@ -60,11 +64,11 @@
 pub struct Leases {
     pub own: Own,
     pub renewed: Millis,
-    pub nodes: BTreeMap<NodeId, (NodeRecord, Revision)>,
-    pub leader: Option<(NodeId, Revision)>,
-    pub blocks: BTreeMap<BlockId, (NodeId, Token)>,
+    pub controllers: BTreeMap<ControllerId, (ControllerRecord, Revision)>,
+    pub leader: Option<(ControllerId, Revision)>,
+    pub shards: BTreeMap<ShardId, (ControllerId, FencingToken)>,
     /// Leases that controllers had before, the last of them: their processes are no more.
-    ended: VecDeque<Permit>,
+    ended: VecDeque<LeaseId>,
 }
 
 /// So many leases that are over are remembered.
@@ -75,9 +79,9 @@
         Self {
             own: Own::None,
             renewed: Millis(0),
-            nodes: BTreeMap::new(),
+            controllers: BTreeMap::new(),
             leader: None,
-            blocks: BTreeMap::new(),
+            shards: BTreeMap::new(),
             ended: VecDeque::new(),
         }
     }
@@ -86,51 +90,56 @@
 /// What a fed record changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Moved {
-    Node(NodeId),
+    Controller(ControllerId),
     Leader,
-    Block(BlockId),
+    Shard(ShardId),
 }
 
 impl Leases {
-    pub fn permit(&self) -> Option<Permit> {
+    pub fn lease_id(&self) -> Option<LeaseId> {
         match self.own {
-            Own::Held { permit, .. } => Some(permit),
+            Own::Held { lease_id, .. } => Some(lease_id),
             _ => None,
         }
     }
 
     /// Whether a message of a process with this lease comes from one that is known to be no more.
-    pub fn is_over(&self, permit: Permit) -> bool {
-        self.ended.contains(&permit)
+    pub fn is_over(&self, lease_id: LeaseId) -> bool {
+        self.ended.contains(&lease_id)
     }
 
-    fn note_ended(&mut self, permit: Permit) {
-        self.ended.push_back(permit);
+    fn note_ended(&mut self, lease_id: LeaseId) {
+        self.ended.push_back(lease_id);
         if self.ended.len() > MOST_ENDED {
             self.ended.pop_front();
         }
     }
 
     /// Whether a lease of this holder is a dead process's that had our label.
-    fn of_the_dead(&self, holder: &NodeId, permit: Permit, me: &NodeId) -> bool {
-        holder == me && self.permit() != Some(permit)
+    fn of_the_dead(&self, holder: &ControllerId, lease_id: LeaseId, me: &ControllerId) -> bool {
+        holder == me && self.lease_id() != Some(lease_id)
     }
 
-    pub fn holds(&self, block: &BlockId, me: &NodeId) -> Option<Token> {
-        let (holder, token) = self.blocks.get(block)?;
+    pub fn holds(&self, shard: &ShardId, me: &ControllerId) -> Option<FencingToken> {
+        let (holder, token) = self.shards.get(shard)?;
         (holder == me).then_some(*token)
     }
 
-    pub fn leads(&self, me: &NodeId) -> Option<Revision> {
+    pub fn leads(&self, me: &ControllerId) -> Option<Revision> {
         let (leader, version) = self.leader.as_ref()?;
         (leader == me).then_some(*version)
     }
 
     /// Another controller holds a shard of ours under a higher token, by its own word.
-    pub fn supersede(&mut self, block: &BlockId, holder: &NodeId, token: Token) -> bool {
-        match self.blocks.get(block) {
+    pub fn supersede(
+        &mut self,
+        shard: &ShardId,
+        holder: &ControllerId,
+        token: FencingToken,
+    ) -> bool {
+        match self.shards.get(shard) {
             Some((known, old)) if *old < token && known != holder => {
-                self.blocks.insert(block.clone(), (holder.clone(), token));
+                self.shards.insert(shard.clone(), (holder.clone(), token));
                 true
             }
             _ => false,
@@ -139,16 +148,16 @@
 
     /// Our lease is over, and all that hung on it with it, though the watch may bring that later.
     /// Without this a leader back from a cut takes up its old lease under its new lease.
-    pub fn lose(&mut self, me: &NodeId) {
+    pub fn lose(&mut self, me: &ControllerId) {
         self.own = Own::None;
         self.leader.take_if(|(leader, _)| leader == me);
-        self.blocks.retain(|_, (holder, _)| holder != me);
+        self.shards.retain(|_, (holder, _)| holder != me);
     }
 
     /// Takes in a record. A lease of the process that had our label before counts as nobody's.
     pub fn feed(
         &mut self,
-        me: &NodeId,
+        me: &ControllerId,
         key: &str,
         data: Option<&str>,
         version: Revision,
@@ -162,46 +171,48 @@
             {
                 return None;
             }
-            let record = record.filter(|r| !self.of_the_dead(&r.leader, r.permit, me));
+            let record = record.filter(|r| !self.of_the_dead(&r.leader, r.lease_id, me));
             self.leader = record.map(|r| (r.leader, version));
             return Some(Moved::Leader);
         }
-        if let Some(name) = key.strip_prefix(NODES) {
-            let node = NodeId::from(name);
+        if let Some(name) = key.strip_prefix(CONTROLLERS) {
+            let controller = ControllerId::from(name);
             if self
-                .nodes
-                .get(&node)
+                .controllers
+                .get(&controller)
                 .is_some_and(|(_, known)| *known >= version)
             {
                 return None;
             }
-            let record: Option<NodeRecord> = data.and_then(|d| serde_json::from_str(d).ok());
-            let permit = record.as_ref().map(|record| record.permit);
+            let record: Option<ControllerRecord> = data.and_then(|d| serde_json::from_str(d).ok());
+            let lease_id = record.as_ref().map(|record| record.lease_id);
             let before = match record {
-                Some(record) => self.nodes.insert(node.clone(), (record, version)),
-                None => self.nodes.remove(&node),
+                Some(record) => self
+                    .controllers
+                    .insert(controller.clone(), (record, version)),
+                None => self.controllers.remove(&controller),
             };
-            let before = before.map(|(record, _)| record.permit);
-            if let Some(ended) = before.filter(|before| Some(*before) != permit) {
+            let before = before.map(|(record, _)| record.lease_id);
+            if let Some(ended) = before.filter(|before| Some(*before) != lease_id) {
                 self.note_ended(ended);
             }
-            return Some(Moved::Node(node));
+            return Some(Moved::Controller(controller));
         }
-        let block = BlockId::parse(key.strip_prefix(BLOCKS)?)?;
-        let token = Token(version.0);
+        let shard = ShardId::parse(key.strip_prefix(SHARDS)?)?;
+        let token = FencingToken(version.0);
         if self
-            .blocks
-            .get(&block)
+            .shards
+            .get(&shard)
             .is_some_and(|(_, known)| *known >= token)
         {
             return None;
         }
-        let record: Option<BlockRecord> = data.and_then(|d| serde_json::from_str(d).ok());
-        match record.filter(|r| !self.of_the_dead(&r.holder, r.permit, me)) {
-            Some(record) => self.blocks.insert(block.clone(), (record.holder, token)),
-            None => self.blocks.remove(&block),
+        let record: Option<ShardRecord> = data.and_then(|d| serde_json::from_str(d).ok());
+        match record.filter(|r| !self.of_the_dead(&r.holder, r.lease_id, me)) {
+            Some(record) => self.shards.insert(shard.clone(), (record.holder, token)),
+            None => self.shards.remove(&shard),
         };
-        Some(Moved::Block(block))
+        Some(Moved::Shard(shard))
     }
 }
 
@@ -211,49 +222,49 @@
 pub fn rightful(
     zones: &[Zone],
     parts: u32,
-    nodes: &BTreeMap<NodeId, (NodeRecord, Revision)>,
-) -> BTreeMap<BlockId, NodeId> {
-    let fit: Vec<(&NodeId, &NodeRecord)> = {
-        let hearing: Vec<_> = nodes
+    controllers: &BTreeMap<ControllerId, (ControllerRecord, Revision)>,
+) -> BTreeMap<ShardId, ControllerId> {
+    let fit: Vec<(&ControllerId, &ControllerRecord)> = {
+        let hearing: Vec<_> = controllers
             .iter()
-            .filter(|(_, (r, _))| r.hears)
+            .filter(|(_, (r, _))| r.receives_heartbeats)
             .map(|(n, (r, _))| (n, r))
             .collect();
         if hearing.is_empty() {
-            nodes.iter().map(|(n, (r, _))| (n, r)).collect()
+            controllers.iter().map(|(n, (r, _))| (n, r)).collect()
         } else {
             hearing
         }
     };
-    let mut held: BTreeMap<&NodeId, u32> = fit.iter().map(|(n, _)| (*n, 0)).collect();
+    let mut held: BTreeMap<&ControllerId, u32> = fit.iter().map(|(n, _)| (*n, 0)).collect();
     let mut result = BTreeMap::new();
     let mut homeless = Vec::new();
     let zones: BTreeSet<&Zone> = zones.iter().collect();
     for zone in zones {
-        let local: Vec<&NodeId> = fit
+        let local: Vec<&ControllerId> = fit
             .iter()
             .filter(|(_, r)| r.zone == *zone)
             .map(|(n, _)| *n)
             .collect();
         for part in 0..parts {
             let zone = zone.clone();
-            let block = BlockId { zone, part };
+            let shard = ShardId { zone, part };
             match local.get(part as usize % local.len().max(1)) {
-                Some(node) => {
-                    *held.entry(node).or_default() += 1;
-                    result.insert(block, (*node).clone());
+                Some(controller) => {
+                    *held.entry(controller).or_default() += 1;
+                    result.insert(shard, (*controller).clone());
                 }
-                None => homeless.push(block),
+                None => homeless.push(shard),
             }
         }
     }
-    for block in homeless {
-        if let Some((node, count)) = held
+    for shard in homeless {
+        if let Some((controller, count)) = held
             .iter_mut()
-            .min_by_key(|(node, count)| (**count, **node))
+            .min_by_key(|(controller, count)| (**count, **controller))
         {
             *count += 1;
-            result.insert(block, (*node).clone());
+            result.insert(shard, (*controller).clone());
         }
     }
     result
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,12 +1,14 @@
 use super::*;
 
-fn nodes(list: &[(&str, &str, bool)]) -> BTreeMap<NodeId, (NodeRecord, Revision)> {
+fn controllers(
+    list: &[(&str, &str, bool)],
+) -> BTreeMap<ControllerId, (ControllerRecord, Revision)> {
     list.iter()
-        .map(|(name, zone, hears)| {
-            let record = NodeRecord {
-                permit: Permit(1),
+        .map(|(name, zone, receives_heartbeats)| {
+            let record = ControllerRecord {
+                lease_id: LeaseId(1),
                 zone: (*zone).into(),
-                hears: *hears,
+                receives_heartbeats: *receives_heartbeats,
             };
             ((*name).into(), (record, Revision(1)))
         })
@@ -14,7 +16,7 @@
 }
 
 #[test]
-fn blocks_go_to_controllers_of_their_zone_first() {
+fn shards_go_to_controllers_of_their_zone_first() {
     type Case<'a> = (&'a [&'a str], &'a [(&'a str, &'a str, bool)], &'a str);
     let cases: &[Case] = &[
         (
@@ -37,9 +39,9 @@
     ];
     for (zones, list, expected) in cases {
         let zones: Vec<Zone> = zones.iter().map(|z| (*z).into()).collect();
-        let shown: Vec<String> = rightful(&zones, 2, &nodes(list))
+        let shown: Vec<String> = rightful(&zones, 2, &controllers(list))
             .iter()
-            .map(|(block, node)| format!("{block}={node}"))
+            .map(|(shard, controller)| format!("{shard}={controller}"))
             .collect();
         assert_eq!(shown.join(" "), *expected);
     }
@@ -49,7 +51,7 @@
 fn an_older_record_changes_nothing() {
     let mut leases = Leases::default();
     let holder = |name: &str| format!("{{\"holder\":\"{name}\",\"permit\":7}}");
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     let steps = [
         (Some(holder("n0")), 5, Some("n0")),
         (Some(holder("n1")), 4, Some("n0")),
@@ -64,7 +66,7 @@
             data.as_deref(),
             Revision(version),
         );
-        let held = leases.blocks.get(&block).map(|(n, _)| n.as_str());
+        let held = leases.shards.get(&shard).map(|(n, _)| n.as_str());
         assert_eq!(held, expected, "at {version}");
     }
 }
@@ -75,7 +77,7 @@
 fn the_end_of_our_lease_ends_our_offices_and_nobody_elses() {
     let mut leases = Leases {
         own: Own::Held {
-            permit: Permit(7),
+            lease_id: LeaseId(7),
             until: Millis(9),
         },
         ..Leases::default()
@@ -98,14 +100,14 @@
         Some(r#"{"holder":"n1","permit":8}"#),
         Revision(5),
     );
-    let (n0, n1) = (NodeId::from("n0"), NodeId::from("n1"));
+    let (n0, n1) = (ControllerId::from("n0"), ControllerId::from("n1"));
     let (a0, a1) = (
-        BlockId::parse("a.0").unwrap(),
-        BlockId::parse("a.1").unwrap(),
+        ShardId::parse("a.0").unwrap(),
+        ShardId::parse("a.1").unwrap(),
     );
     leases.lose(&n0);
     assert_eq!((leases.leads(&n0), leases.holds(&a0, &n0)), (None, None));
-    assert_eq!(leases.holds(&a1, &n1), Some(Token(5)));
+    assert_eq!(leases.holds(&a1, &n1), Some(FencingToken(5)));
     assert_eq!(leases.own, Own::None);
     // What others then do is heard as ever.
     leases.feed(
@@ -121,7 +123,7 @@
 
 #[test]
 fn a_peer_supersedes_us_only_with_a_higher_token() {
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     for (token, holder, taken) in [
         (3, "n1", false),
         (4, "n1", false),
@@ -135,7 +137,7 @@
             Some(r#"{"holder":"n0","permit":7}"#),
             Revision(4),
         );
-        let superseded = leases.supersede(&block, &holder.into(), Token(token));
+        let superseded = leases.supersede(&shard, &holder.into(), FencingToken(token));
         assert_eq!(superseded, taken, "token {token} of {holder}");
     }
 }
@@ -145,8 +147,8 @@
 /// that were used already, and answered workers under a token it had no right to.
 #[test]
 fn an_office_belongs_to_the_process_that_took_it() {
-    let me = NodeId::from("n0");
-    let block = BlockId::parse("a.0").unwrap();
+    let me = ControllerId::from("n0");
+    let shard = ShardId::parse("a.0").unwrap();
     let cases = [
         // our lease; who held the lease by the record, under which lease; ours, anybody's
         (None, "n0", 7, false, false),
@@ -155,23 +157,23 @@
         (Some(8), "n1", 7, false, true),
         (None, "n1", 7, false, true),
     ];
-    for (own, holder, permit, ours, known) in cases {
+    for (own, holder, lease_id, ours, known) in cases {
         let mut leases = Leases::default();
-        if let Some(permit) = own {
+        if let Some(lease_id) = own {
             leases.own = Own::Held {
-                permit: Permit(permit),
+                lease_id: LeaseId(lease_id),
                 until: Millis(9),
             };
         }
-        let lead = format!("{{\"leader\":\"{holder}\",\"permit\":{permit}}}");
-        let held = format!("{{\"holder\":\"{holder}\",\"permit\":{permit}}}");
+        let lead = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
+        let held = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
         leases.feed(&me, LEADER, Some(&lead), Revision(3));
-        leases.feed(&me, &block_key(&block), Some(&held), Revision(4));
-        let case = format!("{own:?}, {holder} under {permit}");
+        leases.feed(&me, &shard_key(&shard), Some(&held), Revision(4));
+        let case = format!("{own:?}, {holder} under {lease_id}");
         assert_eq!(leases.leads(&me).is_some(), ours, "{case}");
-        assert_eq!(leases.holds(&block, &me).is_some(), ours, "{case}");
+        assert_eq!(leases.holds(&shard, &me).is_some(), ours, "{case}");
         assert_eq!(leases.leader.is_some(), known, "{case}");
-        assert_eq!(leases.blocks.contains_key(&block), known, "{case}");
+        assert_eq!(leases.shards.contains_key(&shard), known, "{case}");
     }
 }
 
@@ -179,7 +181,7 @@
 #[test]
 fn a_process_is_over_once_its_record_has_changed_hands() {
     let mut leases = Leases::default();
-    let record = |permit| format!("{{\"permit\":{permit},\"zone\":\"a\",\"hears\":true}}");
+    let record = |lease_id| format!("{{\"permit\":{lease_id},\"zone\":\"a\",\"hears\":true}}");
     let steps = [
         // record, its version, leases that are over then
         (Some(record(3)), 5, vec![]),
@@ -189,9 +191,9 @@
         (Some(record(9)), 9, vec![3, 4]),
     ];
     for (data, version, over) in steps {
-        let (key, version) = (node_key(&"n1".into()), Revision(version));
+        let (key, version) = (controller_key(&"n1".into()), Revision(version));
         leases.feed(&"n0".into(), &key, data.as_deref(), version);
-        let found: Vec<u64> = (1..12).filter(|p| leases.is_over(Permit(*p))).collect();
+        let found: Vec<u64> = (1..12).filter(|p| leases.is_over(LeaseId(*p))).collect();
         assert_eq!(found, over, "at {version:?}");
     }
 }
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -12,7 +12,7 @@
 
 use super::{LARGEST_FRAME, Message, VERSION};
 use crate::settings::Settings;
-use crate::types::NodeId;
+use crate::types::ControllerId;
 
 const ACK: u8 = 1;
 /// Messages that wait for a connection; older ones are of no use by then.
@@ -28,14 +28,14 @@
 const HELLO_LIMIT: Duration = Duration::from_secs(3);
 
 pub struct PeerMessage {
-    pub from: NodeId,
+    pub from: ControllerId,
     pub message: Message,
 }
 
 /// Addresses of the connections out.
 #[derive(Clone)]
 pub struct Peers {
-    out: HashMap<NodeId, mpsc::Sender<Message>>,
+    out: HashMap<ControllerId, mpsc::Sender<Message>>,
 }
 
 impl Peers {
@@ -57,7 +57,7 @@
     }
 
     /// Sends if there is room; a lost message is made up for by later ones.
-    pub fn send(&self, to: &NodeId, message: Message) {
+    pub fn send(&self, to: &ControllerId, message: Message) {
         if let Some(sender) = self.out.get(to) {
             let _ = sender.try_send(message);
         }
@@ -125,7 +125,7 @@
     }
 }
 
-async fn speak(me: NodeId, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
+async fn speak(me: ControllerId, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     let hello = Message::Hello {
         version: VERSION,
         label: me.to_string(),
@@ -180,7 +180,7 @@
 async fn hear(mut stream: TcpStream, inbox: mpsc::Sender<PeerMessage>) {
     let hello = tokio::time::timeout(HELLO_LIMIT, read_frame(&mut stream)).await;
     let from = match hello.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
-        Ok(Message::Hello { version, label }) if version == VERSION => NodeId::from(label),
+        Ok(Message::Hello { version, label }) if version == VERSION => ControllerId::from(label),
         Ok(Message::Hello { version, label }) => {
             tracing::error!(version, label, "another controller speaks another version");
             return;
--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -8,7 +8,7 @@
     let address = listener.local_addr().unwrap();
     let (sender, messages) = mpsc::channel(BACKLOG);
     tokio::spawn(speak("n0".into(), address, messages));
-    let (mute, _) = listener.accept().await.unwrap();
+    let (unable_to_report, _) = listener.accept().await.unwrap();
     for job in ["job-1", "job-2"] {
         let job = job.to_string();
         sender.send(Message::Unplaced { job }).await.unwrap();
@@ -16,7 +16,7 @@
     let (inbox, mut heard) = mpsc::channel(BACKLOG);
     tokio::spawn(async move {
         // The first connection stays open and mute.
-        let _mute = mute;
+        let _mute = unable_to_report;
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(hear(stream, inbox.clone()));
         }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -21,7 +21,7 @@
     /// To all: a task of this job failed on that machine.
     Failed {
         job: String,
-        host: String,
+        machine_id: String,
     },
     /// To the leader: this job does not fit the sender's shards.
     Unplaced {
@@ -37,7 +37,7 @@
     /// to keep it; the leader places the job's gang over several holders.
     MakeRoom {
         job: String,
-        host: String,
+        machine_id: String,
     },
 }
 
@@ -58,13 +58,13 @@
 pub struct Status {
     /// The lease of the sender's process; none: it has none now. What a process said that is no
     /// more may come late, and must not count.
-    pub permit: Option<u64>,
+    pub lease_id: Option<u64>,
     /// The sender's cache is this new.
     pub revision: u64,
     /// Milliseconds since the state service last answered the sender.
     pub without_store_ms: u64,
     /// Whether workers reach the sender.
-    pub hears: bool,
+    pub receives_heartbeats: bool,
     /// The plan of changes that the sender obeys, by its revision; 0: none.
     pub plan: u64,
     /// Changes a second that the sender made lately, in thousandths, and how many wait.
@@ -72,9 +72,9 @@
     pub waiting: u64,
     /// The shards that the sender holds, with their tokens. A controller that lost the state
     /// service learns from it that a shard of its own has another holder.
-    pub blocks: Vec<(String, u64)>,
+    pub shards: Vec<(String, u64)>,
     /// The machines of the sender's shards.
-    pub machines: Vec<Pulse>,
+    pub machines: Vec<MachineHeartbeat>,
     /// More about those that changed since they were last told of, and about some of the others,
     /// since a message may be lost.
     pub views: Vec<MachineView>,
@@ -84,24 +84,24 @@
 
 /// What changes all the time, or must never be old.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Pulse {
-    pub host: String,
+pub struct MachineHeartbeat {
+    pub machine_id: String,
     /// Milliseconds since the worker was heard.
     pub silent_ms: u64,
-    pub session: u64,
+    pub agent_epoch: u64,
     /// It speaks, but nothing proves that it hears.
     pub doubtful: bool,
     pub warned: bool,
-    pub sick: bool,
+    pub quarantined: bool,
     pub draining: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct MachineView {
-    pub host: String,
+    pub machine_id: String,
     /// Where its worker takes commands directly.
     pub address: String,
-    pub rig: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     /// The images in its cache, and their megabytes.
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -3,14 +3,14 @@
 #[test]
 fn frames_survive_and_nonsense_is_refused() {
     let message = Message::Status(Status {
-        permit: Some(4),
+        lease_id: Some(4),
         revision: 7,
         without_store_ms: 0,
-        hears: true,
+        receives_heartbeats: true,
         plan: 3,
         used_milli: 1_500,
         waiting: 2,
-        blocks: vec![],
+        shards: vec![],
         machines: vec![],
         views: vec![],
         draining: vec!["vm-1".into()],
@@ -29,27 +29,27 @@
 /// One of each message.
 fn messages() -> Vec<Message> {
     let status = Status {
-        permit: Some(4),
+        lease_id: Some(4),
         revision: 7,
         without_store_ms: 12,
-        hears: true,
+        receives_heartbeats: true,
         plan: 3,
         used_milli: 1_500,
         waiting: 2,
-        blocks: vec![("a.0".into(), 5)],
-        machines: vec![Pulse {
-            host: "vm-1".into(),
+        shards: vec![("a.0".into(), 5)],
+        machines: vec![MachineHeartbeat {
+            machine_id: "vm-1".into(),
             silent_ms: 250,
-            session: 2,
+            agent_epoch: 2,
             doubtful: false,
             warned: true,
-            sick: false,
+            quarantined: false,
             draining: true,
         }],
         views: vec![MachineView {
-            host: "vm-1".into(),
+            machine_id: "vm-1".into(),
             address: "10.1.0.1:9000".into(),
-            rig: "g8".into(),
+            machine_type: "g8".into(),
             zone: "a".into(),
             spot: true,
             images: vec![("img-7".into(), 4_000)],
@@ -57,7 +57,7 @@
         draining: vec!["vm-1".into()],
     };
     let job = || "job-1".to_string();
-    let host = || "vm-1".to_string();
+    let machine_id = || "vm-1".to_string();
     vec![
         Message::Hello {
             version: VERSION,
@@ -73,16 +73,16 @@
         }]),
         Message::Failed {
             job: job(),
-            host: host(),
+            machine_id: machine_id(),
         },
         Message::Unplaced { job: job() },
         Message::Place {
             job: job(),
-            preempt: Some(host()),
+            preempt: Some(machine_id()),
         },
         Message::MakeRoom {
             job: job(),
-            host: host(),
+            machine_id: machine_id(),
         },
     ]
 }
--- a/src/preempt.rs
+++ b/src/preempt.rs
@@ -1,7 +1,7 @@
 //! Preemption, the post-filter of the cycle: whom to stop so that a task finds room.
 
 use crate::jobs::Rank;
-use crate::types::{HostId, Room, TaskId, Team};
+use crate::types::{MachineId, Room, TaskId, Team};
 
 /// A task that may be stopped for another.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 /// A machine on which room could be made.
 #[derive(Clone, Debug)]
 pub struct Site {
-    pub host: HostId,
+    pub machine_id: MachineId,
     pub free: Room,
     pub victims: Vec<Victim>,
     /// Seconds that the task would have to wait here besides, such as for its image.
@@ -37,7 +37,7 @@
 /// What room for a task costs on one machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    pub host: HostId,
+    pub machine_id: MachineId,
     /// Whom to stop there; tasks that are leaving already cost nothing.
     pub victims: Vec<TaskId>,
     cost: Cost,
@@ -72,7 +72,7 @@
     let waste: f64 = stopped().map(|v| v.waste_s).sum();
     let nearest = stopped().map(|victim| near(site, victim)).max();
     Some(Offer {
-        host: site.host.clone(),
+        machine_id: site.machine_id.clone(),
         victims: stopped().map(|victim| victim.task.clone()).collect(),
         // Stopping nobody is no better than stopping work of normal priority if it takes longer.
         cost: Cost {
@@ -96,7 +96,10 @@
         offers.sort_by(|a, b| {
             let key = |offer: &Offer| (offer.cost.near, offer.cost.rank);
             let by_waste = a.cost.waste_s.total_cmp(&b.cost.waste_s);
-            key(a).cmp(&key(b)).then(by_waste).then(a.host.cmp(&b.host))
+            key(a)
+                .cmp(&key(b))
+                .then(by_waste)
+                .then(a.machine_id.cmp(&b.machine_id))
         });
         offers.truncate(count);
         let highest = offers.iter().map(|o| o.cost.rank).max();
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -8,9 +8,9 @@
     }
 }
 
-fn site(host: &str, free: f64, victims: &[(u32, f64, Rank, f64, bool)]) -> Site {
+fn site(machine_id: &str, free: f64, victims: &[(u32, f64, Rank, f64, bool)]) -> Site {
     Site {
-        host: host.into(),
+        machine_id: machine_id.into(),
         free: room(free),
         victims: victims
             .iter()
@@ -95,7 +95,7 @@
         let got = choose(room(4.0), sites);
         let got = got.as_ref().map(|offer| {
             (
-                offer.host.as_str(),
+                offer.machine_id.as_str(),
                 offer.victims.iter().map(|t| t.index).collect::<Vec<_>>(),
             )
         });
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -12,7 +12,7 @@
 
 use crate::admission::Flow;
 use crate::jobs::Rank;
-use crate::types::{HostId, JobId, Millis, Team};
+use crate::types::{JobId, MachineId, Millis, Team};
 
 /// A check that can reject a task, remembered so that only it judges whether an event helps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
 
 /// What a job waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum WaitReason {
     /// Its turn: nothing else stands in the way.
     Turn,
     Backoff {
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A machine came, or became fit for tasks.
-    Machine(HostId),
+    Machine(MachineId),
     /// Room came free on a machine.
-    Freed(HostId),
+    Freed(MachineId),
     /// A task of this job left its machine.
     TaskLeft(JobId),
     /// The team uses less.
@@ -70,14 +70,14 @@
 
 /// Who goes first: work within its team's guarantee, then priority, then age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct QueueKey {
     pub beyond_guarantee: bool,
     pub rank: std::cmp::Reverse<Rank>,
     pub born: Millis,
     pub flow: Flow,
 }
 
-impl Order {
+impl QueueKey {
     /// Without age.
     pub fn class(&self) -> (bool, std::cmp::Reverse<Rank>) {
         (self.beyond_guarantee, self.rank)
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug)]
 enum Place {
-    Active(Order),
+    Active(QueueKey),
     Backoff {
         until: Millis,
     },
@@ -105,7 +105,7 @@
 struct Entry {
     place: Place,
     fails: u32,
-    order: Order,
+    order: QueueKey,
 }
 
 pub struct Queue {
@@ -119,14 +119,14 @@
     team_floors: BTreeMap<Slot, Floors<Slot>>,
 }
 
-type Active = BTreeMap<Flow, BTreeSet<(Order, JobId)>>;
+type Active = BTreeMap<Flow, BTreeSet<(QueueKey, JobId)>>;
 
-fn activate(active: &mut Active, order: &Order, job: &JobId) {
+fn activate(active: &mut Active, order: &QueueKey, job: &JobId) {
     let jobs = active.entry(order.flow).or_default();
     jobs.insert((*order, job.clone()));
 }
 
-fn deactivate(active: &mut Active, order: &Order, job: &JobId) {
+fn deactivate(active: &mut Active, order: &QueueKey, job: &JobId) {
     if let Some(jobs) = active.get_mut(&order.flow) {
         jobs.remove(&(*order, job.clone()));
         if jobs.is_empty() {
@@ -156,12 +156,12 @@
     }
 
     /// What a queued job waits for.
-    pub fn waits_for(&self, job: &JobId) -> Option<Cause> {
+    pub fn waits_for(&self, job: &JobId) -> Option<WaitReason> {
         let entry = self.entries.get(job)?;
         Some(match &entry.place {
-            Place::Active(_) => Cause::Turn,
-            Place::Backoff { until } => Cause::Backoff { until: *until },
-            Place::Parked { checks, .. } => Cause::Rejected {
+            Place::Active(_) => WaitReason::Turn,
+            Place::Backoff { until } => WaitReason::Backoff { until: *until },
+            Place::Parked { checks, .. } => WaitReason::Rejected {
                 checks: checks.clone(),
             },
         })
@@ -191,7 +191,7 @@
         Some(entry)
     }
 
-    fn attach(&mut self, job: JobId, place: Place, fails: u32, order: Order) {
+    fn attach(&mut self, job: JobId, place: Place, fails: u32, order: QueueKey) {
         match &place {
             Place::Active(order) => activate(&mut self.active, order, &job),
             Place::Backoff { until } => {
@@ -210,20 +210,20 @@
     }
 
     /// Makes a job active; one that is queued already keeps its place.
-    pub fn push(&mut self, job: &JobId, order: Order) {
+    pub fn push(&mut self, job: &JobId, order: QueueKey) {
         if !self.contains(job) {
             self.attach(job.clone(), Place::Active(order), 0, order);
         }
     }
 
     /// Makes a job active whatever part it was in.
-    pub fn activate(&mut self, job: &JobId, order: Order) {
+    pub fn activate(&mut self, job: &JobId, order: QueueKey) {
         let fails = self.detach(job).map_or(0, |entry| entry.fails);
         self.attach(job.clone(), Place::Active(order), fails, order);
     }
 
     /// Puts every job where its present order belongs: what a team is entitled to has changed.
-    pub fn reorder(&mut self, order: impl Fn(&JobId) -> Option<Order>) {
+    pub fn reorder(&mut self, order: impl Fn(&JobId) -> Option<QueueKey>) {
         for (job, entry) in &mut self.entries {
             let Some(order) = order(job).filter(|order| *order != entry.order) else {
                 continue;
@@ -273,8 +273,8 @@
     }
 
     /// Each class that has active jobs, with the order of its first.
-    fn firsts(&self) -> BTreeMap<Slot, Order> {
-        let mut firsts: BTreeMap<Slot, Order> = BTreeMap::new();
+    fn firsts(&self) -> BTreeMap<Slot, QueueKey> {
+        let mut firsts: BTreeMap<Slot, QueueKey> = BTreeMap::new();
         for (flow, jobs) in &self.active {
             if let Some((order, _)) = jobs.first() {
                 let first = firsts.entry(flow.class).or_insert(*order);
@@ -285,7 +285,7 @@
     }
 
     /// The teams that have active jobs of a class, each with the order of its first.
-    fn teams(&self, class: Slot) -> impl Iterator<Item = (Slot, Order)> {
+    fn teams(&self, class: Slot) -> impl Iterator<Item = (Slot, QueueKey)> {
         let flow = |team| Flow { class, team };
         let range = self.active.range(flow(Slot::MIN)..=flow(Slot::MAX));
         range.filter_map(|(flow, jobs)| Some((flow.team, jobs.first()?.0)))
@@ -304,7 +304,7 @@
     }
 
     /// The order of the first active job.
-    pub fn first(&self) -> Option<Order> {
+    pub fn first(&self) -> Option<QueueKey> {
         let firsts = self.active.values().filter_map(BTreeSet::first);
         firsts.map(|(order, _)| *order).min()
     }
@@ -325,7 +325,7 @@
         job: &JobId,
         fails: u32,
         checks: BTreeSet<Check>,
-        order: Order,
+        order: QueueKey,
         now: Millis,
         rng: &mut impl Rng,
     ) {
@@ -346,14 +346,14 @@
     }
 
     /// Nothing of the job is tried before then.
-    pub fn hold(&mut self, job: &JobId, order: Order, until: Millis) {
+    pub fn hold(&mut self, job: &JobId, order: QueueKey, until: Millis) {
         let fails = self.detach(job).map_or(0, |entry| entry.fails);
         self.attach(job.clone(), Place::Backoff { until }, fails, order);
     }
 
     /// Parks a job for which room is being made: as soon as it is, the job is active. Its wait is
     /// no failure, so there is no back-off to sit out.
-    pub fn expect_room(&mut self, job: &JobId, fails: u32, order: Order, now: Millis) {
+    pub fn expect_room(&mut self, job: &JobId, fails: u32, order: QueueKey, now: Millis) {
         self.detach(job);
         let place = Place::Parked {
             checks: BTreeSet::from([Check::Room]),
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -3,8 +3,8 @@
 use rand::rngs::SmallRng;
 use std::cmp::Reverse;
 
-fn order(rank: Rank, born: u64) -> Order {
-    Order {
+fn order(rank: Rank, born: u64) -> QueueKey {
+    QueueKey {
         beyond_guarantee: true,
         rank: Reverse(rank),
         born: Millis(born),
@@ -20,7 +20,7 @@
 #[test]
 fn the_guaranteed_go_first_then_priority_then_age() {
     let (mut queue, _) = queue();
-    let guaranteed = Order {
+    let guaranteed = QueueKey {
         beyond_guarantee: false,
         ..order(Rank::BestEffort, 9)
     };
@@ -52,7 +52,7 @@
     ];
     for (rank, flow, ids) in jobs {
         for n in ids {
-            let order = Order {
+            let order = QueueKey {
                 flow,
                 ..order(rank, n)
             };
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -12,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::settings::TeamSettings;
-use crate::types::{BlockId, Revision, Room, Team};
+use crate::types::{Revision, Room, ShardId, Team};
 
 pub const SHARES: &str = "jt/share/";
 
-pub fn share_key(block: &BlockId) -> String {
-    format!("{SHARES}{block}")
+pub fn share_key(shard: &ShardId) -> String {
+    format!("{SHARES}{shard}")
 }
 
 /// What a team may use in one shard, of each amount that its limit names.
@@ -49,39 +49,39 @@
 /// All shards' shares, as the state service has them.
 #[derive(Debug, Default)]
 pub struct Shares {
-    pub blocks: BTreeMap<BlockId, (ShareRecord, Revision)>,
+    pub shards: BTreeMap<ShardId, (ShareRecord, Revision)>,
 }
 
 impl Shares {
-    pub fn feed(&mut self, block: BlockId, data: Option<&str>, version: Revision) -> bool {
-        if self.version(&block) >= version {
+    pub fn feed(&mut self, shard: ShardId, data: Option<&str>, version: Revision) -> bool {
+        if self.version(&shard) >= version {
             return false;
         }
         let record = data.and_then(|d| serde_json::from_str(d).ok());
-        self.blocks
-            .insert(block, (record.unwrap_or_default(), version));
+        self.shards
+            .insert(shard, (record.unwrap_or_default(), version));
         true
     }
 
-    pub fn version(&self, block: &BlockId) -> Revision {
-        self.blocks.get(block).map(|(_, v)| *v).unwrap_or_default()
+    pub fn version(&self, shard: &ShardId) -> Revision {
+        self.shards.get(shard).map(|(_, v)| *v).unwrap_or_default()
     }
 
-    pub fn share(&self, block: &BlockId, team: &Team) -> Share {
-        let record = self.blocks.get(block).and_then(|(r, _)| r.get(team));
+    pub fn share(&self, shard: &ShardId, team: &Team) -> Share {
+        let record = self.shards.get(shard).and_then(|(r, _)| r.get(team));
         record.copied().unwrap_or_default()
     }
 
-    pub fn record(&self, block: &BlockId) -> ShareRecord {
-        self.blocks
-            .get(block)
+    pub fn record(&self, shard: &ShardId) -> ShareRecord {
+        self.shards
+            .get(shard)
             .map(|(r, _)| r.clone())
             .unwrap_or_default()
     }
 
     /// The newest change of any share.
     pub fn newest(&self) -> Revision {
-        self.blocks
+        self.shards
             .values()
             .map(|(_, v)| *v)
             .max()
@@ -111,31 +111,31 @@
     share.max(used)
 }
 
-fn slack_of(limit: f64, blocks: impl Iterator<Item = (f64, f64)>) -> f64 {
+fn slack_of(limit: f64, shards: impl Iterator<Item = (f64, f64)>) -> f64 {
     if limit <= 0.0 {
         return f64::INFINITY;
     }
-    (limit - blocks.map(|(share, used)| bound(share, used)).sum::<f64>()).max(0.0)
+    (limit - shards.map(|(share, used)| bound(share, used)).sum::<f64>()).max(0.0)
 }
 
 /// What is left of a team's limit to raise some shard's share by.
-pub fn slack(team: &TeamSettings, blocks: &[Dealt]) -> Share {
+pub fn slack(team: &TeamSettings, shards: &[Dealt]) -> Share {
     Share {
         cpus: slack_of(
             team.cpus_max,
-            blocks.iter().map(|b| (b.share.cpus, b.used.cpus)),
+            shards.iter().map(|b| (b.share.cpus, b.used.cpus)),
         ),
         gpus: slack_of(
             team.gpus_max,
-            blocks.iter().map(|b| (b.share.gpus, b.used.gpus)),
+            shards.iter().map(|b| (b.share.gpus, b.used.gpus)),
         ),
     }
 }
 
 /// Whether a team keeps its limit even if every shard uses its whole share.
-pub fn keeps_limit(team: &TeamSettings, blocks: &[Dealt]) -> bool {
+pub fn keeps_limit(team: &TeamSettings, shards: &[Dealt]) -> bool {
     let sum = |of: fn(&Share) -> f64| -> f64 {
-        blocks
+        shards
             .iter()
             .map(|b| bound(of(&b.share), of(&b.used)))
             .sum()
@@ -155,18 +155,18 @@
 
 /// New shares of one amount. Raised only out of what no shard can come to use as shares are now,
 /// so that a share that falls at the same time is not counted on yet.
-fn deal_amount(limit: f64, least: f64, blocks: &[(f64, f64, bool)]) -> Vec<f64> {
+fn deal_amount(limit: f64, least: f64, shards: &[(f64, f64, bool)]) -> Vec<f64> {
     if limit <= 0.0 {
-        return vec![0.0; blocks.len()];
+        return vec![0.0; shards.len()];
     }
-    let live = blocks.iter().filter(|(_, _, live)| *live).count().max(1);
-    let used: f64 = blocks.iter().map(|(_, used, _)| used).sum();
+    let live = shards.iter().filter(|(_, _, live)| *live).count().max(1);
+    let used: f64 = shards.iter().map(|(_, used, _)| used).sum();
     let mut fair = (limit - used).max(0.0) * DEALT / live as f64;
     if fair < least {
         // Too little for a task in each shard: all of it is the leader's to place with.
         fair = 0.0;
     }
-    let slack = slack_of(limit, blocks.iter().map(|(share, used, _)| (*share, *used)));
+    let slack = slack_of(limit, shards.iter().map(|(share, used, _)| (*share, *used)));
     let wanted = |(share, used, live): &(f64, f64, bool)| -> f64 {
         let target = if *live { used + fair } else { 0.0 };
         let off = (target - share).abs();
@@ -176,15 +176,15 @@
             *share
         }
     };
-    let raises: f64 = blocks
+    let raises: f64 = shards
         .iter()
-        .map(|block| (wanted(block) - bound(block.0, block.1)).max(0.0))
+        .map(|shard| (wanted(shard) - bound(shard.0, shard.1)).max(0.0))
         .sum();
     let part = if raises > slack { slack / raises } else { 1.0 };
-    blocks
+    shards
         .iter()
-        .map(|block| {
-            let (now, target) = (bound(block.0, block.1), wanted(block));
+        .map(|shard| {
+            let (now, target) = (bound(shard.0, shard.1), wanted(shard));
             if target > now {
                 now + (target - now) * part
             } else {
@@ -195,10 +195,10 @@
 }
 
 /// New shares of a team's limit. `least`: shares smaller than this are of no use.
-pub fn deal(team: &TeamSettings, least: Room, blocks: &[Dealt]) -> Vec<Share> {
+pub fn deal(team: &TeamSettings, least: Room, shards: &[Dealt]) -> Vec<Share> {
     let amounts = |of: fn(&Share) -> f64| -> Vec<(f64, f64, bool)> {
         let amount = |b: &Dealt| (of(&b.share), of(&b.used), b.live);
-        blocks.iter().map(amount).collect()
+        shards.iter().map(amount).collect()
     };
     let cpus = deal_amount(team.cpus_max, least.cpus, &amounts(|s| s.cpus));
     let gpus = deal_amount(team.gpus_max, least.gpus, &amounts(|s| s.gpus));
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -9,7 +9,7 @@
 use super::hierarchical::Force;
 use crate::jobs::cache::Jobs;
 use crate::preempt::{Offer, Site, Victim, cheapest_set, offer};
-use crate::types::{HostId, Room, TaskId, Team};
+use crate::types::{MachineId, Room, TaskId, Team};
 
 /// How far a borrower is over its share is told apart in steps of this part of the whole: among
 /// those about as far over, waste decides.
@@ -122,7 +122,7 @@
         }
         Site {
             victims,
-            host: site.host.clone(),
+            machine_id: site.machine_id.clone(),
             nested: true,
             ..*site
         }
@@ -134,7 +134,9 @@
             .iter()
             .filter_map(|site| offer(room, &self.judge(site)));
         let best = cheapest_set(std::iter::once(offers.collect()), 1)?.pop()?;
-        let at = sites.iter().position(|site| site.host == best.host)?;
+        let at = sites
+            .iter()
+            .position(|site| site.machine_id == best.machine_id)?;
         let site = sites.swap_remove(at);
         for victim in site.victims.iter().filter(|victim| !victim.leaving) {
             if let Some(team) = &victim.team
@@ -169,7 +171,7 @@
         room: Room,
         sites: &[Site],
         rest_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
-    ) -> Option<(HostId, Vec<TaskId>)> {
+    ) -> Option<(MachineId, Vec<TaskId>)> {
         if !self.within() {
             return None;
         }
@@ -184,13 +186,13 @@
             let stopped = got.filter(|v| !v.leaving).map(|v| v.task.clone());
             let stopped: Vec<TaskId> = stopped.collect();
             let rest = rest_s(site, &stopped)?;
-            (part >= LEAST_GATHERED).then_some((rest, part, &site.host, stopped))
+            (part >= LEAST_GATHERED).then_some((rest, part, &site.machine_id, stopped))
         });
         let best = best.min_by(|a, b| {
             let by_part = b.1.total_cmp(&a.1).then(a.0.total_cmp(&b.0));
             by_part.then(a.2.cmp(b.2))
         });
-        best.map(|(_, _, host, stopped)| (host.clone(), stopped))
+        best.map(|(_, _, machine_id, stopped)| (machine_id.clone(), stopped))
     }
 
     /// Where to make room for all tasks of a gang among these sites, or nowhere. The claim is that
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -3,7 +3,7 @@
 /// Holders place as much as their shares allow, the leader sees that late, and deals every now
 /// and then: the sum must never exceed the limit.
 #[test]
-fn the_sum_of_all_blocks_keeps_the_limit_however_late_the_leader_sees_them() {
+fn the_sum_of_all_shards_keeps_the_limit_however_late_the_leader_sees_them() {
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
     for seed in 0..40 {
@@ -26,17 +26,17 @@
             // The leader's look is newer than all shares.
             let seen = used;
             let place = |rng: &mut SmallRng, used: &mut [f64; 6], share: &[f64; 6]| {
-                for block in 0..6 {
+                for shard in 0..6 {
                     let room = f64::from(rng.random_range(1..=4u8));
-                    if rng.random_bool(0.6) && used[block] + room <= share[block] {
-                        used[block] += room;
+                    if rng.random_bool(0.6) && used[shard] + room <= share[shard] {
+                        used[shard] += room;
                     } else if rng.random_bool(0.2) {
-                        used[block] = (used[block] - room).max(0.0);
+                        used[shard] = (used[shard] - room).max(0.0);
                     }
                 }
             };
             place(&mut rng, &mut used, &share);
-            let blocks: Vec<Dealt> = (0..6)
+            let shards: Vec<Dealt> = (0..6)
                 .map(|b| Dealt {
                     share: Share {
                         cpus: 0.0,
@@ -49,19 +49,19 @@
                     live: b != 5,
                 })
                 .collect();
-            if rng.random_bool(0.3) && covers(slack(&team, &blocks), least) {
+            if rng.random_bool(0.3) && covers(slack(&team, &shards), least) {
                 // The leader places in a shard, and raises its share by as much.
-                let block = rng.random_range(0..6);
+                let shard = rng.random_range(0..6);
                 let room = |gpus| Room {
                     gpus,
                     ..Room::default()
                 };
-                let raised = raised(blocks[block].share, room(seen[block]), least, false);
-                share[block] = raised.gpus;
-                used[block] += 4.0;
+                let raised = raised(shards[shard].share, room(seen[shard]), least, false);
+                share[shard] = raised.gpus;
+                used[shard] += 4.0;
             } else {
-                for (block, dealt) in deal(&team, least, &blocks).into_iter().enumerate() {
-                    share[block] = dealt.gpus;
+                for (shard, dealt) in deal(&team, least, &shards).into_iter().enumerate() {
+                    share[shard] = dealt.gpus;
                 }
             }
             place(&mut rng, &mut used, &share);
--- a/src/request_queue.rs
+++ b/src/request_queue.rs
@@ -7,11 +7,11 @@
 
 /// What a request is, the most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A health check: its asker waits a second.
     Probe,
     /// A worker's heartbeat: 4 s.
-    Report,
+    Heartbeat,
     /// A user: 5 s, and at a poll 2.
     User,
 }
@@ -19,11 +19,11 @@
 const KINDS: usize = 3;
 
 /// A request that is worked on later than this comes too late for its asker.
-fn patience(kind: Kind) -> Millis {
+fn patience(kind: RequestKind) -> Millis {
     match kind {
-        Kind::Probe => Millis(900),
-        Kind::Report => Millis(3_500),
-        Kind::User => Millis(4_000),
+        RequestKind::Probe => Millis(900),
+        RequestKind::Heartbeat => Millis(3_500),
+        RequestKind::User => Millis(4_000),
     }
 }
 
@@ -31,27 +31,27 @@
 /// most time left.
 const LATE: Millis = Millis(1_000);
 /// After so many heartbeats a user's turn comes.
-const REPORTS_PER_USER: u32 = 4;
+const HEARTBEATS_PER_USER: u32 = 4;
 
 /// Requests by kind, each since when.
-pub struct Intake<T> {
+pub struct RequestQueue<T> {
     waiting: [VecDeque<(Millis, T)>; KINDS],
     /// The most of a kind.
     most: usize,
-    reports: u32,
+    heartbeats: u32,
 }
 
-impl<T> Intake<T> {
+impl<T> RequestQueue<T> {
     pub fn new(most: usize) -> Self {
         Self {
             waiting: Default::default(),
             most,
-            reports: 0,
+            heartbeats: 0,
         }
     }
 
     /// Takes a request; gives one back if too many wait.
-    pub fn push(&mut self, kind: Kind, request: T, now: Millis) -> Option<T> {
+    pub fn push(&mut self, kind: RequestKind, request: T, now: Millis) -> Option<T> {
         let waiting = &mut self.waiting[kind as usize];
         waiting.push_back((now, request));
         let over = waiting.len() > self.most;
@@ -68,7 +68,11 @@
 
     /// The request whose turn it is; `gone` are those that came too late, to be let go.
     pub fn pop(&mut self, now: Millis, gone: &mut Vec<T>) -> Option<T> {
-        for kind in [Kind::Probe, Kind::Report, Kind::User] {
+        for kind in [
+            RequestKind::Probe,
+            RequestKind::Heartbeat,
+            RequestKind::User,
+        ] {
             let waiting = &mut self.waiting[kind as usize];
             while let Some((at, _)) = waiting.front()
                 && now.since(*at) > patience(kind)
@@ -76,11 +80,19 @@
                 gone.extend(waiting.pop_front().map(|(_, old)| old));
             }
         }
-        let users_turn = self.reports >= REPORTS_PER_USER;
+        let users_turn = self.heartbeats >= HEARTBEATS_PER_USER;
         let order = if users_turn {
-            [Kind::Probe, Kind::User, Kind::Report]
+            [
+                RequestKind::Probe,
+                RequestKind::User,
+                RequestKind::Heartbeat,
+            ]
         } else {
-            [Kind::Probe, Kind::Report, Kind::User]
+            [
+                RequestKind::Probe,
+                RequestKind::Heartbeat,
+                RequestKind::User,
+            ]
         };
         for kind in order {
             let waiting = &mut self.waiting[kind as usize];
@@ -92,9 +104,9 @@
             };
             let Some((_, request)) = next else { continue };
             match kind {
-                Kind::Report => self.reports += 1,
-                Kind::User => self.reports = 0,
-                Kind::Probe => {}
+                RequestKind::Heartbeat => self.heartbeats += 1,
+                RequestKind::User => self.heartbeats = 0,
+                RequestKind::Probe => {}
             }
             return Some(request);
         }
--- a/src/request_queue/tests.rs
+++ b/src/request_queue/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn reports_go_before_users_who_have_their_turn_all_the_same() {
-    let mut intake = Intake::new(100);
+fn heartbeats_go_before_users_who_have_their_turn_all_the_same() {
+    let mut intake = RequestQueue::new(100);
     for index in 0..6 {
-        intake.push(Kind::Report, format!("r{index}"), Millis(0));
+        intake.push(RequestKind::Heartbeat, format!("r{index}"), Millis(0));
     }
-    intake.push(Kind::User, "u0".into(), Millis(0));
-    intake.push(Kind::User, "u1".into(), Millis(0));
-    intake.push(Kind::Probe, "p".into(), Millis(0));
+    intake.push(RequestKind::User, "u0".into(), Millis(0));
+    intake.push(RequestKind::User, "u1".into(), Millis(0));
+    intake.push(RequestKind::Probe, "p".into(), Millis(0));
     let mut gone = Vec::new();
     let order: Vec<String> = std::iter::from_fn(|| intake.pop(Millis(10), &mut gone)).collect();
     assert_eq!(order, ["p", "r0", "r1", "r2", "r3", "u0", "r4", "r5", "u1"]);
@@ -27,9 +27,9 @@
         (4_600, vec![], vec!["a", "b", "c"]),
     ];
     for (at, order, late) in cases {
-        let mut intake = Intake::new(100);
+        let mut intake = RequestQueue::new(100);
         for (index, name) in ["a", "b", "c"].into_iter().enumerate() {
-            intake.push(Kind::Report, name, Millis(500 * index as u64));
+            intake.push(RequestKind::Heartbeat, name, Millis(500 * index as u64));
         }
         let mut gone = Vec::new();
         let got: Vec<_> = std::iter::from_fn(|| intake.pop(Millis(at), &mut gone)).collect();
@@ -39,9 +39,9 @@
 
 #[test]
 fn too_many_push_the_oldest_out() {
-    let mut intake = Intake::new(2);
-    assert_eq!(intake.push(Kind::User, 1, Millis(0)), None);
-    assert_eq!(intake.push(Kind::Report, 2, Millis(0)), None);
-    assert_eq!(intake.push(Kind::User, 3, Millis(0)), None);
-    assert_eq!(intake.push(Kind::User, 4, Millis(0)), Some(1));
+    let mut intake = RequestQueue::new(2);
+    assert_eq!(intake.push(RequestKind::User, 1, Millis(0)), None);
+    assert_eq!(intake.push(RequestKind::Heartbeat, 2, Millis(0)), None);
+    assert_eq!(intake.push(RequestKind::User, 3, Millis(0)), None);
+    assert_eq!(intake.push(RequestKind::User, 4, Millis(0)), Some(1));
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 use crate::quota::hierarchical;
-use crate::types::{Millis, NodeId, Team, Zone};
+use crate::types::{ControllerId, Millis, Team, Zone};
 
 /// A settings file that can't be used: which file, which field, and why.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    pub label: NodeId,
+    pub label: ControllerId,
     pub zone: Zone,
     pub public_addr: SocketAddr,
     pub peer_bind: SocketAddr,
@@ -65,7 +65,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    pub label: NodeId,
+    pub label: ControllerId,
     pub zone: Zone,
     pub address: SocketAddr,
 }
@@ -118,7 +118,8 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
@@ -344,7 +345,10 @@
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         let d = &self.deployment;
         let positive = [
-            ("deployment.workers.report_s", d.workers.report_s),
+            (
+                "deployment.workers.report_s",
+                d.workers.heartbeat_interval_s,
+            ),
             ("deployment.workers.lease_s", d.workers.lease_s),
             ("deployment.workers.gang_wait_s", d.workers.gang_wait_s),
             ("deployment.workers.gang_peer_s", d.workers.gang_peer_s),
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -49,14 +49,14 @@
     /// Nothing was asked yet.
     New,
     Probe,
-    Report,
+    Heartbeat,
     User,
 }
 
 impl Class {
     pub fn of(path: &str) -> Self {
         match path {
-            "/v1/report" => Class::Report,
+            "/v1/report" => Class::Heartbeat,
             "/ready" => Class::Probe,
             _ => Class::User,
         }
@@ -69,7 +69,7 @@
 /// From these parts on, answers to users and to workers end their connection; and idle ones of
 /// users are closed soon.
 const CLOSE_USERS: f64 = 0.65;
-const CLOSE_REPORTS: f64 = 0.75;
+const CLOSE_HEARTBEATS: f64 = 0.75;
 const HASTE: f64 = 0.85;
 
 /// What connections have to know of all others.
@@ -78,14 +78,14 @@
     /// Users are told to come back.
     pub users_full: bool,
     pub close_users: bool,
-    pub close_reports: bool,
+    pub close_heartbeats: bool,
 }
 
 impl Pressure {
     /// Whether a connection ends with the answer that it gets.
     pub fn closes(self, class: Class) -> bool {
         match class {
-            Class::Report => self.close_reports,
+            Class::Heartbeat => self.close_heartbeats,
             Class::User => self.close_users,
             Class::New | Class::Probe => false,
         }
@@ -106,16 +106,16 @@
     /// Until its first request is there in full.
     pub new: Millis,
     pub user: Millis,
-    pub report: Millis,
+    pub heartbeat: Millis,
 }
 
 impl Patience {
     /// Workers report so often, give or take a quarter.
-    pub fn for_reports_every(report: Millis) -> Self {
+    pub fn for_heartbeats_every(heartbeat: Millis) -> Self {
         Self {
             new: Millis(5_000),
             user: Millis(30_000),
-            report: Millis(4 * report.0 + 5_000),
+            heartbeat: Millis(4 * heartbeat.0 + 5_000),
         }
     }
 }
@@ -168,7 +168,7 @@
         match class {
             Class::New => Some(&mut self.new),
             Class::User => Some(&mut self.users),
-            Class::Probe | Class::Report => None,
+            Class::Probe | Class::Heartbeat => None,
         }
     }
 
@@ -204,7 +204,7 @@
         Pressure {
             users_full: self.users > self.part(MOST_USERS),
             close_users: self.open.len() >= self.part(CLOSE_USERS),
-            close_reports: self.open.len() >= self.part(CLOSE_REPORTS),
+            close_heartbeats: self.open.len() >= self.part(CLOSE_HEARTBEATS),
         }
     }
 
@@ -223,7 +223,7 @@
             _ if open.asked => self.patience.user,
             Class::New => hurry(self.patience.new),
             Class::User => hurry(self.patience.user),
-            Class::Probe | Class::Report => self.patience.report,
+            Class::Probe | Class::Heartbeat => self.patience.heartbeat,
         };
         let over = self
             .open
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -166,13 +166,13 @@
             let body = json(&GrantBody { life_ms: *life_ms });
             (Method::POST, "/leases".into(), body, CALL_LIMIT)
         }
-        Call::Renew(permit) => {
-            let path = format!("/leases/{}/renew", permit.0);
+        Call::Renew(lease_id) => {
+            let path = format!("/leases/{}/renew", lease_id.0);
             (Method::POST, path, b"{}".to_vec(), CALL_LIMIT)
         }
-        Call::End(permit) => (
+        Call::End(lease_id) => (
             Method::DELETE,
-            format!("/leases/{}", permit.0),
+            format!("/leases/{}", lease_id.0),
             Vec::new(),
             CALL_LIMIT,
         ),
@@ -211,7 +211,7 @@
     let answer = match (call, status) {
         (_, 429) => return (Answer::Refused, true),
         (_, 503) => Answer::Refused,
-        (Call::Grant { .. }, 200) => decode(&body, |g: Granted| Answer::Granted(g.permit)),
+        (Call::Grant { .. }, 200) => decode(&body, |g: Granted| Answer::Granted(g.lease_id)),
         (Call::Renew(_), 200) => Answer::Renewed,
         (Call::Renew(_), 404) => Answer::NoLease,
         (Call::End(_), 200 | 204 | 404) => Answer::Ended,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use crate::types::{Permit, Revision};
+use crate::types::{LeaseId, Revision};
 
 /// What calls are for, the most urgent first. Leases go at once; of the others, each has a floor
 /// when the budget is short.
@@ -66,7 +66,7 @@
     Put {
         key: String,
         data: String,
-        permit: Option<Permit>,
+        lease_id: Option<LeaseId>,
     },
     Drop {
         key: String,
@@ -95,13 +95,22 @@
         self.put_text(key, json(record), None);
     }
 
-    pub fn put_leased(&mut self, key: String, record: &(impl Serialize + ?Sized), permit: Permit) {
-        self.put_text(key, json(record), Some(permit));
+    pub fn put_leased(
+        &mut self,
+        key: String,
+        record: &(impl Serialize + ?Sized),
+        lease_id: LeaseId,
+    ) {
+        self.put_text(key, json(record), Some(lease_id));
     }
 
     /// Puts what is JSON already.
-    pub fn put_text(&mut self, key: String, data: String, permit: Option<Permit>) {
-        self.changes.push(Change::Put { key, data, permit });
+    pub fn put_text(&mut self, key: String, data: String, lease_id: Option<LeaseId>) {
+        self.changes.push(Change::Put {
+            key,
+            data,
+            lease_id,
+        });
     }
 
     pub fn drop_key(&mut self, key: String) {
@@ -112,8 +121,8 @@
 #[derive(Clone, Debug)]
 pub enum Call {
     Grant { life_ms: u64 },
-    Renew(Permit),
-    End(Permit),
+    Renew(LeaseId),
+    End(LeaseId),
     Txn(Txn),
     ReadRevision,
     List { after: Option<String> },
@@ -145,7 +154,7 @@
 
 #[derive(Debug)]
 pub enum Answer {
-    Granted(Permit),
+    Granted(LeaseId),
     Renewed,
     Ended,
     /// The lease is over.
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -4,7 +4,7 @@
 use serde_json::value::RawValue;
 
 use super::{Change, Entry, Txn, Update};
-use crate::types::{Permit, Revision};
+use crate::types::{LeaseId, Revision};
 
 #[derive(Serialize)]
 pub struct GrantBody {
@@ -14,7 +14,8 @@
 
 #[derive(Deserialize)]
 pub struct Granted {
-    pub permit: Permit,
+    #[serde(rename = "permit")]
+    pub lease_id: LeaseId,
 }
 
 #[derive(Deserialize)]
@@ -88,7 +89,8 @@
         put: &'a str,
         data: &'a RawValue,
         #[serde(skip_serializing_if = "Option::is_none")]
-        permit: Option<Permit>,
+        #[serde(rename = "permit")]
+        lease_id: Option<LeaseId>,
     },
     Drop {
         drop: &'a str,
@@ -113,10 +115,14 @@
         .iter()
         .map(|change| {
             Ok(match change {
-                Change::Put { key, data, permit } => Op::Put {
+                Change::Put {
+                    key,
+                    data,
+                    lease_id,
+                } => Op::Put {
                     put: key,
                     data: serde_json::from_str(data)?,
-                    permit: *permit,
+                    lease_id: *lease_id,
                 },
                 Change::Drop { key } => Op::Drop { drop: key },
             })
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -21,7 +21,7 @@
 fn transactions_are_written_as_the_protocol_has_them() {
     let mut txn = Txn::default();
     txn.require("a/b".into(), Revision(0));
-    txn.put_text("a/b".into(), "{\"x\":1}".into(), Some(Permit(7)));
+    txn.put_text("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
     txn.drop_key("c/d".into());
     let text = String::from_utf8(txn_body(&txn).unwrap()).unwrap();
     assert_eq!(
--- a/src/types.rs
+++ b/src/types.rs
@@ -52,11 +52,11 @@
 );
 name_type!(
     /// A machine's name in the cloud, such as `vm-000231`.
-    HostId
+    MachineId
 );
 name_type!(
     /// The label of a controller.
-    NodeId
+    ControllerId
 );
 name_type!(
     /// A zone.
@@ -64,7 +64,7 @@
 );
 name_type!(
     /// A machine type.
-    Sku
+    MachineTypeId
 );
 name_type!(
     /// A team.
@@ -101,16 +101,16 @@
 );
 number_type!(
     /// What entitles a holder to command a machine: the revision at which its shard was taken.
-    Token
+    FencingToken
 );
 number_type!(
     /// What workers see of a token: twice the token, and one more while its holder keeps machines
     /// alive that are cut off together with it.
-    Baton
+    WorkerToken
 );
 number_type!(
     /// A lease of the state service.
-    Permit
+    LeaseId
 );
 number_type!(
     /// One start of a task; shared by all tasks of a gang that start together.
@@ -118,7 +118,7 @@
 );
 number_type!(
     /// A worker's agent epoch.
-    Session
+    AgentEpoch
 );
 number_type!(
     /// Names a request whose answer is still owed.
@@ -129,21 +129,21 @@
     TxnId
 );
 
-impl Baton {
-    pub fn of(token: Token) -> Self {
+impl WorkerToken {
+    pub fn of(token: FencingToken) -> Self {
         Self(token.0 * 2)
     }
 
     /// Obeyed after `of` the same token, and before any later one.
-    pub fn keeping(token: Token) -> Self {
+    pub fn partitioned(token: FencingToken) -> Self {
         Self(token.0 * 2 + 1)
     }
 
-    pub fn token(self) -> Token {
-        Token(self.0 / 2)
+    pub fn token(self) -> FencingToken {
+        FencingToken(self.0 / 2)
     }
 
-    pub fn keeps(self) -> bool {
+    pub fn is_partitioned(self) -> bool {
         self.0 % 2 == 1
     }
 }
@@ -213,12 +213,12 @@
 
 /// A shard of machines: a part of one zone that one controller at a time places in.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct BlockId {
+pub struct ShardId {
     pub zone: Zone,
     pub part: u32,
 }
 
-impl BlockId {
+impl ShardId {
     pub fn parse(text: &str) -> Option<Self> {
         let (zone, part) = text.rsplit_once('.')?;
         Some(Self {
@@ -228,13 +228,13 @@
     }
 }
 
-impl fmt::Display for BlockId {
+impl fmt::Display for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.zone, self.part)
     }
 }
 
-impl fmt::Debug for BlockId {
+impl fmt::Debug for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -6,32 +6,35 @@
 use http::Method;
 use serde::Serialize;
 
-use super::wire::{Order, Report};
-use crate::controller::DirectAnswer;
+use super::wire::{Heartbeat, WorkerCommand};
+use crate::controller::CommandReply;
 use crate::http_client::HttpClient;
-use crate::types::{Baton, Session};
+use crate::types::{AgentEpoch, WorkerToken};
 
 const LIMIT: Duration = Duration::from_secs(3);
 
 #[derive(Serialize)]
 struct Body<'a> {
-    baton: Baton,
-    shift: Session,
-    orders: &'a [Order],
+    #[serde(rename = "baton")]
+    worker_token: WorkerToken,
+    #[serde(rename = "shift")]
+    agent_epoch: AgentEpoch,
+    #[serde(rename = "orders")]
+    commands: &'a [WorkerCommand],
 }
 
 /// Sends commands; `None` if it stays open whether they were, or will be, executed.
 pub async fn send(
     client: HttpClient,
     address: SocketAddr,
-    baton: Baton,
-    session: Session,
-    orders: Vec<Order>,
-) -> Option<DirectAnswer> {
+    worker_token: WorkerToken,
+    agent_epoch: AgentEpoch,
+    commands: Vec<WorkerCommand>,
+) -> Option<CommandReply> {
     let body = Body {
-        baton,
-        shift: session,
-        orders: &orders,
+        worker_token,
+        agent_epoch: agent_epoch,
+        commands: &commands,
     };
     let body = serde_json::to_vec(&body).ok()?;
     let (status, body) = client
@@ -40,8 +43,8 @@
         .await
         .ok()?;
     // 409 and 400 mean that nothing was executed; they settle the matter just the same.
-    matches!(status, 200 | 400 | 409).then(|| DirectAnswer {
-        report: serde_json::from_slice::<Report>(&body).ok(),
+    matches!(status, 200 | 400 | 409).then(|| CommandReply {
+        heartbeat: serde_json::from_slice::<Heartbeat>(&body).ok(),
     })
 }
 
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc;
 
 use super::client;
-use super::wire::Order;
+use super::wire::WorkerCommand;
 use crate::clock::Clock;
-use crate::controller::DirectAnswer;
+use crate::controller::CommandReply;
 use crate::http_client::HttpClient;
-use crate::types::{Baton, HostId, Millis, Session};
+use crate::types::{AgentEpoch, MachineId, Millis, WorkerToken};
 
 /// Orders that waited for longer were decided on an old heartbeat: they ride on the next answer.
 const WAITS: Millis = Millis(2_000);
@@ -22,49 +22,51 @@
 const SHOWS: f64 = 0.5;
 
 /// What is to be sent to a worker.
-pub struct Errand {
-    pub host: HostId,
+pub struct DirectRequest {
+    pub machine_id: MachineId,
     pub address: SocketAddr,
-    pub what: What,
+    pub what: DirectRequestKind,
 }
 
-pub enum What {
+pub enum DirectRequestKind {
     Orders {
-        baton: Baton,
-        session: Session,
-        orders: Vec<Order>,
+        worker_token: WorkerToken,
+        agent_epoch: AgentEpoch,
+        commands: Vec<WorkerCommand>,
     },
     /// Asks for its heartbeat.
     Inspect,
 }
 
 /// What came of it.
-pub enum Outcome {
-    Direct(HostId, Option<DirectAnswer>),
+pub enum DirectResponse {
+    Commands(MachineId, Option<CommandReply>),
     Inspected(bool),
 }
 
-impl Errand {
+impl DirectRequest {
     fn shows(&self) -> bool {
         match &self.what {
-            What::Orders { orders, .. } => orders.is_empty(),
-            What::Inspect => false,
+            DirectRequestKind::Orders { commands, .. } => commands.is_empty(),
+            DirectRequestKind::Inspect => false,
         }
     }
 
     /// Nothing was sent, so nothing can come late.
-    fn unsent(self) -> Outcome {
+    fn unsent(self) -> DirectResponse {
         match self.what {
-            What::Orders { .. } => Outcome::Direct(self.host, Some(DirectAnswer { report: None })),
-            What::Inspect => Outcome::Inspected(false),
+            DirectRequestKind::Orders { .. } => {
+                DirectResponse::Commands(self.machine_id, Some(CommandReply { heartbeat: None }))
+            }
+            DirectRequestKind::Inspect => DirectResponse::Inspected(false),
         }
     }
 }
 
 /// Which requests may leave.
 struct Turns {
-    orders: VecDeque<(Millis, Errand)>,
-    shows: VecDeque<(Millis, Errand)>,
+    commands: VecDeque<(Millis, DirectRequest)>,
+    shows: VecDeque<(Millis, DirectRequest)>,
     most: usize,
     under_way: usize,
     shows_under_way: usize,
@@ -73,7 +75,7 @@
 impl Turns {
     fn new(most: usize) -> Self {
         Self {
-            orders: VecDeque::new(),
+            commands: VecDeque::new(),
             shows: VecDeque::new(),
             most,
             under_way: 0,
@@ -81,31 +83,34 @@
         }
     }
 
-    fn push(&mut self, errand: Errand, now: Millis) {
-        if errand.shows() {
-            self.shows.push_back((now, errand));
+    fn push(&mut self, request: DirectRequest, now: Millis) {
+        if request.shows() {
+            self.shows.push_back((now, request));
         } else {
-            self.orders.push_back((now, errand));
+            self.commands.push_back((now, request));
         }
     }
 
     /// The next request, and whether it came too late to be sent.
-    fn next(&mut self, now: Millis) -> Option<(Errand, bool)> {
-        if let Some((since, _)) = self.orders.front() {
+    fn next(&mut self, now: Millis) -> Option<(DirectRequest, bool)> {
+        if let Some((since, _)) = self.commands.front() {
             let late = now.since(*since) > WAITS;
             if late || self.under_way < self.most {
                 self.under_way += usize::from(!late);
-                return self.orders.pop_front().map(|(_, errand)| (errand, late));
+                return self
+                    .commands
+                    .pop_front()
+                    .map(|(_, request)| (request, late));
             }
         }
         let most_shows = ((self.most as f64 * SHOWS) as usize).max(1);
         if self.under_way >= self.most || self.shows_under_way >= most_shows {
             return None;
         }
-        let (_, errand) = self.shows.pop_front()?;
+        let (_, request) = self.shows.pop_front()?;
         self.under_way += 1;
         self.shows_under_way += 1;
-        Some((errand, false))
+        Some((request, false))
     }
 
     fn done(&mut self, show: bool) {
@@ -116,26 +121,26 @@
 
 /// Address of the actor.
 #[derive(Clone)]
-pub struct Direct {
-    errands: mpsc::UnboundedSender<Errand>,
+pub struct DirectClient {
+    requests: mpsc::UnboundedSender<DirectRequest>,
 }
 
-impl Direct {
+impl DirectClient {
     /// `outcomes` holds as much as this sends on: one for each machine at the most.
     pub fn start(
         client: HttpClient,
         most: usize,
         clock: Clock,
-        outcomes: mpsc::UnboundedSender<Outcome>,
+        outcomes: mpsc::UnboundedSender<DirectResponse>,
     ) -> Self {
-        let (errands, inbox) = mpsc::unbounded_channel();
+        let (requests, inbox) = mpsc::unbounded_channel();
         tokio::spawn(run(client, Turns::new(most), clock, inbox, outcomes));
-        Self { errands }
+        Self { requests }
     }
 
-    pub fn send(&self, errand: Errand) {
+    pub fn send(&self, request: DirectRequest) {
         // The actor ends only with the process.
-        let _ = self.errands.send(errand);
+        let _ = self.requests.send(request);
     }
 }
 
@@ -143,42 +148,45 @@
     client: HttpClient,
     mut turns: Turns,
     clock: Clock,
-    mut inbox: mpsc::UnboundedReceiver<Errand>,
-    outcomes: mpsc::UnboundedSender<Outcome>,
+    mut inbox: mpsc::UnboundedReceiver<DirectRequest>,
+    outcomes: mpsc::UnboundedSender<DirectResponse>,
 ) {
     // No more than `most` are under way.
     let (done, mut ended) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
             Some(show) = ended.recv() => turns.done(show),
-            errand = inbox.recv() => match errand {
-                Some(errand) => turns.push(errand, clock.now()),
+            request = inbox.recv() => match request {
+                Some(request) => turns.push(request, clock.now()),
                 None => return,
             },
         }
-        while let Some((errand, late)) = turns.next(clock.now()) {
+        while let Some((request, late)) = turns.next(clock.now()) {
             if late {
-                let _ = outcomes.send(errand.unsent());
+                let _ = outcomes.send(request.unsent());
                 continue;
             }
             let (client, outcomes, done) = (client.clone(), outcomes.clone(), done.clone());
             tokio::spawn(async move {
-                let show = errand.shows();
-                let Errand {
-                    host,
+                let show = request.shows();
+                let DirectRequest {
+                    machine_id,
                     address,
                     what,
-                } = errand;
+                } = request;
                 let outcome = match what {
-                    What::Orders {
-                        baton,
-                        session,
-                        orders,
+                    DirectRequestKind::Orders {
+                        worker_token,
+                        agent_epoch,
+                        commands,
                     } => {
-                        let sent = client::send(client, address, baton, session, orders);
-                        Outcome::Direct(host, sent.await)
+                        let sent =
+                            client::send(client, address, worker_token, agent_epoch, commands);
+                        DirectResponse::Commands(machine_id, sent.await)
+                    }
+                    DirectRequestKind::Inspect => {
+                        DirectResponse::Inspected(client::inspect(client, address).await)
                     }
-                    What::Inspect => Outcome::Inspected(client::inspect(client, address).await),
                 };
                 let _ = outcomes.send(outcome);
                 let _ = done.send(show);
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -12,18 +12,18 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
 use crate::types::{
-    Attempt, Baton, BlockId, HostId, Image, JobId, Millis, NodeId, Session, Sku, TaskId, Token,
-    Zone,
+    AgentEpoch, Attempt, ControllerId, FencingToken, Image, JobId, MachineId, MachineTypeId,
+    Millis, ShardId, TaskId, WorkerToken, Zone,
 };
-use reachability::Hearing;
-use wire::{Cause, Report, TaskStage};
+use reachability::Reachability;
+use wire::{ExitCause, Heartbeat, TaskStage};
 
 /// A task as its machine reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct TaskObservation {
     pub attempt: Attempt,
     pub stage: TaskStage,
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
 /// An image in a machine's cache.
@@ -36,39 +36,39 @@
 /// A machine as this controller knows it, from its worker's heartbeats or from another controller.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    pub host: HostId,
-    pub rig: Sku,
+    pub machine_id: MachineId,
+    pub machine_type: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
-    pub block: BlockId,
-    pub session: Session,
-    pub tally: u64,
+    pub shard: ShardId,
+    pub agent_epoch: AgentEpoch,
+    pub heartbeat_sequence: u64,
     /// The token that the worker had seen when it last reported to us.
-    pub baton: Baton,
+    pub worker_token: WorkerToken,
     /// When the last heartbeat was received that we answered under a token of ours, and that token.
-    pub answered: Option<(Token, Millis)>,
+    pub answered: Option<(FencingToken, Millis)>,
     /// The token of ours that the worker was first known to have seen, and since when. Until then an
     /// earlier holder's answers may have renewed its lease.
-    pub aware: Option<(Token, Millis)>,
+    pub aware: Option<(FencingToken, Millis)>,
     /// When anybody last heard from the worker, and could take that for a sign of life.
     pub heard: Millis,
     /// When a heartbeat of its came last, and not only an answer to direct commands.
     pub reported: Millis,
-    pub hearing: Hearing,
+    pub reachability: Reachability,
     /// Who heard.
-    pub heard_by: NodeId,
-    pub tasks: BTreeMap<TaskId, Seen>,
+    pub heard_by: ControllerId,
+    pub tasks: BTreeMap<TaskId, TaskObservation>,
     pub warned: bool,
     /// Jobs whose tasks failed here since the last success.
     pub failed: BTreeMap<JobId, Failed>,
-    pub sick: bool,
+    pub quarantined: bool,
     /// The leader wants to return it.
     pub draining: bool,
     /// A start was refused for room: no more until then.
     pub refused_until: Millis,
     /// Where the worker takes commands directly.
     pub address: Option<SocketAddr>,
-    pub direct: Direct,
+    pub direct: DirectChannel,
     /// Images in the cache.
     pub images: HashMap<Image, Cached>,
     /// Images that tasks placed here wait for, as far as we placed them.
@@ -77,7 +77,7 @@
 
 /// Orders sent to a worker without waiting for its heartbeat.
 #[derive(Clone, Debug, Default)]
-pub struct Direct {
+pub struct DirectChannel {
     /// An exchange is under way.
     pub busy: bool,
     /// When we last asked for a sign of life.
@@ -87,34 +87,35 @@
     /// Starts that were sent under this token and agent epoch and got no answer. The network may
     /// deliver them minutes later, so the worker may start these at any time, unless it knows
     /// the attempt already: such a task is not proved absent, and its attempt not forgotten.
-    pub loose: HashSet<(TaskId, Attempt)>,
-    pub under: (Token, Session),
+    pub unacknowledged_starts: HashSet<(TaskId, Attempt)>,
+    pub under: (FencingToken, AgentEpoch),
     /// Starts of the exchange that is under way.
     pub sent: Vec<(TaskId, Attempt)>,
     /// Starts in the answer to the last heartbeat. The worker's next heartbeat shows them, or that the
     /// answer was dropped; its answer to direct commands proves neither, since it may have been
     /// written before the heartbeat's answer came.
-    pub riding: HashSet<(TaskId, Attempt)>,
+    pub piggybacked_starts: HashSet<(TaskId, Attempt)>,
 }
 
-impl Direct {
+impl DirectChannel {
     /// Whether a start may be on its way to the worker, unless its last heartbeat shows it.
     pub fn may_come(&self, task: &TaskId, attempt: Attempt) -> bool {
         let start = (task.clone(), attempt);
-        self.loose.contains(&start) || self.riding.contains(&start)
+        self.unacknowledged_starts.contains(&start) || self.piggybacked_starts.contains(&start)
     }
 
     /// Whether a start was sent directly and may come minutes late.
-    pub fn is_loose(&self, task: &TaskId, attempt: Attempt) -> bool {
-        self.loose.contains(&(task.clone(), attempt))
+    pub fn is_unacknowledged(&self, task: &TaskId, attempt: Attempt) -> bool {
+        self.unacknowledged_starts
+            .contains(&(task.clone(), attempt))
     }
 
     /// Starts of an earlier token or agent epoch are refused by the worker, whenever they come.
-    pub fn enter(&mut self, token: Token, session: Session) {
-        if self.under != (token, session) {
-            self.under = (token, session);
-            self.loose.clear();
-            self.riding.clear();
+    pub fn enter(&mut self, token: FencingToken, agent_epoch: AgentEpoch) {
+        if self.under != (token, agent_epoch) {
+            self.under = (token, agent_epoch);
+            self.unacknowledged_starts.clear();
+            self.piggybacked_starts.clear();
         }
     }
 }
@@ -127,10 +128,10 @@
 const LEAST_LEFT: f64 = 0.1;
 
 /// A machine is quarantined once tasks of this many jobs failed on it in a row.
-const SICK_AFTER: usize = 2;
+const QUARANTINED_AFTER: usize = 2;
 /// And after so many tries in a row that failed, though the jobs are suspect themselves: a job that
 /// has nowhere else to go is tried on faulty machines again and again.
-const SICK_AFTER_TRIES: u32 = 4;
+const QUARANTINED_AFTER_TRIES: u32 = 4;
 /// Tasks that fail closer together were started together.
 const ONE_TRY: Millis = Millis(5_000);
 
@@ -142,71 +143,78 @@
 }
 
 impl Machine {
-    pub fn new(host: HostId, rig: Sku, zone: Zone, spot: bool, block: BlockId, by: NodeId) -> Self {
+    pub fn new(
+        machine_id: MachineId,
+        machine_type: MachineTypeId,
+        zone: Zone,
+        spot: bool,
+        shard: ShardId,
+        by: ControllerId,
+    ) -> Self {
         Self {
-            host,
-            rig,
+            machine_id,
+            machine_type,
             zone,
             spot,
-            block,
-            session: Session(0),
-            tally: 0,
-            baton: Baton(0),
+            shard,
+            agent_epoch: AgentEpoch(0),
+            heartbeat_sequence: 0,
+            worker_token: WorkerToken(0),
             answered: None,
             aware: None,
             heard: Millis(0),
             reported: Millis(0),
-            hearing: Hearing::default(),
+            reachability: Reachability::default(),
             heard_by: by,
             tasks: BTreeMap::new(),
             warned: false,
             failed: BTreeMap::new(),
-            sick: false,
+            quarantined: false,
             draining: false,
             refused_until: Millis(0),
             address: None,
-            direct: Direct::default(),
+            direct: DirectChannel::default(),
             images: HashMap::default(),
             coming: HashMap::default(),
         }
     }
 
     /// Whether the heartbeat is newer than what is known. A late one is not: its list is old.
-    pub fn newer(&self, session: Session, tally: u64) -> bool {
-        (session, tally) > (self.session, self.tally)
+    pub fn newer(&self, agent_epoch: AgentEpoch, heartbeat_sequence: u64) -> bool {
+        (agent_epoch, heartbeat_sequence) > (self.agent_epoch, self.heartbeat_sequence)
     }
 
     /// Takes in a heartbeat that is known to be newer. Only of a machine that hears us is it a sign of
     /// life.
-    pub fn take_in(&mut self, report: &Report, now: Millis, by: &NodeId) {
-        self.session = report.shift;
-        self.tally = report.tally;
-        self.baton = report.baton;
-        if self.hearing.proved() || self.heard == Millis(0) {
+    pub fn take_in(&mut self, heartbeat: &Heartbeat, now: Millis, by: &ControllerId) {
+        self.agent_epoch = heartbeat.agent_epoch;
+        self.heartbeat_sequence = heartbeat.heartbeat_sequence;
+        self.worker_token = heartbeat.worker_token;
+        if self.reachability.proved() || self.heard == Millis(0) {
             self.heard = now;
         }
         self.heard_by = by.clone();
         // That was its last holder's word. Kept, it shut sound machines out for ever.
         self.draining = false;
-        self.address = report.address.parse().ok();
-        self.warned = report.warning_s.is_some();
-        self.tasks = report
-            .picks
+        self.address = heartbeat.address.parse().ok();
+        self.warned = heartbeat.warning_s.is_some();
+        self.tasks = heartbeat
+            .tasks
             .iter()
-            .filter_map(|pick| {
-                let seen = Seen {
-                    attempt: pick.attempt,
-                    stage: pick.stage,
-                    cause: pick.cause,
+            .filter_map(|status| {
+                let seen = TaskObservation {
+                    attempt: status.attempt,
+                    stage: status.stage,
+                    cause: status.cause,
                 };
-                Some((TaskId::parse(&pick.pick)?, seen))
+                Some((TaskId::parse(&status.task)?, seen))
             })
             .collect();
     }
 
     /// The worker has seen our token, by what it just said.
-    pub fn note_aware(&mut self, token: Token, now: Millis) {
-        if self.baton.token() >= token && self.aware.is_none_or(|(seen, _)| seen != token) {
+    pub fn note_aware(&mut self, token: FencingToken, now: Millis) {
+        if self.worker_token.token() >= token && self.aware.is_none_or(|(seen, _)| seen != token) {
             self.aware = Some((token, now));
         }
     }
@@ -214,8 +222,8 @@
     /// Whether the worker's lease is over by our clock: nobody's answer has renewed it for so long.
     /// From when it saw our token it dropped all others' answers, and before that nobody can tell
     /// when it was answered last.
-    pub fn lease_over(&self, token: Token, lease: Millis, now: Millis) -> bool {
-        let since = |at: &Option<(Token, Millis)>| at.filter(|(under, _)| *under == token);
+    pub fn lease_over(&self, token: FencingToken, lease: Millis, now: Millis) -> bool {
+        let since = |at: &Option<(FencingToken, Millis)>| at.filter(|(under, _)| *under == token);
         let Some((_, aware)) = since(&self.aware) else {
             return false;
         };
@@ -225,16 +233,16 @@
 
     /// Whether a heartbeat shows any of the starts that rode on the answer to the last one; none: there
     /// were none, or the worker began anew since.
-    pub fn obeyed(&self, report: &Report) -> Option<bool> {
-        let riding = &self.direct.riding;
-        if riding.is_empty() || report.shift != self.session {
+    pub fn obeyed(&self, heartbeat: &Heartbeat) -> Option<bool> {
+        let piggybacked_starts = &self.direct.piggybacked_starts;
+        if piggybacked_starts.is_empty() || heartbeat.agent_epoch != self.agent_epoch {
             return None;
         }
-        let shown = |pick: &wire::Pick| {
-            let start = TaskId::parse(&pick.pick).map(|task| (task, pick.attempt));
-            start.is_some_and(|start| riding.contains(&start))
+        let shown = |status: &wire::TaskStatus| {
+            let start = TaskId::parse(&status.task).map(|task| (task, status.attempt));
+            start.is_some_and(|start| piggybacked_starts.contains(&start))
         };
-        Some(report.picks.iter().any(shown))
+        Some(heartbeat.tasks.iter().any(shown))
     }
 
     /// An image was used just now. The cache keeps the most recently used ones: those that fell
@@ -294,9 +302,9 @@
 
     /// Fit for new tasks, as far as its own condition goes.
     pub fn fit(&self, now: Millis, silence: Millis) -> bool {
-        self.hearing.proved()
+        self.reachability.proved()
             && !self.warned
-            && !self.sick
+            && !self.quarantined
             && !self.draining
             && now >= self.refused_until
             && now.since(self.heard) <= silence
@@ -315,24 +323,28 @@
     pub fn judge(&mut self, suspect: impl Fn(&JobId) -> bool) {
         let sound = self.failed.keys().filter(|job| !suspect(job)).count();
         let tries: u32 = self.failed.values().map(|failed| failed.tries).sum();
-        self.sick = sound >= SICK_AFTER || tries >= SICK_AFTER_TRIES;
+        self.quarantined = sound >= QUARANTINED_AFTER || tries >= QUARANTINED_AFTER_TRIES;
     }
 
     pub fn note_success(&mut self) {
         self.failed.clear();
-        self.sick = false;
+        self.quarantined = false;
     }
 }
 
 /// Which shard of its zone a machine belongs to: fixed by its name, so that all agree.
-pub fn block_of(host: &HostId, zone: &Zone, parts: u32) -> BlockId {
-    let digits: String = host.as_str().chars().filter(char::is_ascii_digit).collect();
+pub fn shard_of(machine_id: &MachineId, zone: &Zone, parts: u32) -> ShardId {
+    let digits: String = machine_id
+        .as_str()
+        .chars()
+        .filter(char::is_ascii_digit)
+        .collect();
     let number: u64 = digits.parse().unwrap_or_else(|_| {
-        host.as_str().bytes().fold(0u64, |sum, b| {
+        machine_id.as_str().bytes().fold(0u64, |sum, b| {
             sum.wrapping_mul(31).wrapping_add(u64::from(b))
         })
     });
-    BlockId {
+    ShardId {
         zone: zone.clone(),
         part: (number % u64::from(parts.max(1))) as u32,
     }
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -5,17 +5,17 @@
 //! it, a start that a later report shows, or an agent epoch that outlives a lease. Until then a machine
 //! gets no new work, is no room, and what it says counts as no sign of life.
 
-use crate::types::{Millis, Session};
+use crate::types::{AgentEpoch, Millis};
 
 /// One lost answer is no reason to doubt.
 const MISSES: u8 = 2;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hearing {
+pub struct Reachability {
     proved: bool,
     /// When it became doubtful, and in which agent epoch.
     since: Millis,
-    session: Session,
+    agent_epoch: AgentEpoch,
     /// Answers in a row that carried starts of which the next heartbeat showed none.
     misses: u8,
     /// When a heartbeat newer than all before came last.
@@ -24,8 +24,8 @@
 
 /// What a heartbeat that is newer than all before says of hearing.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
-    pub session: Session,
+pub struct HeartbeatObservation {
+    pub agent_epoch: AgentEpoch,
     /// Nothing was known of the machine, or it had been silent for longer than a lost report or two
     /// explain: this may be a copy of what it sent before it went.
     pub unexpected: bool,
@@ -35,7 +35,7 @@
     pub obeyed: Option<bool>,
 }
 
-impl Hearing {
+impl Reachability {
     pub fn proved(&self) -> bool {
         self.proved
     }
@@ -47,7 +47,7 @@
     }
 
     /// It answers what we send, and can't report: its lease runs out, as if it heard nothing.
-    pub fn mute(&mut self, now: Millis) {
+    pub fn unable_to_report(&mut self, now: Millis) {
         self.proved = false;
         self.spoke = now;
     }
@@ -58,33 +58,33 @@
         self.spoke = now;
     }
 
-    fn doubt(&mut self, session: Session, now: Millis) {
-        if self.proved || self.since == Millis(0) || session != self.session {
-            (self.since, self.session) = (now, session);
+    fn doubt(&mut self, agent_epoch: AgentEpoch, now: Millis) {
+        if self.proved || self.since == Millis(0) || agent_epoch != self.agent_epoch {
+            (self.since, self.agent_epoch) = (now, agent_epoch);
         }
         self.proved = false;
         self.misses = 0;
     }
 
     /// Takes in a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
-    pub fn reported(&mut self, said: Said, lease: Millis, now: Millis) {
+    pub fn reported(&mut self, said: HeartbeatObservation, lease: Millis, now: Millis) {
         self.spoke = now;
         if said.unexpected || said.broken {
-            return self.doubt(said.session, now);
+            return self.doubt(said.agent_epoch, now);
         }
         match said.obeyed {
             Some(true) => self.prove(),
             Some(false) => {
                 self.misses += 1;
                 if self.misses >= MISSES {
-                    self.doubt(said.session, now);
+                    self.doubt(said.agent_epoch, now);
                 }
             }
             None => {}
         }
         if !self.proved {
-            if said.session != self.session {
-                (self.since, self.session) = (now, said.session);
+            if said.agent_epoch != self.agent_epoch {
+                (self.since, self.agent_epoch) = (now, said.agent_epoch);
             } else if now.since(self.since) > lease {
                 // Somebody's answers have reached it, or its agent epoch would be over.
                 self.prove();
--- a/src/workers/reachability/tests.rs
+++ b/src/workers/reachability/tests.rs
@@ -4,31 +4,31 @@
 
 #[test]
 fn hearing_is_proved_by_effect_only() {
-    let plain = Said {
-        session: Session(1),
+    let plain = HeartbeatObservation {
+        agent_epoch: AgentEpoch(1),
         unexpected: false,
         broken: false,
         obeyed: None,
     };
-    let unexpected = Said {
+    let unexpected = HeartbeatObservation {
         unexpected: true,
         ..plain
     };
-    let obeyed = |yes| Said {
+    let obeyed = |yes| HeartbeatObservation {
         obeyed: Some(yes),
         ..plain
     };
-    let broken = Said {
-        session: Session(2),
+    let broken = HeartbeatObservation {
+        agent_epoch: AgentEpoch(2),
         broken: true,
         ..plain
     };
-    let again = |session| Said {
-        session: Session(session),
+    let again = |agent_epoch| HeartbeatObservation {
+        agent_epoch: AgentEpoch(agent_epoch),
         ..plain
     };
     // Seconds at which something is reported, none: it answers what we sent; proved after each.
-    type Step = (u64, Option<Said>, bool);
+    type Step = (u64, Option<HeartbeatObservation>, bool);
     let cases: [(&str, Vec<Step>); 7] = [
         (
             "one that is new is asked first",
@@ -74,14 +74,14 @@
         ),
     ];
     for (name, steps) in cases {
-        let mut hearing = Hearing::default();
+        let mut reachability = Reachability::default();
         for (index, (at, said, proved)) in steps.into_iter().enumerate() {
             let now = Millis(at * 1_000);
             match said {
-                Some(said) => hearing.reported(said, LEASE, now),
-                None => hearing.prove(),
+                Some(said) => reachability.reported(said, LEASE, now),
+                None => reachability.prove(),
             }
-            assert_eq!(hearing.proved(), proved, "{name}, step {index}");
+            assert_eq!(reachability.proved(), proved, "{name}, step {index}");
         }
     }
 }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -3,10 +3,10 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
 use super::Machine;
-use super::wire::{Cause, Order, TaskStage};
+use super::wire::{ExitCause, TaskStage, WorkerCommand};
 use crate::jobs::cache::{Change, Evidence, Job, Jobs};
 use crate::jobs::{Phase, Placement, Task};
-use crate::types::{Attempt, HostId, JobId, TaskId, Token};
+use crate::types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 
 /// Tasks that their holder is stopping, to make room or to empty a machine.
 pub type Stops = HashMap<TaskId, Stop>;
@@ -19,24 +19,28 @@
 }
 
 #[derive(Debug, Default, PartialEq)]
-pub struct Outcome {
-    pub orders: Vec<Order>,
+pub struct Reconciliation {
+    pub commands: Vec<WorkerCommand>,
     pub changes: Vec<(JobId, u32, Change)>,
     /// Exits with an error, and starts that were refused.
-    pub failures: Vec<(JobId, Cause)>,
+    pub failures: Vec<(JobId, ExitCause)>,
     pub successes: u32,
 }
 
 /// An answer stays well below 64 KiB with this many commands.
-const MOST_ORDERS: usize = 300;
+const MOST_COMMANDS: usize = 300;
 
 fn job_wants_it(job: &Job) -> bool {
     job.record.phase == Phase::Active && !job.broken_gang()
 }
 
-fn placed_here<'a>(job: Option<&'a Job>, task: &TaskId, host: &HostId) -> Option<&'a Placement> {
+fn placed_here<'a>(
+    job: Option<&'a Job>,
+    task: &TaskId,
+    machine_id: &MachineId,
+) -> Option<&'a Placement> {
     job.and_then(|job| job.task(task.index).placement())
-        .filter(|p| p.host == *host)
+        .filter(|p| p.machine_id == *machine_id)
 }
 
 /// `machine` holds the newest report. `token` is what we hold its shard under; a heartbeat whose
@@ -44,17 +48,18 @@
 /// `gathering` tells of a gang whether the rest of it may still be fetching its image.
 pub fn reconcile(
     machine: &Machine,
-    token: Token,
+    token: FencingToken,
     jobs: &Jobs,
     stops: &Stops,
     gathering: impl Fn(&Job) -> bool,
-) -> Outcome {
-    let mut out = Outcome::default();
-    if machine.baton.token() < token {
+) -> Reconciliation {
+    let mut out = Reconciliation::default();
+    if machine.worker_token.token() < token {
         return out;
     }
     let mut settled: HashSet<&TaskId> = HashSet::default();
-    let loose = |task: &TaskId, attempt: Attempt| machine.direct.may_come(task, attempt);
+    let unacknowledged_starts =
+        |task: &TaskId, attempt: Attempt| machine.direct.may_come(task, attempt);
     // A stop is of one attempt. Held against the next, it would have that released before it was started,
     // and started once it was forgotten, while the release may still be on its way.
     let stopped = |task: &TaskId, attempt: Attempt| {
@@ -65,15 +70,20 @@
         let job = jobs.get(&task.job);
         let attempt = seen.attempt;
         let exited = seen.stage == TaskStage::Exited;
-        let current = placed_here(job, task, &machine.host)
-            .is_some_and(|p| p.session == machine.session && p.attempt == attempt);
+        let current = placed_here(job, task, &machine.machine_id)
+            .is_some_and(|p| p.agent_epoch == machine.agent_epoch && p.attempt == attempt);
         match (job, current) {
             (Some(job), true) => {
                 settled.insert(task);
                 let pending = job.changes.contains_key(&task.index);
-                let cause = seen.cause.unwrap_or(Cause::Error);
-                let alone = exited && cause == Cause::Alone;
-                if alone && machine.direct.riding.contains(&(task.clone(), attempt)) {
+                let cause = seen.cause.unwrap_or(ExitCause::Error);
+                let alone = exited && cause == ExitCause::Alone;
+                if alone
+                    && machine
+                        .direct
+                        .piggybacked_starts
+                        .contains(&(task.clone(), attempt))
+                {
                     // It may have been told to start once more already. An answer to direct commands
                     // that was written before says nothing of that.
                 } else if alone
@@ -87,17 +97,20 @@
                     // the others with it.
                     let task = task.clone();
                     let forget = task.clone();
-                    out.orders.push(Order::Forget {
+                    out.commands.push(WorkerCommand::Forget {
                         task: forget,
                         attempt,
                     });
-                    out.orders.push(Order::Start { task, attempt });
+                    out.commands.push(WorkerCommand::Start { task, attempt });
                 } else if exited && !pending {
-                    let change = if cause == Cause::Done {
+                    let change = if cause == ExitCause::Done {
                         out.successes += 1;
                         Change::Finish { attempt }
                     } else {
-                        if matches!(cause, Cause::Error | Cause::NoRoom | Cause::Unknown) {
+                        if matches!(
+                            cause,
+                            ExitCause::Error | ExitCause::NoRoom | ExitCause::Unknown
+                        ) {
                             out.failures.push((task.job.clone(), cause));
                         }
                         Change::Release {
@@ -107,7 +120,7 @@
                     };
                     out.changes.push((task.job.clone(), task.index, change));
                 } else if !exited && !job_wants_it(job) {
-                    out.orders.push(Order::Stop {
+                    out.commands.push(WorkerCommand::Stop {
                         task: task.clone(),
                         attempt,
                         grace_s: 0.0,
@@ -117,7 +130,7 @@
                     && stop.attempt == attempt
                     && (seen.stage != TaskStage::Saving || !stop.save)
                 {
-                    out.orders.push(Order::Stop {
+                    out.commands.push(WorkerCommand::Stop {
                         task: task.clone(),
                         attempt,
                         grace_s: if stop.save {
@@ -132,14 +145,14 @@
             // forgotten, any other has no business here.
             _ if exited => {
                 // A start that is still under way would start a forgotten attempt once more.
-                if !loose(task, attempt) {
-                    out.orders.push(Order::Forget {
+                if !unacknowledged_starts(task, attempt) {
+                    out.commands.push(WorkerCommand::Forget {
                         task: task.clone(),
                         attempt,
                     });
                 }
             }
-            _ => out.orders.push(Order::Stop {
+            _ => out.commands.push(WorkerCommand::Stop {
                 task: task.clone(),
                 attempt,
                 grace_s: 0.0,
@@ -147,7 +160,7 @@
         }
     }
     let mut ended = Vec::new();
-    for (id, index) in jobs.on_host(&machine.host) {
+    for (id, index) in jobs.on_machine(&machine.machine_id) {
         let task = TaskId {
             job: id.clone(),
             index: *index,
@@ -165,31 +178,31 @@
         };
         // A machine that came back with its counters begun anew shows a lower agent epoch than an earlier
         // holder saw. Only one that was asked and answered: to us its agent epochs only rise.
-        let anew = placement.session > machine.session && machine.hearing.proved();
-        if placement.session < machine.session || anew {
+        let anew = placement.agent_epoch > machine.agent_epoch && machine.reachability.proved();
+        if placement.agent_epoch < machine.agent_epoch || anew {
             // The worker began a new agent epoch, so it killed all it had.
             out.changes.push((id.clone(), *index, release));
-        } else if placement.session == machine.session {
+        } else if placement.agent_epoch == machine.agent_epoch {
             if job_wants_it(job) && !stopped(&task, placement.attempt) {
-                out.orders.push(Order::Start {
+                out.commands.push(WorkerCommand::Start {
                     task,
                     attempt: placement.attempt,
                 });
-            } else if !loose(&task, placement.attempt) {
+            } else if !unacknowledged_starts(&task, placement.attempt) {
                 // Starts ride on answers, and a worker has one heartbeat in flight: its next heartbeat
                 // proves whether a start was executed; one sent directly is loose until it is
                 // answered. Without either, none follows.
                 out.changes.push((id.clone(), *index, release));
-            } else if machine.direct.is_loose(&task, placement.attempt) {
+            } else if machine.direct.is_unacknowledged(&task, placement.attempt) {
                 // Nobody wants it, and its start may still come. Started and stopped now, the attempt
                 // is known to the worker, so the late start does nothing, and it is seen to have ended.
                 let attempt = placement.attempt;
                 let again = task.clone();
-                ended.push(Order::Start {
+                ended.push(WorkerCommand::Start {
                     task: again,
                     attempt,
                 });
-                ended.push(Order::Stop {
+                ended.push(WorkerCommand::Stop {
                     task,
                     attempt,
                     grace_s: 0.0,
@@ -198,10 +211,10 @@
         }
     }
     // Stops first: they make the room that starts need.
-    out.orders
-        .sort_by_key(|order| matches!(order, Order::Start { .. }));
-    out.orders.truncate(MOST_ORDERS);
-    out.orders.extend(ended);
+    out.commands
+        .sort_by_key(|order| matches!(order, WorkerCommand::Start { .. }));
+    out.commands.truncate(MOST_COMMANDS);
+    out.commands.extend(ended);
     out
 }
 
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -2,8 +2,8 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{Shape, Spec};
-use crate::types::{Baton, BlockId, Millis, Revision, Session};
-use crate::workers::Seen;
+use crate::types::{AgentEpoch, Millis, Revision, ShardId, WorkerToken};
+use crate::workers::TaskObservation;
 
 /// A gang placed on one machine with its image and fifteen without: the first waited alone for
 /// 30 s while the others fetched for a minute, its end took theirs with it, and the next attempt
@@ -12,11 +12,11 @@
 fn a_task_that_waited_alone_waits_again_while_others_fetch() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.tasks, spec.shape) = (2, Shape::Gang);
-    let placed = |host: &str, part| {
+    let placed = |machine_id: &str, part| {
         Task::Placed(Placement {
-            host: host.into(),
-            block: BlockId::parse(part).unwrap(),
-            session: Session(1),
+            machine_id: machine_id.into(),
+            shard: ShardId::parse(part).unwrap(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(3),
         })
     };
@@ -36,51 +36,57 @@
     };
     let cases = [
         // cause, the other task, may fetch, an order is on its way, started again, released
-        (Cause::Alone, other.clone(), true, false, true, false),
-        (Cause::Alone, other.clone(), true, true, false, false),
-        (Cause::Alone, other.clone(), false, true, false, false),
-        (Cause::Alone, other.clone(), false, false, false, true),
+        (ExitCause::Alone, other.clone(), true, false, true, false),
+        (ExitCause::Alone, other.clone(), true, true, false, false),
+        (ExitCause::Alone, other.clone(), false, true, false, false),
+        (ExitCause::Alone, other.clone(), false, false, false, true),
         (
-            Cause::Alone,
+            ExitCause::Alone,
             Task::Waiting { tried },
             true,
             false,
             false,
             true,
         ),
-        (Cause::PeersGone, other, true, true, false, true),
+        (ExitCause::PeersGone, other, true, true, false, true),
     ];
     for (index, (cause, mate, fetches, rides, again, released)) in cases.into_iter().enumerate() {
         let mut jobs = Jobs::default();
         jobs.feed(&job_key(&id), Some(&record), Revision(5), Millis(1));
         let page = encode_page(&[here.clone(), mate]);
         jobs.feed(&page_key(&id, 0), Some(&page), Revision(6), Millis(1));
-        let (host, block) = (HostId::from("vm-1"), BlockId::parse("a.0").unwrap());
-        let (rig, zone) = ("g8".into(), "a".into());
-        let mut machine = Machine::new(host, rig, zone, false, block, "n0".into());
-        (machine.session, machine.baton) = (Session(1), Baton::of(Token(4)));
-        let seen = Seen {
+        let (machine_id, shard) = (MachineId::from("vm-1"), ShardId::parse("a.0").unwrap());
+        let (machine_type, zone) = ("g8".into(), "a".into());
+        let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
+        (machine.agent_epoch, machine.worker_token) =
+            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+        let seen = TaskObservation {
             attempt: tried,
             stage: TaskStage::Exited,
             cause: Some(cause),
         };
         machine.tasks.insert(task.clone(), seen);
         if rides {
-            machine.direct.riding.insert((task.clone(), tried));
+            machine
+                .direct
+                .piggybacked_starts
+                .insert((task.clone(), tried));
         }
-        let outcome = reconcile(&machine, Token(4), &jobs, &Stops::default(), |_| fetches);
+        let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
+            fetches
+        });
         let attempt = tried;
-        let forget = Order::Forget {
+        let forget = WorkerCommand::Forget {
             task: task.clone(),
             attempt,
         };
         let task = task.clone();
         let expected = if again {
-            vec![forget, Order::Start { task, attempt }]
+            vec![forget, WorkerCommand::Start { task, attempt }]
         } else {
             vec![]
         };
-        assert_eq!(outcome.orders, expected, "case {index}");
+        assert_eq!(outcome.commands, expected, "case {index}");
         assert_eq!(!outcome.changes.is_empty(), released, "case {index}");
     }
 }
@@ -105,7 +111,7 @@
 /// A machine came back at once with its counters begun anew, and its shard changed hands: its new
 /// holder found tasks of an agent epoch that the machine had not reached yet, and waited for ever.
 #[test]
-fn tasks_of_another_session_are_gone() {
+fn tasks_of_another_agent_epoch_are_gone() {
     let cases = [
         // agent epoch of the placement, of the machine, it was asked and answered, released
         (1, 2, false, true),
@@ -116,21 +122,24 @@
     for (placed, now, proved, released) in cases {
         let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         spec.tasks = 1;
-        let block = BlockId::parse("a.0").unwrap();
+        let shard = ShardId::parse("a.0").unwrap();
         let placement = Placement {
-            host: "vm-1".into(),
-            block: block.clone(),
-            session: Session(placed),
+            machine_id: "vm-1".into(),
+            shard: shard.clone(),
+            agent_epoch: AgentEpoch(placed),
             attempt: Attempt(1),
         };
         let jobs = one_placed(&id, spec, placement);
-        let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-        let mut machine = Machine::new(host, rig, zone, false, block, "n0".into());
-        (machine.session, machine.baton) = (Session(now), Baton::of(Token(4)));
+        let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+        let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
+        (machine.agent_epoch, machine.worker_token) =
+            (AgentEpoch(now), WorkerToken::of(FencingToken(4)));
         if proved {
-            machine.hearing.prove();
+            machine.reachability.prove();
         }
-        let outcome = reconcile(&machine, Token(4), &jobs, &Stops::default(), |_| false);
+        let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
+            false
+        });
         let release =
             |(_, _, change): &(JobId, u32, Change)| matches!(change, Change::Release { .. });
         let found = outcome.changes.iter().any(release);
@@ -145,11 +154,11 @@
 fn a_start_on_its_way_is_not_proved_absent() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     spec.tasks = 1;
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     let placement = Placement {
-        host: "vm-1".into(),
-        block: block.clone(),
-        session: Session(1),
+        machine_id: "vm-1".into(),
+        shard: shard.clone(),
+        agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     };
     let jobs = one_placed(&id, spec, placement);
@@ -168,40 +177,52 @@
         ("no start was sent", |_, _| {}, true),
         (
             "it left with the answer to the last report",
-            |m, start| m.direct.riding.extend([start]),
+            |m, start| m.direct.piggybacked_starts.extend([start]),
             false,
         ),
         (
             "it was sent directly, without an answer",
-            |m, start| m.direct.loose.extend([start]),
+            |m, start| m.direct.unacknowledged_starts.extend([start]),
             false,
         ),
         (
             "it was sent in an earlier session",
             |m, start| {
-                m.direct.riding.extend([start]);
-                m.direct.enter(Token(4), Session(2));
+                m.direct.piggybacked_starts.extend([start]);
+                m.direct.enter(FencingToken(4), AgentEpoch(2));
             },
             true,
         ),
     ];
     for (name, way, gone) in cases {
-        let host = HostId::from("vm-1");
-        let (rig, zone) = ("g8".into(), "a".into());
-        let mut machine = Machine::new(host, rig, zone, false, block.clone(), "n0".into());
-        (machine.session, machine.baton) = (Session(1), Baton::of(Token(4)));
+        let machine_id = MachineId::from("vm-1");
+        let (machine_type, zone) = ("g8".into(), "a".into());
+        let mut machine = Machine::new(
+            machine_id,
+            machine_type,
+            zone,
+            false,
+            shard.clone(),
+            "n0".into(),
+        );
+        (machine.agent_epoch, machine.worker_token) =
+            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
         way(&mut machine, (task.clone(), attempt));
-        let outcome = reconcile(&machine, Token(4), &jobs, &stops, |_| false);
+        let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), gone, "{name}");
         // A gang waited for ever for a task whose start had been sent to a machine that did not
         // hear: it is made known to the worker, and ended.
-        let loose = machine.direct.is_loose(&task, attempt);
-        let verbs = outcome.orders.iter().map(|order| match order {
-            Order::Start { .. } => "start",
-            Order::Stop { .. } => "stop",
-            Order::Forget { .. } => "forget",
+        let unacknowledged_starts = machine.direct.is_unacknowledged(&task, attempt);
+        let verbs = outcome.commands.iter().map(|order| match order {
+            WorkerCommand::Start { .. } => "start",
+            WorkerCommand::Stop { .. } => "stop",
+            WorkerCommand::Forget { .. } => "forget",
         });
-        let expected: &[&str] = if loose { &["start", "stop"] } else { &[] };
+        let expected: &[&str] = if unacknowledged_starts {
+            &["start", "stop"]
+        } else {
+            &[]
+        };
         assert_eq!(verbs.collect::<Vec<_>>(), expected, "{name}");
     }
 }
@@ -214,24 +235,25 @@
     for (stopped, released) in [(1, false), (2, true)] {
         let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         spec.tasks = 1;
-        let block = BlockId::parse("a.0").unwrap();
+        let shard = ShardId::parse("a.0").unwrap();
         let placement = Placement {
-            host: "vm-1".into(),
-            block: block.clone(),
-            session: Session(1),
+            machine_id: "vm-1".into(),
+            shard: shard.clone(),
+            agent_epoch: AgentEpoch(1),
             attempt: Attempt(2),
         };
         let jobs = one_placed(&id, spec, placement);
-        let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-        let mut machine = Machine::new(host, rig, zone, false, block, "n0".into());
-        (machine.session, machine.baton) = (Session(1), Baton::of(Token(4)));
+        let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+        let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
+        (machine.agent_epoch, machine.worker_token) =
+            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
         let stop = Stop {
             attempt: Attempt(stopped),
             save: false,
         };
         let stops = Stops::from_iter([(TaskId { job: id, index: 0 }, stop)]);
-        let outcome = reconcile(&machine, Token(4), &jobs, &stops, |_| false);
+        let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), released, "stop of {stopped}");
-        assert_eq!(outcome.orders.is_empty(), released, "stop of {stopped}");
+        assert_eq!(outcome.commands.is_empty(), released, "stop of {stopped}");
     }
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -4,17 +4,17 @@
 /// ever, and a gang waited beside four idle machines.
 #[test]
 fn what_an_earlier_holder_said_ends_with_its_hold() {
-    let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-    let block = BlockId::parse("a.0").unwrap();
-    let mut machine = Machine::new(host, rig, zone, false, block, "n1".into());
-    machine.hearing.told(true, Millis(1));
+    let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+    let shard = ShardId::parse("a.0").unwrap();
+    let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n1".into());
+    machine.reachability.told(true, Millis(1));
     machine.draining = true;
-    let report = r#"{"host":"vm-1","rig":"g8","yard":"a","loaners":false,"shift":1,"tally":8,
+    let heartbeat = r#"{"host":"vm-1","rig":"g8","yard":"a","loaners":false,"shift":1,"tally":8,
         "baton":41,"picks":[]}"#;
-    let report: Report = serde_json::from_str(report).unwrap();
+    let heartbeat: Heartbeat = serde_json::from_str(heartbeat).unwrap();
     let (now, silence) = (Millis(9_000), Millis(10_000));
     assert!(!machine.fit(now, silence));
-    machine.take_in(&report, now, &"n0".into());
+    machine.take_in(&heartbeat, now, &"n0".into());
     assert!(machine.fit(now, silence));
 }
 
@@ -62,15 +62,18 @@
             true,
         ),
     ];
-    for (failures, suspects, sick) in cases {
-        let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-        let block = BlockId::parse("a.0").unwrap();
-        let mut machine = Machine::new(host, rig, zone, false, block, "n0".into());
+    for (failures, suspects, quarantined) in cases {
+        let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+        let shard = ShardId::parse("a.0").unwrap();
+        let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         for (job, at) in failures {
             machine.note_failure(&(*job).into(), Millis(at * 1_000));
         }
         machine.judge(|job| suspects.contains(&job.as_str()));
-        assert_eq!(machine.sick, sick, "{failures:?}, suspect: {suspects:?}");
+        assert_eq!(
+            machine.quarantined, quarantined,
+            "{failures:?}, suspect: {suspects:?}"
+        );
     }
 }
 
@@ -78,7 +81,7 @@
 /// that fetched two other images looked hardly worse than one that fetched none.
 #[test]
 fn fetches_share_a_rate_and_take_their_time() {
-    let block = BlockId::parse("a.0").unwrap();
+    let shard = ShardId::parse("a.0").unwrap();
     type Case = (&'static str, &'static [(&'static str, f64)], u64, f64);
     let cases: [Case; 6] = [
         // image asked for, of 12 GB at 0.1 GB/s; on their way since second 0; now; seconds
@@ -90,8 +93,15 @@
         ("coming", &[("coming", 12.0), ("other", 20.0)], 90, 150.0),
     ];
     for (asked, coming, now_s, expected) in cases {
-        let (host, rig, zone) = ("vm-1".into(), "g8".into(), "a".into());
-        let mut machine = Machine::new(host, rig, zone, false, block.clone(), "n0".into());
+        let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
+        let mut machine = Machine::new(
+            machine_id,
+            machine_type,
+            zone,
+            false,
+            shard.clone(),
+            "n0".into(),
+        );
         machine.note_image(&"here".into(), 12.0, 80.0, Millis(0));
         for (image, gb) in coming {
             machine.expect_image(&(*image).into(), *gb, Millis(0));
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -2,36 +2,47 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Attempt, Baton, HostId, NodeId, Session, Sku, TaskId, Zone};
+use crate::types::{
+    AgentEpoch, Attempt, ControllerId, MachineId, MachineTypeId, TaskId, WorkerToken, Zone,
+};
 
 /// A worker's heartbeat may list this many bytes of tasks at the most.
-pub const LARGEST_REPORT: usize = 1 << 20;
+pub const MAX_HEARTBEAT_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
-    pub host: HostId,
+pub struct Heartbeat {
+    #[serde(rename = "host")]
+    pub machine_id: MachineId,
     #[serde(default)]
     pub address: String,
-    pub rig: Sku,
-    pub yard: Zone,
-    pub loaners: bool,
-    pub shift: Session,
-    pub tally: u64,
-    pub baton: Baton,
+    #[serde(rename = "rig")]
+    pub machine_type: MachineTypeId,
+    #[serde(rename = "yard")]
+    pub zone: Zone,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
+    #[serde(rename = "shift")]
+    pub agent_epoch: AgentEpoch,
+    #[serde(rename = "tally")]
+    pub heartbeat_sequence: u64,
+    #[serde(rename = "baton")]
+    pub worker_token: WorkerToken,
     #[serde(rename = "warningS", default)]
     pub warning_s: Option<f64>,
     #[serde(default)]
-    pub picks: Vec<Pick>,
+    #[serde(rename = "picks")]
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Pick {
-    pub pick: String,
+pub struct TaskStatus {
+    #[serde(rename = "pick")]
+    pub task: String,
     #[serde(rename = "try")]
     pub attempt: Attempt,
     pub stage: TaskStage,
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     #[serde(default)]
     pub kept: Option<bool>,
 }
@@ -51,7 +62,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     Done,
     Stopped,
     #[serde(rename = "mates_gone")]
@@ -66,7 +77,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum WorkerCommand {
     Start {
         task: TaskId,
         attempt: Attempt,
@@ -85,44 +96,47 @@
 /// An order as it is written.
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum OrderBody {
+pub enum WorkerCommandBody {
     Start {
-        pick: String,
+        #[serde(rename = "pick")]
+        task: String,
         #[serde(rename = "try")]
         attempt: Attempt,
     },
     Kill {
-        pick: String,
+        #[serde(rename = "pick")]
+        task: String,
         #[serde(rename = "try")]
         attempt: Attempt,
         #[serde(rename = "windDownS", default)]
         grace_s: f64,
     },
     Reap {
-        pick: String,
+        #[serde(rename = "pick")]
+        task: String,
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-impl Serialize for Order {
+impl Serialize for WorkerCommand {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let body = match self {
-            Order::Start { task, attempt } => OrderBody::Start {
-                pick: task.to_string(),
+            WorkerCommand::Start { task, attempt } => WorkerCommandBody::Start {
+                task: task.to_string(),
                 attempt: *attempt,
             },
-            Order::Stop {
+            WorkerCommand::Stop {
                 task,
                 attempt,
                 grace_s,
-            } => OrderBody::Kill {
-                pick: task.to_string(),
+            } => WorkerCommandBody::Kill {
+                task: task.to_string(),
                 attempt: *attempt,
                 grace_s: *grace_s,
             },
-            Order::Forget { task, attempt } => OrderBody::Reap {
-                pick: task.to_string(),
+            WorkerCommand::Forget { task, attempt } => WorkerCommandBody::Reap {
+                task: task.to_string(),
                 attempt: *attempt,
             },
         };
@@ -130,36 +144,36 @@
     }
 }
 
-impl OrderBody {
+impl WorkerCommandBody {
     /// The order that is written so, if it names a task.
-    pub fn order(&self) -> Option<Order> {
-        let (OrderBody::Start { pick, attempt }
-        | OrderBody::Kill { pick, attempt, .. }
-        | OrderBody::Reap { pick, attempt }) = self;
-        let (task, attempt) = (TaskId::parse(pick)?, *attempt);
+    pub fn order(&self) -> Option<WorkerCommand> {
+        let (WorkerCommandBody::Start { task, attempt }
+        | WorkerCommandBody::Kill { task, attempt, .. }
+        | WorkerCommandBody::Reap { task, attempt }) = self;
+        let (task, attempt) = (TaskId::parse(task)?, *attempt);
         Some(match *self {
-            OrderBody::Start { .. } => Order::Start { task, attempt },
-            OrderBody::Kill { grace_s, .. } => Order::Stop {
+            WorkerCommandBody::Start { .. } => WorkerCommand::Start { task, attempt },
+            WorkerCommandBody::Kill { grace_s, .. } => WorkerCommand::Stop {
                 task,
                 attempt,
                 grace_s,
             },
-            OrderBody::Reap { .. } => Order::Forget { task, attempt },
+            WorkerCommandBody::Reap { .. } => WorkerCommand::Forget { task, attempt },
         })
     }
 }
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReportAnswer {
-    Orders {
-        baton: Baton,
-        orders: Vec<Order>,
+pub enum HeartbeatResponse {
+    Commands {
+        worker_token: WorkerToken,
+        commands: Vec<WorkerCommand>,
     },
     /// 421: report to that controller, or to the next.
-    Elsewhere(Option<NodeId>),
+    Redirect(Option<ControllerId>),
     /// 503: nobody is known to be entitled.
-    Later,
+    RetryLater,
 }
 
 #[cfg(test)]
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn orders_are_written_as_the_protocol_has_them() {
+fn commands_are_written_as_the_protocol_has_them() {
     let task = TaskId::parse("job-000412/4").unwrap();
     let attempt = Attempt(2);
     let cases = [
         (
-            Order::Start {
+            WorkerCommand::Start {
                 task: task.clone(),
                 attempt,
             },
             r#"{"verb":"start","pick":"job-000412/4","try":2}"#,
         ),
         (
-            Order::Stop {
+            WorkerCommand::Stop {
                 task: task.clone(),
                 attempt,
                 grace_s: 10.0,
@@ -21,13 +21,13 @@
             r#"{"verb":"kill","pick":"job-000412/4","try":2,"windDownS":10.0}"#,
         ),
         (
-            Order::Forget { task, attempt },
+            WorkerCommand::Forget { task, attempt },
             r#"{"verb":"reap","pick":"job-000412/4","try":2}"#,
         ),
     ];
     for (order, text) in cases {
         assert_eq!(serde_json::to_string(&order).unwrap(), text);
-        let body: OrderBody = serde_json::from_str(text).unwrap();
+        let body: WorkerCommandBody = serde_json::from_str(text).unwrap();
         assert_eq!(body.order(), Some(order));
     }
 }
@@ -37,13 +37,13 @@
     let good = r#"{"host":"vm-1","address":"a","rig":"g8","yard":"a","loaners":true,"shift":1,
         "tally":88,"baton":41,"warningS":null,"picks":[{"pick":"job-1/3","try":2,
         "stage":"ended","cause":"in_use"}]}"#;
-    assert!(serde_json::from_str::<Report>(good).is_ok());
+    assert!(serde_json::from_str::<Heartbeat>(good).is_ok());
     for (from, to) in [
         ("\"shift\":1", "\"shift\":-1"),
         ("ended", "odd"),
         ("vm-1\"", "vm-1"),
     ] {
         let text = good.replace(from, to);
-        assert!(serde_json::from_str::<Report>(&text).is_err(), "{text}");
+        assert!(serde_json::from_str::<Heartbeat>(&text).is_err(), "{text}");
     }
 }
