--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -6,11 +6,11 @@
 //! crashes, may then renew its lease too, without any commands. For that the holder gives one thing
 //! up for good under this token: taking a worker's silence for the end of its lease.
 
-use crate::types::{Baton, Millis};
+use crate::types::{Millis, WorkerToken};
 
 /// Whether this controller keeps machines, and since when.
 #[derive(Debug, Default)]
-pub struct Keeping {
+pub struct PartitionMode {
     since: Option<Millis>,
     /// Since when we seem to be cut off.
     seems: Option<Millis>,
@@ -31,7 +31,7 @@
     pub holds: bool,
 }
 
-impl Keeping {
+impl PartitionMode {
     pub fn on(&self) -> bool {
         self.since.is_some()
     }
@@ -58,8 +58,8 @@
 
 /// Whether a controller that is not known to hold a worker's shard may renew the worker's lease,
 /// without any commands: only if its holder keeps it, and only while we know no better.
-pub fn may_renew(baton: Baton, cut_off: bool, holder_speaks: bool) -> bool {
-    baton.keeps() && cut_off && !holder_speaks
+pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_speaks: bool) -> bool {
+    worker_token.is_partitioned() && cut_off && !holder_speaks
 }
 
 #[cfg(test)]
--- a/src/zones/partition_mode/tests.rs
+++ b/src/zones/partition_mode/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::types::Token;
+use crate::types::FencingToken;
 
 /// In an outage all controllers lose the state service at once, and leases stand still. Kept
 /// then, every shard would change its token when the service is back, for nothing.
@@ -11,7 +11,7 @@
         (true, true, true, false),
         (true, false, false, false),
     ] {
-        let mut keeping = Keeping::default();
+        let mut keeping = PartitionMode::default();
         let seen = Circumstances {
             lease_over,
             outage,
@@ -29,7 +29,7 @@
 /// its shards up a quarter of a second later when it read what had been waiting.
 #[test]
 fn a_process_that_stood_still_reads_what_waits_first() {
-    let mut keeping = Keeping::default();
+    let mut keeping = PartitionMode::default();
     let seen = |lease_over| Circumstances {
         lease_over,
         outage: false,
@@ -51,16 +51,16 @@
 /// else may renew it.
 #[test]
 fn only_kept_workers_are_renewed_by_others() {
-    let token = Token(7);
-    for (baton, cut_off, speaks, renews) in [
-        (Baton::keeping(token), true, false, true),
-        (Baton::of(token), true, false, false),
-        (Baton::keeping(token), false, false, false),
-        (Baton::keeping(token), true, true, false),
+    let token = FencingToken(7);
+    for (worker_token, cut_off, speaks, renews) in [
+        (WorkerToken::partitioned(token), true, false, true),
+        (WorkerToken::of(token), true, false, false),
+        (WorkerToken::partitioned(token), false, false, false),
+        (WorkerToken::partitioned(token), true, true, false),
     ] {
-        assert_eq!(may_renew(baton, cut_off, speaks), renews);
+        assert_eq!(may_renew(worker_token, cut_off, speaks), renews);
     }
-    assert!(Baton::of(token) < Baton::keeping(token));
-    assert!(Baton::keeping(token) < Baton::of(Token(8)));
-    assert_eq!(Baton::keeping(token).token(), token);
+    assert!(WorkerToken::of(token) < WorkerToken::partitioned(token));
+    assert!(WorkerToken::partitioned(token) < WorkerToken::of(FencingToken(8)));
+    assert_eq!(WorkerToken::partitioned(token).token(), token);
 }
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::types::{HostId, Millis, Zone};
+use crate::types::{MachineId, Millis, Zone};
 
 /// How a zone stands, as far as its machines are heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,12 +26,12 @@
 
 /// What is seen of a zone at a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct ZoneObservation {
     /// Machines of which somebody can tell whether they are silent.
     pub machines: u32,
     pub silent: u32,
     /// Machines that speak and are not proved to hear, or that hear and can't report, for long.
-    pub deaf: u32,
+    pub one_way: u32,
     /// The zone has controllers, and none of them is in contact.
     pub controllers_silent: bool,
 }
@@ -48,7 +48,7 @@
 /// A machine that is thought lost for its silence.
 #[derive(Clone, Debug)]
 pub struct Suspect {
-    pub host: HostId,
+    pub machine_id: MachineId,
     pub zone: Zone,
     pub worth: Worth,
 }
@@ -94,7 +94,7 @@
 
 impl Zones {
     /// Takes in how a zone looks; its standing, if that has changed.
-    pub fn observe(&mut self, zone: &Zone, seen: Seen, now: Millis) -> Option<Standing> {
+    pub fn observe(&mut self, zone: &Zone, seen: ZoneObservation, now: Millis) -> Option<Standing> {
         let state = self.zones.entry(zone.clone()).or_default();
         if seen.machines < FEW {
             return None;
@@ -102,11 +102,11 @@
         state.machines = seen.machines;
         let silent = f64::from(seen.silent) / f64::from(seen.machines);
         let was = state.standing;
-        let deaf = f64::from(seen.deaf) / f64::from(seen.machines);
+        let one_way = f64::from(seen.one_way) / f64::from(seen.machines);
         // Many that are there, and in contact one way only, are no dead machines: it is the way to them.
-        let many = seen.deaf as usize >= LEAST || seen.deaf >= FEW && deaf >= CUT.1;
+        let many = seen.one_way as usize >= LEAST || seen.one_way >= FEW && one_way >= CUT.1;
         let cut = over(silent, CUT, was == Standing::CutOff) && seen.controllers_silent
-            || many && over(deaf, PART, was == Standing::CutOff);
+            || many && over(one_way, PART, was == Standing::CutOff);
         let part = over(silent, PART, was != Standing::Sound);
         let next = match (was, cut, part) {
             (_, true, _) => Standing::CutOff,
@@ -141,11 +141,11 @@
         room: usize,
         hold: Millis,
         now: Millis,
-    ) -> Vec<HostId> {
+    ) -> Vec<MachineId> {
         while (self.deleted.front()).is_some_and(|(at, _)| now.since(*at) > WINDOW) {
             self.deleted.pop_front();
         }
-        lost.sort_by(|a, b| (a.worth, &a.host).cmp(&(b.worth, &b.host)));
+        lost.sort_by(|a, b| (a.worth, &a.machine_id).cmp(&(b.worth, &b.machine_id)));
         let all: u32 = self.zones.values().map(|state| state.machines).sum();
         let most = |part: f64, of: u32| LEAST.max((part * f64::from(of)) as usize);
         let mut given_up = Vec::new();
@@ -167,7 +167,7 @@
             }
             state.given_up += 1;
             self.deleted.push_back((now, suspect.zone));
-            given_up.push(suspect.host);
+            given_up.push(suspect.machine_id);
         }
         if held > 0 {
             tracing::debug!(held, "silent machines are left alone");
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -3,11 +3,11 @@
 const HOLD: Millis = Millis(60_000);
 const ANY: usize = usize::MAX;
 
-fn seen(machines: u32, silent: u32, controllers_silent: bool) -> Seen {
-    Seen {
+fn seen(machines: u32, silent: u32, controllers_silent: bool) -> ZoneObservation {
+    ZoneObservation {
         machines,
         silent,
-        deaf: 0,
+        one_way: 0,
         controllers_silent,
     }
 }
@@ -15,7 +15,7 @@
 fn suspects(zone: &str, count: usize) -> Vec<Suspect> {
     let worth = [Worth::Replicas, Worth::Idle, Worth::Gangs, Worth::Arrays];
     let suspect = |i: usize| Suspect {
-        host: format!("vm-{i:04}").into(),
+        machine_id: format!("vm-{i:04}").into(),
         zone: zone.into(),
         worth: worth[i % 4],
     };
@@ -56,7 +56,7 @@
         ),
     ];
     // Machines in contact one way only: a few are replaced, many are a cut, and in a small zone most.
-    for (machines, deaf, expected) in [
+    for (machines, one_way, expected) in [
         (4, 2, PartlyLost),
         (5, 3, CutOff),
         (7, 3, PartlyLost),
@@ -64,15 +64,15 @@
         (100, 30, CutOff),
     ] {
         let mut zones = Zones::default();
-        let observed = Seen {
-            deaf,
-            ..seen(machines, deaf, false)
+        let observed = ZoneObservation {
+            one_way,
+            ..seen(machines, one_way, false)
         };
         zones.observe(&Zone::from("a"), observed, Millis(1));
         assert_eq!(
             zones.standing(&Zone::from("a")),
             expected,
-            "{deaf} of {machines}"
+            "{one_way} of {machines}"
         );
     }
     for (observations, expected) in cases {
@@ -109,7 +109,7 @@
         let mut given_up = 0;
         for (at_s, expected) in [0, 59, 60, 70, 80, 110].into_iter().zip(expected) {
             let gone = zones.give_up(left.clone(), ANY, HOLD, Millis(at_s * 1_000));
-            left.retain(|suspect| !gone.contains(&suspect.host));
+            left.retain(|suspect| !gone.contains(&suspect.machine_id));
             given_up += gone.len();
             assert_eq!(given_up, expected, "{silent} silent, after {at_s} s");
         }
@@ -122,7 +122,7 @@
     let zone = Zone::from("a");
     zones.observe(&zone, seen(40, 40, true), Millis(0));
     let gone = zones.give_up(suspects("a", 40), ANY, Millis(0), Millis(30_000));
-    let expected: Vec<HostId> = (0..7)
+    let expected: Vec<MachineId> = (0..7)
         .map(|i| format!("vm-{:04}", 4 * i + 1).into())
         .collect();
     assert_eq!(gone, expected);
@@ -138,7 +138,7 @@
     for at in [1_000, 2_000] {
         let gone = zones.give_up(lost.clone(), 100, HOLD, Millis(at));
         assert_eq!(gone.len(), 100, "at {at}");
-        lost.retain(|suspect| !gone.contains(&suspect.host));
+        lost.retain(|suspect| !gone.contains(&suspect.machine_id));
     }
 }
 
@@ -156,14 +156,14 @@
                 suspects(name, silent as usize)
                     .into_iter()
                     .map(|s| Suspect {
-                        host: format!("{name}-{}", s.host).into(),
+                        machine_id: format!("{name}-{}", s.machine_id).into(),
                         ..s
                     }),
             );
         }
         let first = zones.give_up(lost.clone(), ANY, HOLD, Millis(1_000));
         assert_eq!(first.len(), expected, "{zones_silent} zones");
-        lost.retain(|suspect| !first.contains(&suspect.host));
+        lost.retain(|suspect| !first.contains(&suspect.machine_id));
         assert!(
             zones
                 .give_up(lost.clone(), ANY, HOLD, Millis(30_000))
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -9,8 +9,8 @@
 use jaspertiller::http_server;
 use jaspertiller::jobs::api::Response;
 use jaspertiller::sockets::Patience;
-use jaspertiller::types::{Baton, Millis};
-use jaspertiller::workers::wire::ReportAnswer;
+use jaspertiller::types::{Millis, WorkerToken};
+use jaspertiller::workers::wire::HeartbeatResponse;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -24,9 +24,14 @@
     while let Some(request) = requests.recv().await {
         // Whoever asked may be gone.
         let _ = match request {
-            Request::Report { reply, .. } => {
-                let (baton, orders) = (Baton(4), Vec::new());
-                reply.send(ReportAnswer::Orders { baton, orders }).is_ok()
+            Request::Heartbeat { reply, .. } => {
+                let (worker_token, commands) = (WorkerToken(4), Vec::new());
+                reply
+                    .send(HeartbeatResponse::Commands {
+                        worker_token,
+                        commands,
+                    })
+                    .is_ok()
             }
             Request::Ready { reply } => reply.send(true).is_ok(),
             Request::Poll { reply, .. }
@@ -63,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn reports_and_probes_are_answered_before_a_crowd_that_only_stands_there() {
+async fn heartbeats_and_probes_are_answered_before_a_crowd_that_only_stands_there() {
     let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
@@ -72,7 +77,7 @@
     let patience = Patience {
         new: Millis(500),
         user: Millis(1_000),
-        report: Millis(2_000),
+        heartbeat: Millis(2_000),
     };
     let clock = Clock::start();
     tokio::spawn(http_server::serve(address, inbox, MOST, patience, clock));
@@ -81,14 +86,15 @@
         tokio::spawn(stand_about(index, address));
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let report = br#"{"host":"vm-1","address":"127.0.0.1:1","rig":"g8","yard":"a","loaners":false,
+    let heartbeat =
+        br#"{"host":"vm-1","address":"127.0.0.1:1","rig":"g8","yard":"a","loaners":false,
         "shift":1,"tally":1,"baton":0,"picks":[]}"#;
     let client = HttpClient::new(address);
     let (mut answered, mut slowest) = (0, Duration::ZERO);
     for _ in 0..ROUNDS {
         // As a worker does: whoever turns it away is asked again.
         for (method, path, body) in [
-            (http::Method::POST, "/v1/report", report.to_vec()),
+            (http::Method::POST, "/v1/report", heartbeat.to_vec()),
             (http::Method::GET, "/ready", Vec::new()),
         ] {
             let asked = Instant::now();
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -3,7 +3,7 @@
 //! cancelled. Each condition that this rests on, left out, breaks it. The argument is in
 //! docs/zones.md.
 
-use jaspertiller::types::{Baton, Token};
+use jaspertiller::types::{FencingToken, WorkerToken};
 use jaspertiller::zones::partition_mode::may_renew;
 
 /// Ticks of a worker's lease; its clock may lag by one more in all.
@@ -13,8 +13,8 @@
 const CANCEL: u8 = LEASE + DRIFT + 1;
 const CUTS: u8 = 2;
 
-const FIRST: Token = Token(1);
-const SECOND: Token = Token(2);
+const FIRST: FencingToken = FencingToken(1);
+const SECOND: FencingToken = FencingToken(2);
 
 /// What the argument rests on.
 #[derive(Clone, Copy)]
@@ -84,8 +84,8 @@
     told: Option<u8>,
     elsewhere: bool,
     // The worker.
-    baton: Baton,
-    session: u8,
+    worker_token: WorkerToken,
+    agent_epoch: u8,
     lease: u8,
     lag: u8,
     task: bool,
@@ -113,8 +113,8 @@
             cancelled: false,
             told: None,
             elsewhere: false,
-            baton: Baton::of(FIRST),
-            session: 1,
+            worker_token: WorkerToken::of(FIRST),
+            agent_epoch: 1,
             lease: LEASE,
             lag: DRIFT,
             task: running,
@@ -137,10 +137,10 @@
         !self.deleted && (twice || cancelled)
     }
 
-    fn heard_baton(&mut self, baton: Baton) -> bool {
-        let taken = baton >= self.baton;
+    fn heard_worker_token(&mut self, worker_token: WorkerToken) -> bool {
+        let taken = worker_token >= self.worker_token;
         if taken {
-            self.baton = baton;
+            self.worker_token = worker_token;
             self.lease = LEASE;
         }
         taken
@@ -183,7 +183,8 @@
             // A tick of the worker's clock, and of the others'.
             s.lease = s.lease.saturating_sub(1);
             if s.lease == 0 {
-                (s.task, s.session, s.lease) = (false, s.session.saturating_add(1).min(3), LEASE);
+                (s.task, s.agent_epoch, s.lease) =
+                    (false, s.agent_epoch.saturating_add(1).min(3), LEASE);
             }
             s.tick();
             true
@@ -252,17 +253,17 @@
             if s.deleted || s.first != Holder::Runs || !s.first_reaches_worker() {
                 return false;
             }
-            let baton = if s.keeping {
-                Baton::keeping(FIRST)
+            let worker_token = if s.keeping {
+                WorkerToken::partitioned(FIRST)
             } else {
-                Baton::of(FIRST)
+                WorkerToken::of(FIRST)
             };
-            if s.baton > baton {
+            if s.worker_token > worker_token {
                 return false;
             }
             let absent = !s.task && (!s.late_start || !rest_on.late_starts_are_minded);
             s.unanswered = 0;
-            if s.heard_baton(baton) {
+            if s.heard_worker_token(worker_token) {
                 if s.first_knows {
                     s.task = false;
                 } else if absent && !s.moved && s.first_reaches_store() {
@@ -274,7 +275,7 @@
         then(&|s| {
             // It reports to a process that knows nothing: the restarted one, or the bystander.
             let blank = s.first == Holder::Blank && s.inside || s.bystander_blank;
-            let marked = may_renew(s.baton, blank, false);
+            let marked = may_renew(s.worker_token, blank, false);
             let renews = marked || blank && !rest_on.only_marked_are_renewed;
             if s.deleted || !renews {
                 return false;
@@ -289,14 +290,14 @@
                     return false;
                 }
                 let own = rest_on.evidence_under_own_token;
-                let knew = s.baton >= Baton::of(SECOND) || !own;
+                let knew = s.worker_token >= WorkerToken::of(SECOND) || !own;
                 let present = s.task;
                 if knew || !rest_on.counted_from_seeing {
                     s.second_counts = Some(0);
                 }
                 s.second_aware |= knew;
                 if answer_comes {
-                    s.heard_baton(Baton::of(SECOND));
+                    s.heard_worker_token(WorkerToken::of(SECOND));
                 }
                 if !knew {
                     return answer_comes || !rest_on.counted_from_seeing;
@@ -321,7 +322,7 @@
             let may = s.first == Holder::Runs
                 && !s.moved
                 && s.first_reaches_store()
-                && s.baton.token() == FIRST
+                && s.worker_token.token() == FIRST
                 && over
                 && allowed;
             s.seen_gone();
@@ -333,7 +334,7 @@
             if rest_on.counted_from_seeing {
                 s.second_counts = Some(0);
             }
-            (s.second_aware, s.baton) = (true, s.baton.max(Baton::of(SECOND)));
+            (s.second_aware, s.worker_token) = (true, s.worker_token.max(WorkerToken::of(SECOND)));
             may
         });
         then(&|s| {
@@ -360,7 +361,7 @@
                 return false;
             }
             s.late_start = false;
-            if !s.deleted && s.session == 1 && s.baton <= Baton::of(FIRST) {
+            if !s.deleted && s.agent_epoch == 1 && s.worker_token <= WorkerToken::of(FIRST) {
                 s.task = true;
             }
             true
