--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -38,8 +38,8 @@
 
     pub fn type_specs(&self) -> Value {
         let machine_type = &self.config.machine_type;
-        json!({"rigs": [{"sku": machine_type.id, "vcpus": machine_type.room.cpus, "accelerators": machine_type.room.gpus,
-            "memoryGb": machine_type.room.memory_gb, "localGb": 100, "fetchGbPerS": machine_type.fetch_gb_per_s,
+        json!({"rigs": [{"sku": machine_type.id, "vcpus": machine_type.resources.cpus, "accelerators": machine_type.resources.gpus,
+            "memoryGb": machine_type.resources.memory_gb, "localGb": 100, "fetchGbPerS": machine_type.fetch_gb_per_s,
             "price": 10.0, "marketPrice": 4.0, "bootS": machine_type.boot.secs(),
             "yards": self.config.zones}]})
     }
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -5,7 +5,7 @@
 
 use ini::Ini;
 use jaspertiller::settings::{Quota, SettingsError, TeamSettings, problem, read_file};
-use jaspertiller::types::{MachineTypeId, Millis, Room, Zone};
+use jaspertiller::types::{MachineTypeId, Millis, Resources, Zone};
 use serde_json::{Value, json};
 
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct MachineType {
     pub id: MachineTypeId,
-    pub room: Room,
+    pub resources: Resources,
     pub fetch_gb_per_s: f64,
     pub boot: Millis,
 }
@@ -81,7 +81,7 @@
             },
             machine_type: MachineType {
                 id: "g4".into(),
-                room: Room {
+                resources: Resources {
                     cpus: 16.0,
                     gpus: 4.0,
                     memory_gb: 64.0,
@@ -117,13 +117,13 @@
         c.capacity = v as u32
     }),
     ("machines", "cpus", 1.0, 1024.0, |c, v| {
-        c.machine_type.room.cpus = v
+        c.machine_type.resources.cpus = v
     }),
     ("machines", "gpus", 0.0, 64.0, |c, v| {
-        c.machine_type.room.gpus = v
+        c.machine_type.resources.gpus = v
     }),
     ("machines", "memory_gb", 1.0, 65_536.0, |c, v| {
-        c.machine_type.room.memory_gb = v
+        c.machine_type.resources.memory_gb = v
     }),
     ("machines", "boot_s", 0.1, 3600.0, |c, v| {
         c.machine_type.boot = Millis::from_secs(v)
--- a/crates/simulator/src/contention.rs
+++ b/crates/simulator/src/contention.rs
@@ -297,7 +297,7 @@
             index,
         };
         let left = (0..job.spec.tasks).filter(|i| !world.machines.completed.contains(&task(*i)));
-        sum += left.count() as f64 * job.spec.room.gpus;
+        sum += left.count() as f64 * job.spec.resources.gpus;
     }
     sum
 }
@@ -317,7 +317,7 @@
     for task in world.machines.holding(Millis(world.now)) {
         if let Some(job) = world.machines.jobs.get(&task.job) {
             let sum = held.entry(job.spec.team.clone()).or_default();
-            *sum += job.spec.room.gpus / LOOKS as f64;
+            *sum += job.spec.resources.gpus / LOOKS as f64;
         }
     }
 }
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -74,9 +74,9 @@
     config.timing.lease = Millis(26_000);
     config.timing.cancel = Millis(46_000);
     let services = machines as usize;
-    let plan = |(index, shape, tasks, run_ms): (usize, &str, u32, u64)| JobPlan {
+    let plan = |(index, kind, tasks, run_ms): (usize, &str, u32, u64)| JobPlan {
         at: Some(2_000 + 200 * index as u64),
-        ..job(index, "large", shape, tasks, 1.0, run_ms)
+        ..job(index, "large", kind, tasks, 1.0, run_ms)
     };
     let standing = (0..services).map(|i| (i, "standing", 2, 0));
     let arrays = (0..services / 2).map(|i| (services + i, "sweep", 4, 25_000));
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -14,7 +14,7 @@
 use cluster_simulator::sim::{JobPlan, job};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
-use jaspertiller::jobs::Shape;
+use jaspertiller::jobs::JobKind;
 use jaspertiller::types::{JobId, Millis};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -202,10 +202,10 @@
 fn table(shared: &Shared) -> Table {
     let region = shared.lock();
     let rules = &region.rules;
-    let mut classes: BTreeMap<String, Vec<(&JobId, u32, Shape)>> = BTreeMap::new();
+    let mut classes: BTreeMap<String, Vec<(&JobId, u32, JobKind)>> = BTreeMap::new();
     for (id, job) in &region.machines.jobs {
         let class = job.spec.class.clone();
-        let its = (id, job.spec.tasks, job.spec.shape);
+        let its = (id, job.spec.tasks, job.spec.kind);
         classes.entry(class).or_default().push(its);
     }
     let mut table = Table::new();
@@ -230,9 +230,9 @@
             .collect();
         waits.sort_by(f64::total_cmp);
         let seconds = |wait: Option<&f64>| wait.map_or("-".into(), |s| format!("{s:.1} s"));
-        let shape = match jobs.first().map(|(.., shape)| *shape) {
-            Some(Shape::Gang) => "gang",
-            Some(Shape::Service) => "service",
+        let kind = match jobs.first().map(|(.., kind)| *kind) {
+            Some(JobKind::Gang) => "gang",
+            Some(JobKind::Service) => "service",
             _ => "array",
         };
         let count = |known: &dyn Fn(&JobId) -> bool| {
@@ -240,7 +240,7 @@
         };
         table.add_row([
             class,
-            shape.into(),
+            kind.into(),
             jobs.len().to_string(),
             jobs.iter()
                 .map(|(_, tasks, _)| tasks)
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use jaspertiller::jobs::{Shape, Spec};
+use jaspertiller::jobs::{JobKind, JobSpec};
 use jaspertiller::types::{
-    AgentEpoch, Attempt, Image, JobId, MachineId, MachineTypeId, Millis, Room, TaskId, WorkerToken,
-    Zone,
+    AgentEpoch, Attempt, Image, JobId, MachineId, MachineTypeId, Millis, Resources, TaskId,
+    WorkerToken, Zone,
 };
 use jaspertiller::workers::wire::{
     ExitCause, Heartbeat, HeartbeatResponse, TaskStage, TaskStatus, WorkerCommand,
@@ -25,7 +25,7 @@
 /// What users uploaded of a job.
 #[derive(Clone, Debug)]
 pub struct Description {
-    pub spec: Spec,
+    pub spec: JobSpec,
     pub run: Millis,
     /// It was submitted with a mistake: its tasks fail on every machine.
     pub broken: bool,
@@ -304,7 +304,7 @@
     }
 
     /// Machines that are up, well, in touch with everybody, and what is free there.
-    pub fn sound(&self, now: Millis) -> impl Iterator<Item = (&Machine, Room)> {
+    pub fn sound(&self, now: Millis) -> impl Iterator<Item = (&Machine, Resources)> {
         let sound = move |(machine_id, m): &(&MachineId, &Machine)| {
             let apart = m.reached_only_by.is_some_and(|(_, until)| until > now);
             self.reachable(machine_id, now)
@@ -313,7 +313,12 @@
                 && !apart
         };
         let sound = self.machine_ids.iter().filter(sound);
-        sound.map(|(_, machine)| (machine, self.machine_type.room.minus(self.used(machine))))
+        sound.map(|(_, machine)| {
+            (
+                machine,
+                self.machine_type.resources.minus(self.used(machine)),
+            )
+        })
     }
 
     pub fn machine_type(&self) -> &MachineTypeId {
@@ -354,7 +359,7 @@
                     TaskStage::Fetching => {
                         started.push((machine_id.clone(), id.clone()));
                         let done = self.completed.contains(id);
-                        if job.spec.shape == Shape::Gang && !done {
+                        if job.spec.kind == JobKind::Gang && !done {
                             task.stage = TaskStage::Waiting;
                             task.until = now + timing.gang_wait;
                             continue;
@@ -365,7 +370,7 @@
                             - 1.0;
                         let takes = Millis((job.run.0 as f64 * (1.0 + spread * luck)) as u64);
                         let run = if done { Millis(0) } else { takes - saved };
-                        let service = job.spec.shape == Shape::Service;
+                        let service = job.spec.kind == JobKind::Service;
                         task.stage = TaskStage::Running;
                         task.began = now;
                         task.until = if service { NEVER } else { now + run };
@@ -423,7 +428,7 @@
             }
             let before = machine.tasks.len();
             for (id, task) in &mut machine.tasks {
-                let gang = |job: &Description| job.spec.shape == Shape::Gang;
+                let gang = |job: &Description| job.spec.kind == JobKind::Gang;
                 let alive = task.stage != TaskStage::Exited || task.kept;
                 if alive && self.jobs.get(&id.job).is_some_and(gang) {
                     let members = attempts.entry((id.job.clone(), task.attempt)).or_default();
@@ -610,13 +615,13 @@
         obeyed
     }
 
-    fn used(&self, machine: &Machine) -> Room {
+    fn used(&self, machine: &Machine) -> Resources {
         let alive = machine
             .tasks
             .iter()
             .filter(|(_, t)| t.stage != TaskStage::Exited);
-        let rooms = alive.filter_map(|(id, _)| Some(self.jobs.get(&id.job)?.spec.room));
-        rooms.fold(Room::default(), Room::plus)
+        let amounts = alive.filter_map(|(id, _)| Some(self.jobs.get(&id.job)?.spec.resources));
+        amounts.fold(Resources::default(), Resources::plus)
     }
 
     fn fetched_at(
@@ -669,7 +674,13 @@
             return;
         }
         let job = self.jobs.get(&id.job).filter(|j| id.index < j.spec.tasks);
-        let job = job.map(|job| (job.spec.room, job.spec.image.clone(), job.spec.image_gb));
+        let job = job.map(|job| {
+            (
+                job.spec.resources,
+                job.spec.image.clone(),
+                job.spec.image_gb,
+            )
+        });
         let mut task = Task {
             attempt,
             stage: TaskStage::Fetching,
@@ -681,11 +692,11 @@
         };
         match job {
             None => task.exit(ExitCause::Unknown),
-            Some((room, image, gb)) => {
+            Some((resources, image, gb)) => {
                 if self
                     .used(machine)
-                    .plus(room)
-                    .fits_in(self.machine_type.room)
+                    .plus(resources)
+                    .fits_in(self.machine_type.resources)
                 {
                     task.until = self.fetched_at(machine_id, &image, gb, now);
                 } else {
@@ -732,11 +743,11 @@
                 let ran = task.told.unwrap_or(now).since(task.began);
                 let mark = Millis::from_secs(spec.checkpoint_s);
                 let marks = ran.0.checked_div(mark.0).unwrap_or(0) * mark.0;
-                if spec.shape == Shape::Array {
+                if spec.kind == JobKind::Array {
                     let progress = self.progress.entry(id.clone()).or_default();
                     *progress = *progress + Millis(marks);
                 }
-                if spec.shape != Shape::Service {
+                if spec.kind != JobKind::Service {
                     self.lost = self.lost + (ran - Millis(marks));
                 }
                 task.exit(ExitCause::Stopped);
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-use jaspertiller::jobs::Spec;
+use jaspertiller::jobs::JobSpec;
 use jaspertiller::jobs::api::{JobState, Stage};
 use jaspertiller::settings::TeamSettings;
-use jaspertiller::types::{JobId, MachineId, Millis, Room, TaskId, Team};
+use jaspertiller::types::{JobId, MachineId, Millis, Resources, TaskId, Team};
 
 use crate::config::{Config, Timing};
 use crate::machines::Machines;
@@ -241,14 +241,14 @@
         for (_, task) in started {
             of_job.entry(&task.job).or_default();
         }
-        let mut used: BTreeMap<&Team, Room> = BTreeMap::new();
+        let mut used: BTreeMap<&Team, Resources> = BTreeMap::new();
         for (machine_id, task) in &present {
             if let Some(tasks) = of_job.get_mut(&task.job) {
                 tasks.push((machine_id, task));
             }
             if let Some(spec) = spec(&task.job) {
                 let sum = used.entry(&spec.team).or_default();
-                *sum = sum.plus(spec.room);
+                *sum = sum.plus(spec.resources);
             }
         }
         for (machine_id, task) in started {
@@ -273,8 +273,8 @@
         }
         for index in 0..self.groups.len() {
             let group = &self.groups[index];
-            let rooms = group.teams.iter().filter_map(|team| used.get(team));
-            let sum = rooms.fold(Room::default(), |sum, room| sum.plus(*room));
+            let amounts = group.teams.iter().filter_map(|team| used.get(team));
+            let sum = amounts.fold(Resources::default(), |sum, resources| sum.plus(*resources));
             let over = |used: f64, most: f64| most > 0.0 && used > most + 1e-6;
             if over(sum.cpus, group.cpus_max) || over(sum.gpus, group.gpus_max) {
                 let its =
@@ -300,7 +300,7 @@
 fn wrong_place(
     machine_id: &MachineId,
     task: &TaskId,
-    spec: &Spec,
+    spec: &JobSpec,
     of_its_job: &[(&MachineId, &TaskId)],
     machines: &Machines,
 ) -> Option<String> {
--- a/crates/simulator/src/scale/load.rs
+++ b/crates/simulator/src/scale/load.rs
@@ -43,15 +43,15 @@
 }
 
 impl Load<'_> {
-    fn add(&mut self, class: &str, shape: &str, tasks: u32, run_ms: u64, at: u64) {
+    fn add(&mut self, class: &str, kind: &str, tasks: u32, run_ms: u64, at: u64) {
         let index = self.plans.len();
         let team = team_name(self.rng.random_range(0..self.settings.teams));
         let gpus = match class {
             "burst" | "urgent" => 0.0,
             _ => self.settings.gpus_a_machine() / 5.0,
         };
-        let mut plan = job(index, &team, shape, tasks, gpus, run_ms);
-        let (rank, cpus) = match class {
+        let mut plan = job(index, &team, kind, tasks, gpus, run_ms);
+        let (priority, cpus) = match class {
             "serve" => ("critical", REPLICA_CPUS),
             "train" => ("urgent", TASK_CPUS),
             "urgent" => ("urgent", 1.0),
@@ -59,7 +59,7 @@
             _ => ("normal", TASK_CPUS),
         };
         plan.body["lot"] = class.into();
-        plan.body["rank"] = rank.into();
+        plan.body["rank"] = priority.into();
         plan.body["vcpus"] = json!(cpus);
         plan.body["memoryGb"] = json!(cpus * 2.0);
         plan.body["kit"] = format!("img-{}", self.rng.random_range(0..IMAGES)).into();
--- a/crates/simulator/src/scale/settings.rs
+++ b/crates/simulator/src/scale/settings.rs
@@ -4,7 +4,7 @@
 
 use ini::Ini;
 use jaspertiller::settings::{SettingsError, problem, read_file};
-use jaspertiller::types::{Millis, Room, Zone};
+use jaspertiller::types::{Millis, Resources, Zone};
 
 use crate::config::{Config, StateLimits, team};
 
@@ -171,9 +171,9 @@
             );
             return refuse("controllers", reason);
         }
-        let room = (self.machines as f64 * CPUS / super::load::MEAN_CPUS) as u64;
-        if self.tasks > room {
-            let reason = format!("{} machines have room for {room}", self.machines);
+        let resources = (self.machines as f64 * CPUS / super::load::MEAN_CPUS) as u64;
+        if self.tasks > resources {
+            let reason = format!("{} machines have room for {resources}", self.machines);
             return refuse("tasks", reason);
         }
         if self.gang > self.machines / self.zones {
@@ -221,7 +221,7 @@
         config.timing.gang_wait = Millis(35_000);
         config.timing.gang_peer = Millis(5_000);
         config.timing.cancel = Millis(46_000);
-        config.machine_type.room = Room {
+        config.machine_type.resources = Resources {
             cpus: CPUS,
             gpus: self.gpus_a_machine(),
             memory_gb: MEMORY_GB,
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -10,12 +10,12 @@
 
 use jaspertiller::controller::{CommandReply, Controller, Effect, Event};
 use jaspertiller::fleet::CloudAnswer;
-use jaspertiller::jobs::Shape;
+use jaspertiller::jobs::JobKind;
 use jaspertiller::jobs::api::{self, Response, Stage};
 use jaspertiller::peers::Message;
 use jaspertiller::settings::{Operator, Settings};
 use jaspertiller::store::lanes::{Lanes, Next, Waiting};
-use jaspertiller::store::{Answer, Call, Class, Txn};
+use jaspertiller::store::{Answer, Call, CallClass, Txn};
 use jaspertiller::types::{
     AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, TaskId, WorkerToken,
     Zone,
@@ -101,13 +101,13 @@
 }
 
 /// A job of `tasks` tasks that run `run_ms` each; services run until cancelled.
-pub fn job(id: usize, team: &str, shape: &str, tasks: u32, gpus: f64, run_ms: u64) -> JobPlan {
-    let array = shape == "sweep";
-    let body = json!({"id": format!("job-{id:06}"), "lot": "x", "crew": team, "shape": shape,
+pub fn job(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run_ms: u64) -> JobPlan {
+    let array = kind == "sweep";
+    let body = json!({"id": format!("job-{id:06}"), "lot": "x", "crew": team, "shape": kind,
         "rank": if array { "normal" } else { "urgent" }, "picks": tasks,
         "vcpus": 1.0, "accelerators": gpus, "memoryGb": 1.0, "kit": format!("img-{id}"),
-        "sizeGb": 0.7, "rigs": null, "yard": null, "oneZone": shape == "gang",
-        "spread": shape == "standing", "loaners": array, "expectS": run_ms as f64 / 1e3,
+        "sizeGb": 0.7, "rigs": null, "yard": null, "oneZone": kind == "gang",
+        "spread": kind == "standing", "loaners": array, "expectS": run_ms as f64 / 1e3,
         "markS": if array { 2.0 } else { 0.0 }, "stashS": 1.0, "dueS": null});
     JobPlan {
         body,
@@ -970,7 +970,7 @@
         if writes > 0 && !self.during(&self.outages) && !self.store.allows(writes, now) {
             self.over_limit += 1;
             let tag = call.what.0;
-            if call.class == Class::Leases && reply {
+            if call.class == CallClass::Leases && reply {
                 let answer = Answer::Refused;
                 self.send_to(node, self.now + 3, Event::Store { tag, answer });
             } else if reply && self.epochs[node] == epoch {
@@ -1102,7 +1102,7 @@
     pub fn unfinished(&self) -> Vec<JobId> {
         let service = |id: &JobId| {
             let job = self.machines.jobs.get(id);
-            job.is_some_and(|job| job.spec.shape == Shape::Service)
+            job.is_some_and(|job| job.spec.kind == JobKind::Service)
         };
         let ids = self.jobs.iter().map(JobPlan::id);
         let mut left: Vec<JobId> = ids.filter(|id| !service(id) && !self.over(id)).collect();
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use jaspertiller::types::{Millis, Room, TaskId, Zone};
+use jaspertiller::types::{Millis, Resources, TaskId, Zone};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -28,8 +28,8 @@
 /// The load of one machine: jobs at the start and a minute, by class.
 struct Class {
     name: &'static str,
-    shape: &'static str,
-    rank: &'static str,
+    kind: &'static str,
+    priority: &'static str,
     tasks: std::ops::RangeInclusive<u32>,
     gpus: f64,
     run_ms: std::ops::RangeInclusive<u64>,
@@ -40,8 +40,8 @@
 const CLASSES: [Class; 3] = [
     Class {
         name: "serve",
-        shape: "standing",
-        rank: "critical",
+        kind: "standing",
+        priority: "critical",
         tasks: 2..=4,
         gpus: 1.0,
         run_ms: 0..=0,
@@ -50,8 +50,8 @@
     },
     Class {
         name: "batch",
-        shape: "sweep",
-        rank: "normal",
+        kind: "sweep",
+        priority: "normal",
         tasks: 5..=60,
         gpus: 1.0,
         run_ms: 30_000..=80_000,
@@ -60,8 +60,8 @@
     },
     Class {
         name: "train",
-        shape: "gang",
-        rank: "urgent",
+        kind: "gang",
+        priority: "urgent",
         tasks: 1..=4,
         gpus: 8.0,
         run_ms: 60_000..=150_000,
@@ -116,7 +116,7 @@
     config.timing.heartbeat = Millis(5_000);
     config.timing.lease = Millis(26_500);
     config.timing.cancel = Millis(46_500);
-    config.machine_type.room = Room {
+    config.machine_type.resources = Resources {
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
@@ -159,9 +159,9 @@
     let tasks = rng.random_range(class.tasks.clone());
     let run_ms = rng.random_range(class.run_ms.clone());
     let team = team_name(rng.random_range(0..size.teams.max(1)));
-    let mut plan = job(id, &team, class.shape, tasks, class.gpus, run_ms);
+    let mut plan = job(id, &team, class.kind, tasks, class.gpus, run_ms);
     plan.body["lot"] = class.name.into();
-    plan.body["rank"] = class.rank.into();
+    plan.body["rank"] = class.priority.into();
     plan.body["vcpus"] = json!(class.gpus * 10.0);
     plan.body["memoryGb"] = json!(class.gpus * 72.0);
     plan.body["kit"] = format!("img-{}", rng.random_range(0..IMAGES)).into();
--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use jaspertiller::jobs::{Shape, Spec};
-use jaspertiller::types::{JobId, Millis, Room, TaskId, Zone};
+use jaspertiller::jobs::{JobKind, JobSpec};
+use jaspertiller::types::{JobId, Millis, Resources, TaskId, Zone};
 
 use crate::machines::Machines;
 use crate::rules::{Group, Rules};
@@ -13,19 +13,19 @@
 struct Free<'a> {
     zone: &'a Zone,
     spot: bool,
-    room: Room,
+    resources: Resources,
 }
 
 /// Jobs of which a task waits, a gang's tasks together, though machines that fit have room and the
 /// team's limit leaves it.
 pub fn could_run(machines: &Machines, rules: &Rules, now: Millis) -> Vec<JobId> {
     let on: HashSet<&TaskId> = machines.holding(now).collect();
-    let free: Vec<Free> = machines
+    let available: Vec<Free> = machines
         .sound(now)
-        .map(|(machine, room)| Free {
+        .map(|(machine, resources)| Free {
             zone: &machine.zone,
             spot: machine.spot,
-            room,
+            resources,
         })
         .collect();
     let over = |id: &JobId| rules.done.contains(id) || rules.wanted_aborts.contains_key(id);
@@ -40,7 +40,7 @@
         };
         let waits = |task: &TaskId| !machines.completed.contains(task) && !on.contains(task);
         let waiting = (0..job.spec.tasks).map(task).filter(waits).count() as u32;
-        let together = if job.spec.shape == Shape::Gang {
+        let together = if job.spec.kind == JobKind::Gang {
             waiting
         } else {
             1
@@ -53,28 +53,28 @@
                         group,
                         machines,
                         &on,
-                        job.spec.room.times(f64::from(together)),
+                        job.spec.resources.times(f64::from(together)),
                     )
             })
-            && fits(&job.spec, id, together, machines, &free, now)
+            && fits(&job.spec, id, together, machines, &available, now)
     });
     able.cloned().collect()
 }
 
-fn leaves(group: &Group, machines: &Machines, on: &HashSet<&TaskId>, more: Room) -> bool {
+fn leaves(group: &Group, machines: &Machines, on: &HashSet<&TaskId>, more: Resources) -> bool {
     let specs = on.iter().filter_map(|task| machines.jobs.get(&task.job));
     let its = specs.filter(|job| group.teams.contains(&job.spec.team));
-    let used = its.fold(more, |sum, job| sum.plus(job.spec.room));
+    let used = its.fold(more, |sum, job| sum.plus(job.spec.resources));
     let within = |used: f64, most: f64| most <= 0.0 || used <= most + 1e-6;
     within(used.cpus, group.cpus_max) && within(used.gpus, group.gpus_max)
 }
 
 fn fits(
-    spec: &Spec,
+    spec: &JobSpec,
     id: &JobId,
     tasks: u32,
     machines: &Machines,
-    free: &[Free],
+    available: &[Free],
     now: Millis,
 ) -> bool {
     let mut placed: BTreeMap<&Zone, u32> = BTreeMap::new();
@@ -86,19 +86,19 @@
             .entry(&machines.machine_ids[machine_id].zone)
             .or_default() += 1;
     }
-    let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
-    for machine in free {
+    let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
+    for machine in available {
         let elsewhere = spec.one_zone && placed.keys().any(|zone| *zone != machine.zone);
         let crowded =
             spec.spread && placed.get(machine.zone).copied().unwrap_or(0) >= spec.zone_share();
         let machine_type = machines.machine_type();
         if spec.allows(machine_type, machine.zone, machine.spot) && !elsewhere && !crowded {
-            *room.entry(machine.zone).or_default() += machine.room.holds(spec.room);
+            *resources.entry(machine.zone).or_default() += machine.resources.holds(spec.resources);
         }
     }
     if spec.one_zone {
-        room.values().any(|holds| *holds >= tasks)
+        resources.values().any(|holds| *holds >= tasks)
     } else {
-        room.values().sum::<u32>() >= tasks
+        resources.values().sum::<u32>() >= tasks
     }
 }
--- a/crates/simulator/tests/admission.rs
+++ b/crates/simulator/tests/admission.rs
@@ -16,23 +16,23 @@
 struct Stream {
     class: &'static str,
     team: &'static str,
-    rank: &'static str,
-    shape: &'static str,
+    priority: &'static str,
+    kind: &'static str,
     tasks: u32,
     per_s: f64,
 }
 
 const fn stream(
-    (class, team, rank): (&'static str, &'static str, &'static str),
-    shape: &'static str,
+    (class, team, priority): (&'static str, &'static str, &'static str),
+    kind: &'static str,
     tasks: u32,
     per_s: f64,
 ) -> Stream {
     Stream {
         class,
         team,
-        rank,
-        shape,
+        priority,
+        kind,
         tasks,
         per_s,
     }
@@ -46,13 +46,13 @@
             let mut plan = job(
                 jobs.len(),
                 stream.team,
-                stream.shape,
+                stream.kind,
                 stream.tasks,
                 1.0,
                 2_500,
             );
             plan.body["lot"] = stream.class.into();
-            plan.body["rank"] = stream.rank.into();
+            plan.body["rank"] = stream.priority.into();
             plan.body["kit"] = format!("img-{}", stream.class).into();
             // The region's cloud has so many machines of both kinds together.
             plan.body["loaners"] = true.into();
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -98,7 +98,7 @@
     let tasks = world.machines.holding(Millis(world.now));
     let specs = tasks.map(|task| &world.machines.jobs[&task.job].spec);
     let its = specs.filter(|spec| spec.team.as_str() == team);
-    its.map(|spec| spec.room.gpus).sum()
+    its.map(|spec| spec.resources.gpus).sum()
 }
 
 pub const MEETINGS: &[Meeting] = &[
@@ -391,8 +391,8 @@
         play: |w| {
             w.slow_links = Some(100..1_900);
             for index in 0..18 {
-                let shape = ["sweep", "gang", "sweep"][index % 3];
-                let mut plan = job(100 + index, "large", shape, 6, 1.0, 22_000);
+                let kind = ["sweep", "gang", "sweep"][index % 3];
+                let mut plan = job(100 + index, "large", kind, 6, 1.0, 22_000);
                 plan.at = Some(4_000 + 1_200 * index as u64);
                 if index % 5 == 0 {
                     plan.body["rank"] = "best_effort".into();
@@ -405,8 +405,11 @@
             let mut full = false;
             while w.now < AT {
                 w.run_until(w.now + 500);
-                let room = w.machines.sound(Millis(w.now)).map(|(_, room)| room.gpus);
-                full |= w.now > 20_000 && room.sum::<f64>() < 4.0;
+                let resources = w
+                    .machines
+                    .sound(Millis(w.now))
+                    .map(|(_, resources)| resources.gpus);
+                full |= w.now > 20_000 && resources.sum::<f64>() < 4.0;
             }
             let began = at_work(w);
             let waiting = w.rules.accepted.difference(&began).count() as u64;
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -63,9 +63,9 @@
         play: |w| {
             w.meet_ends = 1.0;
             for index in 0..24 {
-                let (shape, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 5)][index % 3];
+                let (kind, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 5)][index % 3];
                 let run = 3_000 + 400 * index as u64;
-                let mut plan = job(100 + index, "large", shape, tasks, 1.0, run);
+                let mut plan = job(100 + index, "large", kind, tasks, 1.0, run);
                 plan.at = Some(4_000 + 2_000 * index as u64);
                 w.submit(plan);
             }
@@ -85,8 +85,8 @@
         play: |w| {
             (w.meet_ends, w.late_writes, w.lost_answers) = (1.0, 0.15, 0.1);
             for index in 0..16 {
-                let (shape, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 3)][index % 3];
-                let mut plan = job(100 + index, "large", shape, tasks, 1.0, 5_000);
+                let (kind, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 3)][index % 3];
+                let mut plan = job(100 + index, "large", kind, tasks, 1.0, 5_000);
                 plan.at = Some(4_000 + 2_500 * index as u64);
                 w.submit(plan);
             }
--- a/crates/simulator/tests/faults/leaders.rs
+++ b/crates/simulator/tests/faults/leaders.rs
@@ -22,8 +22,8 @@
 /// Jobs come all the time.
 fn stream() -> impl Iterator<Item = JobPlan> {
     (100..160).map(|index| {
-        let shape = ["sweep", "gang", "sweep"][index % 3];
-        let mut plan = job(index, "large", shape, 2, 1.0, 4_000);
+        let kind = ["sweep", "gang", "sweep"][index % 3];
+        let mut plan = job(index, "large", kind, 2, 1.0, 4_000);
         plan.at = Some(20_000 + 1_200 * (index as u64 - 100));
         plan
     })
--- a/crates/simulator/tests/faults/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -163,8 +163,8 @@
         name: "jobs that fail everywhere, beside a machine that fails all",
         play: |w| {
             for index in 0..6 {
-                let shape = ["sweep", "gang", "sweep"][index % 3];
-                let mut plan = job(100 + index, "small", shape, 3, 1.0, 3_000);
+                let kind = ["sweep", "gang", "sweep"][index % 3];
+                let mut plan = job(100 + index, "small", kind, 3, 1.0, 3_000);
                 plan.at = Some(9_000 + 2_500 * index as u64);
                 plan.broken = true;
                 w.submit(plan);
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -6,7 +6,7 @@
 use cluster_simulator::rules::Group;
 use cluster_simulator::sim::{Cut, JobPlan, World, job};
 use jaspertiller::settings::Settings;
-use jaspertiller::types::{JobId, Millis, Room, Team};
+use jaspertiller::types::{JobId, Millis, Resources, Team};
 
 const TREE: &str = "[tree]\nrevision = REV\nhold_s = 3\n\
     [node coop]\ngpus = 40\n\
@@ -57,8 +57,8 @@
     });
 }
 
-fn at(id: usize, team: &str, shape: &str, tasks: u32, gpus: f64, run: u64, at: u64) -> JobPlan {
-    let mut plan = job(id, team, shape, tasks, gpus, run * 1_000);
+fn at(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run: u64, at: u64) -> JobPlan {
+    let mut plan = job(id, team, kind, tasks, gpus, run * 1_000);
     plan.at = Some(at * 1_000);
     plan
 }
@@ -74,9 +74,10 @@
 fn used(world: &World, name: &str) -> f64 {
     let now = Millis(world.now);
     let spec = |id: &JobId| &world.machines.jobs[id].spec;
-    let rooms = world.machines.present(now).map(|(_, task)| spec(&task.job));
-    let its = rooms.filter(|spec| spec.team == Team::from(name));
-    its.fold(Room::default(), |sum, s| sum.plus(s.room)).gpus
+    let amounts = world.machines.present(now).map(|(_, task)| spec(&task.job));
+    let its = amounts.filter(|spec| spec.team == Team::from(name));
+    its.fold(Resources::default(), |sum, s| sum.plus(s.resources))
+        .gpus
 }
 
 fn sound(world: &World, name: &str) {
@@ -183,8 +184,8 @@
         for seed in 1..=3 {
             let jobs = (0..12).map(|i| {
                 let team = ["e1", "e2", "w1"][i % 3];
-                let shape = if i % 4 == 3 { "gang" } else { "sweep" };
-                at(i, team, shape, 5, 1.0, 6 + i as u64, 5 + 7 * i as u64)
+                let kind = if i % 4 == 3 { "gang" } else { "sweep" };
+                at(i, team, kind, 5, 1.0, 6 + i as u64, 5 + 7 * i as u64)
             });
             // Seven for east, five of them for e1 at the most.
             let text = tree(1, 7)
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -5,7 +5,7 @@
 
 use admission_control::slots::{Slot, Slots};
 
-use crate::jobs::Spec;
+use crate::jobs::JobSpec;
 use crate::settings::Settings;
 
 /// A class and a team.
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn of(&self, spec: &Spec) -> Flow {
+    pub fn of(&self, spec: &JobSpec) -> Flow {
         Flow {
             class: self.classes.of(&spec.class),
             team: self.teams.of(spec.team.as_str()),
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -4,7 +4,7 @@
 use super::{Controller, Effect, Purpose};
 use crate::admission::shared::{AdmissionReport, PLAN, Shared};
 use crate::lease::{LEADER, Own, controller_key};
-use crate::store::{Class, Txn};
+use crate::store::{CallClass, Txn};
 use crate::types::{ControllerId, Revision};
 
 impl Controller {
@@ -67,6 +67,6 @@
         txn.put(PLAN.into(), &plan);
         self.shared.planned(self.now);
         // It must not wait behind what it is to speed up.
-        self.transact(Class::Leases, txn, Purpose::Plan);
+        self.transact(CallClass::Leases, txn, Purpose::Plan);
     }
 }
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -11,11 +11,11 @@
     CloudAnswer, CloudCall, Fleet, MACHINE_TYPES_KEY, MachineTypeSpec, Offer, Rented, Stage,
 };
 use crate::jobs::cache::{Change, Evidence};
-use crate::jobs::{Rank, Shape, Spec};
+use crate::jobs::{JobKind, JobSpec, PriorityClass};
 use crate::lease::LEADER;
 use crate::settings::Objective;
-use crate::store::{Class, Txn};
-use crate::types::{JobId, MachineId, Millis, Room, Zone};
+use crate::store::{CallClass, Txn};
+use crate::types::{JobId, MachineId, Millis, Resources, Zone};
 use crate::workers::{Machine, shard_of};
 use crate::zones::zone_health::{Suspect, ZoneObservation, Zones};
 
@@ -126,17 +126,17 @@
             .iter()
             .filter(|job| job.born > seen && job.born <= now)
         {
-            let urgent = job.spec.rank >= Rank::Urgent;
+            let urgent = job.spec.priority >= PriorityClass::Urgent;
             if !urgent && !self.waits_are_seen(&job.spec) {
                 continue;
             }
-            let whole = self
+            let capacity = self
                 .type_specs
                 .iter()
-                .filter(|f| job.spec.room.fits_in(f.room))
-                .map(|f| job.spec.room.share_of(f.room))
+                .filter(|f| job.spec.resources.fits_in(f.resources))
+                .map(|f| job.spec.resources.share_of(f.resources))
                 .fold(1.0, f64::min);
-            let share = whole * f64::from(job.record.tasks);
+            let share = capacity * f64::from(job.record.tasks);
             found.push(Arrival {
                 at: job.born,
                 share,
@@ -153,7 +153,7 @@
 
     /// Whether the operators say how soon such work should start, though it can't have others
     /// stopped to make room.
-    fn waits_are_seen(&self, spec: &Spec) -> bool {
+    fn waits_are_seen(&self, spec: &JobSpec) -> bool {
         let objectives = &self.settings.deployment.objectives;
         let starts = |o: &Objective| o.kind == STARTS && o.class.as_ref() == Some(&spec.class);
         objectives.iter().any(starts)
@@ -352,11 +352,13 @@
                 draining_idle.push(machine_id.clone());
                 continue;
             }
-            let taken = self.jobs.taken(machine_id);
+            let allocated = self.jobs.allocated(machine_id);
             let kept = self
                 .nominations
                 .on(machine_id, self.now)
-                .fold(Room::default(), |sum, (_, room)| sum.plus(room));
+                .fold(Resources::default(), |sum, (_, resources)| {
+                    sum.plus(resources)
+                });
             bins.push(Bin {
                 machine_id: Some(machine_id.clone()),
                 offer: (
@@ -364,9 +366,9 @@
                     rented.zone.clone(),
                     rented.spot,
                 ),
-                whole: type_spec.room,
-                free: type_spec.room.minus(taken.plus(kept)),
-                soft: self.jobs.host_use(machine_id).soft,
+                capacity: type_spec.resources,
+                available: type_spec.resources.minus(allocated.plus(kept)),
+                soft: self.jobs.machine_usage(machine_id).soft,
                 idle_for: rented.idle.map_or(Millis(0), |since| self.now.since(since)),
                 worth_s: machine.map_or(0.0, |m| cache_worth_s(m, type_spec)),
             });
@@ -377,9 +379,9 @@
                 bins.extend(type_spec.map(|type_spec| Bin {
                     machine_id: None,
                     offer: offer.clone(),
-                    whole: type_spec.room,
-                    free: type_spec.room,
-                    soft: Room::default(),
+                    capacity: type_spec.resources,
+                    available: type_spec.resources,
+                    soft: Resources::default(),
                     idle_for: Millis(0),
                     worth_s: 0.0,
                 }));
@@ -390,9 +392,9 @@
             .iter()
             .filter(|job| job.active() && job.waiting() > 0)
             .collect();
-        jobs.sort_by_key(|job| (std::cmp::Reverse(job.spec.rank), job.born));
+        jobs.sort_by_key(|job| (std::cmp::Reverse(job.spec.priority), job.born));
         let dear = self.misplaced();
-        let mut budget: BTreeMap<_, Room> = BTreeMap::new();
+        let mut budget: BTreeMap<_, Resources> = BTreeMap::new();
         let mut needs = Vec::new();
         for job in jobs {
             if self.nominations.of(&job.id, self.now).is_some() {
@@ -405,11 +407,11 @@
                 let used = budget
                     .entry(&team.name)
                     .or_insert_with(|| self.jobs.usage(&team.name));
-                count = count.min(crate::quota::left(*used, team).holds(spec.room));
+                count = count.min(crate::quota::left(*used, team).holds(spec.resources));
             }
             for team in self.limits(job) {
                 if let Some(used) = budget.get_mut(&team.name) {
-                    *used = used.plus(spec.room.times(f64::from(count)));
+                    *used = used.plus(spec.resources.times(f64::from(count)));
                 }
             }
             needs.push(Need {
@@ -485,7 +487,7 @@
     /// Empties the machine with the least on it if all that would find room elsewhere: replicas
     /// where their image is at hand, so that they are back at once; arrays end by themselves.
     fn consolidate(&mut self) {
-        let mut bins: Vec<(MachineId, Room, Room)> = Vec::new();
+        let mut bins: Vec<(MachineId, Resources, Resources)> = Vec::new();
         for (machine_id, rented) in &self.fleet.machine_ids {
             let usable = self
                 .machines
@@ -495,8 +497,8 @@
             if let (true, Some(type_spec)) = (usable, type_spec) {
                 bins.push((
                     machine_id.clone(),
-                    type_spec.room,
-                    type_spec.room.minus(self.jobs.taken(machine_id)),
+                    type_spec.resources,
+                    type_spec.resources.minus(self.jobs.allocated(machine_id)),
                 ));
             }
         }
@@ -515,11 +517,12 @@
                     .get(machine_id)
                     .is_some_and(|r| !r.spot)
         };
-        for (index, (machine_id, whole, free)) in bins.iter().enumerate().take(MOST_EMPTIED) {
+        for (index, (machine_id, capacity, available)) in bins.iter().enumerate().take(MOST_EMPTIED)
+        {
             let mut left: Vec<_> = bins.clone();
             left.remove(index);
             left.retain(|(other, _, _)| !self.drains.contains(other));
-            if free == whole || free.share_of(*whole) < EMPTY_ENOUGH {
+            if available == capacity || available.share_of(*capacity) < EMPTY_ENOUGH {
                 continue;
             }
             let mut broken: HashSet<MachineId> = HashSet::default();
@@ -528,11 +531,11 @@
                     return true;
                 };
                 let spec = &job.spec;
-                if spec.shape == Shape::Gang || !job.active() {
+                if spec.kind == JobKind::Gang || !job.active() {
                     return false;
                 }
                 // The fullest machine that will do, as the cycle would choose.
-                let target = left.iter_mut().rev().find(|(other, _, room)| {
+                let target = left.iter_mut().rev().find(|(other, _, resources)| {
                     self.machines.get(other).is_some_and(|m| {
                         spec.allows(&m.machine_type, &m.zone, m.spot)
                             && (spec.yields()
@@ -540,11 +543,11 @@
                                 || Some(&m.zone) == self.machines.get(machine_id).map(|m| &m.zone))
                             && (spec.yields() || m.images.contains_key(&spec.image))
                             && (spec.yields() || !ready(other))
-                    }) && spec.room.fits_in(*room)
+                    }) && spec.resources.fits_in(*resources)
                 });
                 match target {
-                    Some((other, _, room)) => {
-                        *room = room.minus(spec.room);
+                    Some((other, _, resources)) => {
+                        *resources = resources.minus(spec.resources);
                         if !spec.yields() {
                             broken.insert(other.clone());
                         }
@@ -572,7 +575,7 @@
         }
         self.fleet.logged = self.now;
         let (mut booting, mut idle, mut busy, mut spot) = (0, 0, 0, 0);
-        let (mut whole, mut used) = (Room::default(), Room::default());
+        let (mut capacity, mut used) = (Resources::default(), Resources::default());
         for (machine_id, rented) in &self.fleet.machine_ids {
             match (rented.stage, rented.idle) {
                 (Stage::Running, None) => busy += 1,
@@ -581,8 +584,8 @@
             }
             spot += u32::from(rented.spot);
             if let Some(type_spec) = self.type_spec(&rented.machine_type) {
-                whole = whole.plus(type_spec.room);
-                used = used.plus(self.jobs.taken(machine_id));
+                capacity = capacity.plus(type_spec.resources);
+                used = used.plus(self.jobs.allocated(machine_id));
             }
         }
         let waiting: u32 = self
@@ -599,7 +602,7 @@
             draining = self.drains.len(),
             waiting,
             headroom = ?self.headroom().iter().map(|h| h.machines).collect::<Vec<_>>(),
-            used = format!("{:.2}", used.share_of(whole)),
+            used = format!("{:.2}", used.share_of(capacity)),
             "fleet"
         );
     }
@@ -669,7 +672,7 @@
                     spot,
                     machines: machines(true),
                     empty: machines(false),
-                    room: type_spec.room,
+                    resources: type_spec.resources,
                 }
             })
             .to_vec()
@@ -789,7 +792,7 @@
             // Carried out late, it would bring back what a later leader has replaced.
             txn.require(LEADER.into(), lead);
             txn.put(MACHINE_TYPES_KEY.into(), type_specs);
-            self.transact(Class::Rest, txn, Purpose::Note);
+            self.transact(CallClass::Rest, txn, Purpose::Note);
         }
     }
 
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -16,7 +16,7 @@
     });
     for (gone, released) in [(false, false), (true, true)] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![here.clone()]);
         if gone {
             controller.fleet.gone.insert("vm-a".into());
@@ -54,7 +54,7 @@
             attempt: Attempt(1),
         });
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, _) = controller(spec, vec![here]);
         controller.now = Millis(100_000);
         controller.receives_heartbeats = true;
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Phase;
 use crate::jobs::api::{Response, is_final};
 use crate::jobs::record::{JobRecord, job_key};
-use crate::store::{Answer, Class, Txn};
+use crate::store::{Answer, CallClass, Txn};
 use crate::types::{JobId, ReplyId};
 
 impl Controller {
@@ -31,7 +31,11 @@
         let mut txn = Txn::default();
         txn.require(job_key(&id), job.version);
         txn.put(job_key(&id), &record);
-        self.transact(Class::Cancellations, txn, Purpose::Abort { reply, job: id });
+        self.transact(
+            CallClass::Cancellations,
+            txn,
+            Purpose::Abort { reply, job: id },
+        );
     }
 
     pub(super) fn on_aborted(&mut self, reply: ReplyId, job: JobId, answer: Answer) {
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -2,7 +2,7 @@
 use crate::controller::Effect;
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
-use crate::jobs::{Placement, Shape, Task};
+use crate::jobs::{JobKind, Placement, Task};
 use crate::store::Call;
 use crate::types::{AgentEpoch, Attempt, Revision, ShardId};
 
@@ -24,7 +24,7 @@
     ];
     for (task, applied, over) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![task.clone()]);
         let record = JobRecord {
             phase: Phase::Aborting,
@@ -36,12 +36,12 @@
         controller.fresh.waiting.clear();
         controller.effects.clear();
         controller.clear(&id);
-        let ends = controller.effects.iter().any(|effect| {
+        let completions = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
             matches!(call, Call::Txn(txn) if !txn.changes.is_empty())
         });
-        assert_eq!(ends, over, "{task:?}, known up to {applied}");
+        assert_eq!(completions, over, "{task:?}, known up to {applied}");
     }
 }
--- a/src/controller/candidates.rs
+++ b/src/controller/candidates.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Controller;
-use crate::cycle::index::{Class, Entry, Group, Having, Level};
-use crate::cycle::{self, Asking, Candidate, Choice};
+use crate::cycle::index::{CapacityLevel, Entry, Group, ImageFilter, MachineClass};
+use crate::cycle::{self, Candidate, Choice, PlacementRequest};
 use crate::fleet::{MachineTypeSpec, fetch_rate};
 use crate::jobs::cache::Job;
 use crate::queue::Check;
-use crate::types::{Image, JobId, MachineId, MachineTypeId, Millis, Room, Zone};
+use crate::types::{Image, JobId, MachineId, MachineTypeId, Millis, Resources, Zone};
 use crate::workers::Machine;
 
 /// The fleet is looked over again after this long.
@@ -38,14 +38,14 @@
             .find(|type_spec| type_spec.id == *machine_type)
     }
 
-    pub(super) fn whole(&self, machine: &Machine) -> Room {
+    pub(super) fn capacity(&self, machine: &Machine) -> Resources {
         let type_spec = self.type_spec(&machine.machine_type);
-        type_spec.map(|f| f.room).unwrap_or_default()
+        type_spec.map(|f| f.resources).unwrap_or_default()
     }
 
-    pub(super) fn free(&self, machine: &Machine) -> Room {
-        self.whole(machine)
-            .minus(self.jobs.taken(&machine.machine_id))
+    pub(super) fn available(&self, machine: &Machine) -> Resources {
+        self.capacity(machine)
+            .minus(self.jobs.allocated(&machine.machine_id))
     }
 
     /// Fit for tasks that we place ourselves: in a shard of ours, and heard under its token.
@@ -91,8 +91,8 @@
         for machine_id in machine_ids {
             let entry = self.machines.get(&machine_id).and_then(|m| self.entry(m));
             match entry {
-                Some(entry) => self.pool.room.update(&machine_id, entry),
-                None => self.pool.room.remove(&machine_id),
+                Some(entry) => self.pool.resources.update(&machine_id, entry),
+                None => self.pool.resources.remove(&machine_id),
             }
         }
     }
@@ -117,10 +117,10 @@
         })
     }
 
-    fn level(&self, machine: &Machine) -> Level {
-        let on_it = self.jobs.host_use(&machine.machine_id);
-        let free = self.whole(machine).minus(on_it.taken);
-        Level::new(free, on_it.soft, machine.coming.len())
+    fn level(&self, machine: &Machine) -> CapacityLevel {
+        let on_it = self.jobs.machine_usage(&machine.machine_id);
+        let available = self.capacity(machine).minus(on_it.allocated);
+        CapacityLevel::new(available, on_it.soft, machine.coming.len())
     }
 
     /// Looks over all machines. What the index should have known is entered, and said.
@@ -135,7 +135,10 @@
             usable += 1;
             let level = self.level(machine);
             let (shard, images) = (&machine.shard, machine.images.len());
-            let stands = self.pool.room.stands(machine_id, own, shard, level, images);
+            let stands = self
+                .pool
+                .resources
+                .stands(machine_id, own, shard, level, images);
             if !stands {
                 stale.push(machine_id.clone());
             }
@@ -143,26 +146,26 @@
         self.work.swept.add(self.machines.len());
         let entered = stale.len();
         self.enter(stale);
-        if self.pool.room.len() > usable {
+        if self.pool.resources.len() > usable {
             let unfit = |machine_id: &&MachineId| {
                 let machine = self.machines.get(*machine_id);
                 machine.is_none_or(|m| !self.ours(m) && !self.others(m))
             };
             let unfit: Vec<MachineId> = self
                 .pool
-                .room
+                .resources
                 .machine_ids()
                 .filter(unfit)
                 .cloned()
                 .collect();
             for machine_id in unfit {
-                self.pool.room.remove(&machine_id);
+                self.pool.resources.remove(&machine_id);
             }
         }
         let ready: u32 = self.headroom().iter().map(|h| h.machines).sum();
         let empty = self
             .pool
-            .room
+            .resources
             .machine_ids()
             .filter(|machine_id| !self.jobs.busy(machine_id));
         self.pool.spare = empty.count() > ready as usize;
@@ -176,13 +179,14 @@
         self.refresh_pool();
         let swept = self.pool.built == self.now;
         let mut differs = Vec::new();
-        for (machine_id, entered) in self.pool.room.entries() {
+        for (machine_id, entered) in self.pool.resources.entries() {
             let machine = self.machines.get(machine_id);
             let should = machine.and_then(|machine| self.entry(machine));
             let right = match &should {
                 Some(should) if swept => should == entered,
                 Some(should) => {
-                    should.level.free() == entered.level.free() && should.images == entered.images
+                    should.level.available() == entered.level.available()
+                        && should.images == entered.images
                 }
                 None => !swept,
             };
@@ -191,7 +195,7 @@
             }
         }
         let usable = self.machines.values().filter(|m| self.entry(m).is_some());
-        let (usable, entered) = (usable.count(), self.pool.room.len());
+        let (usable, entered) = (usable.count(), self.pool.resources.len());
         if swept && usable != entered {
             differs.push(format!("{entered} machines entered, {usable} usable"));
         }
@@ -205,7 +209,7 @@
         scope: Scope,
         zone: Option<&Zone>,
     ) -> Vec<&'a Group> {
-        let groups = self.pool.room.groups();
+        let groups = self.pool.resources.groups();
         let groups = groups.filter(|group| match scope {
             Scope::Own => group.own,
             Scope::Others => !group.own,
@@ -224,16 +228,16 @@
     /// and emptiest classes in turn, until so many have passed. Returns how many did.
     pub(super) fn visit<'a>(
         &'a self,
-        having: Having,
+        having: ImageFilter,
         group: &'a Group,
         job: &Job,
         most: usize,
         mut passes: impl FnMut(Candidate<'a>) -> bool,
     ) -> usize {
-        let classes: Vec<Class> = self
+        let classes: Vec<MachineClass> = self
             .pool
-            .room
-            .fitting(having, group, job.spec.room)
+            .resources
+            .fitting(having, group, job.spec.resources)
             .collect();
         let mut passed = 0;
         for class in from_both_ends(&classes) {
@@ -257,17 +261,20 @@
 
     /// A machine as a cycle for the job sees it.
     pub(super) fn candidate<'a>(&self, job: &Job, machine: &'a Machine) -> Candidate<'a> {
-        let (whole, on_it) = (self.whole(machine), self.jobs.host_use(&machine.machine_id));
+        let (capacity, on_it) = (
+            self.capacity(machine),
+            self.jobs.machine_usage(&machine.machine_id),
+        );
         let rate = fetch_rate(&self.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Candidate {
             machine,
-            whole,
-            free: self.free_for(machine, &job.id),
+            capacity,
+            available: self.free_for(machine, &job.id),
             yielding: on_it.yielding(),
             image_s: machine.image_s(image, gb, rate, self.now),
             fetch_s: gb / rate,
-            firm: on_it.taken.minus(on_it.soft).share_of(whole),
+            firm: on_it.allocated.minus(on_it.soft).share_of(capacity),
         }
     }
 
@@ -284,22 +291,22 @@
             let Some(job) = self.jobs.get(id) else {
                 return Err(BTreeSet::new());
             };
-            let mut asking = Asking::new(job, self.full_shards(job, raise));
-            asking.keeps_off_empty = self.keeps_off_empty(job);
+            let mut asking = PlacementRequest::new(job, self.full_shards(job, raise));
+            asking.avoids_empty_machines = self.avoids_empty_machines(job);
             let machine_id = self.survey(&asking, scope, zone)?;
             let usable = |m: &Machine| self.ours(m) || self.others(m);
             if self.machines.get(&machine_id).is_some_and(usable) {
                 return Ok(machine_id);
             }
             // Not fit any more: the index is behind.
-            self.pool.room.remove(&machine_id);
+            self.pool.resources.remove(&machine_id);
         }
     }
 
     /// The best machine for a task: of those with its image, and of a few of each other class.
     fn survey(
         &self,
-        asking: &Asking,
+        asking: &PlacementRequest,
         scope: Scope,
         zone: Option<&Zone>,
     ) -> Result<MachineId, BTreeSet<Check>> {
@@ -307,19 +314,22 @@
         let mut choice = Choice::default();
         let mut open = Vec::new();
         for group in self.groups(job, scope, zone) {
-            let whole = self
+            let capacity = self
                 .type_spec(&group.machine_type)
-                .map(|f| f.room)
+                .map(|f| f.resources)
                 .unwrap_or_default();
-            let ever = job.spec.room.fits_in(whole);
-            if ever && self.pool.room.any_too_full(group, job.spec.room) {
-                choice.reject(Check::Room);
+            let ever = job.spec.resources.fits_in(capacity);
+            if ever && self.pool.resources.any_too_full(group, job.spec.resources) {
+                choice.reject(Check::Resources);
             }
             match asking.closes(&group.shard) {
                 None => open.push(group),
                 Some(check) => {
-                    let having = Having::Any;
-                    let mut fits = self.pool.room.fitting(having, group, job.spec.room);
+                    let having = ImageFilter::Any;
+                    let mut fits = self
+                        .pool
+                        .resources
+                        .fitting(having, group, job.spec.resources);
                     if fits.next().is_some() {
                         choice.reject(check);
                     }
@@ -327,7 +337,7 @@
             }
         }
         let most = (MOST_CONSIDERED / open.len().max(1)).max(LEAST_OF_GROUP);
-        for having in [Having::Image(&job.spec.image), Having::Any] {
+        for having in [ImageFilter::Image(&job.spec.image), ImageFilter::Any] {
             for group in &open {
                 self.visit(having, group, job, most, |candidate| {
                     choice.consider(asking, &candidate)
@@ -344,8 +354,8 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let asking = Asking::new(job, self.full_shards(job, None));
-        let having = Having::Image(&job.spec.image);
+        let asking = PlacementRequest::new(job, self.full_shards(job, None));
+        let having = ImageFilter::Image(&job.spec.image);
         let groups = self.groups(job, scope, None);
         let mut open = groups
             .into_iter()
@@ -360,7 +370,10 @@
         for group in open {
             let zone = job.spec.one_zone.then_some(group.zone());
             let tasks = zones.entry(zone).or_default();
-            let classes = self.pool.room.fitting(having, group, job.spec.room);
+            let classes = self
+                .pool
+                .resources
+                .fitting(having, group, job.spec.resources);
             for machine in classes.flat_map(|class| class.machine_ids) {
                 if *tasks >= job.record.tasks {
                     return true;
@@ -371,7 +384,7 @@
                 self.work.candidates.add(1);
                 let candidate = self.candidate(job, machine);
                 if cycle::filter(&asking, &candidate).is_none() {
-                    *tasks += candidate.free.holds(job.spec.room);
+                    *tasks += candidate.available.holds(job.spec.resources);
                 }
             }
         }
@@ -384,20 +397,24 @@
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        let asking = Asking::new(job, Vec::new());
-        let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
+        let asking = PlacementRequest::new(job, Vec::new());
+        let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
         for group in self.groups(job, scope, None) {
             if asking.closes(&group.shard).is_some() {
                 continue;
             }
-            for class in self.pool.room.fitting(Having::Any, group, job.spec.room) {
-                let each = class.level.free().holds(job.spec.room);
+            for class in self
+                .pool
+                .resources
+                .fitting(ImageFilter::Any, group, job.spec.resources)
+            {
+                let each = class.level.available().holds(job.spec.resources);
                 let there = each.saturating_mul(class.machine_ids.len() as u32);
-                let sum = room.entry(group.zone()).or_default();
+                let sum = resources.entry(group.zone()).or_default();
                 *sum = sum.saturating_add(there);
             }
         }
-        let mut zones: Vec<(u32, &Zone)> = room.into_iter().map(|(z, n)| (n, z)).collect();
+        let mut zones: Vec<(u32, &Zone)> = resources.into_iter().map(|(z, n)| (n, z)).collect();
         zones.retain(|(count, _)| *count >= job.record.tasks);
         zones.sort_by(|a, b| b.cmp(a));
         zones.into_iter().map(|(_, zone)| zone.clone()).collect()
@@ -405,7 +422,9 @@
 }
 
 /// The first, the last, the second, the last but one, and so on.
-fn from_both_ends<'a, 'b>(classes: &'b [Class<'a>]) -> impl Iterator<Item = &'b Class<'a>> {
+fn from_both_ends<'a, 'b>(
+    classes: &'b [MachineClass<'a>],
+) -> impl Iterator<Item = &'b MachineClass<'a>> {
     let last = classes.len().saturating_sub(1);
     (0..classes.len()).map(move |turn| {
         let step = turn / 2;
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -2,15 +2,15 @@
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
-use crate::jobs::{Phase, Placement, Rank, Shape, Spec, Task};
+use crate::jobs::{JobKind, JobSpec, Phase, Placement, PriorityClass, Task};
 use crate::types::{AgentEpoch, Attempt, FencingToken, Revision, ShardId, WorkerToken};
 
 const NOW: Millis = Millis(10_000);
 
-fn spec(gpus: f64, rank: Rank) -> Spec {
+fn spec(gpus: f64, priority: PriorityClass) -> JobSpec {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.tasks, spec.rank) = (Shape::Array, 4, rank);
-    spec.room = Room {
+    (spec.kind, spec.tasks, spec.priority) = (JobKind::Array, 4, priority);
+    spec.resources = Resources {
         cpus: gpus * 10.0,
         gpus,
         memory_gb: gpus * 60.0,
@@ -24,8 +24,8 @@
 }
 
 /// A controller with machines of its own, of which some are taken by an array of whole machines.
-fn fleet(machines: usize, taken: impl Fn(usize) -> bool) -> (Controller, JobId) {
-    let (mut controller, id) = controller(spec(1.0, Rank::Urgent), vec![Task::FRESH; 4]);
+fn fleet(machines: usize, allocated: impl Fn(usize) -> bool) -> (Controller, JobId) {
+    let (mut controller, id) = controller(spec(1.0, PriorityClass::Urgent), vec![Task::FRESH; 4]);
     controller.machines.clear();
     controller.now = NOW;
     let shard = ShardId::parse("a.0").unwrap();
@@ -47,14 +47,16 @@
             .machines
             .insert(machine.machine_id.clone(), machine);
     }
-    let placed = (0..machines).filter(|index| taken(*index)).map(|index| {
-        Task::Placed(Placement {
-            machine_id: machine_id(index),
-            shard: shard.clone(),
-            agent_epoch: AgentEpoch(1),
-            attempt: Attempt(1),
-        })
-    });
+    let placed = (0..machines)
+        .filter(|index| allocated(*index))
+        .map(|index| {
+            Task::Placed(Placement {
+                machine_id: machine_id(index),
+                shard: shard.clone(),
+                agent_epoch: AgentEpoch(1),
+                attempt: Attempt(1),
+            })
+        });
     let tasks: Vec<Task> = placed.collect();
     if !tasks.is_empty() {
         occupy(&mut controller, tasks);
@@ -64,12 +66,12 @@
 }
 
 fn occupy(controller: &mut Controller, tasks: Vec<Task>) {
-    let mut spec = spec(8.0, Rank::Normal);
+    let mut spec = spec(8.0, PriorityClass::Normal);
     spec.tasks = tasks.len() as u32;
     let id = JobId::from("job-7");
     let record = JobRecord {
         phase: Phase::Active,
-        home: "n1".into(),
+        owner: "n1".into(),
         tasks: spec.tasks,
         page: spec.tasks,
         spec: Some(spec),
@@ -86,7 +88,7 @@
 fn what_is_looked_at_does_not_grow_with_the_fleet() {
     struct Case {
         name: &'static str,
-        taken: fn(usize) -> bool,
+        allocated: fn(usize) -> bool,
         /// Machines that a cycle, or making room, may look at.
         most: u64,
         step: fn(&mut Controller, &JobId),
@@ -100,63 +102,63 @@
     let cases = [
         Case {
             name: "an empty fleet",
-            taken: |_| false,
+            allocated: |_| false,
             most: 16,
             step: choose,
         },
         Case {
             name: "work that keeps off empty machines",
-            taken: |_| false,
+            allocated: |_| false,
             most: 128,
             step: |controller, id| {
                 let job = controller.jobs.get_mut(id).unwrap();
-                (job.spec.rank, job.born) = (Rank::BestEffort, NOW);
+                (job.spec.priority, job.born) = (PriorityClass::BestEffort, NOW);
                 controller.pool.spare = false;
                 let _ = controller.choose(id, Scope::All, None, None);
             },
         },
         Case {
             name: "a full fleet",
-            taken: |_| true,
+            allocated: |_| true,
             most: 0,
             step: choose,
         },
         Case {
             name: "one machine free",
-            taken: |index| index != 50,
+            allocated: |index| index != 50,
             most: 2,
             step: choose,
         },
         Case {
             name: "whose image is nowhere",
-            taken: |_| false,
+            allocated: |_| false,
             most: 0,
             step: cached,
         },
         Case {
             name: "room made in a full fleet",
-            taken: |_| true,
+            allocated: |_| true,
             // Each that is weighed was looked at first.
             most: 2 * 64,
             step: |controller, id| {
-                let place = super::super::preemption::Where::Anywhere;
+                let place = super::super::preemption::PreemptionScope::Anywhere;
                 assert!(controller.preempt(id, place));
             },
         },
         Case {
             name: "nothing gives way in a full fleet",
-            taken: |_| true,
+            allocated: |_| true,
             most: 2_048,
             step: |controller, id| {
-                controller.jobs.get_mut(id).unwrap().spec.rank = Rank::BestEffort;
-                let place = super::super::preemption::Where::Anywhere;
+                controller.jobs.get_mut(id).unwrap().spec.priority = PriorityClass::BestEffort;
+                let place = super::super::preemption::PreemptionScope::Anywhere;
                 assert!(!controller.preempt(id, place));
             },
         },
     ];
     for case in cases {
         for machines in [100, 1_000, 10_000] {
-            let (mut controller, id) = fleet(machines, case.taken);
+            let (mut controller, id) = fleet(machines, case.allocated);
             let before = controller.work.candidates.get() + controller.work.sites.get();
             (case.step)(&mut controller, &id);
             let looked = controller.work.candidates.get() + controller.work.sites.get() - before;
@@ -207,7 +209,7 @@
 #[test]
 fn a_sweep_mends_the_index() {
     let (mut controller, _) = fleet(12, |_| false);
-    controller.pool.room.remove(&machine_id(2));
+    controller.pool.resources.remove(&machine_id(2));
     controller.now = NOW + Millis(1_000);
     assert_eq!(controller.recount_pool(), Vec::<String>::new());
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -7,13 +7,13 @@
 use crate::admission::backlog::Lane;
 use crate::jobs::cache::{Change, Evidence, Job, Writing};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
-use crate::jobs::{Phase, Rank, Shape, Task};
+use crate::jobs::{JobKind, Phase, PriorityClass, Task};
 use crate::lease::{LEADER, shard_key};
 use crate::peers::{Left, Message};
 use crate::quota;
 use crate::settings::TeamSettings;
-use crate::store::{Answer, Class, Txn};
-use crate::types::{Attempt, JobId, MachineId, Millis, Revision, Room, ShardId};
+use crate::store::{Answer, CallClass, Txn};
+use crate::types::{Attempt, JobId, MachineId, Millis, Resources, Revision, ShardId};
 
 /// Pages of one transaction: with 8 KiB each they stay below 64 KiB.
 const MOST_PAGES: usize = 6;
@@ -44,11 +44,13 @@
     /// Has a job's noted changes written when it is their turn.
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.writing != Writing::Idle || job.changes.is_empty() || self.ends.waits(job, self.now)
+        if job.writing != Writing::Idle
+            || job.changes.is_empty()
+            || self.completions.waits(job, self.now)
         {
             return;
         }
-        let ends = job.changes.values().all(Change::finishes);
+        let completions = job.changes.values().all(Change::finishes);
         let all = job.done as usize + job.changes.len() >= job.record.tasks as usize;
         let near = |team: &TeamSettings| {
             let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
@@ -60,24 +62,27 @@
         let gather = if short { GATHER_SHORT } else { GATHER };
         // Room that a task has left may be what a gang waits for on another's word.
         let starts = job.changes.values().all(|c| matches!(c, Change::Place(_)));
-        let part = job.spec.shape == Shape::Array && job.waiting() > 0 && starts;
+        let part = job.spec.kind == JobKind::Array && job.waiting() > 0 && starts;
         // Other holders are about to say that their tasks of it have left too.
         let more = job.placed as usize > job.changes.len();
         let (lane, turn) = if !job.active() {
             // Somebody waits to hear that a cancelled job's tasks are gone.
-            (Lane::Ends, if more { now + MATES } else { urgent })
-        } else if ends && (all || job.whole_gang()) {
-            (Lane::Ends, now)
-        } else if ends && self.limits(job).iter().any(near) {
+            (
+                Lane::CompletionForwarder,
+                if more { now + MATES } else { urgent },
+            )
+        } else if completions && (all || job.whole_gang()) {
+            (Lane::CompletionForwarder, now)
+        } else if completions && self.limits(job).iter().any(near) {
             (Lane::Gathered, if short { now + GATHER } else { now })
-        } else if ends {
+        } else if completions {
             (Lane::Gathered, now + gather)
         } else if more && job.broken_gang() {
             (Lane::Places, now + MATES)
         } else if job.whole_gang() && job.placed == 0 {
             // Its room is on machines of several holders, who may take it meanwhile.
-            (Lane::Ends, urgent)
-        } else if job.spec.rank >= Rank::Urgent {
+            (Lane::CompletionForwarder, urgent)
+        } else if job.spec.priority >= PriorityClass::Urgent {
             (Lane::Places, urgent)
         } else if short && part {
             (Lane::Places, now + MORE_ROOM)
@@ -85,7 +90,7 @@
             (Lane::Places, now)
         };
         let class = self.flows.of(&job.spec).class;
-        let turn = if self.told_home(id) {
+        let turn = if self.forwarded_to_owner(id) {
             turn + HOME_WRITES
         } else {
             turn
@@ -95,36 +100,36 @@
     }
 
     /// Tells a job's home what left its machines here, if that can write it for all holders.
-    fn told_home(&mut self, id: &JobId) -> bool {
+    fn forwarded_to_owner(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let home = &job.record.home;
+        let owner = &job.record.owner;
         let there =
-            self.leases.controllers.contains_key(home) && self.recent_status(home).is_some();
-        if *home == self.me || !there {
+            self.leases.controllers.contains_key(owner) && self.recent_status(owner).is_some();
+        if *owner == self.me || !there {
             return false;
         }
         let token = |index| {
             let shard = &job.task(index).placement()?.shard;
             self.leases.holds(shard, &self.me)
         };
-        self.ends.tell(home, job, token, self.now)
+        self.completions.tell(owner, job, token, self.now)
     }
 
     /// Sends the homes what there is to tell, and sees to what they have not written yet.
-    pub(super) fn tell_homes(&mut self) {
+    pub(super) fn forward_completions(&mut self) {
         let jobs = &self.jobs;
         let waits = |id: &JobId| {
             jobs.get(id)
                 .is_some_and(|job| job.writing == Writing::Idle && !job.changes.is_empty())
         };
-        let mut due = self.ends.pending(waits);
-        due.extend(self.ends.due(self.now));
+        let mut due = self.completions.pending(waits);
+        due.extend(self.completions.due(self.now));
         for id in due {
             self.commit(&id);
         }
-        for (to, left) in self.ends.take() {
+        for (to, left) in self.completions.take() {
             let message = Message::Left(left);
             self.effects.push(Effect::Peer { to, message });
         }
@@ -219,7 +224,7 @@
                     // Somebody else may have placed a task there since this one was reserved.
                     let machine = self.machines.get(&placement.machine_id).filter(|machine| {
                         machine.agent_epoch == placement.agent_epoch
-                            && Room::default().fits_in(self.free(machine))
+                            && Resources::default().fits_in(self.available(machine))
                     });
                     let token = held(&placement.shard);
                     let token = token.or_else(|| known(&placement.shard).filter(|_| leads));
@@ -351,7 +356,7 @@
         }
         let job = id.clone();
         self.unwritten.under_way += 1;
-        self.transact(Class::Jobs, txn, Purpose::Changes { job, changes });
+        self.transact(CallClass::Jobs, txn, Purpose::Changes { job, changes });
     }
 
     pub(super) fn on_changes(&mut self, id: JobId, changes: Vec<(u32, Change)>, answer: Answer) {
@@ -453,8 +458,8 @@
         }
         // A user waits for it.
         let class = match job.record.phase {
-            Phase::Aborting => Class::Cancellations,
-            _ => Class::Rest,
+            Phase::Aborting => CallClass::Cancellations,
+            _ => CallClass::Rest,
         };
         let mut txn = Txn::default();
         txn.require(job_key(id), job.version);
@@ -495,7 +500,7 @@
             return;
         }
         self.dropping = true;
-        self.transact(Class::Rest, txn, Purpose::Dropped);
+        self.transact(CallClass::Rest, txn, Purpose::Dropped);
     }
 
     pub(super) fn on_cleared(&mut self, id: JobId) {
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::jobs::api::{parse, tests::body};
-use crate::jobs::{Placement, Spec};
+use crate::jobs::{JobSpec, Placement};
 use crate::lease::Own;
 use crate::settings::{Settings, tests::settings};
 use crate::store::Call;
@@ -19,13 +19,13 @@
 }
 
 /// A controller that holds shard a.0 under token 5 and knows one machine there and one in b.0.
-pub fn controller(spec: Spec, tasks: Vec<Task>) -> (Controller, JobId) {
+pub fn controller(spec: JobSpec, tasks: Vec<Task>) -> (Controller, JobId) {
     controller_with(&settings(), spec, tasks)
 }
 
 pub fn controller_with(
     settings: &serde_json::Value,
-    spec: Spec,
+    spec: JobSpec,
     tasks: Vec<Task>,
 ) -> (Controller, JobId) {
     let settings = Settings::parse("f", &settings.to_string()).unwrap();
@@ -55,7 +55,7 @@
     let id = JobId::from("job-1");
     let record = JobRecord {
         phase: Phase::Active,
-        home: "n0".into(),
+        owner: "n0".into(),
         tasks: spec.tasks,
         page: 8,
         spec: Some(spec),
@@ -162,9 +162,9 @@
     ];
     for (name, gpus, tasks, change, written) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks, spec.one_zone) = (Shape::Array, 2, false);
+        (spec.kind, spec.tasks, spec.one_zone) = (JobKind::Array, 2, false);
         spec.spread = name != "no room any more";
-        spec.room.gpus = gpus;
+        spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
         // Noted when it was right; the records are newer.
         controller.jobs.want(&id, 0, change);
@@ -202,7 +202,7 @@
     ];
     for (mate, noted, done) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Gang, 2);
+        (spec.kind, spec.tasks) = (JobKind::Gang, 2);
         let tasks = vec![placed("vm-a", "a.0", 2), mate.clone()];
         let (mut controller, id) = controller(spec, tasks);
         controller.jobs.want(&id, 0, finish.clone());
@@ -210,7 +210,7 @@
             controller.jobs.want(&id, 1, noted);
         }
         controller.write(&id);
-        let ends = controller.effects.iter().any(|effect| {
+        let completions = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
@@ -220,7 +220,7 @@
             };
             matches!(call, Call::Txn(txn) if txn.changes.iter().any(over))
         });
-        assert_eq!(ends, done, "{mate:?}");
+        assert_eq!(completions, done, "{mate:?}");
     }
 }
 
@@ -244,8 +244,8 @@
     ];
     for (short, index, change, at_once) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks, spec.one_zone) = (Shape::Array, 3, false);
-        (spec.rank, spec.spread) = (Rank::Normal, false);
+        (spec.kind, spec.tasks, spec.one_zone) = (JobKind::Array, 3, false);
+        (spec.priority, spec.spread) = (PriorityClass::Normal, false);
         let tasks = vec![placed("vm-a", "a.0", 2), Task::FRESH, Task::FRESH];
         let (mut controller, id) = controller(spec, tasks);
         controller.now = Millis(10_000);
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use super::{Controller, Effect};
-use crate::jobs::Shape;
+use crate::jobs::JobKind;
 use crate::jobs::cache::{Change, Job};
-use crate::jobs::crash_loop::Trials;
+use crate::jobs::crash_loop::CrashLoopTracker;
 use crate::peers::Message;
 use crate::queue::QueueKey;
 use crate::types::{JobId, MachineId};
@@ -14,7 +14,7 @@
 impl Controller {
     /// Whether the job is suspect: it failed wherever it was tried. A task that is done clears it.
     fn suspected(&self, job: &Job) -> bool {
-        job.done == 0 && self.trials.suspect(&job.id)
+        job.done == 0 && self.crash_loops.suspect(&job.id)
     }
 
     /// Tasks of these jobs failed on a machine of ours: all controllers are told, since any of them
@@ -40,21 +40,21 @@
         };
         let fails_everywhere = job.done == 0;
         let newly =
-            fails_everywhere && (self.trials).failed(id, job.spec.shape, machine_id, self.now);
+            fails_everywhere && (self.crash_loops).failed(id, job.spec.kind, machine_id, self.now);
         let jobs = &self.jobs;
-        let suspect = |trials: &Trials, id: &JobId| {
+        let suspect = |crash_loops: &CrashLoopTracker, id: &JobId| {
             let done = jobs.get(id).is_some_and(|job| job.done > 0);
-            !done && trials.suspect(id)
+            !done && crash_loops.suspect(id)
         };
         // Its holder judges a machine, and tells the others.
         let (leases, me) = (&self.leases, &self.me);
         let ours = |machine: &&mut Machine| leases.holds(&machine.shard, me).is_some();
         if let Some(machine) = self.machines.get_mut(machine_id).filter(ours) {
             machine.note_failure(id, self.now);
-            machine.judge(|id| suspect(&self.trials, id));
+            machine.judge(|id| suspect(&self.crash_loops, id));
             if machine.quarantined {
                 tracing::info!(%machine_id, "the machine is sick");
-                self.trials.quarantined(machine_id, self.now);
+                self.crash_loops.quarantined(machine_id, self.now);
             }
         }
         if newly {
@@ -63,7 +63,7 @@
             for (machine_id, machine) in self.machines.iter_mut() {
                 if machine.failed.contains_key(id) && ours(&machine) {
                     let was = machine.quarantined;
-                    machine.judge(|id| suspect(&self.trials, id));
+                    machine.judge(|id| suspect(&self.crash_loops, id));
                     if was && !machine.quarantined {
                         self.drains.remove(machine_id);
                     }
@@ -80,13 +80,17 @@
         };
         let placing = |change: &Change| matches!(change, Change::Place(_));
         // Of a service each replica is one try by itself: those that run are not waited for.
-        let service = job.spec.shape == Shape::Service;
+        let service = job.spec.kind == JobKind::Service;
         if !service && (job.placed > 0 || job.changes.values().any(placing)) {
             // Its next end brings it back.
             self.queue.remove(id);
             return true;
         }
-        match self.trials.not_before(id).filter(|until| *until > self.now) {
+        match self
+            .crash_loops
+            .not_before(id)
+            .filter(|until| *until > self.now)
+        {
             Some(until) => {
                 self.queue.hold(id, order, until);
                 true
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -6,7 +6,7 @@
 
 use super::{CommandReply, Controller, Effect, PeerState};
 use crate::fleet::{MachineTypeSpec, fetch_rate};
-use crate::jobs::Shape;
+use crate::jobs::JobKind;
 use crate::jobs::cache::{Change, Evidence, Job};
 use crate::queue;
 use crate::types::{
@@ -24,7 +24,7 @@
 /// A replica that just started is left where it is for this long.
 const LONG_ENOUGH: Millis = Millis(40_000);
 /// A job that was handed over and stays unknown for this long is forgotten.
-const HANDED_EARLY: Millis = Millis(10_000);
+const FORWARDED_EARLY_TTL: Millis = Millis(10_000);
 /// A controller that gave its shards up, took some since, and heard nobody again waits so much longer before
 /// it tries once more. Workers that reach nobody had shards change hands every few seconds.
 const RELEASE_BACKOFF: Millis = Millis(10_000);
@@ -538,10 +538,10 @@
                         job: id.clone(),
                         index: *index,
                     };
-                    let service = job.spec.shape == Shape::Service
+                    let service = job.spec.kind == JobKind::Service
                         && job.active()
                         && self.now.since(job.settled) > LONG_ENOUGH;
-                    let home = service
+                    let owner = service
                         && !self.stops.contains_key(&task)
                         && self.machines.values().any(|m| {
                             (self.ours(m) || self.others(m))
@@ -549,9 +549,9 @@
                             // With several replicas the zone is part of the bargain.
                             && (job.record.tasks == 1 || m.zone == machine.zone)
                             && job.spec.allows(&m.machine_type, &m.zone, m.spot)
-                            && job.spec.room.fits_in(self.free(m))
+                            && job.spec.resources.fits_in(self.available(m))
                         });
-                    home.then(|| (task, placement.attempt, machine.machine_id.clone()))
+                    owner.then(|| (task, placement.attempt, machine.machine_id.clone()))
                 });
             moved.extend(replica);
         }
@@ -631,12 +631,12 @@
             self.nominations.remove(&id);
         }
         self.to_preempt.retain(|id, _| jobs.get(id).is_some());
-        self.trials.retain(|id| {
+        self.crash_loops.retain(|id| {
             jobs.get(id)
                 .is_some_and(|job| job.active() && job.done == 0)
         });
-        self.handed_early
-            .retain(|_, since| now.since(*since) < HANDED_EARLY);
+        self.forwarded_early
+            .retain(|_, since| now.since(*since) < FORWARDED_EARLY_TTL);
         self.machines.retain(|machine_id, machine| {
             now.since(machine.heard) < FORGET || jobs.busy(machine_id)
         });
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_session_that_a_direct_answer_shows_has_its_whole_lease() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.tasks) = (Shape::Array, 1);
+    (spec.kind, spec.tasks) = (JobKind::Array, 1);
     let here = Task::Placed(Placement {
         machine_id: "vm-a".into(),
         shard: ShardId::parse("a.0").unwrap(),
@@ -56,7 +56,7 @@
     ];
     for (before, shown, after, then_s, gone) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let here = Task::Placed(Placement {
             machine_id: "vm-2".into(),
             shard: ShardId::parse("a.0").unwrap(),
--- a/src/controller/hierarchical_quota.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -7,16 +7,16 @@
 
 use super::{Controller, Effect, Purpose};
 use crate::jobs::cache::{Change, Job};
-use crate::jobs::{Rank, Shape};
+use crate::jobs::{JobKind, PriorityClass};
 use crate::peers::Message;
-use crate::preempt::{Offer, Site};
+use crate::preempt::{PreemptionOffer, Site};
 use crate::queue::{Check, Event, QueueKey};
 use crate::quota;
 use crate::quota::hierarchical::{Force, HEAD, Owed, Standing};
 use crate::quota::reclaim::{Ledger, steps_over};
 use crate::settings::TeamSettings;
-use crate::store::{Answer, Class, Txn};
-use crate::types::{JobId, MachineId, Millis, Revision, Room, TaskId, Team};
+use crate::store::{Answer, CallClass, Txn};
+use crate::types::{JobId, MachineId, Millis, Resources, Revision, TaskId, Team};
 use crate::workers::reconcile::Stop;
 
 /// Demand is looked over this often.
@@ -51,11 +51,12 @@
             queue.reorder(|id| Some(self.order(self.jobs.get(id)?)));
             // Work within its share that nobody makes room for, any more or yet, asks again.
             queue.wake(self.now, |id, check| {
-                let waits = check == Check::Room && self.nominations.of(id, self.now).is_none();
+                let waits =
+                    check == Check::Resources && self.nominations.of(id, self.now).is_none();
                 waits && self.jobs.get(id).is_some_and(|job| self.guaranteed(job))
             });
             self.queue = queue;
-            self.foremost = self.foremost_jobs();
+            self.head_of_line_jobs = self.find_head_of_line_jobs();
             for team in raised {
                 self.wake(Event::Entitled(team));
             }
@@ -104,7 +105,7 @@
         }
         if !txn.changes.is_empty() {
             self.writing_tree = true;
-            self.transact(Class::Rest, txn, Purpose::Tree);
+            self.transact(CallClass::Rest, txn, Purpose::Tree);
         }
     }
 
@@ -119,7 +120,7 @@
     pub(super) fn feed_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
         if self.nested.feed(key, data, version) {
             self.jobs.regroup(self.nested.groups());
-            self.foremost.clear();
+            self.head_of_line_jobs.clear();
             self.gathered.clear();
             self.wake(Event::NewTree);
         }
@@ -144,12 +145,12 @@
     }
 
     /// What is to be placed at once.
-    fn wanted(&self, job: &Job) -> Room {
-        let at_once = match job.spec.shape {
-            Shape::Array => 1,
-            Shape::Gang | Shape::Service => job.record.tasks,
+    fn wanted(&self, job: &Job) -> Resources {
+        let at_once = match job.spec.kind {
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => job.record.tasks,
         };
-        job.spec.room.times(f64::from(at_once))
+        job.spec.resources.times(f64::from(at_once))
     }
 
     /// What a job may reclaim by the tree; none: there is no tree, or its team is not in it.
@@ -159,15 +160,17 @@
         for (id, nomination) in &self.nominations.jobs {
             let other = self.jobs.get(id).filter(|_| *id != job.id);
             if let Some(other) = other.filter(|_| nomination.until > self.now) {
-                let room = nomination.room.times(nomination.machine_ids.len() as f64);
-                coming.push((other.spec.team.clone(), room));
+                let resources = nomination
+                    .resources
+                    .times(nomination.machine_ids.len() as f64);
+                coming.push((other.spec.team.clone(), resources));
             }
         }
         let leaving = self.stops.keys().filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
-            Some((job.spec.team.clone(), job.spec.room))
+            Some((job.spec.team.clone(), job.spec.resources))
         });
-        let (team, total, task) = (&job.spec.team, self.wanted(job), job.spec.room);
+        let (team, total, task) = (&job.spec.team, self.wanted(job), job.spec.resources);
         Ledger::new(
             force,
             &self.jobs,
@@ -188,9 +191,9 @@
         sites: &[Site],
     ) -> Option<(MachineId, Vec<TaskId>)> {
         let job = self.jobs.get(id).filter(|_| self.several(id))?;
-        let whole = self.type_specs.iter().map(|type_spec| type_spec.room);
+        let whole = self.type_specs.iter().map(|type_spec| type_spec.resources);
         let large = whole.into_iter().any(|whole| {
-            let part = job.spec.room.share_of(whole);
+            let part = job.spec.resources.share_of(whole);
             (LARGE..=1.0).contains(&part)
         });
         if !large {
@@ -207,14 +210,14 @@
                 if stopped.contains(&task) {
                     continue;
                 }
-                let ends = job.spec.shape != Shape::Service && !job.whole_gang();
-                let soon = ends && job.spec.estimate_s <= GATHERED.secs() * 2.0;
+                let completions = job.spec.kind != JobKind::Service && !job.whole_gang();
+                let soon = completions && job.spec.estimate_s <= GATHERED.secs() * 2.0;
                 soon.then_some(())?;
                 rest = rest.max(job.spec.estimate_s - self.now.since(job.settled).secs());
             }
             Some(rest)
         };
-        ledger.gather(job.spec.room, sites, rest_s)
+        ledger.gather(job.spec.resources, sites, rest_s)
     }
 
     /// Whether the leader may have room gathered for a job: when nothing else has made room for a
@@ -235,14 +238,15 @@
         id: &JobId,
         (machine_id, victims): (MachineId, Vec<TaskId>),
     ) -> bool {
-        let Some(room) = self.jobs.get(id).map(|job| job.spec.room) else {
+        let Some(resources) = self.jobs.get(id).map(|job| job.spec.resources) else {
             return false;
         };
         tracing::info!(job = %id, %machine_id, ?victims, "gathering room");
         let (now, pause) = (self.now, GATHERED.0 * GATHER_PAUSE);
         self.gathered.retain(|_, next| now.since(*next) < FORGOTTEN);
         self.gathered.insert(id.clone(), now + Millis(pause));
-        self.nominations.add(id, &machine_id, room, now + GATHERED);
+        self.nominations
+            .add(id, &machine_id, resources, now + GATHERED);
         match self.machines.get(&machine_id) {
             Some(machine) if !self.ours(machine) => {
                 let to = machine.heard_by.clone();
@@ -257,9 +261,9 @@
 
     /// How many tasks of a job room is made for in one go.
     pub(super) fn claims(job: &Job) -> usize {
-        match job.spec.shape {
-            Shape::Gang => 1,
-            Shape::Array | Shape::Service => job.waiting().min(MOST_CLAIMS) as usize,
+        match job.spec.kind {
+            JobKind::Gang => 1,
+            JobKind::Array | JobKind::Service => job.waiting().min(MOST_CLAIMS) as usize,
         }
     }
 
@@ -270,7 +274,7 @@
     }
 
     /// Each team's first job that waits.
-    fn foremost_jobs(&self) -> Vec<JobId> {
+    fn find_head_of_line_jobs(&self) -> Vec<JobId> {
         let mut first: BTreeMap<&Team, (QueueKey, &JobId)> = BTreeMap::new();
         for job in self.jobs.iter() {
             let waits = job.active() && job.waiting() > 0 && !job.whole_gang();
@@ -287,17 +291,20 @@
     /// Room came free on a machine. Whoever holds it sees that first, and takes up work that is
     /// within its share: other controllers learn of the room seconds later, and by then work beyond
     /// its share would have it.
-    pub(super) fn take_due(&mut self, machine_id: &MachineId) {
-        if self.foremost.is_empty() {
+    pub(super) fn activate_due(&mut self, machine_id: &MachineId) {
+        if self.head_of_line_jobs.is_empty() {
             return;
         }
         let Some(machine) = self.machines.get(machine_id).filter(|m| self.ours(m)) else {
             return;
         };
-        let mut free = self.free(machine);
-        let jobs = self.foremost.iter().filter_map(|id| self.jobs.get(id));
+        let mut available = self.available(machine);
+        let jobs = self
+            .head_of_line_jobs
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
         let mut due: Vec<(QueueKey, &Job)> = jobs
-            .filter(|job| job.waiting() > 0 && job.spec.room.fits_in(free))
+            .filter(|job| job.waiting() > 0 && job.spec.resources.fits_in(available))
             .filter(|job| {
                 job.spec
                     .allows(&machine.machine_type, &machine.zone, machine.spot)
@@ -308,19 +315,19 @@
         due.sort_by_key(|(order, job)| (*order, job.id.clone()));
         let mut taken = Vec::new();
         for (order, job) in due {
-            if job.spec.room.fits_in(free) {
-                free = free.minus(job.spec.room);
+            if job.spec.resources.fits_in(available) {
+                available = available.minus(job.spec.resources);
                 taken.push((order, job.id.clone()));
             }
         }
         for (order, id) in taken {
-            self.handed.insert(id.clone());
+            self.forwarded.insert(id.clone());
             self.queue.activate(&id, order);
         }
     }
 
     /// How long room that is made for a job is kept for it.
-    pub(super) fn kept_for(&self, id: &JobId, offers: &[Offer]) -> Option<Millis> {
+    pub(super) fn kept_for(&self, id: &JobId, offers: &[PreemptionOffer]) -> Option<Millis> {
         let victims = offers.iter().flat_map(|offer| &offer.victims);
         let saving = victims.filter_map(|task| self.jobs.get(&task.job));
         let longest = saving.map(|job| job.spec.save_s).fold(0.0, f64::max);
@@ -334,7 +341,7 @@
         };
         if job.active() && job.waiting() > 0 {
             let order = self.order(job);
-            self.handed.insert(id.clone());
+            self.forwarded.insert(id.clone());
             self.queue.expect_room(id, 0, order, self.now);
         }
     }
@@ -389,7 +396,7 @@
         }
     }
 
-    fn drain(&mut self, team: &TeamSettings, used: Room) {
+    fn drain(&mut self, team: &TeamSettings, used: Resources) {
         let over = |most: f64, used: f64| {
             if most > 0.0 {
                 (used - most).max(0.0)
@@ -410,12 +417,12 @@
             .collect();
         for shard in ours {
             let here = self.jobs.used_in(&team.name, &shard);
-            let mut excess = Room {
+            let mut excess = Resources {
                 cpus: cpus * here.cpus / used.cpus.max(1e-9),
                 gpus: gpus * here.gpus / used.gpus.max(1e-9),
                 memory_gb: 0.0,
             };
-            let mut tasks: Vec<(bool, i64, Rank, f64, TaskId)> = Vec::new();
+            let mut tasks: Vec<(bool, i64, PriorityClass, f64, TaskId)> = Vec::new();
             for job in self.jobs.iter().filter(|job| job.active()) {
                 if !self
                     .nested
@@ -432,17 +439,17 @@
                         index,
                     };
                     if self.stops.contains_key(&task) {
-                        excess = excess.minus(job.spec.room);
+                        excess = excess.minus(job.spec.resources);
                     } else if !job.whole_gang() && !job.changes.contains_key(&index) {
-                        let service = job.spec.shape == Shape::Service;
+                        let service = job.spec.kind == JobKind::Service;
                         let its = self.steps_over(&job.spec.team);
                         let waste = self.waste(job);
-                        tasks.push((service, -its, job.spec.rank, waste, task));
+                        tasks.push((service, -its, job.spec.priority, waste, task));
                     }
                 }
             }
             tasks.sort_by(|a, b| {
-                let key = |t: &(bool, i64, Rank, f64, TaskId)| (t.0, t.1, t.2);
+                let key = |t: &(bool, i64, PriorityClass, f64, TaskId)| (t.0, t.1, t.2);
                 key(a)
                     .cmp(&key(b))
                     .then(a.3.total_cmp(&b.3))
@@ -459,7 +466,7 @@
                 let Some(placement) = job.task(task.index).placement() else {
                     continue;
                 };
-                excess = excess.minus(job.spec.room);
+                excess = excess.minus(job.spec.resources);
                 machine_ids.insert(placement.machine_id.clone());
                 let (attempt, save) = (placement.attempt, !job.spec.cheap_to_kill());
                 self.stops.insert(task, Stop { attempt, save });
@@ -496,10 +503,10 @@
     }
 }
 
-fn amounts(total: Room, job: &Job) -> Wanted {
+fn amounts(total: Resources, job: &Job) -> Wanted {
     Wanted {
         total: total.into(),
-        task: job.spec.room.into(),
+        task: job.spec.resources.into(),
     }
 }
 
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -13,7 +13,7 @@
 /// caps its team, and the node above it at one more.
 fn with_tree(applied: u64, most: u32) -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.tasks) = (Shape::Array, 8);
+    (spec.kind, spec.tasks) = (JobKind::Array, 8);
     let (mut controller, id) = controller(spec, vec![Task::FRESH; 8]);
     let team = TeamSettings {
         name: "vision".into(),
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -5,11 +5,11 @@
 use super::{After, Controller, Pool, Purpose};
 use crate::admission::shared::PLAN;
 use crate::fleet::MACHINE_TYPES_KEY;
-use crate::jobs::cache::{Jobs, Touched, Writing};
+use crate::jobs::cache::{JobCache, RecordChange, Writing};
 use crate::lease::{self, ControllerRecord, LEADER, LeaderRecord, Moved, Own, ShardRecord};
 use crate::queue::{self, Queue};
 use crate::quota;
-use crate::store::{Answer, Call, Class, Txn, Update};
+use crate::store::{Answer, Call, CallClass, Txn, Update};
 use crate::types::{FencingToken, JobId, MachineId, Millis, Revision, ShardId};
 
 /// A watch waits this long for changes.
@@ -31,7 +31,7 @@
             if !self.listing && self.now >= self.follow_after {
                 self.listing = true;
                 self.list_revision = None;
-                self.call_store(Class::Leases, Call::List { after: None }, Purpose::List);
+                self.call_store(CallClass::Leases, Call::List { after: None }, Purpose::List);
             }
             return;
         }
@@ -46,7 +46,7 @@
                 .map(|(record, _)| record.lease_id)
             {
                 Some(lease_id) if self.busy_membership.insert("end") => {
-                    self.call_store(Class::Leases, Call::End(lease_id), Purpose::EndOld);
+                    self.call_store(CallClass::Leases, Call::End(lease_id), Purpose::EndOld);
                 }
                 Some(_) => {}
                 None => self.ended_old = true,
@@ -58,14 +58,14 @@
                 self.leases.own = Own::Asked;
                 let life_ms = self.settings.operator.lease.0;
                 let purpose = Purpose::Grant { sent: self.now };
-                self.call_store(Class::Leases, Call::Grant { life_ms }, purpose);
+                self.call_store(CallClass::Leases, Call::Grant { life_ms }, purpose);
             }
             Own::Asked => {}
             Own::Held { lease_id, .. } => {
                 let due = self.leases.renewed + Millis(self.settings.operator.lease.0 / 4);
                 if self.now >= due && self.busy_membership.insert("renew") {
                     let purpose = Purpose::Renew { sent: self.now };
-                    self.call_store(Class::Leases, Call::Renew(lease_id), purpose);
+                    self.call_store(CallClass::Leases, Call::Renew(lease_id), purpose);
                 }
                 let registered = self.leases.controllers.get(&self.me).is_some_and(|(r, _)| {
                     r.lease_id == lease_id && r.receives_heartbeats == self.receives_heartbeats
@@ -100,7 +100,7 @@
         let mut txn = Txn::default();
         txn.require(key.clone(), version);
         txn.put_leased(key, &record, lease_id);
-        self.transact(Class::Leases, txn, Purpose::Register);
+        self.transact(CallClass::Leases, txn, Purpose::Register);
     }
 
     fn keep_leadership(&mut self) {
@@ -115,7 +115,7 @@
             let mut txn = Txn::default();
             txn.require(LEADER.into(), Revision(0));
             txn.put_leased(LEADER.into(), &record, lease_id);
-            self.transact(Class::Leases, txn, Purpose::Lead);
+            self.transact(CallClass::Leases, txn, Purpose::Lead);
         }
         if let Some(version) = self.leading() {
             self.assign_shards(version);
@@ -151,7 +151,7 @@
         }
         if !txn.changes.is_empty() {
             self.busy_membership.insert("assign");
-            self.transact(Class::Leases, txn, Purpose::Assign);
+            self.transact(CallClass::Leases, txn, Purpose::Assign);
         }
     }
 
@@ -238,7 +238,7 @@
                 }
                 if more && last.is_some() {
                     let call = Call::List { after: last };
-                    self.call_store(Class::Leases, call, Purpose::List);
+                    self.call_store(CallClass::Leases, call, Purpose::List);
                 } else {
                     self.listing = false;
                     self.synced = true;
@@ -269,7 +269,7 @@
                 from: self.applied,
                 wait_ms: WATCH_MS,
             };
-            self.call_store(Class::Leases, call, Purpose::Follow);
+            self.call_store(CallClass::Leases, call, Purpose::Follow);
         }
     }
 
@@ -322,7 +322,7 @@
         // lease go the shards' tokens that it rests on.
         self.ended_old = false;
         self.leases.lose(&self.me);
-        self.jobs = Jobs::default();
+        self.jobs = JobCache::default();
         self.pool = Pool::default();
         self.leases.controllers.clear();
         self.leases.shards.clear();
@@ -330,7 +330,7 @@
         self.shares = quota::Shares::default();
         self.nested.start_over();
         self.jobs.regroup(self.nested.groups());
-        self.handed.clear();
+        self.forwarded.clear();
         self.stops.clear();
         let operator = &self.settings.operator;
         self.queue = Queue::new(
@@ -383,7 +383,7 @@
                 } else if let Some(leader) = self.leader() {
                     tracing::info!(%leader, "following");
                 }
-                self.handed.clear();
+                self.forwarded.clear();
                 // Whoever waited for the old leader tries again.
                 self.queue.wake(self.now, |_, _| true);
                 if self.synced {
@@ -405,18 +405,18 @@
         }
     }
 
-    fn on_touched(&mut self, touched: Touched) {
+    fn on_touched(&mut self, touched: RecordChange) {
         let Some(id) = touched.job else { return };
         self.drop_overtaken(&id);
-        self.placed_elsewhere(&id, &touched.taken);
+        self.placed_elsewhere(&id, &touched.allocated);
         if self.synced {
             self.consider(&id);
-            if self.handed_early.remove(&id).is_some() {
-                self.take_over(&id);
+            if self.forwarded_early.remove(&id).is_some() {
+                self.accept_forwarded(&id);
             }
         }
         if let Some(job) = self.jobs.get(&id) {
-            for machine_id in &touched.taken {
+            for machine_id in &touched.allocated {
                 if let Some(machine) = self.machines.get_mut(machine_id) {
                     machine.expect_image(&job.spec.image, job.spec.image_gb, self.now);
                 }
@@ -441,7 +441,7 @@
             .get(&id)
             .is_some_and(|job| job.writing == Writing::Idle);
         if foreign {
-            for machine_id in touched.taken {
+            for machine_id in touched.allocated {
                 self.push_commands(&machine_id);
             }
         }
@@ -482,7 +482,7 @@
         fresh.reading = true;
         fresh.current = std::mem::take(&mut fresh.watched);
         fresh.current.append(&mut fresh.next);
-        self.call_store(Class::Proofs, Call::ReadRevision, Purpose::Revision);
+        self.call_store(CallClass::Proofs, Call::ReadRevision, Purpose::Revision);
     }
 
     pub(super) fn on_revision(&mut self, answer: Answer) {
--- a/src/controller/membership/tests.rs
+++ b/src/controller/membership/tests.rs
@@ -50,16 +50,16 @@
 #[test]
 fn the_end_of_a_job_wakes_who_waits_for_its_team_and_its_room() {
     use crate::jobs::record::{JobRecord, job_key};
-    use crate::jobs::{Phase, Placement, Shape};
+    use crate::jobs::{JobKind, Phase, Placement};
     use crate::queue::Check;
     use crate::types::{AgentEpoch, Attempt, JobId, ShardId};
     for (check, phase) in [
         (Check::Team, Phase::Done),
         (Check::Team, Phase::Aborted),
-        (Check::Room, Phase::Done),
+        (Check::Resources, Phase::Done),
     ] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let here = Task::Placed(Placement {
             machine_id: "vm-a".into(),
             shard: ShardId::parse("a.0").unwrap(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -33,23 +33,23 @@
 use crate::admission::Flows;
 use crate::admission::backlog::Backlog;
 use crate::admission::shared::Shared;
-use crate::cycle::index::FreeRoom;
+use crate::cycle::index::CapacityIndex;
 use crate::fleet::{CloudAnswer, CloudCall, Fleet, MachineTypeSpec};
 use crate::jobs::api::{Refusal, Refused, Response};
-use crate::jobs::cache::Jobs;
+use crate::jobs::cache::JobCache;
 use crate::jobs::cancel::Cancelling;
-use crate::jobs::completion_forwarding::Ends;
-use crate::jobs::crash_loop::Trials;
-use crate::jobs::{Spec, cache::Change};
+use crate::jobs::completion_forwarding::CompletionForwarder;
+use crate::jobs::crash_loop::CrashLoopTracker;
+use crate::jobs::{JobSpec, cache::Change};
 use crate::lease::Leases;
 use crate::peers::Message;
 use crate::queue::Queue;
 use crate::quota::hierarchical::{Nested, Standing};
 use crate::quota::{SHARES, Shares};
 use crate::settings::Settings;
-use crate::store::{Answer, Call, Class, Txn};
+use crate::store::{Answer, Call, CallClass, Txn};
 use crate::types::{
-    AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, Room, ShardId,
+    AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Resources, Revision, ShardId,
     WorkerToken,
 };
 use crate::workers::Machine;
@@ -86,7 +86,7 @@
     },
     Submit {
         reply: ReplyId,
-        submission: Result<(JobId, Spec), Refused>,
+        submission: Result<(JobId, JobSpec), Refused>,
     },
     Poll {
         reply: ReplyId,
@@ -127,7 +127,7 @@
     },
     Store {
         tag: u64,
-        class: Class,
+        class: CallClass,
         call: Call,
     },
     /// So many changes a second of the state service are ours.
@@ -262,15 +262,15 @@
 #[derive(Debug)]
 struct Nomination {
     machine_ids: Vec<MachineId>,
-    room: Room,
+    resources: Resources,
     until: Millis,
 }
 
 impl Nominations {
-    fn add(&mut self, job: &JobId, machine_id: &MachineId, room: Room, until: Millis) {
+    fn add(&mut self, job: &JobId, machine_id: &MachineId, resources: Resources, until: Millis) {
         let nomination = self.jobs.entry(job.clone()).or_insert(Nomination {
             machine_ids: Vec::new(),
-            room,
+            resources,
             until,
         });
         nomination.until = until;
@@ -319,11 +319,11 @@
     }
 
     /// The jobs that room is being made for on a machine, and how much.
-    fn on(&self, machine_id: &MachineId, now: Millis) -> impl Iterator<Item = (&JobId, Room)> {
+    fn on(&self, machine_id: &MachineId, now: Millis) -> impl Iterator<Item = (&JobId, Resources)> {
         let jobs = self.machine_ids.get(machine_id).into_iter().flatten();
         jobs.filter_map(move |job| {
             let nomination = self.jobs.get(job).filter(|n| n.until > now)?;
-            Some((job, nomination.room))
+            Some((job, nomination.resources))
         })
     }
 }
@@ -335,7 +335,7 @@
     built: Millis,
     /// More machines are empty than stand ready for urgent work.
     spare: bool,
-    room: FreeRoom,
+    resources: CapacityIndex,
     /// Hosts of which something else than what is taken has changed.
     touched: Vec<MachineId>,
 }
@@ -403,7 +403,7 @@
     busy_membership: HashSet<&'static str>,
     led_since: Millis,
 
-    jobs: Jobs,
+    jobs: JobCache,
     shares: Shares,
     nested: Nested,
     tree_offered: Millis,
@@ -411,7 +411,7 @@
     writing_tree: bool,
     excess_looked: Millis,
     /// With a tree: each team's first job that waits.
-    foremost: Vec<JobId>,
+    head_of_line_jobs: Vec<JobId>,
     /// When room may be gathered for a job again.
     gathered: HashMap<JobId, Millis>,
     /// Transactions under way that write shares.
@@ -428,9 +428,9 @@
     fresh: Freshness,
 
     queue: Queue,
-    handed: HashSet<JobId>,
+    forwarded: HashSet<JobId>,
     /// Handed over, since when, before the watch brought them.
-    handed_early: HashMap<JobId, Millis>,
+    forwarded_early: HashMap<JobId, Millis>,
     machines: HashMap<MachineId, Machine>,
     stops: Stops,
     nominations: Nominations,
@@ -438,7 +438,7 @@
     work: Work,
     /// Jobs with changes that the cycles of this event noted.
     to_commit: Vec<JobId>,
-    ends: Ends,
+    completions: CompletionForwarder,
     flows: Flows,
     shared: Shared,
     gate: Gate,
@@ -451,7 +451,7 @@
     to_preempt: HashMap<JobId, MachineId>,
     /// Jobs whose last task failed.
     failed_jobs: HashSet<JobId>,
-    trials: Trials,
+    crash_loops: CrashLoopTracker,
     swept: Millis,
     drains: HashSet<MachineId>,
     drains_heard: Millis,
@@ -511,7 +511,7 @@
             moved_replica: Millis(0),
             busy_membership: HashSet::default(),
             led_since: Millis(0),
-            jobs: Jobs::default(),
+            jobs: JobCache::default(),
             shares: Shares::default(),
             nested: Nested::new(
                 &settings.deployment.teams,
@@ -522,7 +522,7 @@
             tree_standing: Standing::None,
             writing_tree: false,
             excess_looked: Millis(0),
-            foremost: Vec::new(),
+            head_of_line_jobs: Vec::new(),
             gathered: HashMap::default(),
             dealing: 0,
             unsure_deals: Vec::new(),
@@ -533,15 +533,15 @@
             cancelling: Cancelling::default(),
             fresh: Freshness::default(),
             queue,
-            handed: HashSet::default(),
-            handed_early: HashMap::default(),
+            forwarded: HashSet::default(),
+            forwarded_early: HashMap::default(),
             machines: HashMap::default(),
             stops: Stops::default(),
             nominations: Nominations::default(),
             pool: Pool::default(),
             work: Work::default(),
             to_commit: Vec::new(),
-            ends: Ends::default(),
+            completions: CompletionForwarder::default(),
             flows: Flows::new(&settings),
             shared: Shared::default(),
             gate: Gate::default(),
@@ -550,7 +550,7 @@
             dropping: false,
             to_preempt: HashMap::default(),
             failed_jobs: HashSet::default(),
-            trials: Trials::default(),
+            crash_loops: CrashLoopTracker::default(),
             swept: Millis(0),
             drains: HashSet::default(),
             drains_heard: Millis(0),
@@ -602,7 +602,7 @@
         self.keep_zone();
         self.give_up_cancelling();
         self.give_up_proofs();
-        self.tell_homes();
+        self.forward_completions();
         self.write_next();
         self.drop_leftovers();
         self.void_unknown();
@@ -619,13 +619,13 @@
         self.next_tag
     }
 
-    fn call_store(&mut self, class: Class, call: Call, purpose: Purpose) {
+    fn call_store(&mut self, class: CallClass, call: Call, purpose: Purpose) {
         let tag = self.tag();
         self.calls.insert(tag, (purpose, Vec::new()));
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    fn transact(&mut self, class: Class, txn: Txn, purpose: Purpose) {
+    fn transact(&mut self, class: CallClass, txn: Txn, purpose: Purpose) {
         let tag = self.tag();
         let written: Written = txn
             .changes
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxBuildHasher;
 
-use super::preemption::Where;
+use super::preemption::PreemptionScope;
 use super::{Controller, Effect};
 use crate::admission::shared::AdmissionReport;
 use crate::peers::{MachineHeartbeat, MachineView, Message, Status};
@@ -33,7 +33,7 @@
                 // than its back-off lets it.
                 let job = JobId::from(job);
                 if self.leading().is_some() && !self.queue.contains(&job) {
-                    self.take_over(&job);
+                    self.accept_forwarded(&job);
                 }
             }
             Message::Place { job, preempt } => {
@@ -41,11 +41,11 @@
                 if let Some(machine_id) = preempt {
                     self.to_preempt.insert(job.clone(), machine_id.into());
                 }
-                self.take_over(&job);
+                self.accept_forwarded(&job);
             }
             Message::MakeRoom { job, machine_id } => {
                 let job = JobId::from(job);
-                if self.preempt(&job, Where::On(machine_id.into())) {
+                if self.preempt(&job, PreemptionScope::On(machine_id.into())) {
                     self.expect_task(&job);
                 }
             }
@@ -59,14 +59,14 @@
 
     /// Takes a job over that was handed to us; as soon as it is known, if a message was faster
     /// than the watch.
-    pub(super) fn take_over(&mut self, id: &JobId) {
+    pub(super) fn accept_forwarded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
-            self.handed_early.insert(id.clone(), self.now);
+            self.forwarded_early.insert(id.clone(), self.now);
             return;
         };
         if job.active() && job.waiting() > 0 {
             let order = self.order(job);
-            self.handed.insert(id.clone());
+            self.forwarded.insert(id.clone());
             self.queue.activate(id, order);
         }
     }
@@ -159,7 +159,7 @@
                 self.drains.remove(&machine.machine_id);
             }
             if pulse.quarantined && !machine.quarantined {
-                self.trials.quarantined(&machine.machine_id, now);
+                self.crash_loops.quarantined(&machine.machine_id, now);
             }
             machine.quarantined = pulse.quarantined;
             machine.draining = pulse.draining;
--- a/src/controller/placement.rs
+++ b/src/controller/placement.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 use super::candidates::Scope;
-use super::preemption::Where;
+use super::preemption::PreemptionScope;
 use super::{Controller, Effect};
 use crate::admission::backlog::Lane;
-use crate::cycle::{self, Asking};
+use crate::cycle::{self, PlacementRequest};
 use crate::jobs::cache::{Change, Job, Writing};
-use crate::jobs::{Placement, Rank, Shape};
+use crate::jobs::{JobKind, Placement, PriorityClass};
 use crate::peers::Message;
 use crate::queue::{Check, QueueKey};
 use crate::quota;
@@ -31,8 +31,8 @@
     /// Work of the lowest rank filled the machines that stood ready for urgent work, which then had
     /// to wait for it to save: it takes an empty machine only while there are more than that needs, or
     /// to begin at all.
-    pub(super) fn keeps_off_empty(&self, job: &Job) -> bool {
-        job.spec.rank == Rank::BestEffort
+    pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
+        job.spec.priority == PriorityClass::BestEffort
             && !self.pool.spare
             && (job.placed > 0 || self.now.since(job.born) < BEGINS_BY)
     }
@@ -133,7 +133,7 @@
                 {
                     self.queue.push(id, order);
                 } else {
-                    self.handed.remove(id);
+                    self.forwarded.remove(id);
                 }
             }
             Err(checks) => self.not_placed(id, fails, checks, order),
@@ -148,7 +148,7 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let (urgent, gang) = (job.spec.rank >= Rank::Urgent, job.whole_gang());
+        let (urgent, gang) = (job.spec.priority >= PriorityClass::Urgent, job.whole_gang());
         if gang && self.leading().is_some() || self.cached(id, Scope::Own) {
             return false;
         }
@@ -157,25 +157,25 @@
         } else {
             None
         };
-        if asked.is_some_and(|machine_id| self.preempt(id, Where::On(machine_id))) {
+        if asked.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id))) {
             self.queue.expect_room(id, 0, order, self.now);
             return true;
         }
         let elsewhere = !gang && self.cached(id, Scope::Others);
         if self.leading().is_some() {
-            let room = BTreeSet::from([Check::Room]);
+            let resources = BTreeSet::from([Check::Resources]);
             if elsewhere {
-                self.not_placed(id, 0, room, order);
+                self.not_placed(id, 0, resources, order);
                 return true;
             }
-            if urgent && self.preempt(id, Where::Quickest) {
+            if urgent && self.preempt(id, PreemptionScope::Quickest) {
                 self.queue.expect_room(id, 0, order, self.now);
                 return true;
             }
             return false;
         }
-        let asks = !self.handed.contains(id) && (elsewhere || urgent);
-        if asks && self.hand_back(id) {
+        let asks = !self.forwarded.contains(id) && (elsewhere || urgent);
+        if asks && self.return_to_leader(id) {
             // Tried here all the same if that leads to nothing.
             let none = BTreeSet::new();
             self.queue.fail(id, 0, none, order, self.now, &mut self.rng);
@@ -185,7 +185,7 @@
     }
 
     /// Tells the leader that a job does not fit our shards, if there is one.
-    fn hand_back(&mut self, id: &JobId) -> bool {
+    fn return_to_leader(&mut self, id: &JobId) -> bool {
         let Some(to) = self.leader().cloned() else {
             return false;
         };
@@ -204,7 +204,7 @@
         let gang = self.jobs.get(id).is_some_and(Job::whole_gang);
         if !blocked && !nominated {
             let asked = self.to_preempt.remove(id);
-            if asked.is_some_and(|machine_id| self.preempt(id, Where::On(machine_id))) {
+            if asked.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id))) {
                 return self.queue.expect_room(id, fails, order, self.now);
             } else if self.leading().is_some() && gang {
                 // Tried over the whole fleet already.
@@ -227,15 +227,17 @@
                     Err(more) => {
                         parked.extend(more);
                         // Where only shares are used up, room is no use.
-                        if !parked.contains(&Check::Share) && self.preempt(id, Where::Anywhere) {
+                        if !parked.contains(&Check::Share)
+                            && self.preempt(id, PreemptionScope::Anywhere)
+                        {
                             return self.queue.expect_room(id, fails, order, self.now);
                         }
                     }
                 }
-            } else if self.hand_back(id) {
-                let home = self.jobs.get(id).map(|job| &job.record.home);
-                if home != Some(&self.me) {
-                    self.handed.remove(id);
+            } else if self.return_to_leader(id) {
+                let owner = self.jobs.get(id).map(|job| &job.record.owner);
+                if owner != Some(&self.me) {
+                    self.forwarded.remove(id);
                     return;
                 }
             }
@@ -256,12 +258,12 @@
         let Some(job) = self.jobs.get(id) else {
             return Ok(());
         };
-        let gang = job.spec.shape == Shape::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         if gang && (job.placed > 0 || !job.changes.is_empty()) {
             return Err(BTreeSet::from([Check::Attempt]));
         }
         let count = if gang { job.record.tasks } else { 1 };
-        let wanted = job.spec.room.times(f64::from(count));
+        let wanted = job.spec.resources.times(f64::from(count));
         let keeps = |team: &TeamSettings| {
             let used = self.jobs.usage(&team.name);
             quota::within(used.plus(wanted), team)
@@ -312,7 +314,7 @@
                 Some(machine_ids) => Some(machine_ids.to_vec()),
                 None => match self.gang_offers(id) {
                     Some(offers) if offers.iter().any(|offer| !offer.victims.is_empty()) => {
-                        return Err(BTreeSet::from([Check::Room]));
+                        return Err(BTreeSet::from([Check::Resources]));
                     }
                     offers => offers.map(|o| o.into_iter().map(|offer| offer.machine_id).collect()),
                 },
@@ -332,7 +334,7 @@
         } else {
             vec![None]
         };
-        let mut rejected = BTreeSet::from([Check::Machine, Check::Room]);
+        let mut rejected = BTreeSet::from([Check::Machine, Check::Resources]);
         for zone in zones {
             let all = (0..count).try_for_each(|i| {
                 let raise = raise.map(|count| count - i);
@@ -356,13 +358,13 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let asking = Asking::new(job, self.full_shards(job, Some(job.record.tasks)));
+        let asking = PlacementRequest::new(job, self.full_shards(job, Some(job.record.tasks)));
         let fits = |machine_id: &MachineId| {
             self.machines.get(machine_id).is_some_and(|m| {
-                let free = self.free_for(m, id);
+                let available = self.free_for(m, id);
                 (self.ours(m) || self.others(m))
                     && asking.allows(m)
-                    && job.spec.room.fits_in(free)
+                    && job.spec.resources.fits_in(available)
                     && job.spec.allows(&m.machine_type, &m.zone, m.spot)
             })
         };
@@ -403,23 +405,23 @@
         for (index, tried) in waiting.unwrap_or_default() {
             let Some(job) = self.jobs.get(id) else { return };
             let spec = &job.spec;
-            if spec.shape != Shape::Array || spec.one_zone || spec.spread {
+            if spec.kind != JobKind::Array || spec.one_zone || spec.spread {
                 return;
             }
             let keeps = |team: &TeamSettings| {
-                quota::within(self.jobs.usage(&team.name).plus(spec.room), team)
+                quota::within(self.jobs.usage(&team.name).plus(spec.resources), team)
             };
             let Some(machine) = self.machines.get(machine_id) else {
                 return;
             };
-            let asking = Asking::new(job, self.full_shards(job, None));
+            let asking = PlacementRequest::new(job, self.full_shards(job, None));
             let mut candidate = self.candidate(job, machine);
             let failed = machine.failed.contains_key(id);
             if !self.limits(job).iter().all(keeps) || cycle::filter(&asking, &candidate).is_some() {
                 return;
             }
             let now = cycle::score(spec, &candidate, failed);
-            candidate.free = candidate.free.plus(spec.room);
+            candidate.available = candidate.available.plus(spec.resources);
             if now < cycle::score(spec, &candidate, failed) {
                 return;
             }
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -6,15 +6,15 @@
 
 use super::candidates::Scope;
 use super::{Controller, Effect};
-use crate::cycle::Asking;
-use crate::cycle::index::{Group, Having};
+use crate::cycle::PlacementRequest;
+use crate::cycle::index::{Group, ImageFilter};
 use crate::fleet::fetch_rate;
-use crate::jobs::Shape;
+use crate::jobs::JobKind;
 use crate::jobs::cache::Job;
 use crate::peers::Message;
-use crate::preempt::{self, Offer, Site, Victim};
+use crate::preempt::{self, PreemptionOffer, Site, Victim};
 use crate::quota;
-use crate::types::{JobId, MachineId, Millis, Room, TaskId, Zone};
+use crate::types::{JobId, MachineId, Millis, Resources, TaskId, Zone};
 use crate::workers::Machine;
 use crate::workers::reconcile::Stop;
 
@@ -31,7 +31,7 @@
 const LEAST_LOOKED: usize = 64;
 
 /// Where room may be made.
-pub(super) enum Where {
+pub(super) enum PreemptionScope {
     /// On this machine of ours.
     On(MachineId),
     /// Where the job would start soonest, if that is by stopping work rather than by a fetch.
@@ -55,17 +55,17 @@
     /// Whether a task may be stopped for the job, by priority or by the teams' flat guarantees.
     /// With a tree of quotas its teams may be stopped as far as that allows; the ledger judges it.
     pub(super) fn may_stop(&self, job: &Job, guaranteed: bool, victim: &Job) -> (bool, bool) {
-        let lower = victim.spec.rank < job.spec.rank;
+        let lower = victim.spec.priority < job.spec.priority;
         // Work beyond its team's guarantee gives way to another team's guarantee; replicas only
         // when nothing else made room for a while.
         let patient = self.now.since(job.settled) > REPLICAS_GIVE_WAY;
         let gives = guaranteed
-            && (victim.spec.shape != Shape::Service || patient)
+            && (victim.spec.kind != JobKind::Service || patient)
             && victim.spec.team != job.spec.team;
         let nested = self.in_tree(&job.spec.team) && self.in_tree(&victim.spec.team);
         let flat = || {
             self.settings.team(&victim.spec.team).is_some_and(|team| {
-                let left = self.jobs.usage(&team.name).minus(victim.spec.room);
+                let left = self.jobs.usage(&team.name).minus(victim.spec.resources);
                 !quota::guaranteed(left, team)
             })
         };
@@ -75,8 +75,11 @@
     /// Seconds that stopping a task wastes: saving, or its work so far, and starting it again.
     pub(super) fn waste(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
-        let whole = self.type_specs.first().map(|f| f.room);
-        let share = victim.spec.room.share_of(whole.unwrap_or(victim.spec.room));
+        let capacity = self.type_specs.first().map(|f| f.resources);
+        let share = victim
+            .spec
+            .resources
+            .share_of(capacity.unwrap_or(victim.spec.resources));
         let lost = if spec.cheap_to_kill() {
             spec.checkpoint_s / 2.0 + 2.0
         } else if spec.checkpoint_s > 0.0 {
@@ -93,53 +96,53 @@
     /// Stops work of lower order on the machine where that wastes least, and keeps its room for
     /// the job. The leader looks at the whole fleet and leaves the stopping to the machine's
     /// holder.
-    pub(super) fn preempt(&mut self, id: &JobId, place: Where) -> bool {
+    pub(super) fn preempt(&mut self, id: &JobId, place: PreemptionScope) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let guaranteed = !self.order(job).beyond_guarantee;
         let sites = match &place {
-            Where::On(machine_id) => self
+            PreemptionScope::On(machine_id) => self
                 .site_on(job, guaranteed, machine_id)
                 .into_iter()
                 .collect(),
-            Where::Quickest | Where::Anywhere => self.sites(job, guaranteed),
+            PreemptionScope::Quickest | PreemptionScope::Anywhere => self.sites(job, guaranteed),
         };
-        let room = job.spec.room;
+        let resources = job.spec.resources;
         let most = match &place {
-            Where::Anywhere => Self::claims(job),
-            Where::On(_) | Where::Quickest => 1,
+            PreemptionScope::Anywhere => Self::claims(job),
+            PreemptionScope::On(_) | PreemptionScope::Quickest => 1,
         };
         let offers = match self.ledger(job) {
             Some(ledger) => {
-                let offers = ledger.clone().plan(room, sites.clone(), most);
-                if offers.is_empty() && !matches!(place, Where::Quickest) {
+                let offers = ledger.clone().plan(resources, sites.clone(), most);
+                if offers.is_empty() && !matches!(place, PreemptionScope::Quickest) {
                     let gathered = self.gather(id, ledger, &sites);
-                    let asked = matches!(place, Where::On(_));
+                    let asked = matches!(place, PreemptionScope::On(_));
                     return gathered.is_some_and(|gathered| {
                         (asked || self.may_gather(id)) && self.gather_on(id, gathered)
                     });
                 }
                 offers
             }
-            None => preempt::choose(room, sites).into_iter().collect(),
+            None => preempt::choose(resources, sites).into_iter().collect(),
         };
         let Some(first) = offers.first() else {
             return false;
         };
-        if matches!(place, Where::Quickest) && first.victims.is_empty() {
+        if matches!(place, PreemptionScope::Quickest) && first.victims.is_empty() {
             return false;
         }
         let several = offers.len() > 1;
         let until = self.now + self.kept_for(id, &offers).unwrap_or(NOMINATED);
-        for Offer {
+        for PreemptionOffer {
             machine_id,
             victims,
             ..
         } in offers
         {
             tracing::info!(job = %id, %machine_id, ?victims, "making room");
-            self.nominations.add(id, &machine_id, room, until);
+            self.nominations.add(id, &machine_id, resources, until);
             match self.machines.get(&machine_id) {
                 Some(machine) if !self.ours(machine) => {
                     let to = machine.heard_by.clone();
@@ -178,11 +181,11 @@
 
     /// Where a gang would start soonest, all in one zone if it must: on machines that are free, and
     /// on those where stopping lower work wastes less than a fetch.
-    pub(super) fn gang_offers(&self, id: &JobId) -> Option<Vec<Offer>> {
+    pub(super) fn gang_offers(&self, id: &JobId) -> Option<Vec<PreemptionOffer>> {
         let job = self.jobs.get(id)?;
         let guaranteed = !self.order(job).beyond_guarantee;
-        let (room, count) = (job.spec.room, job.record.tasks as usize);
-        let asking = Asking::new(job, self.full_shards(job, Some(job.record.tasks)));
+        let (resources, count) = (job.spec.resources, job.record.tasks as usize);
+        let asking = PlacementRequest::new(job, self.full_shards(job, Some(job.record.tasks)));
         let mut zones: BTreeMap<Option<&Zone>, Vec<Site>> = BTreeMap::new();
         let mut groups = self.groups(job, Scope::All, None);
         groups.retain(|group| asking.closes(&group.shard).is_none());
@@ -194,9 +197,11 @@
         }
         let ledger = self.ledger(job);
         let sets = zones.into_values().map(|sites| match &ledger {
-            Some(ledger) => ledger.clone().plan_all(room, sites, count),
+            Some(ledger) => ledger.clone().plan_all(resources, sites, count),
             None => {
-                let offers = sites.iter().filter_map(|site| preempt::offer(room, site));
+                let offers = sites
+                    .iter()
+                    .filter_map(|site| preempt::offer(resources, site));
                 offers.collect()
             }
         });
@@ -208,14 +213,15 @@
         let Some(offers) = self.gang_offers(id) else {
             return false;
         };
-        let Some(room) = self.jobs.get(id).map(|job| job.spec.room) else {
+        let Some(resources) = self.jobs.get(id).map(|job| job.spec.resources) else {
             return false;
         };
         tracing::info!(job = %id, machine_ids = ?offers.iter().map(|o| &o.machine_id).collect::<Vec<_>>(),
             "making room for a gang");
         let until = self.now + NOMINATED;
         for offer in offers {
-            self.nominations.add(id, &offer.machine_id, room, until);
+            self.nominations
+                .add(id, &offer.machine_id, resources, until);
             match self.machines.get(&offer.machine_id) {
                 Some(machine) if !self.ours(machine) => {
                     let to = machine.heard_by.clone();
@@ -231,7 +237,7 @@
 
     /// A machine of ours as a place where room could be made.
     fn site_on(&self, job: &Job, guaranteed: bool, machine_id: &MachineId) -> Option<Site> {
-        let asking = Asking::new(job, Vec::new());
+        let asking = PlacementRequest::new(job, Vec::new());
         let machine = self.machines.get(machine_id).filter(|m| {
             self.ours(m)
                 && job.spec.allows(&m.machine_type, &m.zone, m.spot)
@@ -242,7 +248,7 @@
 
     /// Machines where room could be made for one task of the job.
     fn sites(&self, job: &Job, guaranteed: bool) -> Vec<Site> {
-        let asking = Asking::new(job, Vec::new());
+        let asking = PlacementRequest::new(job, Vec::new());
         let mut groups = self.groups(job, Scope::All, None);
         groups.retain(|group| asking.zone_allowed(group.zone()));
         let search = self.search(job, guaranteed, groups.len(), 1);
@@ -274,11 +280,14 @@
     /// Machines of a group where room could be made for tasks of the job: those with its image that are
     /// free, others that are free, and those where enough could be stopped.
     fn sites_of(&self, job: &Job, search: &Search, group: &Group) -> Vec<Site> {
-        let room = job.spec.room;
+        let resources = job.spec.resources;
         let mut found: HashMap<&MachineId, Site> = HashMap::default();
-        for having in [Having::Image(&job.spec.image), Having::Any] {
-            let free = self.pool.room.fitting(having, group, room);
-            for machine_id in free.flat_map(|class| class.machine_ids).take(search.sites) {
+        for having in [ImageFilter::Image(&job.spec.image), ImageFilter::Any] {
+            let available = self.pool.resources.fitting(having, group, resources);
+            for machine_id in available
+                .flat_map(|class| class.machine_ids)
+                .take(search.sites)
+            {
                 if let Some(machine) = self.machines.get(machine_id)
                     && !found.contains_key(machine_id)
                 {
@@ -287,7 +296,7 @@
             }
         }
         let mut offered = 0;
-        let full = self.pool.room.too_full(group, room);
+        let full = self.pool.resources.too_full(group, resources);
         for machine_id in full.flat_map(|class| class.machine_ids).take(search.looked) {
             if offered >= search.sites {
                 break;
@@ -296,12 +305,12 @@
             let Some(machine) = self.machines.get(machine_id) else {
                 continue;
             };
-            let lower = self.jobs.host_use(machine_id).below(job.spec.rank);
-            if !search.borrowed && !room.fits_in(self.free(machine).plus(lower)) {
+            let lower = self.jobs.machine_usage(machine_id).below(job.spec.priority);
+            if !search.borrowed && !resources.fits_in(self.available(machine).plus(lower)) {
                 continue;
             }
             let site = self.site(job, search.guaranteed, machine);
-            offered += usize::from(preempt::offer(room, &site).is_some());
+            offered += usize::from(preempt::offer(resources, &site).is_some());
             found.insert(machine_id, site);
         }
         found.into_values().collect()
@@ -330,8 +339,8 @@
             };
             (leaving || lower || borrowed).then(|| Victim {
                 task,
-                room: victim.spec.room,
-                rank: victim.spec.rank,
+                resources: victim.spec.resources,
+                priority: victim.spec.priority,
                 waste_s: self.waste(victim),
                 leaving,
                 lower,
@@ -339,16 +348,16 @@
                 over: None,
             })
         };
-        let free = self.free_for(machine, &job.id);
+        let available = self.free_for(machine, &job.id);
         // Where the task fits as it is, nobody has to be weighed, but for shares of a tree.
-        let fits = job.spec.room.fits_in(free) && !self.in_tree(&job.spec.team);
+        let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
         let on_it = self.jobs.on_machine(&machine.machine_id).filter(|_| !fits);
         let victims = on_it.filter_map(victim).collect();
         let rate = fetch_rate(&self.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Site {
             machine_id: machine.machine_id.clone(),
-            free,
+            available,
             victims,
             delay_s: machine.image_s(image, gb, rate, self.now),
             nested: false,
@@ -356,16 +365,17 @@
     }
 
     /// Free room, without what is being made for others of no lower priority.
-    pub(super) fn free_for(&self, machine: &Machine, id: &JobId) -> Room {
-        let mut free = self.free(machine);
-        let mut rank = None;
-        for (other, room) in self.nominations.on(&machine.machine_id, self.now) {
-            let rank = rank.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.rank));
-            let above = |job: &Job| *rank <= Some(job.spec.rank);
+    pub(super) fn free_for(&self, machine: &Machine, id: &JobId) -> Resources {
+        let mut available = self.available(machine);
+        let mut priority = None;
+        for (other, resources) in self.nominations.on(&machine.machine_id, self.now) {
+            let priority =
+                priority.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
+            let above = |job: &Job| *priority <= Some(job.spec.priority);
             if other != id && self.jobs.get(other).is_some_and(above) {
-                free = free.minus(room);
+                available = available.minus(resources);
             }
         }
-        free
+        available
     }
 }
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -9,16 +9,16 @@
 
 impl Controller {
     pub(super) fn responsible(&self, job: &Job) -> bool {
-        let home = &job.record.home;
-        *home == self.me
-            || self.handed.contains(&job.id)
-            || (self.leading().is_some() && !self.leases.controllers.contains_key(home))
+        let owner = &job.record.owner;
+        *owner == self.me
+            || self.forwarded.contains(&job.id)
+            || (self.leading().is_some() && !self.leases.controllers.contains_key(owner))
     }
 
     pub(super) fn order(&self, job: &Job) -> QueueKey {
         QueueKey {
             beyond_guarantee: !self.guaranteed(job),
-            rank: std::cmp::Reverse(job.spec.rank),
+            priority: std::cmp::Reverse(job.spec.priority),
             born: job.born,
             flow: self.flows.of(&job.spec),
         }
@@ -29,7 +29,7 @@
     pub(super) fn consider(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             self.queue.remove(id);
-            self.handed.remove(id);
+            self.forwarded.remove(id);
             self.failed_jobs.remove(id);
             return;
         };
@@ -70,13 +70,13 @@
     /// Tells the parked jobs of a change in the cluster.
     pub(super) fn wake(&mut self, event: Event) {
         if let Event::Freed(machine_id) = &event {
-            self.take_due(machine_id);
+            self.activate_due(machine_id);
         }
         let machine = match &event {
             Event::Machine(machine_id) | Event::Freed(machine_id) => self.machines.get(machine_id),
             _ => None,
         };
-        let room = machine.map(|m| (m, self.free(m)));
+        let resources = machine.map(|m| (m, self.available(m)));
         if let Event::Machine(machine_id) = &event {
             self.pool.touched.push(machine_id.clone());
         }
@@ -91,25 +91,27 @@
             let machine_ids = machine_ids.unwrap_or_default();
             let fits = |machine_id: &MachineId| {
                 let machine = self.machines.get(machine_id);
-                machine.is_some_and(|m| job.spec.room.fits_in(self.free(m)))
+                machine.is_some_and(|m| job.spec.resources.fits_in(self.available(m)))
             };
-            if machine_ids.len() > 1 && check == Check::Room && !machine_ids.iter().all(fits) {
+            if machine_ids.len() > 1 && check == Check::Resources && !machine_ids.iter().all(fits) {
                 return false;
             }
             match (check, &event) {
-                (Check::Room | Check::Machine, Event::Machine(_) | Event::Freed(_)) => {
-                    room.as_ref().is_some_and(|(machine, free)| {
+                (Check::Resources | Check::Machine, Event::Machine(_) | Event::Freed(_)) => {
+                    resources.as_ref().is_some_and(|(machine, available)| {
                         job.spec
                             .allows(&machine.machine_type, &machine.zone, machine.spot)
-                            && job.spec.room.fits_in(*free)
+                            && job.spec.resources.fits_in(*available)
                     })
                 }
                 (Check::Zones, Event::Machine(_)) => true,
                 (Check::Zones | Check::Attempt, Event::TaskLeft(left)) => left == id,
                 (Check::Team | Check::Share, Event::TeamFreed(team)) => self.team_helps(team, id),
                 (Check::Share, Event::Dealt) => true,
-                (Check::Team | Check::Share | Check::Room, Event::NewTree) => true,
-                (Check::Room | Check::Machine, Event::Entitled(team)) => *team == job.spec.team,
+                (Check::Team | Check::Share | Check::Resources, Event::NewTree) => true,
+                (Check::Resources | Check::Machine, Event::Entitled(team)) => {
+                    *team == job.spec.team
+                }
                 _ => false,
             }
         });
--- a/src/controller/quota_allocation.rs
+++ b/src/controller/quota_allocation.rs
@@ -6,8 +6,8 @@
 use crate::jobs::cache::{Change, Job, Writing};
 use crate::quota::{self, Dealt, Share, share_key};
 use crate::settings::TeamSettings;
-use crate::store::{Answer, Class, Txn};
-use crate::types::{JobId, Millis, Revision, Room, ShardId};
+use crate::store::{Answer, CallClass, Txn};
+use crate::types::{JobId, Millis, Resources, Revision, ShardId};
 
 const DEAL_EVERY: Millis = Millis(4_000);
 const VOID_EVERY: Millis = Millis(500);
@@ -31,14 +31,18 @@
         let mut full: Vec<ShardId> = Vec::new();
         for team in self.limits(job) {
             let raises = raise.is_some_and(|tasks| {
-                let room = job.spec.room.times(f64::from(tasks));
-                self.may_raise() && quota::covers(quota::slack(team, &self.to_be_dealt(team)), room)
+                let resources = job.spec.resources.times(f64::from(tasks));
+                self.may_raise()
+                    && quota::covers(quota::slack(team, &self.to_be_dealt(team)), resources)
             });
             if raises {
                 continue;
             }
             let fits = |shard: &ShardId| {
-                let used = self.jobs.used_in(&team.name, shard).plus(job.spec.room);
+                let used = self
+                    .jobs
+                    .used_in(&team.name, shard)
+                    .plus(job.spec.resources);
                 let share = self.shares.share(shard, &team.name);
                 // What is placed in another's shard has to be added to its share.
                 let ours = self.leases.holds(shard, &self.me).is_some();
@@ -87,10 +91,10 @@
     /// The same with the shares as they will be raised for what is reserved in others' shards.
     fn to_be_dealt(&self, team: &TeamSettings) -> Vec<Dealt> {
         let raised = |shard: ShardId, dealt: Dealt| {
-            let room = self.jobs.reserved_in(&team.name, &shard);
-            let used = self.jobs.used_in(&team.name, &shard).minus(room);
+            let resources = self.jobs.reserved_in(&team.name, &shard);
+            let used = self.jobs.used_in(&team.name, &shard).minus(resources);
             let own = self.own(&shard);
-            let share = quota::raised(dealt.share, used, room, own);
+            let share = quota::raised(dealt.share, used, resources, own);
             Dealt { share, ..dealt }
         };
         let shards = self.all_shards(team).into_iter();
@@ -108,15 +112,14 @@
         if self.now.since(self.dealt) < DEAL_EVERY || !self.may_place() || !self.may_raise() {
             return;
         }
-        let least = self
-            .type_specs
-            .iter()
-            .map(|f| f.room)
-            .fold(Room::default(), |least, room| Room {
-                cpus: least.cpus.max(room.cpus),
-                gpus: least.gpus.max(room.gpus),
+        let least = self.type_specs.iter().map(|f| f.resources).fold(
+            Resources::default(),
+            |least, resources| Resources {
+                cpus: least.cpus.max(resources.cpus),
+                gpus: least.gpus.max(resources.gpus),
                 memory_gb: 0.0,
-            });
+            },
+        );
         let mut records = BTreeMap::new();
         for team in self.nested.limited() {
             let shards = self.all_shards(&team);
@@ -149,7 +152,7 @@
             txn.require(share_key(&shard), self.shares.version(&shard));
             txn.put(share_key(&shard), &record);
         }
-        self.transact(Class::Duties, txn, Purpose::Deal { rests_on });
+        self.transact(CallClass::Duties, txn, Purpose::Deal { rests_on });
     }
 
     /// Adds to a placement's transaction what it rests on: the share of each shard. Where the
@@ -179,9 +182,9 @@
                 if !self.may_raise() || !quota::keeps_limit(team, &self.to_be_dealt(team)) {
                     return false;
                 }
-                let room = job.spec.room.times(f64::from(*tasks));
+                let resources = job.spec.resources.times(f64::from(*tasks));
                 let record = record.get_or_insert_with(|| self.shares.record(shard));
-                let raised = quota::raised(share, used.minus(room), room, own);
+                let raised = quota::raised(share, used.minus(resources), resources, own);
                 record.insert(team.name.clone(), raised);
             }
             if let Some(record) = record {
@@ -244,7 +247,7 @@
             let record = self.shares.record(&shard);
             txn.require(share_key(&shard), self.shares.version(&shard));
             txn.put(share_key(&shard), &record);
-            self.transact(Class::Duties, txn, Purpose::Void { jobs, shard });
+            self.transact(CallClass::Duties, txn, Purpose::Void { jobs, shard });
         }
     }
 
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -2,7 +2,7 @@
 use crate::controller::Effect;
 use crate::controller::commits::tests::controller_with;
 use crate::jobs::api::{parse, tests::body};
-use crate::jobs::{Placement, Shape, Task};
+use crate::jobs::{JobKind, Placement, Task};
 use crate::lease::LEADER;
 use crate::settings::tests::settings;
 use crate::store::{Call, Change as Write};
@@ -14,12 +14,12 @@
 
 fn leading_with(gpus: f64, gpus_max: f64, tasks: Vec<Task>) -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.tasks) = (Shape::Array, tasks.len() as u32);
+    (spec.kind, spec.tasks) = (JobKind::Array, tasks.len() as u32);
     (spec.one_zone, spec.spread) = (false, false);
     let mut settings = settings();
     settings["deployment"]["teams"] = serde_json::json!([{"name": spec.team.to_string(),
         "cpus": 0.0, "cpus_max": 0.0, "gpus": 1.0, "gpus_max": gpus_max}]);
-    spec.room.gpus = gpus;
+    spec.resources.gpus = gpus;
     let (mut controller, id) = controller_with(&settings, spec, tasks);
     let lead = r#"{"leader":"n0","permit":1}"#;
     controller.feed(LEADER, Some(lead), Revision(9));
--- a/src/controller/reachability/mod.rs
+++ b/src/controller/reachability/mod.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use super::Effect;
-use crate::jobs::Shape;
+use crate::jobs::JobKind;
 use crate::types::{FencingToken, MachineId, Millis, TaskId};
 use crate::workers::reconcile::Stop;
 use crate::workers::wire::{TaskStage, WorkerCommand};
@@ -116,7 +116,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let gang = job.spec.shape == Shape::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         let stopped: Vec<_> = job
             .placements()
             .filter(|(index, _)| gang || *index == task.index)
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -4,7 +4,7 @@
 use crate::controller::{CommandReply, Controller, Effect};
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, job_key};
-use crate::jobs::{Phase, Placement, Shape, Task};
+use crate::jobs::{JobKind, Phase, Placement, Task};
 use crate::types::{
     AgentEpoch, Attempt, FencingToken, JobId, MachineId, Millis, Revision, ShardId, WorkerToken,
 };
@@ -29,7 +29,7 @@
 /// An array of two tasks on a machine that reported, with the first running and the second not begun.
 fn reported() -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.tasks) = (Shape::Array, 2);
+    (spec.kind, spec.tasks) = (JobKind::Array, 2);
     let here = Task::Placed(Placement {
         machine_id: HOST.into(),
         shard: ShardId::parse("a.0").unwrap(),
@@ -84,7 +84,7 @@
 #[test]
 fn what_answers_and_can_not_report_is_no_room() {
     let silence = reported().0.silence().0;
-    for (after, shard_taken, known_unable_to_report, room) in [
+    for (after, shard_taken, known_unable_to_report, resources) in [
         (silence, 0, false, true),
         (silence + 1, 0, false, false),
         // A holder that came just now may not have been found yet.
@@ -110,7 +110,7 @@
         let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
         let case =
             format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
-        assert_eq!(fit, room, "{case}");
+        assert_eq!(fit, resources, "{case}");
         // Its next heartbeat makes it sound again, once it has answered what is asked then.
         let (now, machine_id) = (controller.now, MachineId::from(HOST));
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -5,8 +5,8 @@
 use super::{After, Controller, Effect, Purpose};
 use crate::jobs::api::{self, Refusal, Refused, Response, is_final};
 use crate::jobs::record::{JobRecord, job_key, page_size};
-use crate::jobs::{Phase, Rank, Spec};
-use crate::store::{Answer, Class, Txn};
+use crate::jobs::{JobSpec, Phase, PriorityClass};
+use crate::store::{Answer, CallClass, Txn};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
 /// Without an answer of the state service for this long, users are told to come back.
@@ -17,7 +17,11 @@
         self.effects.push(Effect::User { reply, response });
     }
 
-    pub(super) fn on_submit(&mut self, reply: ReplyId, submission: Result<(JobId, Spec), Refused>) {
+    pub(super) fn on_submit(
+        &mut self,
+        reply: ReplyId,
+        submission: Result<(JobId, JobSpec), Refused>,
+    ) {
         let (id, spec) = match submission {
             Ok(submission) => submission,
             Err(Refused { id: Some(id), why }) => return self.refuse(reply, id, why),
@@ -37,7 +41,10 @@
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
-        let (class, urgent) = (self.flows.of(&spec).class, spec.rank >= Rank::Urgent);
+        let (class, urgent) = (
+            self.flows.of(&spec).class,
+            spec.priority >= PriorityClass::Urgent,
+        );
         let (pending, luck) = (self.submitting.len(), self.rng.random());
         let (allowed, now) = (self.shared.allowed, self.now.secs());
         let asked = self.gate.ask(class, urgent, pending, allowed, now, luck);
@@ -54,7 +61,7 @@
             .unwrap_or(0);
         let record = JobRecord {
             phase: Phase::Active,
-            home: self.me.clone(),
+            owner: self.me.clone(),
             tasks: spec.tasks,
             page: page_size(deployment.state.value_kb, longest),
             spec: Some(spec),
@@ -63,7 +70,7 @@
         txn.require(job_key(&id), Revision(0));
         txn.put(job_key(&id), &record);
         self.submitting.insert(id.clone(), vec![reply]);
-        self.transact(Class::Submissions, txn, Purpose::Submit { job: id });
+        self.transact(CallClass::Submissions, txn, Purpose::Submit { job: id });
     }
 
     /// A job that was accepted once is never refused, whatever has changed since in its body or the settings:
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Controller;
-use crate::jobs::Shape;
+use crate::jobs::JobKind;
 use crate::lease::Own;
 use crate::types::{FencingToken, MachineId, ShardId, WorkerToken, Zone};
 use crate::workers::wire::HeartbeatResponse;
@@ -79,11 +79,11 @@
     /// A machine that is thought lost, and what would be lost with it.
     pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> Suspect {
         let jobs = self.jobs.on_machine(machine_id);
-        let worth = jobs.filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.shape));
-        let worth = worth.map(|shape| match shape {
-            Shape::Array => Worth::Arrays,
-            Shape::Gang => Worth::Gangs,
-            Shape::Service => Worth::Replicas,
+        let worth = jobs.filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.kind));
+        let worth = worth.map(|kind| match kind {
+            JobKind::Array => Worth::Arrays,
+            JobKind::Gang => Worth::Gangs,
+            JobKind::Service => Worth::Replicas,
         });
         Suspect {
             machine_id: machine_id.clone(),
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -4,7 +4,7 @@
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{encode_page, page_key};
-use crate::jobs::{Placement, Shape, Task};
+use crate::jobs::{JobKind, Placement, Task};
 use crate::types::{AgentEpoch, Attempt, Millis, Revision};
 use crate::workers::shard_of;
 
@@ -20,7 +20,7 @@
 fn a_new_holder_gives_no_commands_before_it_knows_what_was_placed() {
     for (applied, starts) in [(29, 0), (30, 1)] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-        (spec.shape, spec.tasks) = (Shape::Array, 1);
+        (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![Task::FRESH]);
         let parts = controller.settings.operator.blocks_per_zone;
         let shard = shard_of(&"vm-a".into(), &"a".into(), parts);
--- a/src/cycle.rs
+++ b/src/cycle.rs
@@ -4,17 +4,17 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::jobs::Spec;
+use crate::jobs::JobSpec;
 use crate::jobs::cache::Job;
 use crate::queue::Check;
-use crate::types::{MachineId, Room, ShardId, Zone};
+use crate::types::{MachineId, Resources, ShardId, Zone};
 use crate::workers::Machine;
 
 /// A machine as the cycle sees it.
 pub struct Candidate<'a> {
     pub machine: &'a Machine,
-    pub whole: Room,
-    pub free: Room,
+    pub capacity: Resources,
+    pub available: Resources,
     /// Nothing here but work that gives way to urgent work: as good as an empty machine.
     pub yielding: bool,
     /// Seconds until the job's image would be here: fetches share the machine's rate.
@@ -42,17 +42,17 @@
 const WHOLE: f64 = 2.5;
 
 /// A task of a job that looks for a machine. What holds for all machines is worked out once.
-pub struct Asking<'a> {
+pub struct PlacementRequest<'a> {
     pub job: &'a Job,
     /// Where the job's tasks are; only for jobs whose zones depend on it.
     zones: BTreeMap<Zone, u32>,
     /// Shards where the team's share is used up.
     full: Vec<ShardId>,
     /// Empty machines are not for it: no more stand ready than urgent work needs.
-    pub keeps_off_empty: bool,
+    pub avoids_empty_machines: bool,
 }
 
-impl<'a> Asking<'a> {
+impl<'a> PlacementRequest<'a> {
     pub fn new(job: &'a Job, full: Vec<ShardId>) -> Self {
         let tied = job.spec.one_zone || job.spec.spread;
         let zones = if tied { job.zones() } else { BTreeMap::new() };
@@ -60,7 +60,7 @@
             job,
             zones,
             full,
-            keeps_off_empty: false,
+            avoids_empty_machines: false,
         }
     }
 
@@ -88,12 +88,16 @@
 }
 
 /// Why a machine is not for this task; `None` if it is.
-pub fn filter(asking: &Asking, candidate: &Candidate) -> Option<Check> {
+pub fn filter(asking: &PlacementRequest, candidate: &Candidate) -> Option<Check> {
     let (spec, machine) = (&asking.job.spec, candidate.machine);
-    if !spec.room.fits_in(candidate.free) {
-        let ever = spec.room.fits_in(candidate.whole)
+    if !spec.resources.fits_in(candidate.available) {
+        let ever = spec.resources.fits_in(candidate.capacity)
             && spec.allows(&machine.machine_type, &machine.zone, machine.spot);
-        return Some(if ever { Check::Room } else { Check::Machine });
+        return Some(if ever {
+            Check::Resources
+        } else {
+            Check::Machine
+        });
     }
     if !spec.allows(&machine.machine_type, &machine.zone, machine.spot) {
         return Some(Check::Machine);
@@ -101,26 +105,29 @@
     if let Some(check) = asking.closes(&machine.shard) {
         return Some(check);
     }
-    if asking.keeps_off_empty && candidate.free == candidate.whole {
-        return Some(Check::Room);
+    if asking.avoids_empty_machines && candidate.available == candidate.capacity {
+        return Some(Check::Resources);
     }
     None
 }
 
 /// The weighted sum of the scores.
-pub fn score(spec: &Spec, candidate: &Candidate, failed_here: bool) -> f64 {
+pub fn score(spec: &JobSpec, candidate: &Candidate, failed_here: bool) -> f64 {
     let machine = candidate.machine;
     let cached = machine.images.contains_key(&spec.image);
-    let used = candidate.whole.minus(candidate.free).plus(spec.room);
+    let used = candidate
+        .capacity
+        .minus(candidate.available)
+        .plus(spec.resources);
     let spot_fits = machine.spot == spec.spot;
     let as_score = |yes: bool| f64::from(u8::from(yes));
-    let lasts = !spec.yields() && spec.room.share_of(candidate.whole) < 0.5;
+    let lasts = !spec.yields() && spec.resources.share_of(candidate.capacity) < 0.5;
     let breaks = candidate.yielding && lasts;
     let spreads =
-        as_score(spec.yields() && !cached) * used.share_of(candidate.whole) * candidate.fetch_s;
+        as_score(spec.yields() && !cached) * used.share_of(candidate.capacity) * candidate.fetch_s;
     let crowds = as_score(lasts) * candidate.firm * candidate.fetch_s;
     IMAGE * as_score(cached) - FETCH_SECOND * candidate.image_s
-        + FULLNESS * used.share_of(candidate.whole)
+        + FULLNESS * used.share_of(candidate.capacity)
         + SPOT * as_score(spot_fits)
         + UNTRIED * as_score(!failed_here)
         + WHOLE * as_score(!breaks)
@@ -150,7 +157,7 @@
     }
 
     /// Looks at a candidate; whether it would do.
-    pub fn consider(&mut self, asking: &Asking, candidate: &Candidate<'a>) -> bool {
+    pub fn consider(&mut self, asking: &PlacementRequest, candidate: &Candidate<'a>) -> bool {
         if let Some(check) = filter(asking, candidate) {
             self.reject(check);
             return false;
--- a/src/cycle/index.rs
+++ b/src/cycle/index.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxHashMap as HashMap;
 
-use crate::types::{Image, MachineId, MachineTypeId, Room, ShardId, Zone};
+use crate::types::{Image, MachineId, MachineTypeId, Resources, ShardId, Zone};
 
 /// Machines that are allowed, or not, to a job as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,10 +30,10 @@
 
 /// What a cycle sees of a machine, but for its images.
 #[derive(Clone, Copy, Debug)]
-pub struct Level {
-    free: Room,
+pub struct CapacityLevel {
+    available: Resources,
     /// Taken by work that gives way.
-    soft: Room,
+    soft: Resources,
     /// Images that are being fetched.
     fetches: usize,
 }
@@ -41,48 +41,48 @@
 /// Amounts are rounded to this part of one: sums that differ in their last bits are one level.
 const STEPS: f64 = 1e4;
 
-fn rounded(room: Room) -> Room {
+fn rounded(resources: Resources) -> Resources {
     // Adding zero makes a negative zero a positive one.
     let round = |amount: f64| (amount * STEPS).round() / STEPS + 0.0;
-    Room {
-        cpus: round(room.cpus),
-        gpus: round(room.gpus),
-        memory_gb: round(room.memory_gb),
+    Resources {
+        cpus: round(resources.cpus),
+        gpus: round(resources.gpus),
+        memory_gb: round(resources.memory_gb),
     }
 }
 
-impl Level {
-    pub fn new(free: Room, soft: Room, fetches: usize) -> Self {
+impl CapacityLevel {
+    pub fn new(available: Resources, soft: Resources, fetches: usize) -> Self {
         Self {
-            free: rounded(free),
+            available: rounded(available),
             soft: rounded(soft),
             fetches,
         }
     }
 
-    pub fn free(self) -> Room {
-        self.free
+    pub fn available(self) -> Resources {
+        self.available
     }
 
     /// The least level at which this room may be free.
-    fn least(room: Room) -> Self {
+    fn least(resources: Resources) -> Self {
         Self {
-            free: Room {
+            available: Resources {
                 cpus: f64::NEG_INFINITY,
-                gpus: room.gpus - 1.0 / STEPS,
+                gpus: resources.gpus - 1.0 / STEPS,
                 memory_gb: f64::NEG_INFINITY,
             },
-            soft: Room::default(),
+            soft: Resources::default(),
             fetches: 0,
         }
     }
 
     fn numbers(&self) -> [f64; 6] {
-        let (free, soft) = (self.free, self.soft);
+        let (available, soft) = (self.available, self.soft);
         [
-            free.gpus,
-            free.cpus,
-            free.memory_gb,
+            available.gpus,
+            available.cpus,
+            available.memory_gb,
             soft.gpus,
             soft.cpus,
             soft.memory_gb,
@@ -91,7 +91,7 @@
 }
 
 /// By accelerators first: what has too few of them is passed over as a whole.
-impl Ord for Level {
+impl Ord for CapacityLevel {
     fn cmp(&self, other: &Self) -> Ordering {
         let pairs = self.numbers().into_iter().zip(other.numbers());
         let mut orders = pairs.map(|(a, b)| a.total_cmp(&b));
@@ -100,33 +100,33 @@
     }
 }
 
-impl PartialOrd for Level {
+impl PartialOrd for CapacityLevel {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Level {
+impl PartialEq for CapacityLevel {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Level {}
+impl Eq for CapacityLevel {}
 
 /// A machine as it is entered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub group: Group,
-    pub level: Level,
+    pub level: CapacityLevel,
     /// In its cache, sorted.
     pub images: Vec<Image>,
 }
 
 /// Machines by group and level.
-type Shelf = BTreeMap<Group, BTreeMap<Level, BTreeSet<MachineId>>>;
+type Shelf = BTreeMap<Group, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
 
-fn put(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: Level) {
+fn put(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: CapacityLevel) {
     if !shelf.contains_key(group) {
         shelf.insert(group.clone(), BTreeMap::new());
     }
@@ -135,7 +135,7 @@
     }
 }
 
-fn take(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: Level) {
+fn take(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: CapacityLevel) {
     let Some(levels) = shelf.get_mut(group) else {
         return;
     };
@@ -152,15 +152,15 @@
 
 /// Machines of one group and one level.
 #[derive(Clone, Copy, Debug)]
-pub struct Class<'a> {
+pub struct MachineClass<'a> {
     pub group: &'a Group,
-    pub level: Level,
+    pub level: CapacityLevel,
     pub machine_ids: &'a BTreeSet<MachineId>,
 }
 
 /// Which machines a look-up is about.
 #[derive(Clone, Copy, Debug)]
-pub enum Having<'a> {
+pub enum ImageFilter<'a> {
     /// Those with this image in their cache.
     Image(&'a Image),
     Any,
@@ -168,13 +168,13 @@
 
 /// Machines that can take tasks.
 #[derive(Debug, Default)]
-pub struct FreeRoom {
+pub struct CapacityIndex {
     entries: HashMap<MachineId, Entry>,
     all: Shelf,
     with_image: HashMap<Image, Shelf>,
 }
 
-impl FreeRoom {
+impl CapacityIndex {
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -199,7 +199,7 @@
         machine_id: &MachineId,
         own: bool,
         shard: &ShardId,
-        level: Level,
+        level: CapacityLevel,
         images: usize,
     ) -> bool {
         let entry = self.entries.get(machine_id);
@@ -242,10 +242,10 @@
         }
     }
 
-    fn shelf(&self, having: Having) -> Option<&Shelf> {
+    fn shelf(&self, having: ImageFilter) -> Option<&Shelf> {
         match having {
-            Having::Image(image) => self.with_image.get(image),
-            Having::Any => Some(&self.all),
+            ImageFilter::Image(image) => self.with_image.get(image),
+            ImageFilter::Any => Some(&self.all),
         }
     }
 
@@ -257,17 +257,20 @@
     /// Classes of a group in which this room is free, the fullest first.
     pub fn fitting<'a>(
         &'a self,
-        having: Having,
+        having: ImageFilter,
         group: &'a Group,
-        room: Room,
-    ) -> impl Iterator<Item = Class<'a>> + use<'a> {
+        resources: Resources,
+    ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.shelf(having).and_then(|shelf| shelf.get(group));
-        let from = (Bound::Included(Level::least(room)), Bound::Unbounded);
+        let from = (
+            Bound::Included(CapacityLevel::least(resources)),
+            Bound::Unbounded,
+        );
         let levels = levels
             .into_iter()
             .flat_map(move |levels| levels.range(from));
-        let fitting = levels.filter(move |(level, _)| room.fits_in(level.free));
-        fitting.map(move |(level, machine_ids)| Class {
+        let fitting = levels.filter(move |(level, _)| resources.fits_in(level.available));
+        fitting.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
             machine_ids,
@@ -275,22 +278,22 @@
     }
 
     /// Whether a group has a machine on which this room is not free.
-    pub fn any_too_full(&self, group: &Group, room: Room) -> bool {
+    pub fn any_too_full(&self, group: &Group, resources: Resources) -> bool {
         let levels = self.all.get(group);
         let mut levels = levels.into_iter().flat_map(|levels| levels.keys());
-        levels.any(|level| !room.fits_in(level.free))
+        levels.any(|level| !resources.fits_in(level.available))
     }
 
     /// Classes of a group in which this room is not free, those with most free first.
     pub fn too_full<'a>(
         &'a self,
         group: &'a Group,
-        room: Room,
-    ) -> impl Iterator<Item = Class<'a>> + use<'a> {
+        resources: Resources,
+    ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.all.get(group).into_iter();
         let levels = levels.flat_map(|levels| levels.iter().rev());
-        let full = levels.filter(move |(level, _)| !room.fits_in(level.free));
-        full.map(move |(level, machine_ids)| Class {
+        let full = levels.filter(move |(level, _)| !resources.fits_in(level.available));
+        full.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
             machine_ids,
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-fn room(gpus: f64) -> Room {
-    Room {
+fn resources(gpus: f64) -> Resources {
+    Resources {
         cpus: gpus * 10.0,
         gpus,
         memory_gb: gpus * 60.0,
@@ -25,9 +25,9 @@
             machine_type: "g8".into(),
             spot: rng.random_bool(0.5),
         },
-        level: Level::new(
-            room(f64::from(rng.random_range(0..9))),
-            Room::default(),
+        level: CapacityLevel::new(
+            resources(f64::from(rng.random_range(0..9))),
+            Resources::default(),
             rng.random_range(0..2),
         ),
         images,
@@ -39,7 +39,7 @@
 fn what_is_found_is_what_a_full_walk_finds() {
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut index = FreeRoom::default();
+        let mut index = CapacityIndex::default();
         let mut all: BTreeMap<MachineId, Entry> = BTreeMap::new();
         for _ in 0..400 {
             let machine_id = MachineId::from(format!("vm-{}", rng.random_range(0..60)));
@@ -57,23 +57,28 @@
         let expected: BTreeSet<&Group> = all.values().map(|entry| &entry.group).collect();
         assert_eq!(groups, expected);
         for group in groups {
-            for wanted in [room(0.0), room(1.0), room(5.0), room(8.0)] {
+            for wanted in [
+                resources(0.0),
+                resources(1.0),
+                resources(5.0),
+                resources(8.0),
+            ] {
                 let walk = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
                     let found = all.iter().filter(|(_, entry)| {
                         entry.group == *group
                             && image.is_none_or(|image| entry.images.contains(image))
-                            && wanted.fits_in(entry.level.free()) == fits
+                            && wanted.fits_in(entry.level.available()) == fits
                     });
                     found.map(|(machine_id, _)| machine_id).collect()
                 };
                 let any: BTreeSet<&MachineId> = index
-                    .fitting(Having::Any, group, wanted)
+                    .fitting(ImageFilter::Any, group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
                 assert_eq!(any, walk(None, true));
                 let image = Image::from("img-1");
                 let cached: BTreeSet<&MachineId> = index
-                    .fitting(Having::Image(&image), group, wanted)
+                    .fitting(ImageFilter::Image(&image), group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
                 assert_eq!(cached, walk(Some(&image), true));
@@ -91,7 +96,7 @@
 /// Sums of decimal amounts differ in their last bits, and are one class all the same.
 #[test]
 fn rounding_makes_no_classes() {
-    let level = |gpus: f64| Level::new(room(gpus), Room::default(), 0);
+    let level = |gpus: f64| CapacityLevel::new(resources(gpus), Resources::default(), 0);
     let cases = [
         (0.1 + 0.2, 0.3, true),
         (1.0 - 0.9 - 0.1, 0.0, true),
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::jobs::Rank;
+use crate::jobs::PriorityClass;
 use crate::jobs::api::{parse, tests::body};
 use crate::types::ShardId;
 
-fn room(gpus: f64) -> Room {
-    Room {
+fn resources(gpus: f64) -> Resources {
+    Resources {
         cpus: gpus * 6.0,
         gpus,
         memory_gb: gpus * 20.0,
@@ -16,8 +16,8 @@
 #[test]
 fn tasks_that_fetch_slowly_spread() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.rank) = (crate::jobs::Shape::Array, Rank::Normal);
-    (spec.room, spec.image_gb, spec.checkpoint_s) = (room(1.0), 7.0, 15.0);
+    (spec.kind, spec.priority) = (crate::jobs::JobKind::Array, PriorityClass::Normal);
+    (spec.resources, spec.image_gb, spec.checkpoint_s) = (resources(1.0), 7.0, 15.0);
     assert!(spec.yields());
     let cases = [
         // gigabytes a second, cached, fills
@@ -37,8 +37,8 @@
         let fetch_s = spec.image_gb / rate;
         let at = |taken: f64| Candidate {
             machine: &machine,
-            whole: room(4.0),
-            free: room(4.0 - taken),
+            capacity: resources(4.0),
+            available: resources(4.0 - taken),
             yielding: true,
             image_s: if cached { 0.0 } else { fetch_s },
             fetch_s,
@@ -60,16 +60,16 @@
     let machine = &Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
     for (keeps_off, taken, rejected) in [
         (false, 0.0, None),
-        (true, 0.0, Some(Check::Room)),
+        (true, 0.0, Some(Check::Resources)),
         (true, 1.0, None),
     ] {
-        let mut asking = Asking::new(job, Vec::new());
-        asking.keeps_off_empty = keeps_off;
-        let whole = room(64.0);
+        let mut asking = PlacementRequest::new(job, Vec::new());
+        asking.avoids_empty_machines = keeps_off;
+        let capacity = resources(64.0);
         let candidate = Candidate {
             machine,
-            whole,
-            free: whole.minus(room(taken)),
+            capacity,
+            available: capacity.minus(resources(taken)),
             yielding: true,
             image_s: 0.0,
             fetch_s: 1.0,
@@ -88,8 +88,8 @@
 #[test]
 fn replicas_share_machines_only_where_fetches_are_quick() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.shape, spec.rank) = (crate::jobs::Shape::Service, Rank::Critical);
-    (spec.room, spec.image_gb) = (room(1.0), 7.0);
+    (spec.kind, spec.priority) = (crate::jobs::JobKind::Service, PriorityClass::Critical);
+    (spec.resources, spec.image_gb) = (resources(1.0), 7.0);
     let shard = ShardId::parse("a.0").unwrap();
     let machine = |machine_id: &str| {
         let (machine_type, zone) = ("g4".into(), "a".into());
@@ -108,8 +108,8 @@
         let fetch_s = spec.image_gb / rate;
         let at = |machine, taken: f64| Candidate {
             machine,
-            whole: room(4.0),
-            free: room(4.0 - taken),
+            capacity: resources(4.0),
+            available: resources(4.0 - taken),
             yielding: taken == 0.0,
             image_s: fetch_s,
             fetch_s,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -12,7 +12,7 @@
 use crate::fleet::client::{Cloud, CloudReply};
 use crate::http_client::HttpClient;
 use crate::http_server;
-use crate::jobs::Spec;
+use crate::jobs::JobSpec;
 use crate::jobs::api::{Refused, Response};
 use crate::peers::link::{PeerMessage, Peers};
 use crate::request_queue::{RequestKind, RequestQueue};
@@ -28,7 +28,7 @@
 /// What the HTTP server asks of the controller.
 pub enum Request {
     Submit {
-        submission: Result<(JobId, Spec), Refused>,
+        submission: Result<(JobId, JobSpec), Refused>,
         reply: oneshot::Sender<Response>,
     },
     Poll {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,14 +10,15 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 use serde::{Deserialize, Serialize};
 
-use crate::types::{MachineId, MachineTypeId, Millis, Room, Zone};
+use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
 
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeSpec {
     #[serde(rename = "sku")]
     pub id: MachineTypeId,
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use super::{MachineTypeSpec, Offer};
-use crate::jobs::{Shape, Spec};
-use crate::types::{MachineId, Millis, Room, Zone};
+use crate::jobs::{JobKind, JobSpec};
+use crate::types::{MachineId, Millis, Resources, Zone};
 
 /// A machine that is there or on its way.
 #[derive(Clone, Debug)]
@@ -12,10 +12,10 @@
     /// None: would have to be rented.
     pub machine_id: Option<MachineId>,
     pub offer: Offer,
-    pub whole: Room,
-    pub free: Room,
+    pub capacity: Resources,
+    pub available: Resources,
     /// Room held by work that gives way to urgent work without much loss.
-    pub soft: Room,
+    pub soft: Resources,
     pub idle_for: Millis,
     /// Seconds that its cache would take to be fetched again.
     pub worth_s: f64,
@@ -23,30 +23,30 @@
 
 impl Bin {
     fn empty(&self) -> bool {
-        self.free == self.whole
+        self.available == self.capacity
     }
 
     /// Takes room for up to `count` tasks and returns how many found it.
     fn take(&mut self, need: &Need, count: u32) -> u32 {
-        let room = need.spec.room;
-        if !room.fits_in(self.free) || !need.allows(&self.offer) {
+        let resources = need.spec.resources;
+        if !resources.fits_in(self.available) || !need.allows(&self.offer) {
             return 0;
         }
-        let taken = self.free.holds(room).min(count);
-        self.free = self.free.minus(room.times(f64::from(taken)));
+        let taken = self.available.holds(resources).min(count);
+        self.available = self.available.minus(resources.times(f64::from(taken)));
         taken
     }
 
     /// Free, or free as soon as urgent work asks for it.
     fn ready(&self) -> bool {
-        self.whole.fits_in(self.free.plus(self.soft))
+        self.capacity.fits_in(self.available.plus(self.soft))
     }
 }
 
 /// Waiting tasks of one job.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     pub count: u32,
     /// Only spot machines will do: the tasks run elsewhere, at a higher price.
     pub spot_only: bool,
@@ -65,7 +65,7 @@
     pub machines: u32,
     /// Of these, so many with nothing on them: for work that can't have any stopped.
     pub empty: u32,
-    pub room: Room,
+    pub resources: Resources,
 }
 
 #[derive(Debug, Default, PartialEq)]
@@ -77,13 +77,13 @@
 /// The cheapest offer that the spec allows and that is not known to be sold out.
 pub fn cheapest(
     spec_allows: impl Fn(&Offer) -> bool,
-    room: Room,
+    resources: Resources,
     type_specs: &[MachineTypeSpec],
     sold_out: impl Fn(&Offer) -> bool,
     count_in: impl Fn(&Zone) -> usize,
-) -> Option<(Offer, Room)> {
-    let mut best: Option<((f64, usize), Offer, Room)> = None;
-    for type_spec in type_specs.iter().filter(|f| room.fits_in(f.room)) {
+) -> Option<(Offer, Resources)> {
+    let mut best: Option<((f64, usize), Offer, Resources)> = None;
+    for type_spec in type_specs.iter().filter(|f| resources.fits_in(f.resources)) {
         for zone in &type_spec.zones {
             for spot in [true, false] {
                 let offer = (type_spec.id.clone(), zone.clone(), spot);
@@ -97,12 +97,12 @@
                 };
                 let key = (price, count_in(zone));
                 if best.as_ref().is_none_or(|(low, _, _)| key < *low) {
-                    best = Some((key, offer, type_spec.room));
+                    best = Some((key, offer, type_spec.resources));
                 }
             }
         }
     }
-    best.map(|(_, offer, whole)| (offer, whole))
+    best.map(|(_, offer, capacity)| (offer, capacity))
 }
 
 /// Machines that are there or on their way, and which of them still have room for any need at all. A full
@@ -114,19 +114,19 @@
     /// Of those, how many have been filled since.
     filled: usize,
     /// No need asks for less of anything.
-    least: Room,
+    least: Resources,
 }
 
 impl Bins {
     fn new(all: Vec<Bin>, needs: &[Need]) -> Self {
-        let rooms = needs.iter().map(|need| need.spec.room);
-        let least = rooms.reduce(|a, b| Room {
+        let amounts = needs.iter().map(|need| need.spec.resources);
+        let least = amounts.reduce(|a, b| Resources {
             cpus: a.cpus.min(b.cpus),
             gpus: a.gpus.min(b.gpus),
             memory_gb: a.memory_gb.min(b.memory_gb),
         });
         let least = least.unwrap_or_default();
-        let open = |index: &usize| least.fits_in(all[*index].free);
+        let open = |index: &usize| least.fits_in(all[*index].available);
         Self {
             open: (0..all.len()).filter(open).collect(),
             filled: 0,
@@ -161,7 +161,7 @@
                 }
                 let taken = bin.take(need, left);
                 left -= taken;
-                self.filled += usize::from(taken > 0 && !self.least.fits_in(bin.free));
+                self.filled += usize::from(taken > 0 && !self.least.fits_in(bin.available));
             }
         }
         self.drop_filled();
@@ -177,20 +177,21 @@
     fn drop_filled(&mut self) {
         if self.filled * 2 > self.open.len() {
             let (all, least) = (&self.all, self.least);
-            self.open.retain(|index| least.fits_in(all[*index].free));
+            self.open
+                .retain(|index| least.fits_in(all[*index].available));
             self.filled = 0;
         }
     }
 
     /// The zone for a gang that must be in one: where most of its tasks find room already.
     fn gang_zone(&self, need: &Need) -> Option<Zone> {
-        let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
+        let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
         for bin in self.open().filter(|bin| need.allows(&bin.offer)) {
-            let fits = bin.free.holds(need.spec.room);
-            let there = room.entry(&bin.offer.1).or_default();
+            let fits = bin.available.holds(need.spec.resources);
+            let there = resources.entry(&bin.offer.1).or_default();
             *there = (*there + fits).min(need.count);
         }
-        let best = room.into_iter().max_by_key(|(_, tasks)| *tasks)?;
+        let best = resources.into_iter().max_by_key(|(_, tasks)| *tasks)?;
         (best.1 > 0).then(|| best.0.clone())
     }
 }
@@ -210,35 +211,36 @@
         *in_zone.entry(bin.offer.1.clone()).or_default() += 1;
     }
     bins.sort_by(|a, b| {
-        let fullness = |bin: &Bin| bin.free.share_of(bin.whole);
+        let fullness = |bin: &Bin| bin.available.share_of(bin.capacity);
         fullness(a).total_cmp(&fullness(b))
     });
     let mut bins = Bins::new(bins, needs);
-    let mut add = |bins: &mut Bins, allows: &dyn Fn(&Offer) -> bool, room: Room| -> Option<Zone> {
-        let count_in = |zone: &Zone| in_zone.get(zone).copied().unwrap_or(0);
-        let (offer, whole) = cheapest(allows, room, type_specs, &sold_out, count_in)?;
-        let zone = offer.1.clone();
-        *in_zone.entry(zone.clone()).or_default() += 1;
-        *plan.rent.entry(offer.clone()).or_insert(0) += 1;
-        bins.add(Bin {
-            machine_id: None,
-            offer,
-            whole,
-            free: whole,
-            soft: Room::default(),
-            idle_for: Millis(0),
-            worth_s: 0.0,
-        });
-        Some(zone)
-    };
+    let mut add =
+        |bins: &mut Bins, allows: &dyn Fn(&Offer) -> bool, resources: Resources| -> Option<Zone> {
+            let count_in = |zone: &Zone| in_zone.get(zone).copied().unwrap_or(0);
+            let (offer, capacity) = cheapest(allows, resources, type_specs, &sold_out, count_in)?;
+            let zone = offer.1.clone();
+            *in_zone.entry(zone.clone()).or_default() += 1;
+            *plan.rent.entry(offer.clone()).or_insert(0) += 1;
+            bins.add(Bin {
+                machine_id: None,
+                offer,
+                capacity,
+                available: capacity,
+                soft: Resources::default(),
+                idle_for: Millis(0),
+                worth_s: 0.0,
+            });
+            Some(zone)
+        };
     for need in needs {
         let spec = need.spec;
-        let together = spec.shape == Shape::Gang && spec.one_zone && need.count > 1;
+        let together = spec.kind == JobKind::Gang && spec.one_zone && need.count > 1;
         let mut zone = if together { bins.gang_zone(need) } else { None };
         let mut left = need.count - bins.take(need, zone.as_ref(), need.count);
         while left > 0 {
             let allows = |o: &Offer| need.allows(o) && zone.as_ref().is_none_or(|z| o.1 == *z);
-            let Some(rented) = add(&mut bins, &allows, spec.room) else {
+            let Some(rented) = add(&mut bins, &allows, spec.resources) else {
                 break;
             };
             if together {
@@ -252,7 +254,8 @@
         }
     }
     for wanted in headroom {
-        let kind = |bin: &&Bin| bin.offer.2 == wanted.spot && wanted.room.fits_in(bin.whole);
+        let kind =
+            |bin: &&Bin| bin.offer.2 == wanted.spot && wanted.resources.fits_in(bin.capacity);
         let there = bins
             .all
             .iter()
@@ -267,7 +270,7 @@
             .count() as u32;
         let missing = wanted.machines.saturating_sub(there);
         for _ in 0..missing.max(wanted.empty.saturating_sub(empty)) {
-            if add(&mut bins, &|o: &Offer| o.2 == wanted.spot, wanted.room).is_none() {
+            if add(&mut bins, &|o: &Offer| o.2 == wanted.spot, wanted.resources).is_none() {
                 break;
             }
         }
--- a/src/fleet/plan/tests.rs
+++ b/src/fleet/plan/tests.rs
@@ -2,8 +2,8 @@
 use crate::jobs::api::{parse, tests::body};
 use serde_json::json;
 
-fn room(gpus: f64) -> Room {
-    Room {
+fn resources(gpus: f64) -> Resources {
+    Resources {
         cpus: gpus * 10.0,
         gpus,
         memory_gb: gpus * 50.0,
@@ -13,7 +13,7 @@
 fn type_specs() -> Vec<MachineTypeSpec> {
     vec![MachineTypeSpec {
         id: "g8".into(),
-        room: room(8.0),
+        resources: resources(8.0),
         cache_gb: 100.0,
         fetch_gb_per_s: 1.0,
         price: 10.0,
@@ -23,7 +23,7 @@
     }]
 }
 
-fn spec(gpus: f64, spot: bool) -> Spec {
+fn spec(gpus: f64, spot: bool) -> JobSpec {
     let mut b = body();
     b["accelerators"] = json!(gpus);
     b["vcpus"] = json!(gpus * 10.0);
@@ -33,13 +33,13 @@
     parse(b.to_string().as_bytes()).unwrap().1
 }
 
-fn bin(name: &str, spot: bool, free: f64, idle_s: u64) -> Bin {
+fn bin(name: &str, spot: bool, available: f64, idle_s: u64) -> Bin {
     Bin {
         machine_id: Some(name.into()),
         offer: ("g8".into(), "a".into(), spot),
-        whole: room(8.0),
-        free: room(free),
-        soft: Room::default(),
+        capacity: resources(8.0),
+        available: resources(available),
+        soft: Resources::default(),
         idle_for: Millis(idle_s * 1000),
         worth_s: 0.0,
     }
@@ -49,7 +49,7 @@
 fn machines_are_rented_for_what_does_not_fit_and_returned_when_idle() {
     let small = spec(1.0, true);
     let firm = spec(1.0, false);
-    let whole = spec(8.0, false);
+    let capacity = spec(8.0, false);
     let need = |spec, count| Need {
         spec,
         count,
@@ -93,7 +93,7 @@
         ),
         (
             vec![bin("vm-1", false, 7.0, 0)],
-            vec![need(&whole, 2)],
+            vec![need(&capacity, 2)],
             0,
             false,
             0,
@@ -121,7 +121,7 @@
             spot,
             machines,
             empty: 0,
-            room: room(8.0),
+            resources: resources(8.0),
         });
         let sold_out = |o: &Offer| o.2 && no_spot;
         let plan = plan(
@@ -158,17 +158,17 @@
         ((8.0, 0.0, 30, 0.0, 1, 1), (0, 0)),
         ((8.0, 0.0, 30, 0.0, 0, 1), (0, 0)),
     ];
-    for ((free, soft, idle_s, worth_s, machines, empty), (rented, released)) in cases {
+    for ((available, soft, idle_s, worth_s, machines, empty), (rented, released)) in cases {
         let bin = Bin {
-            soft: room(soft),
+            soft: resources(soft),
             worth_s,
-            ..bin("vm-1", false, free, idle_s)
+            ..bin("vm-1", false, available, idle_s)
         };
         let headroom = Headroom {
             spot: false,
             machines,
             empty,
-            room: room(8.0),
+            resources: resources(8.0),
         };
         let idle_return = Millis(20_000);
         let plan = plan(
@@ -180,7 +180,7 @@
             idle_return,
         );
         let got = (plan.rent.values().sum::<u32>(), plan.release.len());
-        let case = (free, soft, idle_s, worth_s, machines, empty);
+        let case = (available, soft, idle_s, worth_s, machines, empty);
         assert_eq!(got, (rented, released), "{case:?}");
     }
 }
@@ -189,7 +189,7 @@
 #[test]
 fn a_gang_in_one_zone_gets_its_machines_there() {
     let mut gang = spec(8.0, false);
-    (gang.shape, gang.one_zone) = (Shape::Gang, true);
+    (gang.kind, gang.one_zone) = (JobKind::Gang, true);
     let there = |name: &str, zone: &str| Bin {
         offer: ("g8".into(), zone.into(), false),
         ..bin(name, false, 8.0, 0)
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Listed, MachineTypeSpec, Stage};
-use crate::types::{MachineId, MachineTypeId, Millis, Room, Zone};
+use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
 
 #[derive(Deserialize)]
 pub struct MachineTypesBody {
@@ -36,7 +36,7 @@
     fn from(b: MachineTypeBody) -> Self {
         Self {
             id: b.id,
-            room: Room {
+            resources: Resources {
                 cpus: b.vcpus,
                 gpus: b.accelerators,
                 memory_gb: b.memory_gb,
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -4,10 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Rank, Shape, Spec};
+use super::{JobKind, JobSpec, PriorityClass};
 use crate::fleet::MachineTypeSpec;
 use crate::settings::Settings;
-use crate::types::{Image, JobId, MachineTypeId, Room, Team, Zone};
+use crate::types::{Image, JobId, MachineTypeId, Resources, Team, Zone};
 
 /// No request body is larger.
 pub const LARGEST_BODY: usize = 64 * 1024;
@@ -23,8 +23,10 @@
     class: String,
     #[serde(rename = "crew")]
     team: Team,
-    shape: Shape,
-    rank: Rank,
+    #[serde(rename = "shape")]
+    kind: JobKind,
+    #[serde(rename = "rank")]
+    priority: PriorityClass,
     #[serde(rename = "picks")]
     tasks: u64,
     vcpus: f64,
@@ -77,7 +79,7 @@
 }
 
 /// Reads a submission; a refusal names the first field that is wrong.
-pub fn parse(body: &[u8]) -> Result<(JobId, Spec), Refused> {
+pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), Refused> {
     if body.len() > LARGEST_BODY {
         let why = Refusal::Malformed("the body is larger than 64 KiB".into());
         return Err(Refused { id: None, why });
@@ -92,7 +94,7 @@
     })
 }
 
-fn read(body: &[u8]) -> Result<(JobId, Spec), Refusal> {
+fn read(body: &[u8]) -> Result<(JobId, JobSpec), Refusal> {
     let malformed = |reason: &str| Refusal::Malformed(reason.to_string());
     let mut json = serde_json::Deserializer::from_slice(body);
     let b: SubmitBody = serde_path_to_error::deserialize(&mut json).map_err(|e| {
@@ -138,13 +140,13 @@
             )));
         }
     }
-    let spec = Spec {
+    let spec = JobSpec {
         class: b.class,
         team: b.team,
-        shape: b.shape,
-        rank: b.rank,
+        kind: b.kind,
+        priority: b.priority,
         tasks: b.tasks as u32,
-        room: Room {
+        resources: Resources {
             cpus: b.vcpus,
             gpus: b.accelerators,
             memory_gb: b.memory_gb,
@@ -167,10 +169,10 @@
 /// Whether the job can ever run; drops the allowed types that don't exist, so that the record
 /// stays small whatever the user listed.
 pub fn admit(
-    mut spec: Spec,
+    mut spec: JobSpec,
     settings: &Settings,
     type_specs: &[MachineTypeSpec],
-) -> Result<Spec, Refusal> {
+) -> Result<JobSpec, Refusal> {
     let never = |reason: String| Err(Refusal::NeverRuns(reason));
     let Some(team) = settings.team(&spec.team) else {
         return never(format!("crew: no team is called {}", spec.team));
@@ -179,7 +181,9 @@
         machine_types.retain(|machine_type| type_specs.iter().any(|f| f.id == *machine_type));
         machine_types.dedup();
     }
-    let roomy = type_specs.iter().filter(|f| spec.room.fits_in(f.room));
+    let roomy = type_specs
+        .iter()
+        .filter(|f| spec.resources.fits_in(f.resources));
     let places = roomy.flat_map(|f| f.zones.iter().map(move |zone| (&f.id, zone)));
     let places = places.filter(|(machine_type, zone)| spec.allows(machine_type, zone, false));
     let zones: BTreeSet<&Zone> = places.map(|(_, zone)| zone).collect();
@@ -187,14 +191,14 @@
         return never("a task fits no allowed machine type".into());
     }
     let in_one = spec.one_zone || zones.len() == 1;
-    if spec.shape != Shape::Array && spec.spread && in_one && spec.zone_share() < spec.tasks {
+    if spec.kind != JobKind::Array && spec.spread && in_one && spec.zone_share() < spec.tasks {
         return never("spread: all tasks would have to be in one zone".into());
     }
-    let at_once = match spec.shape {
-        Shape::Array => 1,
-        Shape::Gang | Shape::Service => spec.tasks,
+    let at_once = match spec.kind {
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks,
     };
-    if !crate::quota::within(spec.room.times(f64::from(at_once)), team) {
+    if !crate::quota::within(spec.resources.times(f64::from(at_once)), team) {
         return never(format!(
             "the job needs more than the limit of {}",
             spec.team
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -152,7 +152,7 @@
     let settings = Settings::parse("f", &settings.to_string()).unwrap();
     let type_spec = |id: &str, zones: &[&str], gpus: f64| MachineTypeSpec {
         id: id.into(),
-        room: Room {
+        resources: Resources {
             cpus: 96.0,
             gpus,
             memory_gb: 768.0,
