--- a/src/jobs/cache.rs
+++ b/src/jobs/cache.rs
@@ -5,10 +5,10 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
 use super::record::{JobRecord, decode_page, parse_page_key};
-use super::{Phase, Placement, Rank, Shape, Spec, Task};
+use super::{JobKind, JobSpec, Phase, Placement, PriorityClass, Task};
 use crate::jobs::api::{JobState, Stage};
 use crate::types::{
-    Attempt, FencingToken, JobId, MachineId, Millis, Revision, Room, ShardId, Team, Zone,
+    Attempt, FencingToken, JobId, MachineId, Millis, Resources, Revision, ShardId, Team, Zone,
 };
 
 /// What this controller wants the record of a task to say next. What is known of an attempt holds
@@ -77,7 +77,7 @@
     pub id: JobId,
     pub version: Revision,
     pub record: JobRecord,
-    pub spec: Spec,
+    pub spec: JobSpec,
     pub born: Millis,
     /// When a task of it was last placed or taken off its machine.
     pub settled: Millis,
@@ -206,13 +206,13 @@
 
     /// A gang of several tasks, which stands or falls as a whole.
     pub fn whole_gang(&self) -> bool {
-        self.spec.shape == Shape::Gang && self.record.tasks > 1
+        self.spec.kind == JobKind::Gang && self.record.tasks > 1
     }
 
     /// A gang of which some tasks are placed and others not can't go on: what is left of the
     /// attempt has to go first.
     pub fn broken_gang(&self) -> bool {
-        self.spec.shape == Shape::Gang
+        self.spec.kind == JobKind::Gang
             && self.placed > 0
             && self.placed + self.done < self.record.tasks
     }
@@ -235,7 +235,7 @@
 
 /// A job that is over and of which nothing is left anywhere: only its end is remembered.
 #[derive(Clone, Copy, Debug)]
-pub struct Over {
+pub struct FinishedJob {
     pub phase: Phase,
     pub tasks: u32,
     version: Revision,
@@ -243,69 +243,69 @@
 
 /// What a fed record touched.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Touched {
+pub struct RecordChange {
     pub job: Option<JobId>,
     /// Hosts that lost a task, and the team that uses less for it.
     pub freed: Vec<MachineId>,
     pub team: Option<Team>,
     /// Hosts that gained one.
-    pub taken: Vec<MachineId>,
+    pub allocated: Vec<MachineId>,
 }
 
 /// What is taken of a machine. Kept as tasks come and go, so that looking at a machine costs the same
 /// whatever is on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HostUse {
+pub struct MachineUsage {
     /// By what the records place there and by what is reserved.
-    pub taken: Room,
+    pub allocated: Resources,
     /// By committed tasks that give way to urgent work.
-    pub soft: Room,
+    pub soft: Resources,
     /// By committed tasks of each priority, the lowest first.
-    by_priority: [Room; RANKS],
+    by_priority: [Resources; PRIORITY_CLASSES],
     tasks: u32,
     /// Committed tasks that do not give way.
     firm: u32,
 }
 
 /// How many priorities there are.
-const RANKS: usize = 4;
+const PRIORITY_CLASSES: usize = 4;
 
-impl HostUse {
+impl MachineUsage {
     /// Whether all of it gives way to urgent work.
     pub fn yielding(&self) -> bool {
         self.firm == 0
     }
 
     /// Taken by committed tasks of lower priority.
-    pub fn below(&self, rank: Rank) -> Room {
-        let lower = self.by_priority.iter().take(rank as usize);
-        lower.fold(Room::default(), |sum, room| sum.plus(*room))
+    pub fn below(&self, priority: PriorityClass) -> Resources {
+        let lower = self.by_priority.iter().take(priority as usize);
+        lower.fold(Resources::default(), |sum, resources| sum.plus(*resources))
     }
 
-    fn add(&mut self, spec: &Spec, committed: bool) {
+    fn add(&mut self, spec: &JobSpec, committed: bool) {
         self.tasks += 1;
-        self.taken = self.taken.plus(spec.room);
+        self.allocated = self.allocated.plus(spec.resources);
         if committed {
-            let of_priority = &mut self.by_priority[spec.rank as usize];
-            *of_priority = of_priority.plus(spec.room);
+            let of_priority = &mut self.by_priority[spec.priority as usize];
+            *of_priority = of_priority.plus(spec.resources);
         }
         if committed && spec.yields() {
-            self.soft = self.soft.plus(spec.room);
+            self.soft = self.soft.plus(spec.resources);
         } else if committed {
             self.firm += 1;
         }
     }
 
     /// Whether anything is left.
-    fn remove(&mut self, spec: &Spec, committed: bool) -> bool {
+    fn remove(&mut self, spec: &JobSpec, committed: bool) -> bool {
         self.tasks -= 1;
-        self.taken = self.taken.minus(spec.room);
+        self.allocated = self.allocated.minus(spec.resources);
         if committed {
-            let of_priority = &mut self.by_priority[spec.rank as usize];
-            *of_priority = of_priority.minus(spec.room);
+            let of_priority = &mut self.by_priority[spec.priority as usize];
+            *of_priority = of_priority.minus(spec.resources);
         }
         if committed && spec.yields() {
-            self.soft = self.soft.minus(spec.room);
+            self.soft = self.soft.minus(spec.resources);
         } else if committed {
             self.firm -= 1;
         }
@@ -315,22 +315,22 @@
 
 /// What is taken of all machines, and where that has changed since somebody asked.
 #[derive(Default)]
-struct HostUses {
-    by_machine: HashMap<MachineId, HostUse>,
+struct MachineUsages {
+    by_machine: HashMap<MachineId, MachineUsage>,
     changed: HashSet<MachineId>,
 }
 
-impl HostUses {
-    fn occupy(&mut self, machine_id: &MachineId, spec: &Spec, committed: bool) {
-        let taken = self.by_machine.entry(machine_id.clone()).or_default();
-        taken.add(spec, committed);
+impl MachineUsages {
+    fn occupy(&mut self, machine_id: &MachineId, spec: &JobSpec, committed: bool) {
+        let allocated = self.by_machine.entry(machine_id.clone()).or_default();
+        allocated.add(spec, committed);
         self.changed.insert(machine_id.clone());
     }
 
-    fn vacate(&mut self, machine_id: &MachineId, spec: &Spec, committed: bool) {
+    fn vacate(&mut self, machine_id: &MachineId, spec: &JobSpec, committed: bool) {
         // An empty machine is forgotten, and with it what rounding left of its sums.
-        if let Some(taken) = self.by_machine.get_mut(machine_id)
-            && !taken.remove(spec, committed)
+        if let Some(allocated) = self.by_machine.get_mut(machine_id)
+            && !allocated.remove(spec, committed)
         {
             self.by_machine.remove(machine_id);
         }
@@ -338,7 +338,7 @@
     }
 }
 
-type InShard = HashMap<Team, HashMap<ShardId, (Room, u32)>>;
+type InShard = HashMap<Team, HashMap<ShardId, (Resources, u32)>>;
 
 /// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
 pub type Groups = HashMap<Team, Vec<Team>>;
@@ -348,22 +348,22 @@
     std::iter::once(team).chain(groups.get(team).into_iter().flatten())
 }
 
-fn enter(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &Spec) {
+fn enter(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
     for team in with_groups(groups, &spec.team) {
         let shards = shards.entry(team.clone()).or_default();
-        let (room, tasks) = shards.entry(shard.clone()).or_default();
-        *room = room.plus(spec.room);
+        let (resources, tasks) = shards.entry(shard.clone()).or_default();
+        *resources = resources.plus(spec.resources);
         *tasks += 1;
     }
 }
 
-fn leave(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &Spec) {
+fn leave(shards: &mut InShard, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
     for team in with_groups(groups, &spec.team) {
         let Some(shards) = shards.get_mut(team) else {
             continue;
         };
-        if let Some((room, tasks)) = shards.get_mut(shard) {
-            *room = room.minus(spec.room);
+        if let Some((resources, tasks)) = shards.get_mut(shard) {
+            *resources = resources.minus(spec.resources);
             *tasks -= 1;
             if *tasks == 0 {
                 shards.remove(shard);
@@ -372,45 +372,45 @@
     }
 }
 
-fn room_in(shards: &InShard, team: &Team, shard: &ShardId) -> Room {
+fn room_in(shards: &InShard, team: &Team, shard: &ShardId) -> Resources {
     let shards = shards.get(team);
     shards
         .and_then(|shards| shards.get(shard))
-        .map(|(room, _)| *room)
+        .map(|(resources, _)| *resources)
         .unwrap_or_default()
 }
 
 /// Adds to the sums of a team and its groups.
-fn count(sums: &mut HashMap<Team, Room>, groups: &Groups, team: &Team, room: Room) {
+fn count(sums: &mut HashMap<Team, Resources>, groups: &Groups, team: &Team, resources: Resources) {
     for team in with_groups(groups, team) {
         let sum = sums.entry(team.clone()).or_default();
-        *sum = sum.plus(room);
+        *sum = sum.plus(resources);
     }
 }
 
 /// The same for what has left: only a tree of quotas asks for it.
-fn left(sums: &mut HashMap<Team, Room>, groups: &Groups, team: &Team, room: Room) {
+fn left(sums: &mut HashMap<Team, Resources>, groups: &Groups, team: &Team, resources: Resources) {
     if !groups.is_empty() {
-        count(sums, groups, team, room);
+        count(sums, groups, team, resources);
     }
 }
 
 #[derive(Default)]
-pub struct Jobs {
+pub struct JobCache {
     jobs: HashMap<JobId, Job>,
-    over: HashMap<JobId, Over>,
+    over: HashMap<JobId, FinishedJob>,
     on_machine: HashMap<MachineId, BTreeSet<(JobId, u32)>>,
-    uses: HostUses,
+    uses: MachineUsages,
     /// What the placed tasks of each team, and of each group of teams, use.
-    usage: HashMap<Team, Room>,
+    usage: HashMap<Team, Resources>,
     /// Of that, what tasks use that are known to have left, though that is not written yet.
-    left_by: HashMap<Team, Room>,
+    left_by: HashMap<Team, Resources>,
     /// Groups are counted as teams are, under names of their own.
     groups: Groups,
     /// What each team's tasks use in each shard, reserved ones included, and how many they are.
     in_shard: InShard,
     /// Placed in memory, not yet committed.
-    reserved_by: HashMap<Team, Room>,
+    reserved_by: HashMap<Team, Resources>,
     /// The same by shard.
     reserved_in: InShard,
     /// Pages that came before their job's record.
@@ -419,7 +419,7 @@
     leftovers: HashSet<(JobId, u32)>,
 }
 
-impl Jobs {
+impl JobCache {
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -470,7 +470,7 @@
     }
 
     /// What is taken of a machine.
-    pub fn host_use(&self, machine_id: &MachineId) -> HostUse {
+    pub fn machine_usage(&self, machine_id: &MachineId) -> MachineUsage {
         self.uses
             .by_machine
             .get(machine_id)
@@ -484,17 +484,17 @@
     }
 
     /// Room taken on a machine: by what the records place there and by what is reserved.
-    pub fn taken(&self, machine_id: &MachineId) -> Room {
-        self.host_use(machine_id).taken
+    pub fn allocated(&self, machine_id: &MachineId) -> Resources {
+        self.machine_usage(machine_id).allocated
     }
 
     /// Whether all work on a machine gives way to urgent work.
     pub fn yielding(&self, machine_id: &MachineId) -> bool {
-        self.host_use(machine_id).yielding()
+        self.machine_usage(machine_id).yielding()
     }
 
     /// What a team's tasks use, by the records and by what is reserved.
-    pub fn usage(&self, team: &Team) -> Room {
+    pub fn usage(&self, team: &Team) -> Resources {
         let committed = self.usage.get(team).copied().unwrap_or_default();
         let reserved = self.reserved_by.get(team).copied().unwrap_or_default();
         committed.plus(reserved)
@@ -511,15 +511,15 @@
         for job in self.jobs.values() {
             let (groups, spec) = (&self.groups, &job.spec);
             for (_, placement) in job.placements() {
-                count(&mut self.usage, groups, &spec.team, spec.room);
+                count(&mut self.usage, groups, &spec.team, spec.resources);
                 enter(&mut self.in_shard, groups, &placement.shard, spec);
             }
             for _ in &job.left {
-                count(&mut self.left_by, groups, &spec.team, spec.room);
+                count(&mut self.left_by, groups, &spec.team, spec.resources);
             }
             for change in job.changes.values() {
                 if let Change::Place(placement) = change {
-                    count(&mut self.reserved_by, groups, &spec.team, spec.room);
+                    count(&mut self.reserved_by, groups, &spec.team, spec.resources);
                     enter(&mut self.reserved_in, groups, &placement.shard, spec);
                     enter(&mut self.in_shard, groups, &placement.shard, spec);
                 }
@@ -528,30 +528,30 @@
     }
 
     /// All that the unfinished jobs of each team could use at once.
-    pub fn demands(&self) -> HashMap<&Team, Room> {
-        let mut demands: HashMap<&Team, Room> = HashMap::default();
+    pub fn demands(&self) -> HashMap<&Team, Resources> {
+        let mut demands: HashMap<&Team, Resources> = HashMap::default();
         for job in self.jobs.values().filter(|job| job.active()) {
             let left = job.record.tasks.saturating_sub(job.done);
             let demand = demands.entry(&job.spec.team).or_default();
-            *demand = demand.plus(job.spec.room.times(f64::from(left)));
+            *demand = demand.plus(job.spec.resources.times(f64::from(left)));
         }
         demands
     }
 
     /// What a team's tasks use, without those that are known to have left. Limits rest on the
     /// records; shares follow what is seen.
-    pub fn standing(&self, team: &Team) -> Room {
+    pub fn standing(&self, team: &Team) -> Resources {
         let left = self.left_by.get(team).copied().unwrap_or_default();
         self.usage(team).minus(left)
     }
 
     /// What a team's tasks use in one shard, reserved ones included.
-    pub fn used_in(&self, team: &Team, shard: &ShardId) -> Room {
+    pub fn used_in(&self, team: &Team, shard: &ShardId) -> Resources {
         room_in(&self.in_shard, team, shard)
     }
 
     /// Of that, what is reserved and not yet in the records.
-    pub fn reserved_in(&self, team: &Team, shard: &ShardId) -> Room {
+    pub fn reserved_in(&self, team: &Team, shard: &ShardId) -> Resources {
         room_in(&self.reserved_in, team, shard)
     }
 
@@ -560,24 +560,30 @@
         self.in_shard.get(team).into_iter().flat_map(|b| b.keys())
     }
 
-    pub fn feed_job(&mut self, id: &JobId, text: &str, version: Revision, now: Millis) -> Touched {
+    pub fn feed_job(
+        &mut self,
+        id: &JobId,
+        text: &str,
+        version: Revision,
+        now: Millis,
+    ) -> RecordChange {
         let record: JobRecord = match serde_json::from_str(text) {
             Ok(record) => record,
             Err(error) => {
                 tracing::error!(job = %id, %error, "a job record makes no sense");
-                return Touched::default();
+                return RecordChange::default();
             }
         };
         let known = self.jobs.get(id).map(|job| job.version);
         // The answer to a transaction of ours may come after the watch has brought what followed.
         let known = known.or(self.over.get(id).map(|over| over.version));
         if known.is_some_and(|known| known >= version) {
-            return Touched::default();
+            return RecordChange::default();
         }
         let Some(spec) = record.spec.clone() else {
             let touched = self.forget(id);
             let (phase, tasks) = (record.phase, record.tasks);
-            let over = Over {
+            let over = FinishedJob {
                 phase,
                 tasks,
                 version,
@@ -611,17 +617,17 @@
                 }
             }
         }
-        Touched {
+        RecordChange {
             job: Some(id.clone()),
-            ..Touched::default()
+            ..RecordChange::default()
         }
     }
 
     /// Drops all that is kept of a job that is over. What it still held comes free with that.
-    fn forget(&mut self, id: &JobId) -> Touched {
-        let mut touched = Touched {
+    fn forget(&mut self, id: &JobId) -> RecordChange {
+        let mut touched = RecordChange {
             job: Some(id.clone()),
-            ..Touched::default()
+            ..RecordChange::default()
         };
         let pages: Vec<u32> = self
             .get(id)
@@ -639,7 +645,13 @@
         touched
     }
 
-    pub fn feed_page(&mut self, id: &JobId, page: u32, text: &str, version: Revision) -> Touched {
+    pub fn feed_page(
+        &mut self,
+        id: &JobId,
+        page: u32,
+        text: &str,
+        version: Revision,
+    ) -> RecordChange {
         let Some(job) = self.jobs.get(id) else {
             if self.over.contains_key(id) {
                 self.leftovers.insert((id.clone(), page));
@@ -647,39 +659,39 @@
                 let pages = self.early.entry(id.clone()).or_default();
                 pages.insert(page, (version, text.to_string()));
             }
-            return Touched::default();
+            return RecordChange::default();
         };
         if job.page_version(page) >= version {
-            return Touched::default();
+            return RecordChange::default();
         }
         match decode_page(text, job.record.page_len(page)) {
             Some(tasks) => self.set_page(id, page, Some(Page::new(version, tasks))),
             None => {
                 tracing::error!(job = %id, page, "a page of tasks makes no sense");
-                Touched::default()
+                RecordChange::default()
             }
         }
     }
 
-    pub fn drop_page(&mut self, id: &JobId, page: u32, version: Revision) -> Touched {
+    pub fn drop_page(&mut self, id: &JobId, page: u32, version: Revision) -> RecordChange {
         if let Some(pages) = self.early.get_mut(id) {
             pages.remove(&page);
         }
         self.leftovers.remove(&(id.clone(), page));
         match self.jobs.get(id) {
             Some(job) if job.page_version(page) < version => self.set_page(id, page, None),
-            _ => Touched::default(),
+            _ => RecordChange::default(),
         }
     }
 
     /// Replaces a page and keeps the sums over all jobs right.
-    fn set_page(&mut self, id: &JobId, page: u32, content: Option<Page>) -> Touched {
-        let mut touched = Touched {
+    fn set_page(&mut self, id: &JobId, page: u32, content: Option<Page>) -> RecordChange {
+        let mut touched = RecordChange {
             job: Some(id.clone()),
-            ..Touched::default()
+            ..RecordChange::default()
         };
         let Some(job) = self.jobs.get_mut(id) else {
-            return Touched::default();
+            return RecordChange::default();
         };
         let old = match content {
             Some(content) => job.pages.insert(page, content),
@@ -692,7 +704,7 @@
             .map(|p| p.tasks.as_slice())
             .unwrap_or_default();
         let first = page * job.record.page;
-        let (mut change, mut returned) = (Room::default(), Room::default());
+        let (mut change, mut returned) = (Resources::default(), Resources::default());
         for index in 0..old.len().max(new.len()) {
             let before = old.get(index).unwrap_or(&Task::FRESH);
             let after = new.get(index).unwrap_or(&Task::FRESH);
@@ -703,9 +715,9 @@
             match before {
                 Task::Placed(p) => {
                     job.placed -= 1;
-                    change = change.minus(job.spec.room);
+                    change = change.minus(job.spec.resources);
                     if job.left.remove(&entry.1).is_some() {
-                        returned = returned.minus(job.spec.room);
+                        returned = returned.minus(job.spec.resources);
                     } else {
                         self.uses.vacate(&p.machine_id, &job.spec, true);
                     }
@@ -725,23 +737,23 @@
             match after {
                 Task::Placed(p) => {
                     job.placed += 1;
-                    change = change.plus(job.spec.room);
+                    change = change.plus(job.spec.resources);
                     self.uses.occupy(&p.machine_id, &job.spec, true);
                     enter(&mut self.in_shard, &self.groups, &p.shard, &job.spec);
                     self.on_machine
                         .entry(p.machine_id.clone())
                         .or_default()
                         .insert(entry);
-                    touched.taken.push(p.machine_id.clone());
+                    touched.allocated.push(p.machine_id.clone());
                 }
                 Task::Done => job.done += 1,
                 Task::Waiting { .. } => {}
             }
         }
-        if change != Room::default() {
+        if change != Resources::default() {
             count(&mut self.usage, &self.groups, &job.spec.team, change);
         }
-        if returned != Room::default() {
+        if returned != Resources::default() {
             left(&mut self.left_by, &self.groups, &job.spec.team, returned);
         }
         touched
@@ -759,11 +771,11 @@
             let (groups, spec) = (&self.groups, &job.spec);
             enter(&mut self.in_shard, groups, &placement.shard, spec);
             enter(&mut self.reserved_in, groups, &placement.shard, spec);
-            count(&mut self.reserved_by, groups, &spec.team, spec.room);
+            count(&mut self.reserved_by, groups, &spec.team, spec.resources);
         } else if let Some(machine_id) = job.task(index).placement().map(|p| p.machine_id.clone()) {
             self.uses.vacate(&machine_id, &job.spec, true);
-            let (team, room) = (&job.spec.team, job.spec.room);
-            left(&mut self.left_by, &self.groups, team, room);
+            let (team, resources) = (&job.spec.team, job.spec.resources);
+            left(&mut self.left_by, &self.groups, team, resources);
             job.left.insert(index, machine_id);
         }
         job.changes.insert(index, change);
@@ -779,7 +791,7 @@
             // Still placed by the records.
             if let Some(machine_id) = job.left.remove(index) {
                 self.uses.occupy(&machine_id, &job.spec, true);
-                let less = Room::default().minus(job.spec.room);
+                let less = Resources::default().minus(job.spec.resources);
                 left(&mut self.left_by, &self.groups, &job.spec.team, less);
             }
             if let Some(Change::Place(placement)) = change {
@@ -787,7 +799,7 @@
                 let (groups, spec) = (&self.groups, &job.spec);
                 leave(&mut self.in_shard, groups, &placement.shard, spec);
                 leave(&mut self.reserved_in, groups, &placement.shard, spec);
-                let less = Room::default().minus(spec.room);
+                let less = Resources::default().minus(spec.resources);
                 count(&mut self.reserved_by, groups, &spec.team, less);
             }
         }
@@ -808,21 +820,21 @@
         data: Option<&str>,
         version: Revision,
         now: Millis,
-    ) -> Touched {
+    ) -> RecordChange {
         if let Some(id) = key.strip_prefix(super::record::JOBS) {
             // Job records are never dropped: a job's end is remembered.
             return match data {
                 Some(text) => self.feed_job(&id.into(), text, version, now),
-                None => Touched::default(),
+                None => RecordChange::default(),
             };
         }
         let touched = match (parse_page_key(key), data) {
             (Some((id, page)), Some(text)) => self.feed_page(&id, page, text, version),
             (Some((id, page)), None) => self.drop_page(&id, page, version),
-            (None, _) => Touched::default(),
+            (None, _) => RecordChange::default(),
         };
         if let Some(id) = touched.job.as_ref()
-            && !(touched.taken.is_empty() && touched.freed.is_empty())
+            && !(touched.allocated.is_empty() && touched.freed.is_empty())
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.settled = now;
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -12,17 +12,17 @@
     })
 }
 
-pub(crate) fn jobs(tasks: u32, pages: &[(u32, Vec<Task>)]) -> (Jobs, JobId) {
+pub(crate) fn jobs(tasks: u32, pages: &[(u32, Vec<Task>)]) -> (JobCache, JobId) {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.tasks, spec.shape) = (tasks, Shape::Array);
+    (spec.tasks, spec.kind) = (tasks, JobKind::Array);
     let record = JobRecord {
         phase: Phase::Active,
-        home: "n0".into(),
+        owner: "n0".into(),
         tasks,
         page: 4,
         spec: Some(spec),
     };
-    let mut jobs = Jobs::default();
+    let mut jobs = JobCache::default();
     let record = serde_json::to_string(&record).unwrap();
     jobs.feed(&job_key(&id), Some(&record), Revision(1), Millis(1));
     for (page, tasks) in pages {
@@ -105,13 +105,13 @@
     let first = [placed("vm-1"), placed("vm-1"), Task::FRESH, Task::FRESH];
     let key = page_key(&id, 0);
     jobs.feed(&key, Some(&page(&first)), Revision(3), Millis(1));
-    let each = jobs.get(&id).unwrap().spec.room.gpus;
-    let gpus = |jobs: &Jobs, machine_id: &str| jobs.taken(&machine_id.into()).gpus / each;
+    let each = jobs.get(&id).unwrap().spec.resources.gpus;
+    let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
     assert_eq!(gpus(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
     jobs.want(&id, 0, Change::Finish { attempt });
     assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
-    let used = |jobs: &Jobs| {
+    let used = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
         jobs.used_in(&team, &ShardId::parse("a.0").unwrap()).gpus / each
     };
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -24,7 +24,7 @@
 const LOOK_EVERY: Millis = Millis(400);
 
 #[derive(Debug, Default)]
-pub struct Ends {
+pub struct CompletionForwarder {
     /// Jobs with many changes, when they were looked over last, and whether there is more since.
     looked: HashMap<JobId, (Millis, bool)>,
     told: HashMap<JobId, BTreeMap<u32, (Attempt, Millis)>>,
@@ -55,7 +55,7 @@
     })
 }
 
-impl Ends {
+impl CompletionForwarder {
     /// Whether a look at the job's changes can wait; it comes up again in `due`.
     pub fn waits(&mut self, job: &Job, now: Millis) -> bool {
         if job.changes.len() <= MANY {
@@ -83,11 +83,11 @@
         due
     }
 
-    /// Tells `home` of all that is noted of a job. False if not all of it can be written there;
+    /// Tells `owner` of all that is noted of a job. False if not all of it can be written there;
     /// then nothing is told.
     pub fn tell(
         &mut self,
-        home: &ControllerId,
+        owner: &ControllerId,
         job: &Job,
         token: impl Fn(u32) -> Option<FencingToken>,
         now: Millis,
@@ -98,7 +98,7 @@
             .collect();
         let Some(all) = all else { return false };
         let known = self.told.entry(job.id.clone()).or_default();
-        let outbox = self.outbox.entry(home.clone()).or_default();
+        let outbox = self.outbox.entry(owner.clone()).or_default();
         for left in all {
             let attempt = Attempt(left.attempt);
             let again = known
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -12,7 +12,7 @@
             jobs.want(&id, index, Change::Finish { attempt });
         }
         let job = jobs.get(&id).unwrap();
-        let mut ends = Ends::default();
+        let mut ends = CompletionForwarder::default();
         let mut looked = 0;
         // Twenty reports in two seconds.
         for step in 1..=20 {
--- a/src/jobs/crash_loop.rs
+++ b/src/jobs/crash_loop.rs
@@ -9,7 +9,7 @@
 
 use rustc_hash::FxHashMap as HashMap;
 
-use super::Shape;
+use super::JobKind;
 use crate::types::{JobId, MachineId, Millis};
 
 /// A job is suspect once it failed on this many machines.
@@ -26,7 +26,7 @@
 const MOST_MACHINES: usize = 8;
 
 #[derive(Debug, Default)]
-struct Trial {
+struct CrashLoop {
     failed_on: BTreeSet<MachineId>,
     suspect: bool,
     waits: u32,
@@ -35,30 +35,30 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Trials {
-    jobs: HashMap<JobId, Trial>,
+pub struct CrashLoopTracker {
+    jobs: HashMap<JobId, CrashLoop>,
 }
 
-impl Trials {
+impl CrashLoopTracker {
     /// A task of the job failed on a machine. True if the job is suspect since this failure.
     pub fn failed(
         &mut self,
         job: &JobId,
-        shape: Shape,
+        kind: JobKind,
         machine_id: &MachineId,
         now: Millis,
     ) -> bool {
         let trial = self.jobs.entry(job.clone()).or_default();
         if now.since(trial.last) > FORGET {
-            *trial = Trial::default();
+            *trial = CrashLoop::default();
         }
         trial.last = now;
         if trial.failed_on.len() < MOST_MACHINES {
             trial.failed_on.insert(machine_id.clone());
         }
-        let enough = match shape {
-            Shape::Service => SERVICE_SUSPECT_AFTER,
-            Shape::Array | Shape::Gang => SUSPECT_AFTER,
+        let enough = match kind {
+            JobKind::Service => SERVICE_SUSPECT_AFTER,
+            JobKind::Array | JobKind::Gang => SUSPECT_AFTER,
         };
         let was = trial.suspect;
         trial.suspect |= trial.failed_on.len() >= enough;
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::types::{
-    AgentEpoch, Attempt, Image, MachineId, MachineTypeId, Room, ShardId, Team, Zone,
+    AgentEpoch, Attempt, Image, MachineId, MachineTypeId, Resources, ShardId, Team, Zone,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     #[serde(rename = "sweep")]
     Array,
@@ -29,7 +29,7 @@
 /// Priority; the greater goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rank {
+pub enum PriorityClass {
     BestEffort,
     Normal,
     Urgent,
@@ -38,17 +38,20 @@
 
 /// What a user asked for, checked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     #[serde(rename = "lot")]
     pub class: String,
     #[serde(rename = "crew")]
     pub team: Team,
-    pub shape: Shape,
-    pub rank: Rank,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: PriorityClass,
     #[serde(rename = "picks")]
     pub tasks: u32,
     /// What each task takes.
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     #[serde(rename = "kit")]
     pub image: Image,
     #[serde(rename = "sizeGb")]
@@ -72,7 +75,7 @@
     pub due_s: Option<f64>,
 }
 
-impl Spec {
+impl JobSpec {
     pub fn allows(&self, machine_type: &MachineTypeId, zone: &Zone, spot: bool) -> bool {
         self.machine_types
             .as_ref()
@@ -83,7 +86,9 @@
 
     /// Whether its tasks give way to urgent work without much loss.
     pub fn yields(&self) -> bool {
-        self.rank < Rank::Urgent && self.checkpoint_s > 0.0 && self.shape == Shape::Array
+        self.priority < PriorityClass::Urgent
+            && self.checkpoint_s > 0.0
+            && self.kind == JobKind::Array
     }
 
     /// Whether stopping a task at once wastes about as little as letting it save: what it did since
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Phase, Placement, Spec, Task};
+use super::{JobSpec, Phase, Placement, Task};
 use crate::types::{AgentEpoch, Attempt, ControllerId, JobId, MachineId, ShardId};
 
 pub const JOBS: &str = "jt/job/";
@@ -29,13 +29,14 @@
 pub struct JobRecord {
     pub phase: Phase,
     /// The controller that took the job and tries to place it first.
-    pub home: ControllerId,
+    #[serde(rename = "home")]
+    pub owner: ControllerId,
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per page.
     pub page: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spec: Option<Spec>,
+    pub spec: Option<JobSpec>,
 }
 
 impl JobRecord {
@@ -93,16 +94,19 @@
     let runs: Vec<Run> = serde_json::from_str(text).ok()?;
     let mut tasks = Vec::with_capacity(len as usize);
     for run in runs {
-        let room = (len as usize).checked_sub(tasks.len())?;
+        let remaining = (len as usize).checked_sub(tasks.len())?;
         match run {
             Run::Waiting(count, tried) => {
                 let task = Task::Waiting {
                     tried: Attempt(tried),
                 };
-                tasks.extend(std::iter::repeat_n(task, room.min(count as usize)));
+                tasks.extend(std::iter::repeat_n(task, remaining.min(count as usize)));
             }
             Run::Done(count) => {
-                tasks.extend(std::iter::repeat_n(Task::Done, room.min(count as usize)));
+                tasks.extend(std::iter::repeat_n(
+                    Task::Done,
+                    remaining.min(count as usize),
+                ));
             }
             Run::Placed(machine_id, shard, agent_epoch, attempt) => {
                 tasks.push(Task::Placed(Placement {
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -238,7 +238,7 @@
     };
     let mut held: BTreeMap<&ControllerId, u32> = fit.iter().map(|(n, _)| (*n, 0)).collect();
     let mut result = BTreeMap::new();
-    let mut homeless = Vec::new();
+    let mut unowned = Vec::new();
     let zones: BTreeSet<&Zone> = zones.iter().collect();
     for zone in zones {
         let local: Vec<&ControllerId> = fit
@@ -254,11 +254,11 @@
                     *held.entry(controller).or_default() += 1;
                     result.insert(shard, (*controller).clone());
                 }
-                None => homeless.push(shard),
+                None => unowned.push(shard),
             }
         }
     }
-    for shard in homeless {
+    for shard in unowned {
         if let Some((controller, count)) = held
             .iter_mut()
             .min_by_key(|(controller, count)| (**count, **controller))
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -147,7 +147,7 @@
 }
 
 async fn listen(address: SocketAddr, most: usize, inbox: mpsc::Sender<PeerMessage>) {
-    let room = Arc::new(Semaphore::new(most));
+    let resources = Arc::new(Semaphore::new(most));
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
@@ -160,7 +160,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let Ok(place) = room.clone().try_acquire_owned() else {
+                let Ok(place) = resources.clone().try_acquire_owned() else {
                     continue;
                 };
                 let inbox = inbox.clone();
--- a/src/preempt.rs
+++ b/src/preempt.rs
@@ -1,14 +1,14 @@
 //! Preemption, the post-filter of the cycle: whom to stop so that a task finds room.
 
-use crate::jobs::Rank;
-use crate::types::{MachineId, Room, TaskId, Team};
+use crate::jobs::PriorityClass;
+use crate::types::{MachineId, Resources, TaskId, Team};
 
 /// A task that may be stopped for another.
 #[derive(Clone, Debug)]
 pub struct Victim {
     pub task: TaskId,
-    pub room: Room,
-    pub rank: Rank,
+    pub resources: Resources,
+    pub priority: PriorityClass,
     /// Seconds of its machine's time that stopping it wastes.
     pub waste_s: f64,
     /// It is being stopped already.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub machine_id: MachineId,
-    pub free: Room,
+    pub available: Resources,
     pub victims: Vec<Victim>,
     /// Seconds that the task would have to wait here besides, such as for its image.
     pub delay_s: f64,
@@ -36,7 +36,7 @@
 
 /// What room for a task costs on one machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct PreemptionOffer {
     pub machine_id: MachineId,
     /// Whom to stop there; tasks that are leaving already cost nothing.
     pub victims: Vec<TaskId>,
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Cost {
     near: i64,
-    rank: Rank,
+    priority: PriorityClass,
     waste_s: f64,
 }
 
@@ -64,37 +64,45 @@
     }
 }
 
-pub fn offer(room: Room, site: &Site) -> Option<Offer> {
-    let (chosen, free) = gather(room, site)?;
-    let needed = spare(room, chosen, free);
-    let highest = needed.iter().map(|v| v.rank).max();
+pub fn offer(resources: Resources, site: &Site) -> Option<PreemptionOffer> {
+    let (chosen, available) = gather(resources, site)?;
+    let needed = spare(resources, chosen, available);
+    let highest = needed.iter().map(|v| v.priority).max();
     let stopped = || needed.iter().filter(|victim| !victim.leaving);
     let waste: f64 = stopped().map(|v| v.waste_s).sum();
     let nearest = stopped().map(|victim| near(site, victim)).max();
-    Some(Offer {
+    Some(PreemptionOffer {
         machine_id: site.machine_id.clone(),
         victims: stopped().map(|victim| victim.task.clone()).collect(),
         // Stopping nobody is no better than stopping work of normal priority if it takes longer.
         cost: Cost {
             near: nearest.unwrap_or(0),
-            rank: highest.unwrap_or(Rank::BestEffort).max(Rank::Normal),
+            priority: highest
+                .unwrap_or(PriorityClass::BestEffort)
+                .max(PriorityClass::Normal),
             waste_s: waste + site.delay_s,
         },
     })
 }
 
 /// The machine where room for a task costs least, and whom to stop there.
-pub fn choose(room: Room, sites: Vec<Site>) -> Option<Offer> {
-    let offers = sites.iter().filter_map(|site| offer(room, site)).collect();
+pub fn choose(resources: Resources, sites: Vec<Site>) -> Option<PreemptionOffer> {
+    let offers = sites
+        .iter()
+        .filter_map(|site| offer(resources, site))
+        .collect();
     cheapest_set(std::iter::once(offers), 1)?.pop()
 }
 
 /// Of several sets of machines, the one where room for `count` tasks costs least, and where there.
-pub fn cheapest_set(sets: impl Iterator<Item = Vec<Offer>>, count: usize) -> Option<Vec<Offer>> {
-    let mut best: Option<(Cost, Vec<Offer>)> = None;
+pub fn cheapest_set(
+    sets: impl Iterator<Item = Vec<PreemptionOffer>>,
+    count: usize,
+) -> Option<Vec<PreemptionOffer>> {
+    let mut best: Option<(Cost, Vec<PreemptionOffer>)> = None;
     for mut offers in sets.filter(|offers| offers.len() >= count) {
         offers.sort_by(|a, b| {
-            let key = |offer: &Offer| (offer.cost.near, offer.cost.rank);
+            let key = |offer: &PreemptionOffer| (offer.cost.near, offer.cost.priority);
             let by_waste = a.cost.waste_s.total_cmp(&b.cost.waste_s);
             key(a)
                 .cmp(&key(b))
@@ -102,10 +110,10 @@
                 .then(a.machine_id.cmp(&b.machine_id))
         });
         offers.truncate(count);
-        let highest = offers.iter().map(|o| o.cost.rank).max();
+        let highest = offers.iter().map(|o| o.cost.priority).max();
         let cost = Cost {
             near: offers.iter().map(|o| o.cost.near).sum(),
-            rank: highest.unwrap_or(Rank::BestEffort),
+            priority: highest.unwrap_or(PriorityClass::BestEffort),
             waste_s: offers.iter().map(|o| o.cost.waste_s).sum(),
         };
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
@@ -116,33 +124,33 @@
 }
 
 /// Victims, the cheapest first, until the task fits.
-fn gather(room: Room, site: &Site) -> Option<(Vec<&Victim>, Room)> {
+fn gather(resources: Resources, site: &Site) -> Option<(Vec<&Victim>, Resources)> {
     let mut order: Vec<&Victim> = site.victims.iter().collect();
     order.sort_by(|a, b| {
-        let key = |v: &Victim| (!v.leaving, near(site, v), v.rank);
+        let key = |v: &Victim| (!v.leaving, near(site, v), v.priority);
         key(a)
             .cmp(&key(b))
             .then(a.waste_s.total_cmp(&b.waste_s))
             .then(a.task.cmp(&b.task))
     });
-    let mut free = site.free;
+    let mut available = site.available;
     let mut chosen = Vec::new();
     for victim in order {
-        if room.fits_in(free) {
+        if resources.fits_in(available) {
             break;
         }
-        free = free.plus(victim.room);
+        available = available.plus(victim.resources);
         chosen.push(victim);
     }
-    room.fits_in(free).then_some((chosen, free))
+    resources.fits_in(available).then_some((chosen, available))
 }
 
 /// Lets go of victims that turn out not to be needed, the dearest first.
-fn spare(room: Room, mut chosen: Vec<&Victim>, mut free: Room) -> Vec<&Victim> {
+fn spare(resources: Resources, mut chosen: Vec<&Victim>, mut available: Resources) -> Vec<&Victim> {
     for index in (0..chosen.len()).rev() {
-        let without = free.minus(chosen[index].room);
-        if !chosen[index].leaving && room.fits_in(without) {
-            free = without;
+        let without = available.minus(chosen[index].resources);
+        if !chosen[index].leaving && resources.fits_in(without) {
+            available = without;
             chosen.remove(index);
         }
     }
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -1,26 +1,30 @@
 use super::*;
 
-fn room(gpus: f64) -> Room {
-    Room {
+fn resources(gpus: f64) -> Resources {
+    Resources {
         cpus: gpus,
         gpus,
         memory_gb: gpus,
     }
 }
 
-fn site(machine_id: &str, free: f64, victims: &[(u32, f64, Rank, f64, bool)]) -> Site {
+fn site(
+    machine_id: &str,
+    available: f64,
+    victims: &[(u32, f64, PriorityClass, f64, bool)],
+) -> Site {
     Site {
         machine_id: machine_id.into(),
-        free: room(free),
+        available: resources(available),
         victims: victims
             .iter()
-            .map(|(index, gpus, rank, waste_s, leaving)| Victim {
+            .map(|(index, gpus, priority, waste_s, leaving)| Victim {
                 task: TaskId {
                     job: "job-1".into(),
                     index: *index,
                 },
-                room: room(*gpus),
-                rank: *rank,
+                resources: resources(*gpus),
+                priority: *priority,
                 waste_s: *waste_s,
                 leaving: *leaving,
                 lower: true,
@@ -35,7 +39,7 @@
 
 #[test]
 fn the_least_waste_of_the_lowest_priority_is_stopped() {
-    use Rank::{BestEffort, Normal, Urgent};
+    use PriorityClass::{BestEffort, Normal, Urgent};
     let cases = [
         // sites, where, whom
         (vec![site("a", 2.0, &[(0, 1.0, Normal, 5.0, false)])], None),
@@ -92,7 +96,7 @@
         ),
     ];
     for (index, (sites, expected)) in cases.into_iter().enumerate() {
-        let got = choose(room(4.0), sites);
+        let got = choose(resources(4.0), sites);
         let got = got.as_ref().map(|offer| {
             (
                 offer.machine_id.as_str(),
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap as HashMap;
 
 use crate::admission::Flow;
-use crate::jobs::Rank;
+use crate::jobs::PriorityClass;
 use crate::types::{JobId, MachineId, Millis, Team};
 
 /// A check that can reject a task, remembered so that only it judges whether an event helps.
@@ -20,7 +20,7 @@
     /// Type, zone and kind of machine.
     Machine,
     /// Free room.
-    Room,
+    Resources,
     /// One zone, or the spread over zones.
     Zones,
     /// The team's limit.
@@ -72,15 +72,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     pub beyond_guarantee: bool,
-    pub rank: std::cmp::Reverse<Rank>,
+    pub priority: std::cmp::Reverse<PriorityClass>,
     pub born: Millis,
     pub flow: Flow,
 }
 
 impl QueueKey {
     /// Without age.
-    pub fn class(&self) -> (bool, std::cmp::Reverse<Rank>) {
-        (self.beyond_guarantee, self.rank)
+    pub fn class(&self) -> (bool, std::cmp::Reverse<PriorityClass>) {
+        (self.beyond_guarantee, self.priority)
     }
 }
 
@@ -356,7 +356,7 @@
     pub fn expect_room(&mut self, job: &JobId, fails: u32, order: QueueKey, now: Millis) {
         self.detach(job);
         let place = Place::Parked {
-            checks: BTreeSet::from([Check::Room]),
+            checks: BTreeSet::from([Check::Resources]),
             since: now,
             until: now,
         };
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -3,10 +3,10 @@
 use rand::rngs::SmallRng;
 use std::cmp::Reverse;
 
-fn order(rank: Rank, born: u64) -> QueueKey {
+fn order(priority: PriorityClass, born: u64) -> QueueKey {
     QueueKey {
         beyond_guarantee: true,
-        rank: Reverse(rank),
+        priority: Reverse(priority),
         born: Millis(born),
         flow: Flow { class: 0, team: 0 },
     }
@@ -22,14 +22,14 @@
     let (mut queue, _) = queue();
     let guaranteed = QueueKey {
         beyond_guarantee: false,
-        ..order(Rank::BestEffort, 9)
+        ..order(PriorityClass::BestEffort, 9)
     };
     let jobs = [
-        ("job-1", order(Rank::Normal, 1)),
-        ("job-2", order(Rank::Critical, 5)),
-        ("job-3", order(Rank::Critical, 4)),
+        ("job-1", order(PriorityClass::Normal, 1)),
+        ("job-2", order(PriorityClass::Critical, 5)),
+        ("job-3", order(PriorityClass::Critical, 4)),
         ("job-4", guaranteed),
-        ("job-5", order(Rank::Normal, 0)),
+        ("job-5", order(PriorityClass::Normal, 0)),
     ];
     for (job, order) in jobs {
         queue.push(&job.into(), order);
@@ -46,15 +46,15 @@
     let (mut queue, _) = queue();
     let flow = |class, team| Flow { class, team };
     let jobs = [
-        (Rank::Critical, flow(0, 0), 0..900),
-        (Rank::Critical, flow(0, 1), 900..1_000),
-        (Rank::Normal, flow(1, 0), 1_000..1_100),
+        (PriorityClass::Critical, flow(0, 0), 0..900),
+        (PriorityClass::Critical, flow(0, 1), 900..1_000),
+        (PriorityClass::Normal, flow(1, 0), 1_000..1_100),
     ];
-    for (rank, flow, ids) in jobs {
+    for (priority, flow, ids) in jobs {
         for n in ids {
             let order = QueueKey {
                 flow,
-                ..order(rank, n)
+                ..order(priority, n)
             };
             queue.push(&format!("job-{n}").as_str().into(), order);
         }
@@ -81,7 +81,7 @@
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
     for (fails, least, most) in [(0, 1_000, 1_100), (1, 2_000, 2_200), (9, 10_000, 11_000)] {
-        let order = order(Rank::Normal, 0);
+        let order = order(PriorityClass::Normal, 0);
         queue.fail(&job, fails, BTreeSet::new(), order, Millis(0), &mut rng);
         queue.tick(Millis(least - 1));
         assert!(queue.pop().is_none(), "too early after {fails}");
@@ -94,15 +94,15 @@
 fn only_the_rejecting_checks_judge_an_event() {
     let cases = [
         // rejecting check, check that the event satisfies, time of the event, when active
-        (Check::Room, Check::Room, 500, Some(1_200)),
-        (Check::Room, Check::Room, 5_000, Some(5_000)),
-        (Check::Room, Check::Team, 5_000, None),
+        (Check::Resources, Check::Resources, 500, Some(1_200)),
+        (Check::Resources, Check::Resources, 5_000, Some(5_000)),
+        (Check::Resources, Check::Team, 5_000, None),
         (Check::Team, Check::Team, 5_000, Some(5_000)),
     ];
     for (rejected, satisfied, at, active) in cases {
         let (mut queue, mut rng) = queue();
         let job = JobId::from("job-1");
-        let order = order(Rank::Normal, 0);
+        let order = order(PriorityClass::Normal, 0);
         queue.fail(
             &job,
             0,
@@ -126,11 +126,11 @@
 fn the_flush_frees_what_no_event_woke() {
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
-    let order = order(Rank::Normal, 0);
+    let order = order(PriorityClass::Normal, 0);
     queue.fail(
         &job,
         0,
-        BTreeSet::from([Check::Room]),
+        BTreeSet::from([Check::Resources]),
         order,
         Millis(0),
         &mut rng,
--- a/src/quota/hierarchical.rs
+++ b/src/quota/hierarchical.rs
@@ -12,7 +12,7 @@
 
 use crate::jobs::cache::Groups;
 use crate::settings::TeamSettings;
-use crate::types::{Millis, Revision, Room, Team};
+use crate::types::{Millis, Resources, Revision, Team};
 
 /// The record that says which tree is in force. Its version is a condition of every placement.
 pub const HEAD: &str = "jt/tree";
@@ -23,9 +23,9 @@
 /// The most bytes that a group's share takes in a shard's record, besides its name.
 const SHARE_BYTES: usize = 64;
 
-impl From<Room> for Amount {
-    fn from(room: Room) -> Self {
-        Amount::new(room.cpus, room.gpus)
+impl From<Resources> for Amount {
+    fn from(resources: Resources) -> Self {
+        Amount::new(resources.cpus, resources.gpus)
     }
 }
 
@@ -350,7 +350,7 @@
         &mut self,
         now: Millis,
         every: Millis,
-        demands: impl FnOnce() -> HashMap<&'a Team, Room>,
+        demands: impl FnOnce() -> HashMap<&'a Team, Resources>,
     ) -> Option<Vec<Team>> {
         let force = self.force.as_mut()?;
         if now.since(self.refreshed) < every {
@@ -447,7 +447,7 @@
         leaf.is_some_and(|leaf| self.shares.tree().path(leaf).any(|at| at == ix))
     }
 
-    fn refresh(&mut self, now: Millis, demands: &HashMap<&Team, Room>) -> Vec<Team> {
+    fn refresh(&mut self, now: Millis, demands: &HashMap<&Team, Resources>) -> Vec<Team> {
         let tree = self.shares.tree().clone();
         for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
             let demand = demands.get(self.name(ix)).copied().unwrap_or_default();
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::settings::TeamSettings;
-use crate::types::{Revision, Room, ShardId, Team};
+use crate::types::{Resources, Revision, ShardId, Team};
 
 pub const SHARES: &str = "jt/share/";
 
@@ -28,10 +28,10 @@
 }
 
 impl Share {
-    pub fn of(room: Room) -> Self {
+    pub fn of(resources: Resources) -> Self {
         Self {
-            cpus: room.cpus,
-            gpus: room.gpus,
+            cpus: resources.cpus,
+            gpus: resources.gpus,
         }
     }
 
@@ -89,10 +89,11 @@
     }
 }
 
-/// Whether a team that uses `room` in a shard keeps to its share there.
-pub fn within_share(room: Room, share: Share, team: &TeamSettings) -> bool {
+/// Whether a team that uses `resources` in a shard keeps to its share there.
+pub fn within_share(resources: Resources, share: Share, team: &TeamSettings) -> bool {
     let keeps = |limit: f64, used: f64, share: f64| limit <= 0.0 || used <= share + 1e-6;
-    keeps(team.cpus_max, room.cpus, share.cpus) && keeps(team.gpus_max, room.gpus, share.gpus)
+    keeps(team.cpus_max, resources.cpus, share.cpus)
+        && keeps(team.gpus_max, resources.gpus, share.gpus)
 }
 
 /// One shard as the leader sees it.
@@ -143,9 +144,9 @@
     under(sum(|s| s.cpus), team.cpus_max) && under(sum(|s| s.gpus), team.gpus_max)
 }
 
-/// Whether `room` can be added to a share out of the slack.
-pub fn covers(slack: Share, room: Room) -> bool {
-    room.cpus <= slack.cpus + 1e-6 && room.gpus <= slack.gpus + 1e-6
+/// Whether `resources` can be added to a share out of the slack.
+pub fn covers(slack: Share, resources: Resources) -> bool {
+    resources.cpus <= slack.cpus + 1e-6 && resources.gpus <= slack.gpus + 1e-6
 }
 
 /// The part of what a team leaves unused that is dealt out; the leader places out of the rest.
@@ -195,7 +196,7 @@
 }
 
 /// New shares of a team's limit. `least`: shares smaller than this are of no use.
-pub fn deal(team: &TeamSettings, least: Room, shards: &[Dealt]) -> Vec<Share> {
+pub fn deal(team: &TeamSettings, least: Resources, shards: &[Dealt]) -> Vec<Share> {
     let amounts = |of: fn(&Share) -> f64| -> Vec<(f64, f64, bool)> {
         let amount = |b: &Dealt| (of(&b.share), of(&b.used), b.live);
         shards.iter().map(amount).collect()
@@ -208,18 +209,18 @@
         .collect()
 }
 
-/// A share raised for `room` that is placed where `used` is seen to be used. A holder may have used the
+/// A share raised for `resources` that is placed where `used` is seen to be used. A holder may have used the
 /// rest of its share unseen, so it is not counted on unless the shard is the leader's `own`.
-pub fn raised(share: Share, used: Room, room: Room, own: bool) -> Share {
+pub fn raised(share: Share, used: Resources, resources: Resources, own: bool) -> Share {
     let at_least = |a: Share, b: Share| Share {
         cpus: a.cpus.max(b.cpus),
         gpus: a.gpus.max(b.gpus),
     };
     // A shard may use more than its share, if that was larger before.
     if own {
-        at_least(share, Share::of(used.plus(room)))
+        at_least(share, Share::of(used.plus(resources)))
     } else {
-        at_least(share, Share::of(used)).plus(Share::of(room))
+        at_least(share, Share::of(used)).plus(Share::of(resources))
     }
 }
 
@@ -227,8 +228,8 @@
     most <= 0.0 || amount <= most + 1e-6
 }
 
-/// What a team that uses `room` may still use.
-pub fn left(room: Room, team: &TeamSettings) -> Room {
+/// What a team that uses `resources` may still use.
+pub fn left(resources: Resources, team: &TeamSettings) -> Resources {
     let rest = |most: f64, used: f64| {
         if most > 0.0 {
             most - used
@@ -236,23 +237,23 @@
             f64::INFINITY
         }
     };
-    Room {
-        cpus: rest(team.cpus_max, room.cpus),
-        gpus: rest(team.gpus_max, room.gpus),
+    Resources {
+        cpus: rest(team.cpus_max, resources.cpus),
+        gpus: rest(team.gpus_max, resources.gpus),
         memory_gb: f64::INFINITY,
     }
 }
 
-/// Whether a team that uses `room` keeps its limit.
-pub fn within(room: Room, team: &TeamSettings) -> bool {
-    under(room.cpus, team.cpus_max) && under(room.gpus, team.gpus_max)
+/// Whether a team that uses `resources` keeps its limit.
+pub fn within(resources: Resources, team: &TeamSettings) -> bool {
+    under(resources.cpus, team.cpus_max) && under(resources.gpus, team.gpus_max)
 }
 
-/// Whether a team that uses `room` stays within what is guaranteed to it.
-pub fn guaranteed(room: Room, team: &TeamSettings) -> bool {
+/// Whether a team that uses `resources` stays within what is guaranteed to it.
+pub fn guaranteed(resources: Resources, team: &TeamSettings) -> bool {
     (team.cpus > 0.0 || team.gpus > 0.0)
-        && under(room.cpus, team.cpus)
-        && under(room.gpus, team.gpus)
+        && under(resources.cpus, team.cpus)
+        && under(resources.gpus, team.gpus)
 }
 
 #[cfg(test)]
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -7,9 +7,9 @@
 use rustc_hash::FxHashMap as HashMap;
 
 use super::hierarchical::Force;
-use crate::jobs::cache::Jobs;
-use crate::preempt::{Offer, Site, Victim, cheapest_set, offer};
-use crate::types::{MachineId, Room, TaskId, Team};
+use crate::jobs::cache::JobCache;
+use crate::preempt::{PreemptionOffer, Site, Victim, cheapest_set, offer};
+use crate::types::{MachineId, Resources, TaskId, Team};
 
 /// How far a borrower is over its share is told apart in steps of this part of the whole: among
 /// those about as far over, waste decides.
@@ -25,13 +25,13 @@
 #[derive(Clone)]
 pub struct Ledger<'a> {
     force: &'a Force,
-    jobs: &'a Jobs,
+    jobs: &'a JobCache,
     leaf: NodeIx,
     team: Team,
     wanted: Wanted,
     /// Room that is being made, and room of tasks that are being stopped.
-    coming: Vec<(Team, Room)>,
-    leaving: Vec<(Team, Room)>,
+    coming: Vec<(Team, Resources)>,
+    leaving: Vec<(Team, Resources)>,
     /// Answers as long as nothing changes: by team, task, and how many of the team's tasks the
     /// same machine has in line before it.
     known: RefCell<HashMap<Question, Option<i64>>>,
@@ -41,12 +41,12 @@
     /// None: the team is not in the tree.
     pub fn new(
         force: &'a Force,
-        jobs: &'a Jobs,
+        jobs: &'a JobCache,
         team: &Team,
-        total: Room,
-        task: Room,
-        coming: Vec<(Team, Room)>,
-        leaving: Vec<(Team, Room)>,
+        total: Resources,
+        task: Resources,
+        coming: Vec<(Team, Resources)>,
+        leaving: Vec<(Team, Resources)>,
     ) -> Option<Self> {
         let wanted = Wanted {
             total: total.into(),
@@ -64,10 +64,14 @@
         })
     }
 
-    fn used(&self, ix: NodeIx, also: &[(Team, Room)]) -> Amount {
-        let sum = |rooms: &[(Team, Room)]| {
-            let its = rooms.iter().filter(|(team, _)| self.force.counts(team, ix));
-            its.fold(Room::default(), |sum, (_, room)| sum.plus(*room))
+    fn used(&self, ix: NodeIx, also: &[(Team, Resources)]) -> Amount {
+        let sum = |amounts: &[(Team, Resources)]| {
+            let its = amounts
+                .iter()
+                .filter(|(team, _)| self.force.counts(team, ix));
+            its.fold(Resources::default(), |sum, (_, resources)| {
+                sum.plus(*resources)
+            })
         };
         let now = self.jobs.standing(self.force.name(ix));
         let left = sum(&self.leaving).plus(sum(also));
@@ -82,20 +86,20 @@
 
     /// How far a team is over its share, in steps, if a task of it may be stopped when `before`
     /// others of the same size are.
-    fn borrowed(&self, team: &Team, room: Room, before: u32) -> Option<i64> {
+    fn borrowed(&self, team: &Team, resources: Resources, before: u32) -> Option<i64> {
         let key = (
             team.clone(),
-            [room.cpus.to_bits(), room.gpus.to_bits()],
+            [resources.cpus.to_bits(), resources.gpus.to_bits()],
             before,
         );
         if let Some(known) = self.known.borrow().get(&key) {
             return *known;
         }
         let from = self.force.leaf(team)?;
-        let also = vec![(team.clone(), room.times(f64::from(before)))];
+        let also = vec![(team.clone(), resources.times(f64::from(before)))];
         let used = |ix| self.used(ix, &also);
         let shares = &self.force.shares;
-        let may = shares.may_reclaim(from, room.into(), self.leaf, self.wanted, used);
+        let may = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
         let over = may.then(|| steps_over(self.force, from, used(from)));
         self.known.borrow_mut().insert(key, over);
         over
@@ -110,7 +114,7 @@
             let mut over = None;
             if let Some(team) = victim.team.as_ref().filter(|_| !victim.leaving) {
                 let count = before.entry(team).or_default();
-                over = self.borrowed(team, victim.room, *count);
+                over = self.borrowed(team, victim.resources, *count);
                 *count += u32::from(over.is_some());
             }
             if victim.leaving || victim.lower || over.is_some() {
@@ -129,10 +133,10 @@
     }
 
     /// The cheapest site for one more task, with its stops counted.
-    fn pick(&mut self, room: Room, sites: &mut Vec<Site>) -> Option<Offer> {
+    fn pick(&mut self, resources: Resources, sites: &mut Vec<Site>) -> Option<PreemptionOffer> {
         let offers = sites
             .iter()
-            .filter_map(|site| offer(room, &self.judge(site)));
+            .filter_map(|site| offer(resources, &self.judge(site)));
         let best = cheapest_set(std::iter::once(offers.collect()), 1)?.pop()?;
         let at = sites
             .iter()
@@ -142,7 +146,7 @@
             if let Some(team) = &victim.team
                 && best.victims.contains(&victim.task)
             {
-                self.leaving.push((team.clone(), victim.room));
+                self.leaving.push((team.clone(), victim.resources));
             }
         }
         self.known.borrow_mut().clear();
@@ -151,13 +155,18 @@
 
     /// Where to make room for up to `most` tasks, each on a machine of its own. The first may be
     /// made room for by priority alone; the others must be within the team's share.
-    pub fn plan(mut self, room: Room, mut sites: Vec<Site>, most: usize) -> Vec<Offer> {
+    pub fn plan(
+        mut self,
+        resources: Resources,
+        mut sites: Vec<Site>,
+        most: usize,
+    ) -> Vec<PreemptionOffer> {
         let mut chosen = Vec::new();
         while chosen.len() < most && (chosen.is_empty() || self.within()) {
-            let Some(best) = self.pick(room, &mut sites) else {
+            let Some(best) = self.pick(resources, &mut sites) else {
                 break;
             };
-            self.coming.push((self.team.clone(), room));
+            self.coming.push((self.team.clone(), resources));
             chosen.push(best);
         }
         chosen
@@ -168,7 +177,7 @@
     /// kept for a while. `rest_s`: seconds until what is not stopped on a machine has ended; none: too long.
     pub fn gather(
         self,
-        room: Room,
+        resources: Resources,
         sites: &[Site],
         rest_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
     ) -> Option<(MachineId, Vec<TaskId>)> {
@@ -181,8 +190,10 @@
                 .victims
                 .iter()
                 .filter(|v| v.leaving || v.over.is_some());
-            let free = got.clone().fold(site.free, |sum, v| sum.plus(v.room));
-            let part = free.share_of(room).min(1.0);
+            let available = got
+                .clone()
+                .fold(site.available, |sum, v| sum.plus(v.resources));
+            let part = available.share_of(resources).min(1.0);
             let stopped = got.filter(|v| !v.leaving).map(|v| v.task.clone());
             let stopped: Vec<TaskId> = stopped.collect();
             let rest = rest_s(site, &stopped)?;
@@ -197,9 +208,14 @@
 
     /// Where to make room for all tasks of a gang among these sites, or nowhere. The claim is that
     /// of the whole gang, so its tasks are not counted as they come.
-    pub fn plan_all(mut self, room: Room, mut sites: Vec<Site>, count: usize) -> Vec<Offer> {
-        let picks = (0..count).map_while(|_| self.pick(room, &mut sites));
-        let chosen: Vec<Offer> = picks.collect();
+    pub fn plan_all(
+        mut self,
+        resources: Resources,
+        mut sites: Vec<Site>,
+        count: usize,
+    ) -> Vec<PreemptionOffer> {
+        let picks = (0..count).map_while(|_| self.pick(resources, &mut sites));
+        let chosen: Vec<PreemptionOffer> = picks.collect();
         if chosen.len() == count {
             chosen
         } else {
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -15,9 +15,9 @@
             gpus: 0.0,
             gpus_max: [16.0, 80.0, 700.0][seed as usize % 3],
         };
-        let least = Room {
+        let least = Resources {
             gpus: 4.0,
-            ..Room::default()
+            ..Resources::default()
         };
         let mut share = [0.0f64; 6];
         let mut used = [0.0f64; 6];
@@ -27,11 +27,11 @@
             let seen = used;
             let place = |rng: &mut SmallRng, used: &mut [f64; 6], share: &[f64; 6]| {
                 for shard in 0..6 {
-                    let room = f64::from(rng.random_range(1..=4u8));
-                    if rng.random_bool(0.6) && used[shard] + room <= share[shard] {
-                        used[shard] += room;
+                    let resources = f64::from(rng.random_range(1..=4u8));
+                    if rng.random_bool(0.6) && used[shard] + resources <= share[shard] {
+                        used[shard] += resources;
                     } else if rng.random_bool(0.2) {
-                        used[shard] = (used[shard] - room).max(0.0);
+                        used[shard] = (used[shard] - resources).max(0.0);
                     }
                 }
             };
@@ -52,11 +52,11 @@
             if rng.random_bool(0.3) && covers(slack(&team, &shards), least) {
                 // The leader places in a shard, and raises its share by as much.
                 let shard = rng.random_range(0..6);
-                let room = |gpus| Room {
+                let resources = |gpus| Resources {
                     gpus,
-                    ..Room::default()
+                    ..Resources::default()
                 };
-                let raised = raised(shards[shard].share, room(seen[shard]), least, false);
+                let raised = raised(shards[shard].share, resources(seen[shard]), least, false);
                 share[shard] = raised.gpus;
                 used[shard] += 4.0;
             } else {
@@ -82,18 +82,28 @@
         gpus,
         gpus_max,
     };
-    let room = |cpus, gpus| Room {
+    let resources = |cpus, gpus| Resources {
         cpus,
         gpus,
         memory_gb: 1e9,
     };
     let cases = [
         // team, use, within the limit, within the guarantee
-        (team(0.0, 0.0, 0.0, 0.0), room(1e6, 1e6), true, false),
-        (team(0.0, 0.0, 16.0, 48.0), room(1e6, 16.0), true, true),
-        (team(0.0, 0.0, 16.0, 48.0), room(1.0, 17.0), true, false),
-        (team(0.0, 0.0, 16.0, 48.0), room(1.0, 48.5), false, false),
-        (team(4.0, 8.0, 0.0, 0.0), room(9.0, 0.0), false, false),
+        (team(0.0, 0.0, 0.0, 0.0), resources(1e6, 1e6), true, false),
+        (team(0.0, 0.0, 16.0, 48.0), resources(1e6, 16.0), true, true),
+        (
+            team(0.0, 0.0, 16.0, 48.0),
+            resources(1.0, 17.0),
+            true,
+            false,
+        ),
+        (
+            team(0.0, 0.0, 16.0, 48.0),
+            resources(1.0, 48.5),
+            false,
+            false,
+        ),
+        (team(4.0, 8.0, 0.0, 0.0), resources(9.0, 0.0), false, false),
     ];
     for (team, used, limit, guarantee) in cases {
         assert_eq!(within(used, &team), limit, "{used:?} of {team:?}");
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{Id, JoinSet};
 
-use super::{Class, Ledger, Patience, Pressure};
+use super::{ConnectionClass, Ledger, Patience, Pressure};
 use crate::clock::Clock;
 
 /// A request's head has to come within this time, whatever the connection did before.
@@ -27,7 +27,7 @@
 
 /// What a connection tells the door.
 enum Told {
-    Asked(Id, Class),
+    Asked(Id, ConnectionClass),
     Answered(Id),
 }
 
@@ -176,8 +176,8 @@
     let _ = stream.set_nodelay(true);
     let id = tokio::task::id();
     let service = service_fn(|request: Request<Incoming>| {
-        let class = Class::of(request.uri().path());
-        let full = class == Class::User && gate.pressure.borrow().users_full;
+        let class = ConnectionClass::of(request.uri().path());
+        let full = class == ConnectionClass::User && gate.pressure.borrow().users_full;
         let asked = (!full).then(|| service.call(request));
         let gate = &gate;
         async move {
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -45,7 +45,7 @@
 
 /// What a connection to our server is for, by its latest request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Class {
+pub enum ConnectionClass {
     /// Nothing was asked yet.
     New,
     Probe,
@@ -53,12 +53,12 @@
     User,
 }
 
-impl Class {
+impl ConnectionClass {
     pub fn of(path: &str) -> Self {
         match path {
-            "/v1/report" => Class::Heartbeat,
-            "/ready" => Class::Probe,
-            _ => Class::User,
+            "/v1/report" => ConnectionClass::Heartbeat,
+            "/ready" => ConnectionClass::Probe,
+            _ => ConnectionClass::User,
         }
     }
 }
@@ -83,18 +83,18 @@
 
 impl Pressure {
     /// Whether a connection ends with the answer that it gets.
-    pub fn closes(self, class: Class) -> bool {
+    pub fn closes(self, class: ConnectionClass) -> bool {
         match class {
-            Class::Heartbeat => self.close_heartbeats,
-            Class::User => self.close_users,
-            Class::New | Class::Probe => false,
+            ConnectionClass::Heartbeat => self.close_heartbeats,
+            ConnectionClass::User => self.close_users,
+            ConnectionClass::New | ConnectionClass::Probe => false,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Open {
-    class: Class,
+    class: ConnectionClass,
     /// A request is being worked on.
     asked: bool,
     since: Millis,
@@ -151,7 +151,7 @@
     }
 
     pub fn opened(&mut self, key: K, now: Millis) {
-        let (class, asked) = (Class::New, false);
+        let (class, asked) = (ConnectionClass::New, false);
         let since = now;
         self.open.insert(
             key,
@@ -164,15 +164,15 @@
         self.new += 1;
     }
 
-    fn count(&mut self, class: Class) -> Option<&mut usize> {
+    fn count(&mut self, class: ConnectionClass) -> Option<&mut usize> {
         match class {
-            Class::New => Some(&mut self.new),
-            Class::User => Some(&mut self.users),
-            Class::Probe | Class::Heartbeat => None,
+            ConnectionClass::New => Some(&mut self.new),
+            ConnectionClass::User => Some(&mut self.users),
+            ConnectionClass::Probe | ConnectionClass::Heartbeat => None,
         }
     }
 
-    pub fn asked(&mut self, key: K, class: Class, now: Millis) {
+    pub fn asked(&mut self, key: K, class: ConnectionClass, now: Millis) {
         let Some(open) = self.open.get_mut(&key) else {
             return;
         };
@@ -221,9 +221,9 @@
         let limit = |open: &Open| match open.class {
             // Work on a request is bounded already; a peer that does not read the answer is not.
             _ if open.asked => self.patience.user,
-            Class::New => hurry(self.patience.new),
-            Class::User => hurry(self.patience.user),
-            Class::Probe | Class::Heartbeat => self.patience.heartbeat,
+            ConnectionClass::New => hurry(self.patience.new),
+            ConnectionClass::User => hurry(self.patience.user),
+            ConnectionClass::Probe | ConnectionClass::Heartbeat => self.patience.heartbeat,
         };
         let over = self
             .open
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -4,7 +4,7 @@
     Ledger::new(most, Patience::for_heartbeats_every(Millis(5_000)))
 }
 
-fn open(ledger: &mut Ledger<u32>, keys: std::ops::Range<u32>, class: Class) {
+fn open(ledger: &mut Ledger<u32>, keys: std::ops::Range<u32>, class: ConnectionClass) {
     for key in keys {
         assert!(ledger.admits(), "connection {key}");
         ledger.opened(key, Millis(0));
@@ -28,19 +28,19 @@
 #[test]
 fn users_give_way_to_workers_and_workers_connections_to_room() {
     let mut ledger = ledger(100);
-    open(&mut ledger, 0..64, Class::Heartbeat);
+    open(&mut ledger, 0..64, ConnectionClass::Heartbeat);
     assert_eq!(ledger.pressure(), Pressure::default());
-    open(&mut ledger, 100..101, Class::User);
+    open(&mut ledger, 100..101, ConnectionClass::User);
     let tight = ledger.pressure();
-    assert!(tight.closes(Class::User) && !tight.closes(Class::Heartbeat));
-    open(&mut ledger, 64..75, Class::Heartbeat);
-    assert!(ledger.pressure().closes(Class::Heartbeat));
-    assert!(!ledger.pressure().closes(Class::Probe) && !ledger.pressure().users_full);
+    assert!(tight.closes(ConnectionClass::User) && !tight.closes(ConnectionClass::Heartbeat));
+    open(&mut ledger, 64..75, ConnectionClass::Heartbeat);
+    assert!(ledger.pressure().closes(ConnectionClass::Heartbeat));
+    assert!(!ledger.pressure().closes(ConnectionClass::Probe) && !ledger.pressure().users_full);
     let mut ledger = super::tests::ledger(100);
-    open(&mut ledger, 0..41, Class::User);
+    open(&mut ledger, 0..41, ConnectionClass::User);
     assert!(ledger.pressure().users_full);
     ledger.closed(7);
-    ledger.asked(8, Class::Heartbeat, Millis(1));
+    ledger.asked(8, ConnectionClass::Heartbeat, Millis(1));
     assert!(!ledger.pressure().users_full);
 }
 
@@ -53,7 +53,7 @@
         ledger.opened(key, Millis(0));
     }
     assert!(!ledger.admits());
-    ledger.asked(0, Class::Heartbeat, Millis(4_000));
+    ledger.asked(0, ConnectionClass::Heartbeat, Millis(4_000));
     assert!(ledger.admits());
     let cases = [(5_000, 0), (5_001, 29), (33_000, 29), (34_001, 30)];
     for (at, idle) in cases {
@@ -67,10 +67,10 @@
 #[test]
 fn when_it_is_full_idle_users_go_first() {
     let mut ledger = ledger(100);
-    open(&mut ledger, 0..20, Class::User);
-    open(&mut ledger, 20..84, Class::Heartbeat);
+    open(&mut ledger, 0..20, ConnectionClass::User);
+    open(&mut ledger, 20..84, ConnectionClass::Heartbeat);
     assert!(ledger.idle(Millis(7_000)).is_empty());
-    open(&mut ledger, 84..100, Class::Heartbeat);
+    open(&mut ledger, 84..100, ConnectionClass::Heartbeat);
     assert!(!ledger.admits());
     let mut idle = ledger.idle(Millis(7_000));
     idle.sort();
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -8,7 +8,7 @@
 
 use super::lanes::{Lanes, Next, Waiting};
 use super::wire::{GrantBody, Granted, Ledger, Listing, News, NewsItem, txn_body};
-use super::{Answer, Call, Class};
+use super::{Answer, Call, CallClass};
 use crate::clock::Clock;
 use crate::http_client::{Failure, HttpClient};
 use crate::settings::Settings;
@@ -29,7 +29,7 @@
 enum Request {
     Call {
         tag: u64,
-        class: Class,
+        class: CallClass,
         call: Call,
         asked: Millis,
     },
@@ -69,7 +69,7 @@
         let _ = self.inbox.send(Request::Allow(writes));
     }
 
-    pub fn send(&self, tag: u64, class: Class, call: Call) {
+    pub fn send(&self, tag: u64, class: CallClass, call: Call) {
         // The actor ends only with the process.
         let asked = self.clock.now();
         let _ = self.inbox.send(Request::Call {
@@ -137,7 +137,7 @@
             tokio::spawn(async move {
                 let (answer, over) = perform(&client, &call.what.1).await;
                 // A lease can't wait; the rest of its class is asked again soon anyway.
-                if over && call.class != Class::Leases {
+                if over && call.class != CallClass::Leases {
                     let _ = refused.send(call);
                     return;
                 }
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -5,7 +5,7 @@
 
 use admission_control::floors::Floors;
 
-use super::Class;
+use super::CallClass;
 use super::budget::{Allowance, Share};
 use crate::settings::State;
 use crate::types::Millis;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Waiting<T> {
     pub what: T,
-    pub class: Class,
+    pub class: CallClass,
     /// Puts and deletes.
     pub writes: f64,
     pub asked: Millis,
@@ -40,8 +40,8 @@
 pub struct Lanes<T> {
     requests: Share,
     writes: Allowance,
-    waiting: [VecDeque<Waiting<T>>; Class::ALL.len()],
-    floors: Floors<Class>,
+    waiting: [VecDeque<Waiting<T>>; CallClass::ALL.len()],
+    floors: Floors<CallClass>,
 }
 
 impl<T> Lanes<T> {
@@ -53,11 +53,11 @@
                 now,
             ),
             waiting: Default::default(),
-            floors: Floors::weighted(FLOORS, Class::weight),
+            floors: Floors::weighted(FLOORS, CallClass::weight),
         }
     }
 
-    pub fn push(&mut self, class: Class, writes: f64, what: T, asked: Millis) {
+    pub fn push(&mut self, class: CallClass, writes: f64, what: T, asked: Millis) {
         let waiting = Waiting {
             what,
             class,
@@ -97,13 +97,13 @@
         };
         let wait = self.requests.bucket.wait(1.0, now);
         let wait = wait.max(self.writes.bucket.wait(call.writes, now));
-        if wait.0 > 0 && class != Class::Leases {
+        if wait.0 > 0 && class != CallClass::Leases {
             self.waiting[class as usize].push_front(call);
             return Next::Wait(wait);
         }
         self.requests.bucket.take(1.0);
         self.writes.bucket.take(call.writes);
-        if call.writes > 0.0 && class != Class::Leases {
+        if call.writes > 0.0 && class != CallClass::Leases {
             let mut asking = self.asking();
             if !asking.contains(&class) {
                 asking.push(class);
@@ -115,7 +115,7 @@
 
     /// A user's call that the budget kept waiting for too long.
     fn late(&mut self, now: Millis) -> Option<T> {
-        let users = Class::ALL.into_iter().filter(|class| class.of_users());
+        let users = CallClass::ALL.into_iter().filter(|class| class.of_users());
         for class in users {
             let waiting = &mut self.waiting[class as usize];
             if waiting
@@ -129,15 +129,15 @@
     }
 
     /// The classes that wait to write.
-    fn asking(&self) -> Vec<Class> {
+    fn asking(&self) -> Vec<CallClass> {
         let waits =
-            |class: &Class| class.weight() > 0.0 && !self.waiting[*class as usize].is_empty();
-        Class::ALL.into_iter().filter(waits).collect()
+            |class: &CallClass| class.weight() > 0.0 && !self.waiting[*class as usize].is_empty();
+        CallClass::ALL.into_iter().filter(waits).collect()
     }
 
     /// Leases first, then proofs, then who writes, by floors.
-    fn next_class(&self) -> Option<Class> {
-        let first = [Class::Leases, Class::Proofs]
+    fn next_class(&self) -> Option<CallClass> {
+        let first = [CallClass::Leases, CallClass::Proofs]
             .into_iter()
             .find(|class| !self.waiting[*class as usize].is_empty());
         first.or_else(|| self.floors.next(self.asking().into_iter().map(|c| (c, c))))
--- a/src/store/lanes/tests.rs
+++ b/src/store/lanes/tests.rs
@@ -13,7 +13,7 @@
 }
 
 /// Plays some seconds; `asks` pushes what comes in each tenth of one. Returns the calls made.
-fn play(seconds: u64, mut asks: impl FnMut(&mut Lanes<u32>, Millis)) -> Vec<(Class, Millis)> {
+fn play(seconds: u64, mut asks: impl FnMut(&mut Lanes<u32>, Millis)) -> Vec<(CallClass, Millis)> {
     let mut lanes = lanes();
     let mut made = Vec::new();
     for tenth in 0..seconds * 10 {
@@ -36,17 +36,17 @@
 fn a_swarm_of_one_class_leaves_the_others_their_floor() {
     let made = play(20, |lanes, now| {
         for n in 0..10 {
-            lanes.push(Class::Submissions, 1.0, n, now);
+            lanes.push(CallClass::Submissions, 1.0, n, now);
         }
-        lanes.push(Class::Jobs, 1.0, 0, now);
+        lanes.push(CallClass::Jobs, 1.0, 0, now);
         if now.0 % 4_000 == 0 {
-            lanes.push(Class::Duties, 6.0, 0, now);
+            lanes.push(CallClass::Duties, 6.0, 0, now);
         }
     });
     let count = |class| made.iter().filter(|(c, _)| *c == class).count();
-    assert!(count(Class::Jobs) > 110, "{}", count(Class::Jobs));
-    assert!(count(Class::Submissions) > 100);
-    let duties = made.iter().filter(|(c, _)| *c == Class::Duties);
+    assert!(count(CallClass::Jobs) > 110, "{}", count(CallClass::Jobs));
+    assert!(count(CallClass::Submissions) > 100);
+    let duties = made.iter().filter(|(c, _)| *c == CallClass::Duties);
     let waited: Vec<Millis> = duties.map(|(_, waited)| *waited).collect();
     assert!(
         waited.len() == 5 && waited.iter().all(|w| w.0 < 3_500),
@@ -59,10 +59,10 @@
 fn proofs_do_not_wait_for_changes() {
     let made = play(5, |lanes, now| {
         for n in 0..20 {
-            lanes.push(Class::Submissions, 1.0, n, now);
+            lanes.push(CallClass::Submissions, 1.0, n, now);
         }
-        lanes.push(Class::Proofs, 0.0, 0, now);
+        lanes.push(CallClass::Proofs, 0.0, 0, now);
     });
-    let proofs = made.iter().filter(|(class, _)| *class == Class::Proofs);
+    let proofs = made.iter().filter(|(class, _)| *class == CallClass::Proofs);
     assert_eq!(proofs.filter(|(_, waited)| waited.0 == 0).count(), 50);
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -15,7 +15,7 @@
 /// What calls are for, the most urgent first. Leases go at once; of the others, each has a floor
 /// when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum CallClass {
     Leases,
     /// Proofs that the cache is new, which polls wait for. They change nothing, and do not wait
     /// behind what does.
@@ -29,34 +29,34 @@
     Rest,
 }
 
-impl Class {
-    pub const ALL: [Class; 7] = [
-        Class::Leases,
-        Class::Proofs,
-        Class::Cancellations,
-        Class::Submissions,
-        Class::Jobs,
-        Class::Duties,
-        Class::Rest,
+impl CallClass {
+    pub const ALL: [CallClass; 7] = [
+        CallClass::Leases,
+        CallClass::Proofs,
+        CallClass::Cancellations,
+        CallClass::Submissions,
+        CallClass::Jobs,
+        CallClass::Duties,
+        CallClass::Rest,
     ];
 
     /// Whether a user waits for it and can be told to come back.
     pub fn of_users(self) -> bool {
         matches!(
             self,
-            Class::Proofs | Class::Cancellations | Class::Submissions
+            CallClass::Proofs | CallClass::Cancellations | CallClass::Submissions
         )
     }
 
     /// How the floors of changes weigh against each other.
     pub fn weight(&self) -> f64 {
         match self {
-            Class::Leases | Class::Proofs => 0.0,
-            Class::Cancellations => 0.15,
-            Class::Submissions => 0.35,
-            Class::Jobs => 0.35,
-            Class::Duties => 0.1,
-            Class::Rest => 0.05,
+            CallClass::Leases | CallClass::Proofs => 0.0,
+            CallClass::Cancellations => 0.15,
+            CallClass::Submissions => 0.35,
+            CallClass::Jobs => 0.35,
+            CallClass::Duties => 0.1,
+            CallClass::Rest => 0.05,
         }
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -242,7 +242,7 @@
 
 /// What a task takes of a machine, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -251,31 +251,31 @@
 /// Sums of decimal amounts are compared with this much slack.
 const SLACK: f64 = 1e-6;
 
-impl Room {
-    pub fn fits_in(self, free: Room) -> bool {
-        self.cpus <= free.cpus + SLACK
-            && self.gpus <= free.gpus + SLACK
-            && self.memory_gb <= free.memory_gb + SLACK
+impl Resources {
+    pub fn fits_in(self, available: Resources) -> bool {
+        self.cpus <= available.cpus + SLACK
+            && self.gpus <= available.gpus + SLACK
+            && self.memory_gb <= available.memory_gb + SLACK
     }
 
-    pub fn plus(self, other: Room) -> Room {
-        Room {
+    pub fn plus(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
             memory_gb: self.memory_gb + other.memory_gb,
         }
     }
 
-    pub fn minus(self, other: Room) -> Room {
-        Room {
+    pub fn minus(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus - other.cpus,
             gpus: self.gpus - other.gpus,
             memory_gb: self.memory_gb - other.memory_gb,
         }
     }
 
-    pub fn times(self, count: f64) -> Room {
-        Room {
+    pub fn times(self, count: f64) -> Resources {
+        Resources {
             cpus: self.cpus * count,
             gpus: self.gpus * count,
             memory_gb: self.memory_gb * count,
@@ -283,7 +283,7 @@
     }
 
     /// How many times `part` fits.
-    pub fn holds(self, part: Room) -> u32 {
+    pub fn holds(self, part: Resources) -> u32 {
         [
             (self.cpus, part.cpus),
             (self.gpus, part.gpus),
@@ -296,12 +296,12 @@
         .unwrap_or(u32::MAX / 2)
     }
 
-    /// The largest share that this takes of any resource of `whole`.
-    pub fn share_of(self, whole: Room) -> f64 {
+    /// The largest share that this takes of any resource of `capacity`.
+    pub fn share_of(self, capacity: Resources) -> f64 {
         [
-            (self.cpus, whole.cpus),
-            (self.gpus, whole.gpus),
-            (self.memory_gb, whole.memory_gb),
+            (self.cpus, capacity.cpus),
+            (self.gpus, capacity.gpus),
+            (self.memory_gb, capacity.memory_gb),
         ]
         .into_iter()
         .filter(|(_, have)| *have > 0.0)
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -4,7 +4,7 @@
 
 use super::Machine;
 use super::wire::{ExitCause, TaskStage, WorkerCommand};
-use crate::jobs::cache::{Change, Evidence, Job, Jobs};
+use crate::jobs::cache::{Change, Evidence, Job, JobCache};
 use crate::jobs::{Phase, Placement, Task};
 use crate::types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 
@@ -49,7 +49,7 @@
 pub fn reconcile(
     machine: &Machine,
     token: FencingToken,
-    jobs: &Jobs,
+    jobs: &JobCache,
     stops: &Stops,
     gathering: impl Fn(&Job) -> bool,
 ) -> Reconciliation {
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
-use crate::jobs::{Shape, Spec};
+use crate::jobs::{JobKind, JobSpec};
 use crate::types::{AgentEpoch, Millis, Revision, ShardId, WorkerToken};
 use crate::workers::TaskObservation;
 
@@ -11,7 +11,7 @@
 #[test]
 fn a_task_that_waited_alone_waits_again_while_others_fetch() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
-    (spec.tasks, spec.shape) = (2, Shape::Gang);
+    (spec.tasks, spec.kind) = (2, JobKind::Gang);
     let placed = |machine_id: &str, part| {
         Task::Placed(Placement {
             machine_id: machine_id.into(),
@@ -22,7 +22,7 @@
     };
     let record = JobRecord {
         phase: Phase::Active,
-        home: "n0".into(),
+        owner: "n0".into(),
         tasks: 2,
         page: 8,
         spec: Some(spec),
@@ -51,7 +51,7 @@
         (ExitCause::PeersGone, other, true, true, false, true),
     ];
     for (index, (cause, mate, fetches, rides, again, released)) in cases.into_iter().enumerate() {
-        let mut jobs = Jobs::default();
+        let mut jobs = JobCache::default();
         jobs.feed(&job_key(&id), Some(&record), Revision(5), Millis(1));
         let page = encode_page(&[here.clone(), mate]);
         jobs.feed(&page_key(&id, 0), Some(&page), Revision(6), Millis(1));
@@ -92,15 +92,15 @@
 }
 
 /// The records of a job of one task, which is placed.
-fn one_placed(id: &JobId, spec: Spec, placement: Placement) -> Jobs {
+fn one_placed(id: &JobId, spec: JobSpec, placement: Placement) -> JobCache {
     let record = JobRecord {
         phase: Phase::Active,
-        home: "n0".into(),
+        owner: "n0".into(),
         tasks: 1,
         page: 8,
         spec: Some(spec),
     };
-    let mut jobs = Jobs::default();
+    let mut jobs = JobCache::default();
     let record = serde_json::to_string(&record).unwrap();
     jobs.feed(&job_key(id), Some(&record), Revision(5), Millis(1));
     let page = encode_page(&[Task::Placed(placement)]);
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -134,11 +134,11 @@
     }
 
     /// Of machines thought lost, those that are given up now; the others stay for the time being.
-    /// No more than `room` can be deleted now; `hold` is how long a zone that is cut off is left alone.
+    /// No more than `max_deletions` can be deleted now; `hold` is how long a zone that is cut off is left alone.
     pub fn give_up(
         &mut self,
         mut lost: Vec<Suspect>,
-        room: usize,
+        max_deletions: usize,
         hold: Millis,
         now: Millis,
     ) -> Vec<MachineId> {
@@ -161,7 +161,7 @@
                 Standing::Returning => now.since(state.since) < STEP,
                 Standing::Sound | Standing::PartlyLost => false,
             };
-            if bounded || stays || given_up.len() >= room {
+            if bounded || stays || given_up.len() >= max_deletions {
                 held += 1;
                 continue;
             }
