--- a/crates/admission-control/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 
 use admission_control::floors::Floors;
-use admission_control::plan::{Demand, Plan, Standing};
+use admission_control::plan::{ControllerStatus, Demand, Plan};
 use admission_control::slots::Slots;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
@@ -36,13 +36,13 @@
     group.finish();
     let mut group = criterion.benchmark_group("plan");
     for controllers in CONTROLLERS {
-        let rows: Vec<(String, Standing, Demand)> = (0..controllers)
+        let rows: Vec<(String, ControllerStatus, Demand)> = (0..controllers)
             .map(|n| {
                 let demand = Demand {
                     used: n as f64,
                     waiting: 10.0,
                 };
-                (format!("tiller-{n}"), Standing::Obeys, demand)
+                (format!("tiller-{n}"), ControllerStatus::Obeys, demand)
             })
             .collect();
         let plan = Plan::default().next(35.0, &rows);
--- a/crates/admission-control/src/plan.rs
+++ b/crates/admission-control/src/plan.rs
@@ -42,7 +42,7 @@
 
 /// What is known of a controller's obedience.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ControllerStatus {
     /// It obeys the newest plan, by its own word.
     Obeys,
     /// It may obey an earlier one.
@@ -75,22 +75,22 @@
     }
 
     /// What a controller may be using now.
-    fn in_use(&self, label: &str, standing: Standing, base: Rate) -> Rate {
-        let known = match standing {
-            Standing::Obeys => self.shares.get(label),
-            Standing::Late => self.most.get(label),
-            Standing::Gone => None,
+    fn in_use(&self, label: &str, status: ControllerStatus, base: Rate) -> Rate {
+        let known = match status {
+            ControllerStatus::Obeys => self.shares.get(label),
+            ControllerStatus::Late => self.most.get(label),
+            ControllerStatus::Gone => None,
         };
         known.copied().unwrap_or(base).max(base)
     }
 
     /// The plan that follows this one.
-    pub fn next(&self, limit: Rate, controllers: &[(String, Standing, Demand)]) -> Plan {
+    pub fn next(&self, limit: Rate, controllers: &[(String, ControllerStatus, Demand)]) -> Plan {
         let base = base(limit, controllers.len());
         let wanted = divide(limit, base, controllers);
         let in_use: Vec<Rate> = controllers
             .iter()
-            .map(|(label, standing, _)| self.in_use(label, *standing, base))
+            .map(|(label, status, _)| self.in_use(label, *status, base))
             .collect();
         let spare = (limit - in_use.iter().sum::<Rate>()).max(0.0);
         let raises = wanted.iter().zip(&in_use);
@@ -122,12 +122,16 @@
 }
 
 /// Everybody's base, and the rest by demand; what nobody asks for evenly.
-fn divide(limit: Rate, base: Rate, controllers: &[(String, Standing, Demand)]) -> Vec<Rate> {
-    let present = |standing: Standing| standing != Standing::Gone;
+fn divide(
+    limit: Rate,
+    base: Rate,
+    controllers: &[(String, ControllerStatus, Demand)],
+) -> Vec<Rate> {
+    let present = |status: ControllerStatus| status != ControllerStatus::Gone;
     let asks: Vec<Rate> = controllers
         .iter()
-        .map(|(_, standing, demand)| {
-            if present(*standing) {
+        .map(|(_, status, demand)| {
+            if present(*status) {
                 (demand.rate() - base).max(0.0)
             } else {
                 0.0
@@ -141,8 +145,8 @@
     let evenly = (rest - asked * part) / there.max(1) as f64;
     let shares = controllers.iter().zip(asks);
     shares
-        .map(|((_, standing, _), asks)| {
-            if present(*standing) {
+        .map(|((_, status, _), asks)| {
+            if present(*status) {
                 base + asks * part + evenly
             } else {
                 base
--- a/crates/admission-control/src/plan/tests.rs
+++ b/crates/admission-control/src/plan/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn controllers(rows: &[(Standing, f64, f64)]) -> Vec<(String, Standing, Demand)> {
+fn controllers(rows: &[(ControllerStatus, f64, f64)]) -> Vec<(String, ControllerStatus, Demand)> {
     let rows = rows.iter().enumerate();
-    rows.map(|(n, (standing, used, waiting))| {
+    rows.map(|(n, (status, used, waiting))| {
         let (used, waiting) = (*used, *waiting);
-        (format!("n{n}"), *standing, Demand { used, waiting })
+        (format!("n{n}"), *status, Demand { used, waiting })
     })
     .collect()
 }
@@ -16,7 +16,7 @@
 
 #[test]
 fn shares_follow_demand_and_the_rest_is_even() {
-    use Standing::{Gone, Obeys};
+    use ControllerStatus::{Gone, Obeys};
     let cases = [
         (vec![(Obeys, 0.0, 0.0); 3], vec![10.0, 10.0, 10.0]),
         (
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_share_rises_only_by_what_surely_nobody_uses() {
-    use Standing::{Gone, Late, Obeys};
-    let hungry = |standings: [Standing; 2]| {
+    use ControllerStatus::{Gone, Late, Obeys};
+    let hungry = |standings: [ControllerStatus; 2]| {
         controllers(&[(standings[0], 0.0, 0.0), (standings[1], 10.0, 500.0)])
     };
     // The first has most of it, and asks for nothing any more.
@@ -66,8 +66,12 @@
 
 #[test]
 fn small_differences_are_not_worth_a_change() {
-    let row =
-        |waiting| controllers(&[(Standing::Obeys, 5.0, 0.0), (Standing::Obeys, 5.0, waiting)]);
+    let row = |waiting| {
+        controllers(&[
+            (ControllerStatus::Obeys, 5.0, 0.0),
+            (ControllerStatus::Obeys, 5.0, waiting),
+        ])
+    };
     let plan = Plan::default().next(30.0, &row(0.0));
     assert!(plan.matters(&Plan::default(), 30.0));
     assert!(!plan.next(30.0, &row(6.0)).matters(&plan, 30.0));
--- a/crates/admission-control/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashSet;
 
-use admission_control::plan::{Demand, Plan, Standing, base};
+use admission_control::plan::{ControllerStatus, Demand, Plan, base};
 
 const LIMIT: f64 = 30.0;
 const LABELS: [&str; 2] = ["a", "b"];
@@ -29,7 +29,7 @@
 
 /// What the state service has been told, in order.
 #[derive(Clone, Debug)]
-enum Written {
+enum WrittenRecords {
     Joined(usize),
     Left(usize),
     Plan(Plan),
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    written: Vec<Written>,
+    written: Vec<WrittenRecords>,
     controllers: [Controller; 2],
     /// How much the leader has seen.
     leader: usize,
@@ -60,10 +60,14 @@
             lease: Some(n),
             said: 2,
         };
-        let rows = LABELS.map(|l| (l.to_string(), Standing::Obeys, Demand::default()));
+        let rows = LABELS.map(|l| (l.to_string(), ControllerStatus::Obeys, Demand::default()));
         let plan = Plan::default().next(LIMIT, &rows);
         Self {
-            written: vec![Written::Joined(0), Written::Joined(1), Written::Plan(plan)],
+            written: vec![
+                WrittenRecords::Joined(0),
+                WrittenRecords::Joined(1),
+                WrittenRecords::Plan(plan),
+            ],
             controllers: [at(0), at(1)],
             leader: 3,
         }
@@ -73,7 +77,7 @@
     fn plan(&self, seen: usize) -> Option<(usize, &Plan)> {
         let seen = self.written[..seen].iter().enumerate().rev();
         seen.filter_map(|(at, w)| match w {
-            Written::Plan(plan) => Some((at, plan)),
+            WrittenRecords::Plan(plan) => Some((at, plan)),
             _ => None,
         })
         .next()
@@ -83,8 +87,8 @@
     fn joined(&self, node: usize, seen: usize) -> Option<usize> {
         let seen = self.written[..seen].iter().enumerate().rev();
         seen.filter_map(|(at, w)| match w {
-            Written::Joined(n) if *n == node => Some(Some(at)),
-            Written::Left(n) if *n == node => Some(None),
+            WrittenRecords::Joined(n) if *n == node => Some(Some(at)),
+            WrittenRecords::Left(n) if *n == node => Some(None),
             _ => None,
         })
         .next()
@@ -115,21 +119,22 @@
             if back && without != Without::GoneStill {
                 return None;
             }
-            let standing = match there {
-                None => Standing::Gone,
+            let status = match there {
+                None => ControllerStatus::Gone,
                 Some(_)
                     if self.controllers[node].said >= newest
                         || without == Without::WaitingForWord =>
                 {
-                    Standing::Obeys
+                    ControllerStatus::Obeys
                 }
-                Some(_) => Standing::Late,
+                Some(_) => ControllerStatus::Late,
             };
             let waiting = if node == hungry { 1_000.0 } else { 0.0 };
-            rows.push((label.to_string(), standing, Demand { used: 0.0, waiting }));
+            rows.push((label.to_string(), status, Demand { used: 0.0, waiting }));
         }
         let mut next = self.clone();
-        next.written.push(Written::Plan(old.next(LIMIT, &rows)));
+        next.written
+            .push(WrittenRecords::Plan(old.next(LIMIT, &rows)));
         Some(next)
     }
 
@@ -146,7 +151,7 @@
         }
         let leases = self.written[3..]
             .iter()
-            .filter(|w| !matches!(w, Written::Plan(_)))
+            .filter(|w| !matches!(w, WrittenRecords::Plan(_)))
             .count();
         for node in 0..LABELS.len() {
             let me = &self.controllers[node];
@@ -163,12 +168,12 @@
             if leases < LEASES && me.lease.is_some() {
                 step(&|w| {
                     w.controllers[node].lease = None;
-                    w.written.push(Written::Left(node));
+                    w.written.push(WrittenRecords::Left(node));
                 });
             } else if leases < LEASES {
                 step(&|w| {
                     w.controllers[node].lease = Some(len);
-                    w.written.push(Written::Joined(node));
+                    w.written.push(WrittenRecords::Joined(node));
                 });
             }
         }
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -10,4 +10,4 @@
 pub use amount::Amount;
 pub use divide::{Claim, divide};
 pub use shares::{Shares, Wanted};
-pub use tree::{Node, NodeIx, NodeSpec, Note, Outer, Tree, TreeError, TreeSpec};
+pub use tree::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeSpec};
--- a/crates/hierarchical-quota/src/tree.rs
+++ b/crates/hierarchical-quota/src/tree.rs
@@ -92,7 +92,7 @@
 
 /// What an operator should know of a tree that is fit for use.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum TreeNote {
     /// The platform has the team, the tree has not: it keeps its flat quota.
     TeamOutside(String),
     /// The tree has a leaf for a team that the platform has not: nothing can use it, so its share
@@ -100,13 +100,13 @@
     LeafWithoutTeam(String, String),
 }
 
-impl std::fmt::Display for Note {
+impl std::fmt::Display for TreeNote {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Note::TeamOutside(team) => {
+            TreeNote::TeamOutside(team) => {
                 write!(f, "team {team} is not in the tree and keeps its flat quota")
             }
-            Note::LeafWithoutTeam(node, team) => write!(
+            TreeNote::LeafWithoutTeam(node, team) => write!(
                 f,
                 "node {node}: the platform has no team {team}, so its share is lent"
             ),
@@ -214,7 +214,11 @@
     }
 
     /// Checks the tree against itself and the platform's teams.
-    pub fn build(&self, file: &str, platform: &[Outer]) -> Result<(Tree, Vec<Note>), TreeError> {
+    pub fn build(
+        &self,
+        file: &str,
+        platform: &[Outer],
+    ) -> Result<(Tree, Vec<TreeNote>), TreeError> {
         let strict = true;
         let spec = self;
         Builder { file, spec, strict }.build(platform)
@@ -279,7 +283,7 @@
         Ok(depths)
     }
 
-    fn build(&self, platform: &[Outer]) -> Result<(Tree, Vec<Note>), TreeError> {
+    fn build(&self, platform: &[Outer]) -> Result<(Tree, Vec<TreeNote>), TreeError> {
         let teams: BTreeMap<&str, &Outer> = platform.iter().map(|o| (o.team.as_str(), o)).collect();
         let mut tree = Tree {
             revision: self.spec.revision,
@@ -314,7 +318,7 @@
                         limit = limit.tighter(outer.limit);
                     }
                     None => {
-                        notes.push(Note::LeafWithoutTeam(spec.name.clone(), team.clone()));
+                        notes.push(TreeNote::LeafWithoutTeam(spec.name.clone(), team.clone()));
                     }
                 }
             }
@@ -337,7 +341,7 @@
         let outside = platform
             .iter()
             .filter(|o| !tree.leaves.contains_key(&o.team));
-        notes.extend(outside.map(|o| Note::TeamOutside(o.team.clone())));
+        notes.extend(outside.map(|o| TreeNote::TeamOutside(o.team.clone())));
         Ok((tree, notes))
     }
 
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use jaspertiller::fleet::{CloudAnswer, CloudCall, Listed, Offer, Stage};
+use jaspertiller::fleet::{CloudCall, CloudResponse, Listed, MachineStage, Offer};
 use jaspertiller::types::{MachineId, Millis};
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -50,13 +50,13 @@
         machines: &mut Machines,
         now: Millis,
         rng: &mut SmallRng,
-    ) -> CloudAnswer {
+    ) -> CloudResponse {
         match call {
             CloudCall::MachineTypes => match serde_json::from_value(self.type_specs()) {
                 Ok(jaspertiller::fleet::wire::MachineTypesBody { machine_types }) => {
-                    CloudAnswer::MachineTypes(machine_types.into_iter().map(Into::into).collect())
+                    CloudResponse::MachineTypes(machine_types.into_iter().map(Into::into).collect())
                 }
-                Err(_) => CloudAnswer::Failed,
+                Err(_) => CloudResponse::Failed,
             },
             CloudCall::Rent {
                 request_id,
@@ -70,7 +70,7 @@
                     }
                     self.deleted.insert(machine_id);
                 }
-                CloudAnswer::Deleted
+                CloudResponse::Deleted
             }
             CloudCall::List { after } => {
                 let after = |machine_id: &&MachineId| {
@@ -83,7 +83,7 @@
                     .filter(|(_, m)| m.rented + self.config.list_lag < now)
                     .map(|(machine_id, machine)| self.listed(machine_id, machine, now))
                     .collect();
-                CloudAnswer::Page {
+                CloudResponse::Page {
                     machine_ids,
                     more: false,
                 }
@@ -105,9 +105,9 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             stage: if machine.up_at > seen {
-                Stage::Booting
+                MachineStage::Booting
             } else {
-                Stage::Running
+                MachineStage::Running
             },
             age: seen - machine.rented,
         }
@@ -121,9 +121,9 @@
         machines: &mut Machines,
         now: Millis,
         rng: &mut SmallRng,
-    ) -> CloudAnswer {
+    ) -> CloudResponse {
         if let Some(machine_ids) = self.rental_requests.get(&request_id) {
-            return CloudAnswer::Rented(machine_ids.clone());
+            return CloudResponse::Rented(machine_ids.clone());
         }
         let alive = machines
             .machine_ids
@@ -134,7 +134,7 @@
         let known =
             *machine_type == self.config.machine_type.id && self.config.zones.contains(zone);
         if count == 0 || !known {
-            return CloudAnswer::NoCapacity;
+            return CloudResponse::NoCapacity;
         }
         let boot = self.config.machine_type.boot.0;
         let machine_ids: Vec<MachineId> = (0..count)
@@ -147,6 +147,6 @@
             })
             .collect();
         self.rental_requests.insert(request_id, machine_ids.clone());
-        CloudAnswer::Rented(machine_ids)
+        CloudResponse::Rented(machine_ids)
     }
 }
--- a/crates/simulator/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -15,7 +15,7 @@
 
 use jaspertiller::clock::Clock;
 use jaspertiller::http_client::HttpClient;
-use jaspertiller::store::Answer;
+use jaspertiller::store::StoreResponse;
 use jaspertiller::types::{MachineId, Millis, TaskId, Zone};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -61,7 +61,7 @@
     checked: Millis,
     unchecked: Vec<(MachineId, TaskId)>,
     rng: SmallRng,
-    watches: HashMap<u64, oneshot::Sender<Answer>>,
+    watches: HashMap<u64, oneshot::Sender<StoreResponse>>,
     listeners: HashMap<MachineId, JoinHandle<()>>,
     /// Where each controller answers users and workers.
     controllers: Vec<SocketAddr>,
--- a/crates/simulator/src/live/services.rs
+++ b/crates/simulator/src/live/services.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use jaspertiller::fleet::{CloudAnswer, CloudCall, Stage};
-use jaspertiller::store::{Answer, Entry, Txn, Update};
+use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage};
+use jaspertiller::store::{Entry, StoreResponse, Transaction, Update};
 use jaspertiller::types::{LeaseId, MachineId, MachineTypeId, Millis, Revision, Zone};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -72,9 +72,9 @@
     life_ms: u64,
 }
 
-fn parse_txn(body: &[u8]) -> Option<Txn> {
+fn parse_txn(body: &[u8]) -> Option<Transaction> {
     let body: TxnBody = serde_json::from_slice(body).ok()?;
-    let mut txn = Txn::default();
+    let mut txn = Transaction::default();
     for condition in body.conditions {
         txn.conditions.push((condition.key, condition.stamp));
     }
@@ -145,7 +145,7 @@
         region.watches.insert(id, sender);
     }
     match receiver.await {
-        Ok(Answer::Updates { updates, revision }) => {
+        Ok(StoreResponse::Updates { updates, revision }) => {
             let news: Vec<Value> = updates.iter().map(update).collect();
             ok(json!({"ledger": revision, "news": news}))
         }
@@ -173,8 +173,10 @@
             return error(400, &why);
         }
         return match store.apply(txn) {
-            Answer::Committed(revision) => ok(json!({"ledger": revision})),
-            Answer::Conflict(revision) => (409, Some(json!({"failed": [], "ledger": revision}))),
+            StoreResponse::Committed(revision) => ok(json!({"ledger": revision})),
+            StoreResponse::Conflict(revision) => {
+                (409, Some(json!({"failed": [], "ledger": revision})))
+            }
             _ => error(400, "no such lease"),
         };
     }
@@ -189,7 +191,7 @@
             let most = request.number("most").unwrap_or(1_000).min(1_000) as usize;
             let after = request.query.get("from").map(String::as_str);
             match store.list(starts, after, most) {
-                Answer::Page {
+                StoreResponse::Page {
                     entries,
                     more,
                     revision,
@@ -285,15 +287,15 @@
     };
     let machines = &mut region.machines;
     match region.cloud.call(call, machines, now, &mut region.rng) {
-        CloudAnswer::Rented(machine_ids) => ok(json!({"hosts": machine_ids})),
-        CloudAnswer::NoCapacity => error(503, "no capacity"),
-        CloudAnswer::Deleted => ok(json!({})),
-        CloudAnswer::Page { machine_ids, more } => {
+        CloudResponse::Rented(machine_ids) => ok(json!({"hosts": machine_ids})),
+        CloudResponse::NoCapacity => error(503, "no capacity"),
+        CloudResponse::Deleted => ok(json!({})),
+        CloudResponse::Page { machine_ids, more } => {
             let listed = machine_ids.iter().map(|m| {
                 let stage = match m.stage {
-                    Stage::Booting => "booting",
-                    Stage::Running => "running",
-                    Stage::Failed => "failed",
+                    MachineStage::Booting => "booting",
+                    MachineStage::Running => "running",
+                    MachineStage::Failed => "failed",
                 };
                 let address = region.machines.machine_ids.get(&m.machine_id).map(|h| &h.address);
                 json!({"id": m.machine_id, "address": address, "rig": m.machine_type, "yard": m.zone,
--- a/crates/simulator/src/live/users.rs
+++ b/crates/simulator/src/live/users.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use jaspertiller::http_client::HttpClient;
-use jaspertiller::jobs::api::{self, Stage};
+use jaspertiller::jobs::api::{self, JobStage};
 use jaspertiller::types::{JobId, Millis};
 use rand::Rng;
 use serde::Deserialize;
@@ -28,10 +28,10 @@
     let state = || {
         let state = serde_json::from_slice::<State>(body).ok()?;
         Some(match state.stage.as_str() {
-            "queued" => Stage::Queued,
-            "running" => Stage::Running,
-            "done" => Stage::Done,
-            "aborted" => Stage::Aborted,
+            "queued" => JobStage::Queued,
+            "running" => JobStage::Running,
+            "done" => JobStage::Done,
+            "aborted" => JobStage::Aborted,
             _ => return None,
         })
     };
@@ -160,7 +160,7 @@
             } else {
                 self.poll(&id).await
             };
-            if matches!(told, Told::State(Stage::Done | Stage::Aborted)) {
+            if matches!(told, Told::State(JobStage::Done | JobStage::Aborted)) {
                 return;
             }
         }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use jaspertiller::jobs::JobSpec;
-use jaspertiller::jobs::api::{JobState, Stage};
+use jaspertiller::jobs::api::{JobStage, JobState};
 use jaspertiller::settings::TeamSettings;
 use jaspertiller::types::{JobId, MachineId, Millis, Resources, TaskId, Team};
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub enum Told {
     /// Accepted now, or known already.
-    State(Stage),
+    State(JobStage),
     NotFound,
     /// 400 or 422.
     Refused(u16),
@@ -147,7 +147,7 @@
         self.answered = now;
     }
 
-    fn state(&mut self, id: &JobId, stage: Stage, machines: &Machines, now: Millis) {
+    fn state(&mut self, id: &JobId, stage: JobStage, machines: &Machines, now: Millis) {
         if !self.submitted.contains_key(id) {
             return self.broken("invented", id);
         }
@@ -155,7 +155,7 @@
         let silence = self.silences.entry(id.clone());
         silence.or_insert((now, Millis(0))).0 = now;
         match stage {
-            Stage::Done => {
+            JobStage::Done => {
                 let tasks = machines.jobs.get(id).map_or(0, |job| job.spec.tasks);
                 let task = |index| TaskId {
                     job: id.clone(),
@@ -170,7 +170,7 @@
                 }
                 self.done.insert(id.clone());
             }
-            Stage::Aborted => {
+            JobStage::Aborted => {
                 if self.done.contains(id) || !self.wanted_aborts.contains_key(id) {
                     self.broken("went_back", format!("{id} to cancelled"));
                 }
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use jaspertiller::jobs::api::Stage;
+use jaspertiller::jobs::api::JobStage;
 use jaspertiller::lease::{LEADER, LeaderRecord};
 use jaspertiller::types::{JobId, Zone};
 use tokio::task::JoinSet;
@@ -372,7 +372,7 @@
         if !matches!(told, Told::Later) {
             note(&times, |times| record(&mut times.polls, took));
         }
-        if matches!(told, Told::State(Stage::Done | Stage::Aborted)) {
+        if matches!(told, Told::State(JobStage::Done | JobStage::Aborted)) {
             return;
         }
         next += POLL_EVERY;
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -3,7 +3,7 @@
 use jaspertiller::controller::{Effect, Event};
 use jaspertiller::fleet::CloudCall;
 use jaspertiller::peers::Message;
-use jaspertiller::store::{Answer, Call, Change, Txn, Update};
+use jaspertiller::store::{Mutation, StoreCall, StoreResponse, Transaction, Update};
 use jaspertiller::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
 use crate::live::workers::heartbeat_body;
@@ -52,7 +52,7 @@
     };
     meter.message(Direction::Sent, kind, bytes);
     if let Effect::Store {
-        call: Call::Txn(txn),
+        call: StoreCall::Transaction(txn),
         ..
     } = effect
     {
@@ -70,24 +70,24 @@
     EMPTY_ANSWER + serde_json::to_string(commands).map_or(0, |text| text.len())
 }
 
-fn answer_kind(answer: &Answer) -> &'static str {
+fn answer_kind(answer: &StoreResponse) -> &'static str {
     match answer {
-        Answer::Updates { .. } => "watch answer",
-        Answer::Page { .. } => "list page",
+        StoreResponse::Updates { .. } => "watch answer",
+        StoreResponse::Page { .. } => "list page",
         _ => "state answer",
     }
 }
 
-fn answer_bytes(answer: &Answer) -> usize {
+fn answer_bytes(answer: &StoreResponse) -> usize {
     match answer {
-        Answer::Updates { updates, .. } => updates
+        StoreResponse::Updates { updates, .. } => updates
             .iter()
             .map(|update| match update {
                 Update::Put(entry) => entry.key.len() + entry.data.get().len() + ENTRY_OVERHEAD,
                 Update::Dropped { key, .. } => key.len() + ENTRY_OVERHEAD,
             })
             .sum(),
-        Answer::Page { entries, .. } => entries
+        StoreResponse::Page { entries, .. } => entries
             .iter()
             .map(|entry| entry.key.len() + entry.data.get().len() + ENTRY_OVERHEAD)
             .sum(),
@@ -95,29 +95,29 @@
     }
 }
 
-fn call_kind(call: &Call) -> &'static str {
+fn call_kind(call: &StoreCall) -> &'static str {
     match call {
-        Call::Txn(_) => "transaction",
-        Call::Follow { .. } => "watch",
-        Call::List { .. } => "list",
-        Call::ReadRevision => "revision read",
-        Call::Grant { .. } | Call::Renew(_) | Call::End(_) => "lease call",
+        StoreCall::Transaction(_) => "transaction",
+        StoreCall::Watch { .. } => "watch",
+        StoreCall::List { .. } => "list",
+        StoreCall::ReadRevision => "revision read",
+        StoreCall::Grant { .. } | StoreCall::Renew(_) | StoreCall::End(_) => "lease call",
     }
 }
 
-fn call_bytes(call: &Call) -> usize {
+fn call_bytes(call: &StoreCall) -> usize {
     match call {
-        Call::Txn(txn) => transaction_bytes(txn),
+        StoreCall::Transaction(txn) => transaction_bytes(txn),
         _ => 0,
     }
 }
 
-fn transaction_bytes(txn: &Txn) -> usize {
+fn transaction_bytes(txn: &Transaction) -> usize {
     let conditions = txn.conditions.iter();
     let conditions: usize = conditions.map(|(key, _)| key.len() + ENTRY_OVERHEAD).sum();
     let changes = txn.changes.iter().map(|change| match change {
-        Change::Put { key, data, .. } => key.len() + data.len() + ENTRY_OVERHEAD,
-        Change::Drop { key } => key.len() + ENTRY_OVERHEAD,
+        Mutation::Put { key, data, .. } => key.len() + data.len() + ENTRY_OVERHEAD,
+        Mutation::Drop { key } => key.len() + ENTRY_OVERHEAD,
     });
     conditions + changes.sum::<usize>()
 }
@@ -135,7 +135,7 @@
     match message {
         Message::Hello { .. } => "peer hello",
         Message::Status(_) => "peer status",
-        Message::Left(_) => "peer left",
+        Message::TasksDeparted(_) => "peer left",
         Message::Failed { .. } => "peer failed",
         Message::Unplaced { .. } => "peer unplaced",
         Message::Place { .. } => "peer place",
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -9,13 +9,13 @@
 use std::time::Instant;
 
 use jaspertiller::controller::{CommandReply, Controller, Effect, Event};
-use jaspertiller::fleet::CloudAnswer;
+use jaspertiller::fleet::CloudResponse;
 use jaspertiller::jobs::JobKind;
-use jaspertiller::jobs::api::{self, Response, Stage};
+use jaspertiller::jobs::api::{self, JobStage, Response};
 use jaspertiller::peers::Message;
 use jaspertiller::settings::{Operator, Settings};
 use jaspertiller::store::lanes::{Lanes, Next, Waiting};
-use jaspertiller::store::{Answer, Call, CallClass, Txn};
+use jaspertiller::store::{CallClass, StoreCall, StoreResponse, Transaction};
 use jaspertiller::types::{
     AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, TaskId, WorkerToken,
     Zone,
@@ -123,9 +123,9 @@
     /// To a node, if it is still the same process.
     Node(usize, u64, Box<Event>),
     /// To the state service; whether an answer is still waited for.
-    Store(usize, u64, Waiting<(u64, Call)>, bool),
+    Store(usize, u64, Waiting<(u64, StoreCall)>, bool),
     /// A transaction whose sender gave up on it long ago.
-    LateWrite(Txn),
+    LateWrite(Transaction),
     /// A node's budget may allow another call.
     Budget(usize, u64),
     /// To a worker, when it was sent, and whether an answer is still waited for.
@@ -142,7 +142,7 @@
     Heartbeat(Outgoing),
     /// A copy of a heartbeat that was sent long ago.
     Copy(Outgoing),
-    Answer(Outgoing, HeartbeatResponse),
+    StoreResponse(Outgoing, HeartbeatResponse),
     Submit(usize),
     Poll(JobId),
     Abort(JobId),
@@ -150,12 +150,12 @@
     Start(usize),
 }
 
-fn lanes(settings: &Settings, now: u64) -> Lanes<(u64, Call)> {
+fn lanes(settings: &Settings, now: u64) -> Lanes<(u64, StoreCall)> {
     let state = &settings.deployment.state;
     Lanes::new(state, settings.controllers(), Millis(now))
 }
 
-enum Owed {
+enum PendingReply {
     Worker(Outgoing),
     User(JobId),
 }
@@ -170,12 +170,12 @@
     pub nodes: Vec<Option<Controller>>,
     epochs: Vec<u64>,
     /// What waits for each node's budget, and when that is looked at next.
-    lanes: Vec<Lanes<(u64, Call)>>,
+    lanes: Vec<Lanes<(u64, StoreCall)>>,
     budget_at: Vec<u64>,
     /// Transactions that were refused by the state service's limit.
     pub over_limit: u64,
     pub settings: Vec<Arc<Settings>>,
-    owed: HashMap<ReplyId, Owed>,
+    pending_replies: HashMap<ReplyId, PendingReply>,
     pub store: StateService,
     /// Who waits for each open watch: node, epoch, tag.
     watches: HashMap<u64, (usize, u64, u64)>,
@@ -248,7 +248,7 @@
             budget_at: vec![0; nodes],
             over_limit: 0,
             settings,
-            owed: HashMap::new(),
+            pending_replies: HashMap::new(),
             store: StateService::new(config.state),
             watches: HashMap::new(),
             outages: Vec::new(),
@@ -510,7 +510,7 @@
                 // While the state service is away it waits longer.
                 if self.during(&self.outages) {
                     self.post(self.now + 500, Msg::LateWrite(txn));
-                } else if matches!(self.store.apply(txn), Answer::Committed(_)) {
+                } else if matches!(self.store.apply(txn), StoreResponse::Committed(_)) {
                     self.late_written.0 += 1;
                 } else {
                     self.late_written.1 += 1;
@@ -568,7 +568,9 @@
                     self.handle(node, Event::Heartbeat { reply, heartbeat });
                 }
             }
-            Msg::Answer(out, answer) => self.machines.answered(&out, answer, Millis(self.now)),
+            Msg::StoreResponse(out, answer) => {
+                self.machines.answered(&out, answer, Millis(self.now))
+            }
             Msg::Submit(index) => {
                 let body = self.jobs[index].body.to_string();
                 let submission = api::parse(body.as_bytes());
@@ -583,7 +585,7 @@
                     self.rules.submit(id, Millis(self.now));
                 }
                 let id = self.jobs[index].id();
-                let reply = self.owe(Owed::User(id.clone()));
+                let reply = self.expect_reply(PendingReply::User(id.clone()));
                 self.ask(&id, Event::Submit { reply, submission });
                 // A user who hears nothing asks again.
                 if !self.over(&id) {
@@ -591,7 +593,7 @@
                 }
             }
             Msg::Poll(job) => {
-                let reply = self.owe(Owed::User(job.clone()));
+                let reply = self.expect_reply(PendingReply::User(job.clone()));
                 // They may ask again at any later time: an end must stay what it was.
                 let pause = if self.over(&job) { 9_000 } else { 2_000 };
                 self.post(self.now + pause, Msg::Poll(job.clone()));
@@ -602,7 +604,7 @@
                     return;
                 }
                 self.rules.wants_abort(&job, Millis(self.now));
-                let reply = self.owe(Owed::User(job.clone()));
+                let reply = self.expect_reply(PendingReply::User(job.clone()));
                 let again = self.now + 2_000;
                 self.post(again, Msg::Abort(job.clone()));
                 self.ask(&job.clone(), Event::Abort { reply, job });
@@ -615,10 +617,10 @@
         self.rules.aborted.contains_key(id) || self.rules.done.contains(id)
     }
 
-    fn owe(&mut self, owed: Owed) -> ReplyId {
+    fn expect_reply(&mut self, pending_replies: PendingReply) -> ReplyId {
         self.next += 1;
         let reply = ReplyId(self.next);
-        self.owed.insert(reply, owed);
+        self.pending_replies.insert(reply, pending_replies);
         reply
     }
 
@@ -745,7 +747,7 @@
             }
             Effect::Cloud { tag, call } => {
                 let answer = if self.during(&self.cloud_down) {
-                    CloudAnswer::Failed
+                    CloudResponse::Failed
                 } else {
                     self.cloud
                         .call(call, &mut self.machines, Millis(now), &mut self.rng)
@@ -827,14 +829,14 @@
                 self.send_to(node, now + 50, Event::Inspected { answered });
             }
             Effect::Worker { reply, answer } => {
-                if let Some(Owed::Worker(out)) = self.owed.remove(&reply)
+                if let Some(PendingReply::Worker(out)) = self.pending_replies.remove(&reply)
                     && self.worker_cut(node, &out.machine_id).is_none()
                 {
-                    self.post(now + delay, Msg::Answer(out, answer));
+                    self.post(now + delay, Msg::StoreResponse(out, answer));
                 }
             }
             Effect::User { reply, response } => {
-                if let Some(Owed::User(id)) = self.owed.remove(&reply) {
+                if let Some(PendingReply::User(id)) = self.pending_replies.remove(&reply) {
                     tracing::debug!(now, node, job = %id, ?response, "told");
                     self.told(id, &response);
                 }
@@ -871,9 +873,9 @@
         let (now, epoch) = (self.now, self.epochs[node]);
         loop {
             match self.lanes[node].next(Millis(now)) {
-                Next::Call(call) => self.call(node, call),
+                Next::StoreCall(call) => self.call(node, call),
                 Next::Refuse((tag, _)) => {
-                    let answer = Answer::Refused;
+                    let answer = StoreResponse::Refused;
                     self.send_to(node, now + 1, Event::Store { tag, answer });
                 }
                 Next::Wait(wait) => {
@@ -890,25 +892,25 @@
         }
     }
 
-    fn call(&mut self, node: usize, call: Waiting<(u64, Call)>) {
+    fn call(&mut self, node: usize, call: Waiting<(u64, StoreCall)>) {
         let now = self.now;
         let slow = self.slow_store.clone().filter(|(until, _)| now < *until);
         let slow = slow.map_or(0, |(_, by)| self.rng.random_range(by));
         let delay = 2 + slow + self.rng.random_range(0..6);
         let (now, epoch, tag) = (self.now, self.epochs[node], call.what.0);
-        let txn = matches!(call.what.1, Call::Txn(_));
+        let txn = matches!(call.what.1, StoreCall::Transaction(_));
         if self.refused(node).is_some() {
-            let answer = Answer::Refused;
+            let answer = StoreResponse::Refused;
             return self.send_to(node, now + delay, Event::Store { tag, answer });
         }
-        if let Call::Txn(late) = &call.what.1
+        if let StoreCall::Transaction(late) = &call.what.1
             && self.late_writes > 0.0
             && self.store_cut(node).is_none()
             && self.rng.random_bool(self.late_writes)
         {
             let at = now + self.rng.random_range(2_000..12_000);
             self.post(at, Msg::LateWrite(late.clone()));
-            let answer = Answer::Unknown;
+            let answer = StoreResponse::Unknown;
             return self.send_to(node, now + CALL_LIMIT, Event::Store { tag, answer });
         }
         let lost = txn && self.rng.random_bool(self.lost_answers);
@@ -927,14 +929,14 @@
             }
         };
         if unanswered {
-            let answer = Answer::Unknown;
+            let answer = StoreResponse::Unknown;
             self.send_to(node, now + CALL_LIMIT, Event::Store { tag, answer });
         }
     }
 
     fn told(&mut self, id: JobId, response: &Response) {
         let told = match response {
-            Response::Accepted(_) => Told::State(Stage::Queued),
+            Response::Accepted(_) => Told::State(JobStage::Queued),
             Response::State(state) => state.into(),
             Response::Unknown => Told::NotFound,
             Response::Malformed(_) => Told::Refused(400),
@@ -955,7 +957,7 @@
                 let refused = self.refused(node).map(|until| Held { until, hold: true });
                 let (at, answer) = match refused.or_else(|| self.store_cut(node)) {
                     Some(Held { until, hold: true }) => (until + 3, answer),
-                    Some(_) => (self.now + CALL_LIMIT, Answer::Unknown),
+                    Some(_) => (self.now + CALL_LIMIT, StoreResponse::Unknown),
                     None => (self.now + 3, answer),
                 };
                 let event = Box::new(Event::Store { tag, answer });
@@ -964,14 +966,20 @@
         }
     }
 
-    fn store_call(&mut self, node: usize, epoch: u64, call: Waiting<(u64, Call)>, reply: bool) {
+    fn store_call(
+        &mut self,
+        node: usize,
+        epoch: u64,
+        call: Waiting<(u64, StoreCall)>,
+        reply: bool,
+    ) {
         let now = Millis(self.now);
         let writes = call.writes as usize;
         if writes > 0 && !self.during(&self.outages) && !self.store.allows(writes, now) {
             self.over_limit += 1;
             let tag = call.what.0;
             if call.class == CallClass::Leases && reply {
-                let answer = Answer::Refused;
+                let answer = StoreResponse::Refused;
                 self.send_to(node, self.now + 3, Event::Store { tag, answer });
             } else if reply && self.epochs[node] == epoch {
                 self.lanes[node].over_limit(call, now);
@@ -982,26 +990,30 @@
         let (tag, call) = call.what;
         let answer = if self.during(&self.outages) {
             match call {
-                Call::Follow { .. } => Answer::Unknown,
-                _ => Answer::Refused,
+                StoreCall::Watch { .. } => StoreResponse::Unknown,
+                _ => StoreResponse::Refused,
             }
         } else {
             match call {
-                Call::Grant { life_ms } => Answer::Granted(self.store.grant(Millis(life_ms), now)),
-                Call::Renew(lease_id) if self.store.renew(lease_id, now) => Answer::Renewed,
-                Call::Renew(_) => Answer::NoLease,
-                Call::End(lease_id) => {
+                StoreCall::Grant { life_ms } => {
+                    StoreResponse::Granted(self.store.grant(Millis(life_ms), now))
+                }
+                StoreCall::Renew(lease_id) if self.store.renew(lease_id, now) => {
+                    StoreResponse::Renewed
+                }
+                StoreCall::Renew(_) => StoreResponse::NoLease,
+                StoreCall::End(lease_id) => {
                     self.store.end(lease_id);
-                    Answer::Ended
+                    StoreResponse::Ended
                 }
-                Call::ReadRevision => Answer::Revision(Revision(self.store.revision)),
-                Call::List { after } => self.store.list(PREFIX, after.as_deref(), PAGE),
-                Call::Follow { from, wait_ms } => {
+                StoreCall::ReadRevision => StoreResponse::Revision(Revision(self.store.revision)),
+                StoreCall::List { after } => self.store.list(PREFIX, after.as_deref(), PAGE),
+                StoreCall::Watch { from, wait_ms } => {
                     let id = self.store.watch(PREFIX, from, Millis(wait_ms), now);
                     self.watches.insert(id, (node, epoch, tag));
                     return;
                 }
-                Call::Txn(txn) => {
+                StoreCall::Transaction(txn) => {
                     if let Some(why) = self.store.malformed(&txn) {
                         self.rules
                             .violations
@@ -1031,7 +1043,7 @@
             return;
         }
         let heartbeat = out.heartbeat.clone();
-        let reply = self.owe(Owed::Worker(out));
+        let reply = self.expect_reply(PendingReply::Worker(out));
         self.handle(node, Event::Heartbeat { reply, heartbeat });
     }
 
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use jaspertiller::store::{Answer, Change, Entry, Txn, Update};
+use jaspertiller::store::{Entry, Mutation, StoreResponse, Transaction, Update};
 use jaspertiller::types::{LeaseId, Millis, Revision};
 use serde_json::value::RawValue;
 
@@ -57,7 +57,7 @@
     /// When each ends, and how long it lasts.
     leases: BTreeMap<u64, (Millis, Millis)>,
     watches: Vec<Watch>,
-    woken: Vec<(u64, Answer)>,
+    woken: Vec<(u64, StoreResponse)>,
     next_watch: u64,
     limits: StateLimits,
     requests: Bucket,
@@ -112,7 +112,7 @@
         Some((&value.data, Revision(value.version), lease_id))
     }
 
-    pub fn list(&self, starts: &str, after: Option<&str>, most: usize) -> Answer {
+    pub fn list(&self, starts: &str, after: Option<&str>, most: usize) -> StoreResponse {
         let mut left = self
             .keys
             .range(starts.to_string()..)
@@ -127,7 +127,7 @@
                 version: Revision(value.version),
             })
             .collect();
-        Answer::Page {
+        StoreResponse::Page {
             entries,
             more: left.next().is_some(),
             revision: Revision(self.revision),
@@ -217,7 +217,7 @@
         self.since(from).any(|(key, _, _)| key.starts_with(starts))
     }
 
-    fn news(&self, watch: &Watch) -> Answer {
+    fn news(&self, watch: &Watch) -> StoreResponse {
         let updates = self
             .since(watch.from)
             .filter(|(key, _, _)| key.starts_with(&watch.starts))
@@ -233,7 +233,7 @@
                 },
             })
             .collect();
-        Answer::Updates {
+        StoreResponse::Updates {
             updates,
             revision: Revision(self.revision),
         }
@@ -255,7 +255,7 @@
                 .front()
                 .is_some_and(|(_, _, r)| *r > from.0 + 1)
         {
-            self.woken.push((watch.id, Answer::TooOld));
+            self.woken.push((watch.id, StoreResponse::TooOld));
         } else if self.changed(starts, from.0) {
             self.woken.push((watch.id, self.news(&watch)));
         } else {
@@ -265,53 +265,53 @@
     }
 
     /// Watches that have their answer now.
-    pub fn woken(&mut self) -> Vec<(u64, Answer)> {
+    pub fn woken(&mut self) -> Vec<(u64, StoreResponse)> {
         std::mem::take(&mut self.woken)
     }
 
     /// Why a transaction is malformed, if it is.
-    pub fn malformed(&self, txn: &Txn) -> Option<String> {
+    pub fn malformed(&self, txn: &Transaction) -> Option<String> {
         let limits = &self.limits;
         if txn.changes.len() > limits.txn_ops || txn.conditions.len() > limits.txn_ops * 4 {
             return Some("too many changes or conditions".into());
         }
-        let too_large = |change: &&Change| match change {
-            Change::Put { data, .. } => data.len() as f64 > limits.value_kb * 1024.0,
-            Change::Drop { .. } => false,
+        let too_large = |change: &&Mutation| match change {
+            Mutation::Put { data, .. } => data.len() as f64 > limits.value_kb * 1024.0,
+            Mutation::Drop { .. } => false,
         };
-        if let Some(Change::Put { key, .. }) = txn.changes.iter().find(too_large) {
+        if let Some(Mutation::Put { key, .. }) = txn.changes.iter().find(too_large) {
             return Some(format!("the value of {key} is too large"));
         }
-        let size = |change: &Change| match change {
-            Change::Put { key, data, .. } => key.len() + data.len(),
-            Change::Drop { key } => key.len(),
+        let size = |change: &Mutation| match change {
+            Mutation::Put { key, data, .. } => key.len() + data.len(),
+            Mutation::Drop { key } => key.len(),
         };
         (txn.changes.iter().map(size).sum::<usize>() > 64 << 10).then(|| "too large".into())
     }
 
-    pub fn apply(&mut self, txn: Txn) -> Answer {
+    pub fn apply(&mut self, txn: Transaction) -> StoreResponse {
         let version = |key: &String| self.keys.get(key).map_or(0, |value| value.version);
         let holds = |(key, stamp): &(String, Revision)| version(key) == stamp.0;
         if !txn.conditions.iter().all(holds) && !self.ignore_conditions {
-            return Answer::Conflict(Revision(self.revision));
+            return StoreResponse::Conflict(Revision(self.revision));
         }
-        let leased = |change: &Change| match change {
-            Change::Put {
+        let leased = |change: &Mutation| match change {
+            Mutation::Put {
                 lease_id: Some(lease_id),
                 ..
             } => self.leases.contains_key(&lease_id.0),
             _ => true,
         };
         if !txn.changes.iter().all(leased) {
-            return Answer::NoLease;
+            return StoreResponse::NoLease;
         }
         if txn.changes.is_empty() {
-            return Answer::Committed(Revision(self.revision));
+            return StoreResponse::Committed(Revision(self.revision));
         }
         self.revision += 1;
         for change in txn.changes {
             match change {
-                Change::Put {
+                Mutation::Put {
                     key,
                     data,
                     lease_id,
@@ -325,13 +325,13 @@
                     };
                     self.keys.insert(key, value);
                 }
-                Change::Drop { key } => {
+                Mutation::Drop { key } => {
                     self.keys.remove(&key);
                     self.note(key, None);
                 }
             }
         }
         self.wake();
-        Answer::Committed(Revision(self.revision))
+        StoreResponse::Committed(Revision(self.revision))
     }
 }
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -1,7 +1,7 @@
 //! The changes that all controllers share: what each tells of its need, and the plan that divides
 //! them. Why the sum holds: `admission_control::plan`.
 
-use admission_control::plan::{Demand, Plan, Standing};
+use admission_control::plan::{ControllerStatus, Demand, Plan};
 use rustc_hash::FxHashMap as HashMap;
 
 use crate::types::{ControllerId, Millis, Revision};
@@ -41,7 +41,7 @@
 }
 
 impl Shared {
-    pub fn feed(&mut self, data: Option<&str>, version: Revision) {
+    pub fn apply(&mut self, data: Option<&str>, version: Revision) {
         if version <= self.version {
             return;
         }
@@ -88,17 +88,17 @@
         if self.writing || now.since(self.planned) < PLAN_EVERY && self.version != Revision(0) {
             return None;
         }
-        let rows: Vec<(String, Standing, Demand)> = controllers
+        let rows: Vec<(String, ControllerStatus, Demand)> = controllers
             .map(|controller| {
                 let said = self.said.get(&controller).copied().unwrap_or_default();
-                let standing = if !present(&controller) {
-                    Standing::Gone
+                let status = if !present(&controller) {
+                    ControllerStatus::Gone
                 } else if said.obeys == self.version && self.version != Revision(0) {
-                    Standing::Obeys
+                    ControllerStatus::Obeys
                 } else {
-                    Standing::Late
+                    ControllerStatus::Late
                 };
-                (controller.to_string(), standing, said.demand)
+                (controller.to_string(), status, said.demand)
             })
             .collect();
         let plan = self.plan.next(limit, &rows);
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -3,15 +3,15 @@
 
 use super::{Controller, Effect, Purpose};
 use crate::admission::shared::{AdmissionReport, PLAN, Shared};
-use crate::lease::{LEADER, Own, controller_key};
-use crate::store::{CallClass, Txn};
+use crate::lease::{LEADER, OwnLease, controller_key};
+use crate::store::{CallClass, Transaction};
 use crate::types::{ControllerId, Revision};
 
 impl Controller {
     /// Whether we have a lease, by our own clock, and have seen all that was written before it.
     /// Without the second, a controller that is back would go by a plan that counts it for gone.
     fn obeys_plan(&self) -> bool {
-        let Own::Held { lease_id, until } = self.leases.own else {
+        let OwnLease::Held { lease_id, until } = self.leases.own else {
             return false;
         };
         let mine = self.leases.controllers.get(&self.me);
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(super) fn keep_plan(&mut self) {
+    pub(super) fn update_admission_plan(&mut self) {
         let limit = Shared::limit(self.settings.deployment.state.write_rps);
         let base = admission_control::plan::base(limit, self.settings.controllers());
         let member = self.obeys_plan();
@@ -57,7 +57,7 @@
             .next(limit, all.iter().cloned(), present, self.now);
         let Some(plan) = next else { return };
         tracing::debug!(shares = ?plan.shares, "dividing changes");
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
         txn.require(PLAN.into(), self.shared.version);
         // One that is back meanwhile may go by a plan that counts on it.
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -8,16 +8,17 @@
 use super::{Arrival, Controller, Effect, Purpose};
 use crate::fleet::plan::{Bin, Headroom, Need, plan};
 use crate::fleet::{
-    CloudAnswer, CloudCall, Fleet, MACHINE_TYPES_KEY, MachineTypeSpec, Offer, Rented, Stage,
+    CloudCall, CloudResponse, Fleet, MACHINE_TYPES_KEY, MachineStage, MachineTypeSpec, Offer,
+    Rented,
 };
-use crate::jobs::cache::{Change, Evidence};
+use crate::jobs::cache::{Evidence, TaskChange};
 use crate::jobs::{JobKind, JobSpec, PriorityClass};
 use crate::lease::LEADER;
 use crate::settings::Objective;
-use crate::store::{CallClass, Txn};
+use crate::store::{CallClass, Transaction};
 use crate::types::{JobId, MachineId, Millis, Resources, Zone};
 use crate::workers::{Machine, shard_of};
-use crate::zones::zone_health::{Suspect, ZoneObservation, Zones};
+use crate::zones::zone_health::{SuspectedMachine, ZoneHealthTracker, ZoneObservation};
 
 const EVERY: Millis = Millis(1_000);
 /// Machines are planned for this many tasks of a job at the most.
@@ -66,9 +67,9 @@
         // The next answer may have to be noted.
         self.type_specs_asked = Millis(0);
         self.drains.clear();
-        self.zones = Zones::default();
+        self.zones = ZoneHealthTracker::default();
         // Deals of an earlier term rest on it.
-        self.unsure_deals.clear();
+        self.unresolved_allocations.clear();
     }
 
     fn call_cloud(&mut self, call: CloudCall) -> u64 {
@@ -78,7 +79,7 @@
         tag
     }
 
-    pub(super) fn keep_fleet(&mut self) {
+    pub(super) fn reconcile_fleet(&mut self) {
         let pause = if self.type_specs.is_empty() {
             RETRY
         } else {
@@ -174,13 +175,13 @@
                     machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
-                    stage: Stage::Running,
+                    stage: MachineStage::Running,
                     since: self.now,
                     seen: self.now,
                     idle: None,
                 });
             if machine.heard + silence >= self.now {
-                rented.stage = Stage::Running;
+                rented.stage = MachineStage::Running;
                 rented.seen = self.now;
             }
         }
@@ -188,7 +189,7 @@
 
     fn mark_idle(&mut self) {
         for (machine_id, rented) in &mut self.fleet.machine_ids {
-            let idle = rented.stage == Stage::Running && !self.jobs.busy(machine_id);
+            let idle = rented.stage == MachineStage::Running && !self.jobs.busy(machine_id);
             rented.idle = match (idle, rented.idle) {
                 (false, _) => None,
                 (true, None) => Some(self.now),
@@ -202,7 +203,7 @@
     fn delete_lost(&mut self) {
         let lease = Millis::from_secs(self.settings.deployment.workers.lease_s + 4.0);
         let mut lost: Vec<MachineId> = Vec::new();
-        let mut silenced: Vec<Suspect> = Vec::new();
+        let mut silenced: Vec<SuspectedMachine> = Vec::new();
         let mut zones: BTreeMap<Zone, ZoneObservation> = BTreeMap::new();
         let early =
             Millis::from_secs(3.2 * self.settings.deployment.workers.heartbeat_interval_s + 1.0);
@@ -214,7 +215,7 @@
             let parts = self.settings.operator.blocks_per_zone;
             let shard = shard_of(machine_id, &rented.zone, parts);
             let silent = self.silent_for(machine_id, &shard);
-            if rented.stage == Stage::Running {
+            if rented.stage == MachineStage::Running {
                 let seen = zones.entry(rented.zone.clone()).or_default();
                 seen.machines += 1;
                 // A new holder that hears nobody can't tell, and yet nobody hears the machine.
@@ -230,9 +231,9 @@
                 let doubtful = machine.is_some_and(|m| m.reachability.doubtful(self.now, early));
                 seen.one_way += u32::from(silent.is_some() && doubtful && since_heard > early);
             }
-            let never = rented.stage == Stage::Booting
+            let never = rented.stage == MachineStage::Booting
                 && self.now.since(rented.since) > Millis::from_secs(boot * NEVER + 10.0);
-            let dead = rented.stage == Stage::Running
+            let dead = rented.stage == MachineStage::Running
                 && silent.as_ref().is_some_and(|silent| {
                     // A new holder asks each machine itself, so a few seconds suffice for it.
                     // One that speaks and does not hear may hear again; a lease without proof is
@@ -245,7 +246,7 @@
                 .is_some_and(|m| m.quarantined || m.warned && m.tasks.is_empty())
                 && !self.jobs.busy(machine_id)
                 && self.drained(machine_id);
-            if rented.stage == Stage::Failed || never || quarantined {
+            if rented.stage == MachineStage::Failed || never || quarantined {
                 lost.push(machine_id.clone());
             } else if dead {
                 silenced.push(self.suspect(machine_id, &rented.zone));
@@ -333,18 +334,19 @@
             let machine = self.machines.get(machine_id);
             let bad = machine.is_some_and(|m| m.quarantined || m.warned)
                 || self.fleet.deleting.contains(machine_id)
-                || rented.stage == Stage::Failed;
+                || rented.stage == MachineStage::Failed;
             // One that is late is not counted on.
-            let late = rented.stage == Stage::Booting
+            let late = rented.stage == MachineStage::Booting
                 && self.now.since(rented.since).secs() > type_spec.boot_s * 1.8 + 5.0;
             // One that nobody could tell to start a task is no room, though it may be at work.
-            let patience = if self.zones.out_of_reach(&rented.zone) {
+            let idle_timeouts = if self.zones.out_of_reach(&rented.zone) {
                 1
             } else {
                 3
             };
-            let silent = rented.stage == Stage::Running
-                && machine.is_none_or(|m| self.now.since(m.heard).0 > patience * self.silence().0);
+            let silent = rented.stage == MachineStage::Running
+                && machine
+                    .is_none_or(|m| self.now.since(m.heard).0 > idle_timeouts * self.silence().0);
             if bad || late || silent {
                 continue;
             }
@@ -393,7 +395,7 @@
             .filter(|job| job.active() && job.waiting() > 0)
             .collect();
         jobs.sort_by_key(|job| (std::cmp::Reverse(job.spec.priority), job.born));
-        let dear = self.misplaced();
+        let dear = self.unplaced_spot_demand();
         let mut budget: BTreeMap<_, Resources> = BTreeMap::new();
         let mut needs = Vec::new();
         for job in jobs {
@@ -578,8 +580,8 @@
         let (mut capacity, mut used) = (Resources::default(), Resources::default());
         for (machine_id, rented) in &self.fleet.machine_ids {
             match (rented.stage, rented.idle) {
-                (Stage::Running, None) => busy += 1,
-                (Stage::Running, Some(_)) => idle += 1,
+                (MachineStage::Running, None) => busy += 1,
+                (MachineStage::Running, Some(_)) => idle += 1,
                 _ => booting += 1,
             }
             spot += u32::from(rented.spot);
@@ -608,7 +610,7 @@
     }
 
     /// Tasks that may use spot machines but run on ordinary ones that would else stand ready.
-    fn misplaced(&self) -> Vec<Need<'_>> {
+    fn unplaced_spot_demand(&self) -> Vec<Need<'_>> {
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
         for (machine_id, _) in self
             .fleet
@@ -636,7 +638,7 @@
 
     /// For how long arrivals have been seen: a controller that came back has seen few, but the
     /// others' users went on asking.
-    fn seen_for(&self) -> Millis {
+    fn arrivals_observed_for(&self) -> Millis {
         let seen = self.now.since(self.arrivals_since);
         Millis(seen.0.clamp(LEAST_SEEN.0, WINDOW.0))
     }
@@ -658,7 +660,7 @@
             .map(|spot| {
                 // What comes while a machine boots; in a large fleet about as much comes free
                 // meanwhile, and only the fluctuation of both is to be covered.
-                let part = lead_s / self.seen_for().secs();
+                let part = lead_s / self.arrivals_observed_for().secs();
                 let machines = |urgent: bool| {
                     let asked = self.arrivals.iter();
                     let asked = asked.filter(|a| a.spot == spot && (urgent || !a.urgent));
@@ -693,19 +695,19 @@
         self.fleet.renting.insert(tag, (offer, count));
     }
 
-    pub(super) fn on_cloud(&mut self, tag: u64, answer: CloudAnswer) {
+    pub(super) fn on_cloud(&mut self, tag: u64, answer: CloudResponse) {
         let Some(call) = self.cloud_calls.remove(&tag) else {
             return;
         };
         match (call, answer) {
-            (CloudCall::MachineTypes, CloudAnswer::MachineTypes(type_specs)) => {
+            (CloudCall::MachineTypes, CloudResponse::MachineTypes(type_specs)) => {
                 if self.type_specs.is_empty() {
                     tracing::info!(types = type_specs.len(), "know the machine types");
                 }
                 self.store_machine_types(&type_specs);
                 self.type_specs = type_specs;
             }
-            (CloudCall::List { .. }, CloudAnswer::Page { machine_ids, more }) => {
+            (CloudCall::List { .. }, CloudResponse::Page { machine_ids, more }) => {
                 let last = machine_ids.last().map(|listed| listed.machine_id.clone());
                 for listed in machine_ids {
                     if self.fleet.gone.contains(&listed.machine_id) {
@@ -726,7 +728,7 @@
                             idle: None,
                         });
                     rented.seen = now;
-                    if listed.stage != Stage::Booting {
+                    if listed.stage != MachineStage::Booting {
                         rented.stage = listed.stage;
                     }
                 }
@@ -738,7 +740,7 @@
                 }
             }
             (CloudCall::List { .. }, _) => self.fleet.listing = false,
-            (CloudCall::Rent { offer, .. }, CloudAnswer::Rented(machine_ids)) => {
+            (CloudCall::Rent { offer, .. }, CloudResponse::Rented(machine_ids)) => {
                 let asked = self
                     .fleet
                     .renting
@@ -757,7 +759,7 @@
                             machine_type: offer.0.clone(),
                             zone: offer.1.clone(),
                             spot: offer.2,
-                            stage: Stage::Booting,
+                            stage: MachineStage::Booting,
                             since: self.now,
                             seen: self.now,
                             idle: None,
@@ -767,12 +769,12 @@
             (CloudCall::Rent { offer, .. }, answer) => {
                 self.fleet.renting.remove(&tag);
                 let pause = match answer {
-                    CloudAnswer::NoCapacity => SOLD_OUT,
+                    CloudResponse::NoCapacity => SOLD_OUT,
                     _ => Millis(3_000),
                 };
                 self.fleet.refused.insert(offer, self.now + pause);
             }
-            (CloudCall::Delete(machine_ids), CloudAnswer::Deleted) => self.deleted(machine_ids),
+            (CloudCall::Delete(machine_ids), CloudResponse::Deleted) => self.deleted(machine_ids),
             (CloudCall::Delete(machine_ids), _) => {
                 for machine_id in machine_ids {
                     self.fleet.deleting.remove(&machine_id);
@@ -788,7 +790,7 @@
             .leading()
             .filter(|_| self.stored_type_specs != type_specs)
         {
-            let mut txn = Txn::default();
+            let mut txn = Transaction::default();
             // Carried out late, it would bring back what a later leader has replaced.
             txn.require(LEADER.into(), lead);
             txn.put(MACHINE_TYPES_KEY.into(), type_specs);
@@ -831,7 +833,7 @@
     }
 
     /// What the records still have on a machine that is deleted has left it.
-    fn gone_from(&self, machine_id: &MachineId, changes: &mut Vec<(JobId, u32, Change)>) {
+    fn gone_from(&self, machine_id: &MachineId, changes: &mut Vec<(JobId, u32, TaskChange)>) {
         for (id, index) in self.jobs.on_machine(machine_id) {
             let Some(job) = self.jobs.get(id) else {
                 continue;
@@ -841,7 +843,11 @@
                 && !job.changes.contains_key(index)
             {
                 let evidence = Evidence::Deleted;
-                changes.push((id.clone(), *index, Change::Release { attempt, evidence }));
+                changes.push((
+                    id.clone(),
+                    *index,
+                    TaskChange::Release { attempt, evidence },
+                ));
             }
         }
     }
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -77,7 +77,7 @@
                 machine_type: "g8".into(),
                 zone: "a".into(),
                 spot: false,
-                stage: Stage::Running,
+                stage: MachineStage::Running,
                 since: Millis(0),
                 seen: controller.now,
                 idle: None,
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -1,10 +1,10 @@
 //! Cancellations: what is asked is committed at once, and told once no task is left anywhere.
 
-use super::{After, Controller, Purpose};
+use super::{Controller, PendingRead, Purpose};
 use crate::jobs::Phase;
 use crate::jobs::api::{Response, is_final};
 use crate::jobs::record::{JobRecord, job_key};
-use crate::store::{Answer, CallClass, Txn};
+use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, ReplyId};
 
 impl Controller {
@@ -12,7 +12,7 @@
         match self.jobs.state(&job) {
             Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
             Some(_) => self.abort_known(reply, job),
-            None => self.ask_fresh(After::Abort { reply, job }),
+            None => self.ask_fresh(PendingRead::Abort { reply, job }),
         }
     }
 
@@ -28,7 +28,7 @@
             phase: Phase::Aborting,
             ..job.record.clone()
         };
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(job_key(&id), job.version);
         txn.put(job_key(&id), &record);
         self.transact(
@@ -38,14 +38,14 @@
         );
     }
 
-    pub(super) fn on_aborted(&mut self, reply: ReplyId, job: JobId, answer: Answer) {
+    pub(super) fn on_aborted(&mut self, reply: ReplyId, job: JobId, answer: StoreResponse) {
         match answer {
-            Answer::Committed(_) => {
+            StoreResponse::Committed(_) => {
                 self.cancelling.add(&job, reply, self.now);
                 self.clear(&job);
             }
-            Answer::Conflict(revision) => {
-                self.once_applied(revision, self.now, After::Abort { reply, job });
+            StoreResponse::Conflict(revision) => {
+                self.once_applied(revision, self.now, PendingRead::Abort { reply, job });
                 self.proved();
             }
             _ => self.tell(reply, Response::later()),
@@ -67,7 +67,7 @@
     }
 
     /// A task that nobody hears of may take long to be seen gone: its user asks again.
-    pub(super) fn give_up_cancelling(&mut self) {
+    pub(super) fn expire_cancellations(&mut self) {
         for reply in self.cancelling.late(self.now) {
             self.tell(reply, Response::later());
         }
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -3,7 +3,7 @@
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{JobKind, Placement, Task};
-use crate::store::Call;
+use crate::store::StoreCall;
 use crate::types::{AgentEpoch, Attempt, Revision, ShardId};
 
 /// What the cache does not show yet of a job that is being cancelled may be on its machine when
@@ -31,16 +31,16 @@
             ..controller.jobs.get(&id).unwrap().record.clone()
         };
         let text = serde_json::to_string(&record).unwrap();
-        controller.feed(&job_key(&id), Some(&text), Revision(20));
+        controller.apply(&job_key(&id), Some(&text), Revision(20));
         controller.applied = Revision(applied);
-        controller.fresh.waiting.clear();
+        controller.read_barrier.waiting.clear();
         controller.effects.clear();
         controller.clear(&id);
         let completions = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
-            matches!(call, Call::Txn(txn) if !txn.changes.is_empty())
+            matches!(call, StoreCall::Transaction(txn) if !txn.changes.is_empty())
         });
         assert_eq!(completions, over, "{task:?}, known up to {applied}");
     }
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -77,9 +77,9 @@
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
-    controller.feed(&job_key(&id), Some(&record), Revision(20));
+    controller.apply(&job_key(&id), Some(&record), Revision(20));
     let page = encode_page(&tasks);
-    controller.feed(&page_key(&id, 0), Some(&page), Revision(21));
+    controller.apply(&page_key(&id, 0), Some(&page), Revision(21));
 }
 
 /// What a cycle looked at grew with the fleet, several times for each job, so that a leader's work grew
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -3,16 +3,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{After, Controller, Effect, Purpose};
+use super::{Controller, Effect, PendingRead, Purpose};
 use crate::admission::backlog::Lane;
-use crate::jobs::cache::{Change, Evidence, Job, Writing};
+use crate::jobs::cache::{Evidence, Job, TaskChange, Writing};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{JobKind, Phase, PriorityClass, Task};
 use crate::lease::{LEADER, shard_key};
-use crate::peers::{Left, Message};
+use crate::peers::{Message, TaskDeparture};
 use crate::quota;
 use crate::settings::TeamSettings;
-use crate::store::{Answer, CallClass, Txn};
+use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{Attempt, JobId, MachineId, Millis, Resources, Revision, ShardId};
 
 /// Pages of one transaction: with 8 KiB each they stay below 64 KiB.
@@ -34,7 +34,7 @@
 /// The last tasks of a job that is being taken apart are waited for so long.
 const MATES: Millis = Millis(400);
 /// What a job's home was told of is written here after this long, if it was not there.
-const HOME_WRITES: Millis = Millis(12_000);
+const OWNER_WRITE_TIMEOUT: Millis = Millis(12_000);
 /// Urgent work goes before other work that has waited up to so long.
 const URGENT_FIRST: Millis = Millis(2_000);
 /// A team that uses this part of its limit waits for every end.
@@ -50,7 +50,7 @@
         {
             return;
         }
-        let completions = job.changes.values().all(Change::finishes);
+        let completions = job.changes.values().all(TaskChange::finishes);
         let all = job.done as usize + job.changes.len() >= job.record.tasks as usize;
         let near = |team: &TeamSettings| {
             let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
@@ -61,7 +61,10 @@
         let short = self.short();
         let gather = if short { GATHER_SHORT } else { GATHER };
         // Room that a task has left may be what a gang waits for on another's word.
-        let starts = job.changes.values().all(|c| matches!(c, Change::Place(_)));
+        let starts = job
+            .changes
+            .values()
+            .all(|c| matches!(c, TaskChange::Place(_)));
         let part = job.spec.kind == JobKind::Array && job.waiting() > 0 && starts;
         // Other holders are about to say that their tasks of it have left too.
         let more = job.placed as usize > job.changes.len();
@@ -91,7 +94,7 @@
         };
         let class = self.flows.of(&job.spec).class;
         let turn = if self.forwarded_to_owner(id) {
-            turn + HOME_WRITES
+            turn + OWNER_WRITE_TIMEOUT
         } else {
             turn
         };
@@ -130,14 +133,14 @@
             self.commit(&id);
         }
         for (to, left) in self.completions.take() {
-            let message = Message::Left(left);
+            let message = Message::TasksDeparted(left);
             self.effects.push(Effect::Peer { to, message });
         }
     }
 
     /// Tasks of jobs of ours have left machines of other holders. Whether that still holds is
     /// checked once more when it is written.
-    pub(super) fn on_left(&mut self, left: Vec<Left>) {
+    pub(super) fn on_completions(&mut self, left: Vec<TaskDeparture>) {
         let mut changes = Vec::new();
         for left in left {
             let id = JobId::from(left.job.as_str());
@@ -172,8 +175,8 @@
             .changes
             .iter()
             .filter(|(index, change)| match change {
-                Change::Place(_) => false,
-                Change::Finish { attempt } | Change::Release { attempt, .. } => {
+                TaskChange::Place(_) => false,
+                TaskChange::Finish { attempt } | TaskChange::Release { attempt, .. } => {
                     over(index, attempt)
                 }
             })
@@ -199,7 +202,7 @@
             return;
         }
         let ops = self.settings.deployment.state.txn_ops;
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(job_key(id), job.version);
         let mut pages: BTreeMap<u32, Vec<Task>> = BTreeMap::new();
         let mut changes = Vec::new();
@@ -218,7 +221,7 @@
             let known = |shard| self.leases.shards.get(shard).map(|(_, token)| *token);
             let leads = self.leading().is_some();
             let next = match (change, job.task(*index)) {
-                (Change::Place(placement), Task::Waiting { tried })
+                (TaskChange::Place(placement), Task::Waiting { tried })
                     if job.active() && *tried < placement.attempt =>
                 {
                     // Somebody else may have placed a task there since this one was reserved.
@@ -232,7 +235,7 @@
                     let next = Task::Placed(placement.clone());
                     token.map(|token| (next, Some((&placement.shard, token))))
                 }
-                (Change::Release { attempt, evidence }, Task::Placed(placement))
+                (TaskChange::Release { attempt, evidence }, Task::Placed(placement))
                     if placement.attempt == *attempt =>
                 {
                     let tried = placement.attempt;
@@ -245,7 +248,7 @@
                     };
                     under.map(|under| (Task::Waiting { tried }, under))
                 }
-                (Change::Finish { attempt }, Task::Placed(placement))
+                (TaskChange::Finish { attempt }, Task::Placed(placement))
                     if placement.attempt == *attempt =>
                 {
                     known(&placement.shard)
@@ -253,7 +256,7 @@
                 }
                 _ => None,
             };
-            let places = matches!(change, Change::Place(_));
+            let places = matches!(change, TaskChange::Place(_));
             let Some((next, under)) = next else {
                 stale.push(*index);
                 unplaced |= places;
@@ -273,7 +276,7 @@
         // The tasks of a gang complete together: one that is done shows that all of its attempt are,
         // also those that left their machines unseen.
         let finished = changes.iter().find_map(|(_, change)| match change {
-            Change::Finish { attempt } => Some(*attempt),
+            TaskChange::Finish { attempt } => Some(*attempt),
             _ => None,
         });
         if let Some(finished) = finished.filter(|_| job.whole_gang() && job.active())
@@ -290,7 +293,7 @@
                     if attempt == finished {
                         *task = Task::Done;
                         changes.retain(|(other, _)| *other != index);
-                        changes.push((index, Change::Finish { attempt }));
+                        changes.push((index, TaskChange::Finish { attempt }));
                     }
                 }
             }
@@ -300,7 +303,7 @@
         }
         let mut shards: Vec<(ShardId, u32)> = Vec::new();
         for (_, change) in &changes {
-            if let Change::Place(placement) = change {
+            if let TaskChange::Place(placement) = change {
                 match shards.iter_mut().find(|(b, _)| *b == placement.shard) {
                     Some((_, tasks)) => *tasks += 1,
                     None => shards.push((placement.shard.clone(), 1)),
@@ -359,11 +362,16 @@
         self.transact(CallClass::Jobs, txn, Purpose::Changes { job, changes });
     }
 
-    pub(super) fn on_changes(&mut self, id: JobId, changes: Vec<(u32, Change)>, answer: Answer) {
+    pub(super) fn on_changes(
+        &mut self,
+        id: JobId,
+        changes: Vec<(u32, TaskChange)>,
+        answer: StoreResponse,
+    ) {
         self.unwritten.under_way -= 1;
         let indices: Vec<u32> = changes.iter().map(|(index, _)| *index).collect();
         match answer {
-            Answer::Committed(_) => {
+            StoreResponse::Committed(_) => {
                 for (index, change) in &changes {
                     tracing::debug!(job = %id, index, ?change, "committed");
                 }
@@ -376,7 +384,7 @@
                 let machine_ids: BTreeSet<MachineId> = changes
                     .into_iter()
                     .filter_map(|(_, change)| match change {
-                        Change::Place(placement) => Some(placement.machine_id),
+                        TaskChange::Place(placement) => Some(placement.machine_id),
                         _ => None,
                     })
                     .collect();
@@ -384,21 +392,21 @@
                     self.push_commands(&machine_id);
                 }
             }
-            Answer::Conflict(revision) => {
+            StoreResponse::Conflict(revision) => {
                 tracing::debug!(job = %id, "changes were overtaken");
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.writing = Writing::Settling(Some(revision));
                 }
                 self.settle_at(id, revision);
             }
-            Answer::Unknown => {
+            StoreResponse::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.writing = Writing::Settling(None);
                 }
-                if self.void_later(&id, &changes) {
+                if self.fence_off_later(&id, &changes) {
                     return;
                 }
-                self.once_fresh(After::Settle { job: id });
+                self.once_fresh(PendingRead::Settle { job: id });
             }
             _ => self.settle(&id),
         }
@@ -414,13 +422,13 @@
             let left = job
                 .changes
                 .iter()
-                .filter(|(_, c)| !matches!(c, Change::Place(_)));
+                .filter(|(_, c)| !matches!(c, TaskChange::Place(_)));
             let machine_ids = left
                 .filter_map(|(index, _)| Some(job.task(*index).placement()?.machine_id.clone()));
             machine_ids.collect::<BTreeSet<MachineId>>()
         });
         // What is done stays done, and other holders say it only once.
-        let done: Vec<(u32, Change)> = self
+        let done: Vec<(u32, TaskChange)> = self
             .jobs
             .get(id)
             .map(|job| {
@@ -454,14 +462,14 @@
         }
         if !self.knows_all_of(job) {
             let (version, job) = (job.version, id.clone());
-            return self.once_applied(version, self.now, After::Clear { job });
+            return self.once_applied(version, self.now, PendingRead::Clear { job });
         }
         // A user waits for it.
         let class = match job.record.phase {
             Phase::Aborting => CallClass::Cancellations,
             _ => CallClass::Rest,
         };
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(job_key(id), job.version);
         let record = JobRecord {
             phase: Phase::Aborted,
@@ -484,14 +492,14 @@
 
     /// The leader drops pages of jobs that are over while there is nothing else to write. No
     /// transaction can bring them back: all rest on the version of the job's record.
-    pub(super) fn drop_leftovers(&mut self) {
+    pub(super) fn delete_finished_pages(&mut self) {
         if !self.unwritten.is_empty() || self.dropping || !self.may_place() {
             return;
         }
         let ops = self.settings.deployment.state.txn_ops;
         // Everyone sees the pages; one drops them.
         let Some(lead) = self.leading() else { return };
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
         for (id, page) in self.jobs.leftovers().take(ops) {
             txn.drop_key(page_key(id, *page));
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{JobSpec, Placement};
-use crate::lease::Own;
+use crate::lease::OwnLease;
 use crate::settings::{Settings, tests::settings};
-use crate::store::Call;
+use crate::store::StoreCall;
 use crate::types::{AgentEpoch, FencingToken, LeaseId};
 use crate::workers::Machine;
 
@@ -31,17 +31,17 @@
     let settings = Settings::parse("f", &settings.to_string()).unwrap();
     let mut controller = Controller::new(Arc::new(settings), 1);
     controller.synced = true;
-    controller.leases.own = Own::Held {
+    controller.leases.own = OwnLease::Held {
         lease_id: LeaseId(1),
         until: Millis(60_000),
     };
     for shard in ["a.0", "b.0"] {
         let record = r#"{"holder":"n0","permit":1}"#;
-        controller.feed(&format!("jt/block/{shard}"), Some(record), Revision(5));
+        controller.apply(&format!("jt/block/{shard}"), Some(record), Revision(5));
     }
     let type_spec = r#"[{"sku":"g8","room":{"cpus":96.0,"gpus":8.0,"memory_gb":768.0},"cache_gb":100.0,
         "fetch_gb_per_s":1.0,"price":10.0,"spot_price":4.0,"boot_s":30.0,"zones":["a","b"]}]"#;
-    controller.feed("jt/flavors", Some(type_spec), Revision(1));
+    controller.apply("jt/flavors", Some(type_spec), Revision(1));
     for (machine_id, zone) in [("vm-a", "a"), ("vm-b", "b")] {
         let shard = ShardId {
             zone: zone.into(),
@@ -61,9 +61,9 @@
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
-    controller.feed(&job_key(&id), Some(&record), Revision(6));
+    controller.apply(&job_key(&id), Some(&record), Revision(6));
     let page = encode_page(&tasks);
-    controller.feed(&page_key(&id, 0), Some(&page), Revision(7));
+    controller.apply(&page_key(&id, 0), Some(&page), Revision(7));
     controller.effects.clear();
     (controller, id)
 }
@@ -72,26 +72,26 @@
 /// or while the budget was short, was written although the records had moved on.
 #[test]
 fn what_the_records_have_overtaken_is_not_written() {
-    let release = |attempt, token| Change::Release {
+    let release = |attempt, token| TaskChange::Release {
         attempt: Attempt(attempt),
         evidence: Evidence::Holder(FencingToken(token)),
     };
-    let deleted = |attempt| Change::Release {
+    let deleted = |attempt| TaskChange::Release {
         attempt: Attempt(attempt),
         evidence: Evidence::Deleted,
     };
     let place = |machine_id: &str, shard: &str, attempt| match placed(machine_id, shard, attempt) {
-        Task::Placed(placement) => Change::Place(placement),
+        Task::Placed(placement) => TaskChange::Place(placement),
         _ => unreachable!(),
     };
-    let finish = |attempt| Change::Finish {
+    let finish = |attempt| TaskChange::Finish {
         attempt: Attempt(attempt),
     };
     let on_a = || placed("vm-a", "a.0", 2);
     let waits = |tried| Task::Waiting {
         tried: Attempt(tried),
     };
-    let cases: Vec<(&str, f64, [Task; 2], Change, bool)> = vec![
+    let cases: Vec<(&str, f64, [Task; 2], TaskChange, bool)> = vec![
         (
             "present attempt",
             1.0,
@@ -173,7 +173,7 @@
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
-            matches!(call, Call::Txn(txn) if !txn.changes.is_empty())
+            matches!(call, StoreCall::Transaction(txn) if !txn.changes.is_empty())
         });
         assert_eq!(wrote, written, "{name}");
     }
@@ -186,10 +186,10 @@
     let waits = |tried| Task::Waiting {
         tried: Attempt(tried),
     };
-    let finish = Change::Finish {
+    let finish = TaskChange::Finish {
         attempt: Attempt(2),
     };
-    let release = Change::Release {
+    let release = TaskChange::Release {
         attempt: Attempt(2),
         evidence: Evidence::Holder(FencingToken(5)),
     };
@@ -214,11 +214,11 @@
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
-            let over = |c: &crate::store::Change| {
-                matches!(c, crate::store::Change::Put { key, data, .. }
+            let over = |c: &crate::store::Mutation| {
+                matches!(c, crate::store::Mutation::Put { key, data, .. }
                     if *key == job_key(&id) && data.contains("\"done\""))
             };
-            matches!(call, Call::Txn(txn) if txn.changes.iter().any(over))
+            matches!(call, StoreCall::Transaction(txn) if txn.changes.iter().any(over))
         });
         assert_eq!(completions, done, "{mate:?}");
     }
@@ -228,7 +228,7 @@
 /// late, since the first starts of arrays wait so long for more; and a start waits.
 #[test]
 fn while_changes_are_short_starts_wait_for_company_and_releases_do_not() {
-    let release = Change::Release {
+    let release = TaskChange::Release {
         attempt: Attempt(2),
         evidence: Evidence::Holder(FencingToken(5)),
     };
@@ -239,8 +239,8 @@
         // short, change, written at once
         (false, 0, release.clone(), true),
         (true, 0, release, true),
-        (false, 1, Change::Place(free.clone()), true),
-        (true, 1, Change::Place(free), false),
+        (false, 1, TaskChange::Place(free.clone()), true),
+        (true, 1, TaskChange::Place(free), false),
     ];
     for (short, index, change, at_once) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -4,7 +4,7 @@
 
 use super::{Controller, Effect};
 use crate::jobs::JobKind;
-use crate::jobs::cache::{Change, Job};
+use crate::jobs::cache::{Job, TaskChange};
 use crate::jobs::crash_loop::CrashLoopTracker;
 use crate::peers::Message;
 use crate::queue::QueueKey;
@@ -78,7 +78,7 @@
         let Some(job) = self.jobs.get(id).filter(|job| self.suspected(job)) else {
             return false;
         };
-        let placing = |change: &Change| matches!(change, Change::Place(_));
+        let placing = |change: &TaskChange| matches!(change, TaskChange::Place(_));
         // Of a service each replica is one try by itself: those that run are not waited for.
         let service = job.spec.kind == JobKind::Service;
         if !service && (job.placed > 0 || job.changes.values().any(placing)) {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -4,10 +4,10 @@
 
 use rustc_hash::FxHashSet as HashSet;
 
-use super::{CommandReply, Controller, Effect, PeerState};
+use super::{CommandReply, Controller, Effect, PeerStatus};
 use crate::fleet::{MachineTypeSpec, fetch_rate};
 use crate::jobs::JobKind;
-use crate::jobs::cache::{Change, Evidence, Job};
+use crate::jobs::cache::{Evidence, Job, TaskChange};
 use crate::queue;
 use crate::types::{
     Attempt, ControllerId, FencingToken, JobId, MachineId, Millis, ReplyId, ShardId, TaskId, Zone,
@@ -80,7 +80,7 @@
 
     /// A controller that none of its workers reaches gives its shards up, and takes some again
     /// once it reaches workers.
-    pub(super) fn keep_hearing(&mut self) {
+    pub(super) fn check_worker_contact(&mut self) {
         if !self.receives_heartbeats {
             if self.now.since(self.inspected) >= INSPECT_EVERY {
                 self.inspected = self.now;
@@ -144,7 +144,7 @@
     }
 
     /// What another controller said last, if that was just now.
-    pub(super) fn recent_status(&self, controller: &ControllerId) -> Option<&PeerState> {
+    pub(super) fn recent_status(&self, controller: &ControllerId) -> Option<&PeerStatus> {
         let peer = self.peers.get(controller);
         peer.filter(|peer| self.now.since(peer.heard) <= WORD_HOLDS)
     }
@@ -180,7 +180,7 @@
     /// Whether most other machines of the zone are heard: then it is the machine that is silent,
     /// not the network.
     pub(super) fn zone_speaks(&self, machine_id: &MachineId, zone: &Zone) -> bool {
-        let fresh = self.silence();
+        let read_barrier = self.silence();
         let others: Vec<bool> = self
             .machines
             .values()
@@ -189,8 +189,8 @@
                     && m.machine_id != *machine_id
                     && !self.fleet.gone.contains(&m.machine_id)
             })
-            .filter(|m| self.now.since(m.heard).0 < 8 * fresh.0)
-            .map(|m| self.now.since(m.heard) <= fresh)
+            .filter(|m| self.now.since(m.heard).0 < 8 * read_barrier.0)
+            .map(|m| self.now.since(m.heard) <= read_barrier)
             .collect();
         let speaking = others.iter().filter(|speaks| **speaks).count();
         speaking >= 2 && speaking * 3 >= others.len() * 2
@@ -200,7 +200,7 @@
         let parts = self.settings.operator.blocks_per_zone;
         let shard = shard_of(&heartbeat.machine_id, &heartbeat.zone, parts);
         let Some(token) = self.token_for(&shard) else {
-            if let Some(kept) = self.keep_for_others(&shard, heartbeat.worker_token) {
+            if let Some(kept) = self.renew_for_partitioned_holder(&shard, heartbeat.worker_token) {
                 return kept;
             }
             return match self.leases.shards.get(&shard) {
@@ -277,7 +277,7 @@
         machine.direct.piggybacked_starts.clear();
         let fit = machine.fit(now, silence);
         if fit && !was_fit {
-            self.wake(queue::Event::Machine(machine_id.clone()));
+            self.wake(queue::ClusterEvent::Machine(machine_id.clone()));
         }
         let commands = self.see_to(&machine_id, token);
         if let Some(machine) = self.machines.get_mut(&machine_id) {
@@ -388,7 +388,7 @@
             if machine.worker_token.token() == token {
                 machine.direct.enter(token, heartbeat.agent_epoch);
                 if machine.fit(now, silence) && !was_fit {
-                    self.wake(queue::Event::Machine(machine_id.clone()));
+                    self.wake(queue::ClusterEvent::Machine(machine_id.clone()));
                 }
                 if unable_to_report {
                     self.evacuate_unable_to_report(machine_id);
@@ -462,12 +462,12 @@
         self.tasks_failed(failed, machine_id);
         if !outcome.changes.is_empty() {
             self.note_changes(outcome.changes);
-            self.wake(queue::Event::Freed(machine_id.clone()));
+            self.wake(queue::ClusterEvent::Freed(machine_id.clone()));
         }
         outcome.commands
     }
 
-    pub(super) fn note_changes(&mut self, changes: Vec<(JobId, u32, Change)>) {
+    pub(super) fn note_changes(&mut self, changes: Vec<(JobId, u32, TaskChange)>) {
         let mut jobs: Vec<JobId> = Vec::new();
         for (job, index, change) in changes {
             self.jobs.want(&job, index, change);
@@ -566,7 +566,7 @@
 
     /// Once in a while: leases of workers that ran out by our own clock, stops that are over, and
     /// machines that are no more.
-    pub(super) fn notice_silence(&mut self) {
+    pub(super) fn detect_silent_machines(&mut self) {
         if self.now.since(self.swept) < Millis(1_000) {
             return;
         }
@@ -595,7 +595,7 @@
                 };
                 if placement.agent_epoch <= machine.agent_epoch && !job.changes.contains_key(index)
                 {
-                    let release = Change::Release {
+                    let release = TaskChange::Release {
                         attempt: placement.attempt,
                         evidence: Evidence::Holder(token),
                     };
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -10,7 +10,7 @@
 /// report was of the agent epoch before, so its lease was taken for over while its tasks ran, and
 /// they were started elsewhere.
 #[test]
-fn a_session_that_a_direct_answer_shows_has_its_whole_lease() {
+fn an_agent_epoch_that_a_direct_answer_shows_has_its_whole_lease() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 1);
     let here = Task::Placed(Placement {
@@ -34,7 +34,7 @@
     let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
     for (after_s, gone) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
-        controller.notice_silence();
+        controller.detect_silent_machines();
         assert_eq!(released(&controller), gone, "{after_s} s after");
     }
 }
@@ -101,7 +101,7 @@
             controller.answer_heartbeat(heartbeat(3, FencingToken(5)));
         }
         controller.now = Millis(shown * 1_000) + Millis::from_secs(then_s);
-        controller.notice_silence();
+        controller.detect_silent_machines();
         let released = !controller.jobs.get(&id).unwrap().changes.is_empty();
         assert_eq!(
             released, gone,
@@ -140,7 +140,7 @@
 /// No worker reached any controller for a while: each gave its shards up to the others, took some, heard nobody
 /// and gave them up again, every few seconds.
 #[test]
-fn blocks_are_not_passed_round_while_nobody_hears_workers() {
+fn shards_keep_their_holders_while_no_controller_receives_heartbeats() {
     let cases = [
         // a peer's word: none, it hears nobody, it hears workers; give-ups before; given up, then asks after ms
         (None, 0, Some(2_000)),
@@ -166,7 +166,7 @@
         }
         controller.moved.clear();
         for member in controller.settings.members.clone() {
-            let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerState {
+            let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerStatus {
                 heard: controller.now,
                 revision: Revision(1),
                 without_store: Millis(0),
@@ -176,7 +176,7 @@
                 .peers
                 .extend(said.map(|said| (member.label, said)));
         }
-        controller.keep_hearing();
+        controller.check_worker_contact();
         let case = format!("{peer_receives_heartbeats:?}, {before}");
         assert_eq!(controller.receives_heartbeats, expected.is_none(), "{case}");
         let Some(expected) = expected else { continue };
@@ -184,7 +184,7 @@
         for (after, asks) in [(expected - 1, false), (expected, true)] {
             controller.effects.clear();
             controller.now = from + Millis(after);
-            controller.keep_hearing();
+            controller.check_worker_contact();
             let asked = |effect: &Effect| matches!(effect, Effect::Inspect { .. });
             assert_eq!(
                 controller.effects.iter().any(asked),
--- a/src/controller/hierarchical_quota.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -6,16 +6,16 @@
 use hierarchical_quota::Wanted;
 
 use super::{Controller, Effect, Purpose};
-use crate::jobs::cache::{Change, Job};
+use crate::jobs::cache::{Job, TaskChange};
 use crate::jobs::{JobKind, PriorityClass};
 use crate::peers::Message;
 use crate::preempt::{PreemptionOffer, Site};
-use crate::queue::{Check, Event, QueueKey};
+use crate::queue::{Check, ClusterEvent, QueueKey};
 use crate::quota;
-use crate::quota::hierarchical::{Force, HEAD, Owed, Standing};
-use crate::quota::reclaim::{Ledger, steps_over};
+use crate::quota::hierarchical::{ActiveTree, HEAD, PendingTreeWrite, TreeStatus};
+use crate::quota::reclaim::{Ledger, overuse_steps};
 use crate::settings::TeamSettings;
-use crate::store::{Answer, CallClass, Txn};
+use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, MachineId, Millis, Resources, Revision, TaskId, Team};
 use crate::workers::reconcile::Stop;
 
@@ -43,7 +43,7 @@
 
 impl Controller {
     /// Sees to the tree: offers the file, drops what was replaced, and looks over demand.
-    pub(super) fn keep_tree(&mut self) {
+    pub(super) fn refresh_quota_tree(&mut self) {
         let jobs = &self.jobs;
         let raised = self.nested.refresh(self.now, REFRESH, || jobs.demands());
         if let Some(raised) = raised {
@@ -58,7 +58,7 @@
             self.queue = queue;
             self.head_of_line_jobs = self.find_head_of_line_jobs();
             for team in raised {
-                self.wake(Event::Entitled(team));
+                self.wake(ClusterEvent::Entitled(team));
             }
         }
         self.drain_excess();
@@ -70,38 +70,38 @@
         if standing != self.tree_standing {
             self.tree_standing = standing;
             match standing {
-                Standing::Differs => tracing::error!(
+                TreeStatus::Differs => tracing::error!(
                     "our file's tree differs from the one in force under the same revision: it is \
                      not used before its revision is raised"
                 ),
-                Standing::Old => tracing::info!("a newer tree than our file's is in force"),
-                Standing::New => tracing::info!("offering our file's tree"),
-                Standing::None | Standing::InForce => {}
+                TreeStatus::Old => tracing::info!("a newer tree than our file's is in force"),
+                TreeStatus::New => tracing::info!("offering our file's tree"),
+                TreeStatus::None | TreeStatus::InForce => {}
             }
         }
         if self.writing_tree {
             return;
         }
         let ops = self.settings.deployment.state.txn_ops;
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         match self.nested.owed(ops.min(MOST_PAGES)) {
-            Owed::Pages(pages) => {
+            PendingTreeWrite::Pages(pages) => {
                 for (key, text) in pages {
                     txn.require(key.clone(), self.nested.page_version(&key));
                     txn.put_text(key, text, None);
                 }
             }
-            Owed::Head(text, version) => {
+            PendingTreeWrite::Head(text, version) => {
                 txn.require(HEAD.into(), version);
                 txn.put_text(HEAD.into(), text, None);
             }
-            Owed::Nothing if self.leading().is_some() => {
+            PendingTreeWrite::Nothing if self.leading().is_some() => {
                 for key in self.nested.leftovers().take(ops) {
                     txn.require(key.clone(), self.nested.page_version(key));
                     txn.drop_key(key.clone());
                 }
             }
-            Owed::Nothing => {}
+            PendingTreeWrite::Nothing => {}
         }
         if !txn.changes.is_empty() {
             self.writing_tree = true;
@@ -109,20 +109,20 @@
         }
     }
 
-    pub(super) fn on_tree(&mut self, answer: &Answer) {
+    pub(super) fn on_tree(&mut self, answer: &StoreResponse) {
         self.writing_tree = false;
         // There is more to come: at once, while it goes well.
-        if matches!(answer, Answer::Committed(_)) {
+        if matches!(answer, StoreResponse::Committed(_)) {
             self.tree_offered = Millis(0);
         }
     }
 
-    pub(super) fn feed_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
-        if self.nested.feed(key, data, version) {
+    pub(super) fn apply_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
+        if self.nested.apply(key, data, version) {
             self.jobs.regroup(self.nested.groups());
             self.head_of_line_jobs.clear();
             self.gathered.clear();
-            self.wake(Event::NewTree);
+            self.wake(ClusterEvent::NewTree);
         }
     }
 
@@ -134,7 +134,7 @@
             .settings
             .team(name)
             .is_some_and(|team| quota::guaranteed(self.jobs.usage(name).plus(wanted), team));
-        let nested = |force: &Force| {
+        let nested = |force: &ActiveTree| {
             let leaf = force.leaf(name);
             leaf.is_some_and(|leaf| {
                 let used = self.jobs.standing(name).into();
@@ -356,7 +356,7 @@
             .changes
             .values()
             .filter_map(|change| match change {
-                Change::Place(placement) => Some(placement.machine_id.clone()),
+                TaskChange::Place(placement) => Some(placement.machine_id.clone()),
                 _ => None,
             })
             .collect();
@@ -442,7 +442,7 @@
                         excess = excess.minus(job.spec.resources);
                     } else if !job.whole_gang() && !job.changes.contains_key(&index) {
                         let service = job.spec.kind == JobKind::Service;
-                        let its = self.steps_over(&job.spec.team);
+                        let its = self.overuse_steps(&job.spec.team);
                         let waste = self.waste(job);
                         tasks.push((service, -its, job.spec.priority, waste, task));
                     }
@@ -480,19 +480,19 @@
         }
     }
 
-    fn steps_over(&self, team: &Team) -> i64 {
+    fn overuse_steps(&self, team: &Team) -> i64 {
         let Some(force) = self.nested.force() else {
             return 0;
         };
         let leaf = force.leaf(team);
         leaf.map_or(0, |leaf| {
             let used = self.jobs.standing(team).into();
-            steps_over(force, leaf, used)
+            overuse_steps(force, leaf, used)
         })
     }
 
     /// What every placement rests on besides its shard: the tree in force.
-    pub(super) fn require_tree(&self, txn: &mut Txn) {
+    pub(super) fn require_tree(&self, txn: &mut Transaction) {
         txn.require(HEAD.into(), self.nested.version());
     }
 
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -3,9 +3,9 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::{Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::hierarchical::Nested;
+use crate::quota::hierarchical::HierarchicalQuota;
 use crate::settings::TeamSettings;
-use crate::store::Call;
+use crate::store::StoreCall;
 use crate::types::{AgentEpoch, Attempt, ShardId};
 use hierarchical_quota::TreeSpec;
 
@@ -28,18 +28,18 @@
         most + 1
     );
     let file = TreeSpec::parse("f", &text).unwrap();
-    controller.nested = Nested::new(std::slice::from_ref(&team), Some(&file), 8.0);
-    controller.feed(LEADER, Some(r#"{"leader":"n0","permit":1}"#), Revision(9));
+    controller.nested = HierarchicalQuota::new(std::slice::from_ref(&team), Some(&file), 8.0);
+    controller.apply(LEADER, Some(r#"{"leader":"n0","permit":1}"#), Revision(9));
     let mut revision = 9;
     loop {
         let changes = match controller.nested.owed(1) {
-            Owed::Pages(pages) => pages,
-            Owed::Head(text, _) => vec![(HEAD.to_string(), text)],
-            Owed::Nothing => break,
+            PendingTreeWrite::Pages(pages) => pages,
+            PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
+            PendingTreeWrite::Nothing => break,
         };
         for (key, text) in changes {
             revision += 1;
-            controller.feed(&key, Some(&text), Revision(revision));
+            controller.apply(&key, Some(&text), Revision(revision));
         }
     }
     assert_eq!(controller.nested.version(), Revision(11));
@@ -48,29 +48,29 @@
     (controller, id)
 }
 
-fn place(controller: &mut Controller, id: &JobId, task: u32) -> Option<Txn> {
+fn place(controller: &mut Controller, id: &JobId, task: u32) -> Option<Transaction> {
     let placement = Placement {
         machine_id: "vm-a".into(),
         shard: ShardId::parse("a.0").unwrap(),
         agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     };
-    controller.jobs.want(id, task, Change::Place(placement));
+    controller.jobs.want(id, task, TaskChange::Place(placement));
     controller.commit(id);
     written(controller)
 }
 
-fn written(controller: &Controller) -> Option<Txn> {
+fn written(controller: &Controller) -> Option<Transaction> {
     controller.effects.iter().find_map(|effect| match effect {
         Effect::Store {
-            call: Call::Txn(txn),
+            call: StoreCall::Transaction(txn),
             ..
         } => Some(txn.clone()),
         _ => None,
     })
 }
 
-fn required(txn: &Txn, key: &str) -> Option<u64> {
+fn required(txn: &Transaction, key: &str) -> Option<u64> {
     let known = txn.conditions.iter().find(|(k, _)| k == key);
     known.map(|(_, version)| version.0)
 }
@@ -89,7 +89,7 @@
 
     let (mut controller, _) = with_tree(11, 60);
     controller.now = Millis(10_000);
-    controller.keep_shares();
+    controller.reallocate_quota();
     let txn = written(&controller).unwrap();
     assert_eq!(required(&txn, HEAD), Some(11));
 
@@ -97,9 +97,9 @@
     // condition of the old one, and so fails; nothing is dealt or raised.
     let head = r#"{"revision":2,"hash":"x","pages":1,"hold_ms":0,"enabled":true}"#;
     let (mut controller, id) = with_tree(12, 60);
-    controller.feed(HEAD, Some(head), Revision(12));
+    controller.apply(HEAD, Some(head), Revision(12));
     controller.now = Millis(10_000);
-    controller.keep_shares();
+    controller.reallocate_quota();
     assert!(written(&controller).is_none());
     assert!(place(&mut controller, &id, 0).is_none());
 }
@@ -125,7 +125,9 @@
             agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         };
-        controller.jobs.want(&id, task, Change::Place(placement));
+        controller
+            .jobs
+            .want(&id, task, TaskChange::Place(placement));
     }
     assert!(place(&mut controller, &id, 5).is_none());
     controller.jobs.discard(&id, &[5]);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -2,14 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use super::{After, Controller, Pool, Purpose};
+use super::{Controller, PendingRead, Pool, Purpose};
 use crate::admission::shared::PLAN;
 use crate::fleet::MACHINE_TYPES_KEY;
 use crate::jobs::cache::{JobCache, RecordChange, Writing};
-use crate::lease::{self, ControllerRecord, LEADER, LeaderRecord, Moved, Own, ShardRecord};
+use crate::lease::{
+    self, ControllerRecord, LEADER, LeaderRecord, LeaseChange, OwnLease, ShardRecord,
+};
 use crate::queue::{self, Queue};
 use crate::quota;
-use crate::store::{Answer, Call, CallClass, Txn, Update};
+use crate::store::{CallClass, StoreCall, StoreResponse, Transaction, Update};
 use crate::types::{FencingToken, JobId, MachineId, Millis, Revision, ShardId};
 
 /// A watch waits this long for changes.
@@ -26,12 +28,16 @@
 const PROOF_HOLDS: Millis = Millis(2_000);
 
 impl Controller {
-    pub(super) fn keep_membership(&mut self) {
+    pub(super) fn renew_membership(&mut self) {
         if !self.synced {
-            if !self.listing && self.now >= self.follow_after {
+            if !self.listing && self.now >= self.watch_after {
                 self.listing = true;
                 self.list_revision = None;
-                self.call_store(CallClass::Leases, Call::List { after: None }, Purpose::List);
+                self.call_store(
+                    CallClass::Leases,
+                    StoreCall::List { after: None },
+                    Purpose::List,
+                );
             }
             return;
         }
@@ -46,7 +52,7 @@
                 .map(|(record, _)| record.lease_id)
             {
                 Some(lease_id) if self.busy_membership.insert("end") => {
-                    self.call_store(CallClass::Leases, Call::End(lease_id), Purpose::EndOld);
+                    self.call_store(CallClass::Leases, StoreCall::End(lease_id), Purpose::EndOld);
                 }
                 Some(_) => {}
                 None => self.ended_old = true,
@@ -54,24 +60,24 @@
             return;
         }
         match self.leases.own {
-            Own::None => {
-                self.leases.own = Own::Asked;
+            OwnLease::None => {
+                self.leases.own = OwnLease::Asked;
                 let life_ms = self.settings.operator.lease.0;
                 let purpose = Purpose::Grant { sent: self.now };
-                self.call_store(CallClass::Leases, Call::Grant { life_ms }, purpose);
+                self.call_store(CallClass::Leases, StoreCall::Grant { life_ms }, purpose);
             }
-            Own::Asked => {}
-            Own::Held { lease_id, .. } => {
+            OwnLease::Asked => {}
+            OwnLease::Held { lease_id, .. } => {
                 let due = self.leases.renewed + Millis(self.settings.operator.lease.0 / 4);
                 if self.now >= due && self.busy_membership.insert("renew") {
                     let purpose = Purpose::Renew { sent: self.now };
-                    self.call_store(CallClass::Leases, Call::Renew(lease_id), purpose);
+                    self.call_store(CallClass::Leases, StoreCall::Renew(lease_id), purpose);
                 }
                 let registered = self.leases.controllers.get(&self.me).is_some_and(|(r, _)| {
                     r.lease_id == lease_id && r.receives_heartbeats == self.receives_heartbeats
                 });
                 if registered {
-                    self.keep_leadership();
+                    self.maintain_leadership();
                 } else {
                     self.register();
                 }
@@ -97,13 +103,13 @@
             zone: self.settings.zone.clone(),
             receives_heartbeats: self.receives_heartbeats,
         };
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(key.clone(), version);
         txn.put_leased(key, &record, lease_id);
         self.transact(CallClass::Leases, txn, Purpose::Register);
     }
 
-    fn keep_leadership(&mut self) {
+    fn maintain_leadership(&mut self) {
         let Some(lease_id) = self.leases.lease_id() else {
             return;
         };
@@ -112,7 +118,7 @@
                 leader: self.me.clone(),
                 lease_id,
             };
-            let mut txn = Txn::default();
+            let mut txn = Transaction::default();
             txn.require(LEADER.into(), Revision(0));
             txn.put_leased(LEADER.into(), &record, lease_id);
             self.transact(CallClass::Leases, txn, Purpose::Lead);
@@ -128,7 +134,7 @@
         }
         let zones = &self.settings.deployment.zones;
         let parts = self.settings.operator.blocks_per_zone;
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
         for (shard, controller) in lease::rightful(zones, parts, &self.leases.controllers) {
             let present = self.leases.shards.get(&shard);
@@ -155,27 +161,27 @@
         }
     }
 
-    pub(super) fn on_membership(&mut self, purpose: Purpose, answer: Answer) {
+    pub(super) fn on_membership(&mut self, purpose: Purpose, answer: StoreResponse) {
         match purpose {
             Purpose::Grant { sent } => {
                 self.leases.own = match answer {
-                    Answer::Granted(lease_id) => {
+                    StoreResponse::Granted(lease_id) => {
                         self.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
-                        Own::Held { lease_id, until }
+                        OwnLease::Held { lease_id, until }
                     }
-                    _ => Own::None,
+                    _ => OwnLease::None,
                 };
             }
             Purpose::Renew { sent } => {
                 self.busy_membership.remove("renew");
                 match (answer, self.leases.own) {
-                    (Answer::Renewed, Own::Held { lease_id, .. }) => {
+                    (StoreResponse::Renewed, OwnLease::Held { lease_id, .. }) => {
                         self.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
-                        self.leases.own = Own::Held { lease_id, until };
+                        self.leases.own = OwnLease::Held { lease_id, until };
                     }
-                    (Answer::NoLease, _) => {
+                    (StoreResponse::NoLease, _) => {
                         tracing::info!("our lease is over");
                         self.leases.lose(&self.me);
                     }
@@ -185,19 +191,19 @@
             }
             Purpose::EndOld => {
                 self.busy_membership.remove("end");
-                if matches!(answer, Answer::Ended) {
+                if matches!(answer, StoreResponse::Ended) {
                     self.ended_old = true;
                 }
             }
             Purpose::Register => {
                 self.busy_membership.remove("register");
-                if matches!(answer, Answer::NoLease) {
+                if matches!(answer, StoreResponse::NoLease) {
                     self.leases.lose(&self.me);
                 }
             }
             Purpose::Lead => {
                 self.busy_membership.remove("lead");
-                if matches!(answer, Answer::NoLease) {
+                if matches!(answer, StoreResponse::NoLease) {
                     self.leases.lose(&self.me);
                 }
             }
@@ -211,7 +217,7 @@
     pub(super) fn may_place(&self) -> bool {
         let stop_before = self.settings.operator.stop_before;
         match self.leases.own {
-            Own::Held { until, .. } => {
+            OwnLease::Held { until, .. } => {
                 // A list of several pages is no picture of one moment: quotas are known only
                 // once the watch has passed its last page.
                 let complete = self.synced && self.applied >= self.list_end;
@@ -221,9 +227,9 @@
         }
     }
 
-    pub(super) fn on_list(&mut self, answer: Answer) {
+    pub(super) fn on_list(&mut self, answer: StoreResponse) {
         match answer {
-            Answer::Page {
+            StoreResponse::Page {
                 entries,
                 more,
                 revision,
@@ -234,10 +240,10 @@
                 self.list_end = revision;
                 let last = entries.last().map(|entry| entry.key.clone());
                 for entry in entries {
-                    self.feed(&entry.key, Some(entry.data.get()), entry.version);
+                    self.apply(&entry.key, Some(entry.data.get()), entry.version);
                 }
                 if more && last.is_some() {
-                    let call = Call::List { after: last };
+                    let call = StoreCall::List { after: last };
                     self.call_store(CallClass::Leases, call, Purpose::List);
                 } else {
                     self.listing = false;
@@ -248,62 +254,62 @@
                     self.arrivals_since = self.now;
                     self.arrivals.clear();
                     self.reconsider_all();
-                    self.keep_membership();
-                    self.keep_following();
+                    self.renew_membership();
+                    self.poll_watch();
                 }
             }
             _ => {
                 self.listing = false;
-                self.follow_after = self.now + RETRY;
+                self.watch_after = self.now + RETRY;
             }
         }
     }
 
-    pub(super) fn keep_following(&mut self) {
-        if self.synced && !self.following && self.now >= self.follow_after {
-            self.following = true;
+    pub(super) fn poll_watch(&mut self) {
+        if self.synced && !self.watch_open && self.now >= self.watch_after {
+            self.watch_open = true;
             // Its answer shows all that was there when it was asked.
-            let asked = std::mem::take(&mut self.fresh.next);
-            self.fresh.watched.extend(asked);
-            let call = Call::Follow {
+            let asked = std::mem::take(&mut self.read_barrier.next);
+            self.read_barrier.watched.extend(asked);
+            let call = StoreCall::Watch {
                 from: self.applied,
                 wait_ms: WATCH_MS,
             };
-            self.call_store(CallClass::Leases, call, Purpose::Follow);
+            self.call_store(CallClass::Leases, call, Purpose::Watch);
         }
     }
 
-    pub(super) fn on_follow(&mut self, answer: Answer) {
-        self.following = false;
+    pub(super) fn on_watch(&mut self, answer: StoreResponse) {
+        self.watch_open = false;
         match answer {
-            Answer::Updates { updates, revision } => {
+            StoreResponse::Updates { updates, revision } => {
                 let busy = !updates.is_empty();
                 for update in updates {
                     match update {
                         Update::Put(entry) => {
-                            self.feed(&entry.key, Some(entry.data.get()), entry.version);
+                            self.apply(&entry.key, Some(entry.data.get()), entry.version);
                         }
-                        Update::Dropped { key, version } => self.feed(&key, None, version),
+                        Update::Dropped { key, version } => self.apply(&key, None, version),
                     }
                 }
                 self.applied = self.applied.max(revision);
-                self.follow_after = if busy {
+                self.watch_after = if busy {
                     self.now + self.watch_pause()
                 } else {
                     self.now
                 };
-                for (asked, after) in std::mem::take(&mut self.fresh.watched) {
+                for (asked, after) in std::mem::take(&mut self.read_barrier.watched) {
                     self.once_applied(revision, asked, after);
                 }
                 self.proved();
-                self.keep_membership();
-                self.keep_following();
+                self.renew_membership();
+                self.poll_watch();
             }
-            Answer::TooOld => {
+            StoreResponse::TooOld => {
                 tracing::info!("the watch fell behind: reading all records again");
-                self.start_over();
+                self.resync();
             }
-            _ => self.follow_after = self.now + RETRY,
+            _ => self.watch_after = self.now + RETRY,
         }
     }
 
@@ -315,7 +321,7 @@
     }
 
     /// Forgets all records, to read them again.
-    fn start_over(&mut self) {
+    fn resync(&mut self) {
         self.synced = false;
         self.listing = false;
         // What is reserved is forgotten too, so what is under way must come to nothing: with the
@@ -327,8 +333,8 @@
         self.leases.controllers.clear();
         self.leases.shards.clear();
         self.leases.leader = None;
-        self.shares = quota::Shares::default();
-        self.nested.start_over();
+        self.shares = quota::QuotaAllocations::default();
+        self.nested.resync();
         self.jobs.regroup(self.nested.groups());
         self.forwarded.clear();
         self.stops.clear();
@@ -338,23 +344,23 @@
             operator.backoff_most,
             operator.flush,
         );
-        self.follow_after = self.now;
+        self.watch_after = self.now;
     }
 
-    pub(super) fn feed(&mut self, key: &str, data: Option<&str>, version: Revision) {
+    pub(super) fn apply(&mut self, key: &str, data: Option<&str>, version: Revision) {
         if let Some(shard) = key.strip_prefix(quota::SHARES) {
             if let Some(shard) = ShardId::parse(shard)
-                && self.shares.feed(shard, data, version)
+                && self.shares.apply(shard, data, version)
             {
-                self.wake(queue::Event::Dealt);
+                self.wake(queue::ClusterEvent::QuotaReallocated);
             }
             return;
         }
         if key.starts_with(quota::hierarchical::HEAD) {
-            return self.feed_tree(key, data, version);
+            return self.apply_tree(key, data, version);
         }
         if key == PLAN {
-            return self.shared.feed(data, version);
+            return self.shared.apply(data, version);
         }
         if key == MACHINE_TYPES_KEY {
             self.stored_type_specs = data
@@ -365,17 +371,17 @@
             }
             return;
         }
-        if let Some(moved) = self.leases.feed(&self.me, key, data, version) {
+        if let Some(moved) = self.leases.apply(&self.me, key, data, version) {
             self.on_moved(moved);
             return;
         }
-        let touched = self.jobs.feed(key, data, version, self.now);
+        let touched = self.jobs.apply(key, data, version, self.now);
         self.on_touched(touched);
     }
 
-    fn on_moved(&mut self, moved: Moved) {
+    fn on_moved(&mut self, moved: LeaseChange) {
         match moved {
-            Moved::Leader => {
+            LeaseChange::Leader => {
                 if let Some(version) = self.leading() {
                     tracing::info!(revision = version.0, "leading");
                     self.led_since = self.now;
@@ -390,12 +396,12 @@
                     self.reconsider_all();
                 }
             }
-            Moved::Controller(_) => {
+            LeaseChange::Controller(_) => {
                 if self.synced && self.leading().is_some() {
                     self.reconsider_all();
                 }
             }
-            Moved::Shard(shard) => {
+            LeaseChange::Shard(shard) => {
                 self.moved.insert(shard.clone(), self.now);
                 let holder = self.leases.shards.get(&shard);
                 if let Some((_, token)) = holder.filter(|(holder, _)| *holder == self.me) {
@@ -446,13 +452,13 @@
             }
         }
         if !touched.freed.is_empty() {
-            self.wake(queue::Event::TaskLeft(id));
+            self.wake(queue::ClusterEvent::TaskLeft(id));
             if let Some(team) = touched.team {
-                self.wake(queue::Event::TeamFreed(team));
+                self.wake(queue::ClusterEvent::TeamFreed(team));
             }
         }
         for machine_id in touched.freed {
-            self.wake(queue::Event::Freed(machine_id));
+            self.wake(queue::ClusterEvent::Freed(machine_id));
         }
     }
 
@@ -466,30 +472,34 @@
 
     /// Asks for a proof that the cache is as new as this moment: the next watch brings it, or a
     /// read of the revision if nothing changes.
-    pub(super) fn once_fresh(&mut self, after: After) {
-        self.fresh.next.push((self.now, after));
-        self.keep_following();
+    pub(super) fn once_fresh(&mut self, after: PendingRead) {
+        self.read_barrier.next.push((self.now, after));
+        self.poll_watch();
         self.read_revision();
     }
 
     pub(super) fn read_revision(&mut self) {
-        let fresh = &mut self.fresh;
-        let oldest = fresh.watched.first().or(fresh.next.first());
+        let read_barrier = &mut self.read_barrier;
+        let oldest = read_barrier.watched.first().or(read_barrier.next.first());
         let due = oldest.is_some_and(|(asked, _)| self.now.since(*asked) >= WATCH_PROVES);
-        if fresh.reading || !due {
+        if read_barrier.reading || !due {
             return;
         }
-        fresh.reading = true;
-        fresh.current = std::mem::take(&mut fresh.watched);
-        fresh.current.append(&mut fresh.next);
-        self.call_store(CallClass::Proofs, Call::ReadRevision, Purpose::Revision);
+        read_barrier.reading = true;
+        read_barrier.current = std::mem::take(&mut read_barrier.watched);
+        read_barrier.current.append(&mut read_barrier.next);
+        self.call_store(
+            CallClass::Proofs,
+            StoreCall::ReadRevision,
+            Purpose::Revision,
+        );
     }
 
-    pub(super) fn on_revision(&mut self, answer: Answer) {
-        self.fresh.reading = false;
-        let asked = std::mem::take(&mut self.fresh.current);
+    pub(super) fn on_revision(&mut self, answer: StoreResponse) {
+        self.read_barrier.reading = false;
+        let asked = std::mem::take(&mut self.read_barrier.current);
         match answer {
-            Answer::Revision(revision) => {
+            StoreResponse::Revision(revision) => {
                 for (asked, after) in asked {
                     self.once_applied(revision, asked, after);
                 }
@@ -510,11 +520,11 @@
             return;
         }
         let applied = self.applied;
-        let waiting = std::mem::take(&mut self.fresh.waiting);
+        let waiting = std::mem::take(&mut self.read_barrier.waiting);
         let (ready, waiting) = waiting
             .into_iter()
             .partition(|(needed, ..)| *needed <= applied);
-        self.fresh.waiting = waiting;
+        self.read_barrier.waiting = waiting;
         for (_, asked, after) in ready {
             if self.came_too_late(asked, &after) {
                 self.not_proved(after);
@@ -525,22 +535,22 @@
     }
 
     /// Goes on once the cache is this new.
-    pub(super) fn once_applied(&mut self, revision: Revision, asked: Millis, after: After) {
-        self.fresh.waiting.push((revision, asked, after));
+    pub(super) fn once_applied(&mut self, revision: Revision, asked: Millis, after: PendingRead) {
+        self.read_barrier.waiting.push((revision, asked, after));
     }
 
     /// Whether a user's question was asked so long ago that its proof tells of the past.
-    fn came_too_late(&self, asked: Millis, after: &After) -> bool {
+    fn came_too_late(&self, asked: Millis, after: &PendingRead) -> bool {
         let of_user = matches!(
             after,
-            After::State { .. } | After::Refuse { .. } | After::Abort { .. }
+            PendingRead::State { .. } | PendingRead::Refuse { .. } | PendingRead::Abort { .. }
         );
         of_user && self.now.since(asked) > PROOF_HOLDS
     }
 
     /// What a user asked was proved to be known at a revision that the cache has not reached since.
-    pub(super) fn give_up_proofs(&mut self) {
-        let waiting = std::mem::take(&mut self.fresh.waiting);
+    pub(super) fn expire_pending_reads(&mut self) {
+        let waiting = std::mem::take(&mut self.read_barrier.waiting);
         for (revision, asked, after) in waiting {
             if self.came_too_late(asked, &after) {
                 self.not_proved(after);
--- a/src/controller/membership/tests.rs
+++ b/src/controller/membership/tests.rs
@@ -23,13 +23,13 @@
         (controller.now, controller.applied) = (Millis(5_000), Revision(20));
         let reply = ReplyId(1);
         let asked = controller.now;
-        let state = After::State { reply, job };
+        let state = PendingRead::State { reply, job };
         controller.once_applied(Revision(21), asked, state);
         controller.proved();
         assert!(controller.effects.is_empty());
         controller.now = asked + Millis(after_ms);
         if ticks {
-            controller.give_up_proofs();
+            controller.expire_pending_reads();
         }
         controller.applied = Revision(22);
         controller.proved();
@@ -70,7 +70,7 @@
         let record = controller.jobs.get(&first).unwrap().record.clone();
         let second = JobId::from("job-2");
         let text = serde_json::to_string(&record).unwrap();
-        controller.feed(&job_key(&second), Some(&text), Revision(20));
+        controller.apply(&job_key(&second), Some(&text), Revision(20));
         let order = controller.order(controller.jobs.get(&second).unwrap());
         controller.queue.remove(&second);
         let (checks, now) = ([check].into(), controller.now);
@@ -88,7 +88,7 @@
             ..record
         };
         let text = serde_json::to_string(&over).unwrap();
-        controller.feed(&job_key(&first), Some(&text), Revision(30));
+        controller.apply(&job_key(&first), Some(&text), Revision(30));
         assert!(!rejected(&controller), "{check:?}, {phase:?}");
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -34,20 +34,20 @@
 use crate::admission::backlog::Backlog;
 use crate::admission::shared::Shared;
 use crate::cycle::index::CapacityIndex;
-use crate::fleet::{CloudAnswer, CloudCall, Fleet, MachineTypeSpec};
+use crate::fleet::{CloudCall, CloudResponse, Fleet, MachineTypeSpec};
 use crate::jobs::api::{Refusal, Refused, Response};
 use crate::jobs::cache::JobCache;
 use crate::jobs::cancel::Cancelling;
 use crate::jobs::completion_forwarding::CompletionForwarder;
 use crate::jobs::crash_loop::CrashLoopTracker;
-use crate::jobs::{JobSpec, cache::Change};
+use crate::jobs::{JobSpec, cache::TaskChange};
 use crate::lease::Leases;
 use crate::peers::Message;
 use crate::queue::Queue;
-use crate::quota::hierarchical::{Nested, Standing};
-use crate::quota::{SHARES, Shares};
+use crate::quota::hierarchical::{HierarchicalQuota, TreeStatus};
+use crate::quota::{QuotaAllocations, SHARES};
 use crate::settings::Settings;
-use crate::store::{Answer, Call, CallClass, Txn};
+use crate::store::{CallClass, StoreCall, StoreResponse, Transaction};
 use crate::types::{
     AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Resources, Revision, ShardId,
     WorkerToken,
@@ -56,8 +56,8 @@
 use crate::workers::reconcile::Stops;
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 use crate::zones::partition_mode::PartitionMode;
-use crate::zones::zone_health::Zones;
-use work_counters::Work;
+use crate::zones::zone_health::ZoneHealthTracker;
+use work_counters::WorkCounters;
 
 /// A worker's answer to commands that were sent to it directly: its heartbeat after them, or what it
 /// refused them with.
@@ -70,11 +70,11 @@
     Tick,
     Store {
         tag: u64,
-        answer: Answer,
+        answer: StoreResponse,
     },
     Cloud {
         tag: u64,
-        answer: CloudAnswer,
+        answer: CloudResponse,
     },
     Peer {
         from: ControllerId,
@@ -128,7 +128,7 @@
     Store {
         tag: u64,
         class: CallClass,
-        call: Call,
+        call: StoreCall,
     },
     /// So many changes a second of the state service are ours.
     Allow {
@@ -170,7 +170,7 @@
     Lead,
     Assign,
     List,
-    Follow,
+    Watch,
     Revision,
     Submit {
         job: JobId,
@@ -181,7 +181,7 @@
     },
     Changes {
         job: JobId,
-        changes: Vec<(u32, Change)>,
+        changes: Vec<(u32, TaskChange)>,
     },
     Clear {
         job: JobId,
@@ -196,7 +196,7 @@
     /// The tree of quotas, page by page.
     Tree,
     /// Makes sure that a transaction of unknown fate is not applied from now on.
-    Void {
+    FenceOff {
         jobs: Vec<JobId>,
         shard: ShardId,
     },
@@ -207,11 +207,11 @@
 }
 
 /// The records that a transaction writes, or drops.
-type Written = Vec<(String, Option<String>)>;
+type WrittenRecords = Vec<(String, Option<String>)>;
 
 /// What to do once the cache is proved new enough.
 #[derive(Debug)]
-enum After {
+enum PendingRead {
     /// Answer a poll, or a submission of a job that is known.
     State {
         reply: ReplyId,
@@ -239,16 +239,16 @@
 
 /// Who waits for a proof that the cache is new, and since when.
 #[derive(Default)]
-struct Freshness {
+struct ReadBarrier {
     /// Not asked for yet.
-    next: Vec<(Millis, After)>,
+    next: Vec<(Millis, PendingRead)>,
     /// The watch that is open was asked after they came.
-    watched: Vec<(Millis, After)>,
+    watched: Vec<(Millis, PendingRead)>,
     /// A read of the revision is under way for them.
-    current: Vec<(Millis, After)>,
+    current: Vec<(Millis, PendingRead)>,
     reading: bool,
     /// Proved as soon as the cache is this new.
-    waiting: Vec<(Revision, Millis, After)>,
+    waiting: Vec<(Revision, Millis, PendingRead)>,
 }
 
 /// Room that is being made for jobs: nobody of lower order takes it.
@@ -355,7 +355,7 @@
 
 /// What another controller said last.
 #[derive(Debug)]
-struct PeerState {
+struct PeerStatus {
     heard: Millis,
     revision: Revision,
     /// How long it had been without the state service.
@@ -372,14 +372,14 @@
     effects: Vec<Effect>,
     next_tag: u64,
     /// Calls in flight: what for, and the records that a transaction writes.
-    calls: HashMap<u64, (Purpose, Written)>,
+    calls: HashMap<u64, (Purpose, WrittenRecords)>,
     cloud_calls: HashMap<u64, CloudCall>,
 
     /// All records have been read once.
     synced: bool,
     applied: Revision,
-    follow_after: Millis,
-    following: bool,
+    watch_after: Millis,
+    watch_open: bool,
     listing: bool,
     list_revision: Option<Revision>,
     list_end: Revision,
@@ -388,7 +388,7 @@
 
     leases: Leases,
     partition_mode: PartitionMode,
-    zones: Zones,
+    zones: ZoneHealthTracker,
     /// When each shard last changed hands, as far as we saw.
     moved: HashMap<ShardId, Millis>,
     /// Whether we hear from workers; without that we can hold no shards.
@@ -404,10 +404,10 @@
     led_since: Millis,
 
     jobs: JobCache,
-    shares: Shares,
-    nested: Nested,
+    shares: QuotaAllocations,
+    nested: HierarchicalQuota,
     tree_offered: Millis,
-    tree_standing: Standing,
+    tree_standing: TreeStatus,
     writing_tree: bool,
     excess_looked: Millis,
     /// With a tree: each team's first job that waits.
@@ -415,17 +415,17 @@
     /// When room may be gathered for a job again.
     gathered: HashMap<JobId, Millis>,
     /// Transactions under way that write shares.
-    dealing: u32,
+    allocations_in_flight: u32,
     /// Deals without an answer that may still be carried out: a shard of each, and the version of its
     /// share that the deal rests on.
-    unsure_deals: Vec<(ShardId, Revision)>,
+    unresolved_allocations: Vec<(ShardId, Revision)>,
     dealt: Millis,
-    voided: Millis,
+    fenced_off_at: Millis,
     /// Jobs with a transaction of unknown fate that must come to nothing before its room is free.
-    to_void: HashMap<JobId, ShardId>,
+    to_fence_off: HashMap<JobId, ShardId>,
     submitting: HashMap<JobId, Vec<ReplyId>>,
     cancelling: Cancelling,
-    fresh: Freshness,
+    read_barrier: ReadBarrier,
 
     queue: Queue,
     forwarded: HashSet<JobId>,
@@ -435,7 +435,7 @@
     stops: Stops,
     nominations: Nominations,
     pool: Pool,
-    work: Work,
+    work: WorkCounters,
     /// Jobs with changes that the cycles of this event noted.
     to_commit: Vec<JobId>,
     completions: CompletionForwarder,
@@ -466,7 +466,7 @@
     arrivals_until: Millis,
     arrivals_since: Millis,
 
-    peers: HashMap<ControllerId, PeerState>,
+    peers: HashMap<ControllerId, PeerStatus>,
     status_sent: Millis,
     /// When machines were heard that others speak of and that we know nothing else of yet.
     relayed_heartbeats: HashMap<MachineId, Millis>,
@@ -492,8 +492,8 @@
             cloud_calls: HashMap::default(),
             synced: false,
             applied: Revision(0),
-            follow_after: Millis(0),
-            following: false,
+            watch_after: Millis(0),
+            watch_open: false,
             listing: false,
             list_revision: None,
             list_end: Revision(0),
@@ -501,7 +501,7 @@
             ended_old: false,
             leases: Leases::default(),
             partition_mode: PartitionMode::default(),
-            zones: Zones::default(),
+            zones: ZoneHealthTracker::default(),
             moved: HashMap::default(),
             receives_heartbeats: true,
             last_heartbeat: Millis(0),
@@ -512,26 +512,26 @@
             busy_membership: HashSet::default(),
             led_since: Millis(0),
             jobs: JobCache::default(),
-            shares: Shares::default(),
-            nested: Nested::new(
+            shares: QuotaAllocations::default(),
+            nested: HierarchicalQuota::new(
                 &settings.deployment.teams,
                 settings.tree.as_ref(),
                 settings.deployment.state.value_kb,
             ),
             tree_offered: Millis(0),
-            tree_standing: Standing::None,
+            tree_standing: TreeStatus::None,
             writing_tree: false,
             excess_looked: Millis(0),
             head_of_line_jobs: Vec::new(),
             gathered: HashMap::default(),
-            dealing: 0,
-            unsure_deals: Vec::new(),
+            allocations_in_flight: 0,
+            unresolved_allocations: Vec::new(),
             dealt: Millis(0),
-            voided: Millis(0),
-            to_void: HashMap::default(),
+            fenced_off_at: Millis(0),
+            to_fence_off: HashMap::default(),
             submitting: HashMap::default(),
             cancelling: Cancelling::default(),
-            fresh: Freshness::default(),
+            read_barrier: ReadBarrier::default(),
             queue,
             forwarded: HashSet::default(),
             forwarded_early: HashMap::default(),
@@ -539,7 +539,7 @@
             stops: Stops::default(),
             nominations: Nominations::default(),
             pool: Pool::default(),
-            work: Work::default(),
+            work: WorkCounters::default(),
             to_commit: Vec::new(),
             completions: CompletionForwarder::default(),
             flows: Flows::new(&settings),
@@ -594,24 +594,24 @@
     }
 
     fn on_tick(&mut self) {
-        self.keep_membership();
-        self.keep_following();
+        self.renew_membership();
+        self.poll_watch();
         self.read_revision();
         self.queue.tick(self.now);
-        self.keep_hearing();
-        self.keep_zone();
-        self.give_up_cancelling();
-        self.give_up_proofs();
+        self.check_worker_contact();
+        self.check_partition_mode();
+        self.expire_cancellations();
+        self.expire_pending_reads();
         self.forward_completions();
         self.write_next();
-        self.drop_leftovers();
-        self.void_unknown();
-        self.keep_shares();
-        self.keep_tree();
-        self.notice_silence();
-        self.keep_plan();
-        self.keep_peers();
-        self.keep_fleet();
+        self.delete_finished_pages();
+        self.resolve_unknown_transactions();
+        self.reallocate_quota();
+        self.refresh_quota_tree();
+        self.detect_silent_machines();
+        self.update_admission_plan();
+        self.broadcast_status();
+        self.reconcile_fleet();
     }
 
     fn tag(&mut self) -> u64 {
@@ -619,47 +619,47 @@
         self.next_tag
     }
 
-    fn call_store(&mut self, class: CallClass, call: Call, purpose: Purpose) {
+    fn call_store(&mut self, class: CallClass, call: StoreCall, purpose: Purpose) {
         let tag = self.tag();
         self.calls.insert(tag, (purpose, Vec::new()));
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    fn transact(&mut self, class: CallClass, txn: Txn, purpose: Purpose) {
+    fn transact(&mut self, class: CallClass, txn: Transaction, purpose: Purpose) {
         let tag = self.tag();
-        let written: Written = txn
+        let written: WrittenRecords = txn
             .changes
             .iter()
             .map(|change| match change {
-                crate::store::Change::Put { key, data, .. } => (key.clone(), Some(data.clone())),
-                crate::store::Change::Drop { key } => (key.clone(), None),
+                crate::store::Mutation::Put { key, data, .. } => (key.clone(), Some(data.clone())),
+                crate::store::Mutation::Drop { key } => (key.clone(), None),
             })
             .collect();
         if written.iter().any(|(key, _)| key.starts_with(SHARES)) {
-            self.dealing += 1;
+            self.allocations_in_flight += 1;
         }
         self.shared.wrote(written.len());
         tracing::debug!(?purpose, changes = written.len(), "writing");
         self.calls.insert(tag, (purpose, written));
-        let call = Call::Txn(txn);
+        let call = StoreCall::Transaction(txn);
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    fn on_store(&mut self, tag: u64, answer: Answer) {
+    fn on_store(&mut self, tag: u64, answer: StoreResponse) {
         let Some((purpose, written)) = self.calls.remove(&tag) else {
             return;
         };
         if written.iter().any(|(key, _)| key.starts_with(SHARES)) {
-            self.dealing -= 1;
+            self.allocations_in_flight -= 1;
         }
-        if !matches!(answer, Answer::Refused | Answer::Unknown) {
+        if !matches!(answer, StoreResponse::Refused | StoreResponse::Unknown) {
             self.store_heard = self.now;
-            self.leave_keeping();
+            self.leave_partition_mode();
         }
-        if let Answer::Committed(revision) = answer {
+        if let StoreResponse::Committed(revision) = answer {
             // What we wrote is known at once; the watch brings it again, as old news.
             for (key, data) in written {
-                self.feed(&key, data.as_deref(), revision);
+                self.apply(&key, data.as_deref(), revision);
             }
         }
         match purpose {
@@ -670,16 +670,16 @@
             | Purpose::Lead
             | Purpose::Assign => self.on_membership(purpose, answer),
             Purpose::List => self.on_list(answer),
-            Purpose::Follow => self.on_follow(answer),
+            Purpose::Watch => self.on_watch(answer),
             Purpose::Revision => self.on_revision(answer),
             Purpose::Submit { job } => self.on_submitted(job, answer),
             Purpose::Abort { reply, job } => self.on_aborted(reply, job, answer),
             Purpose::Changes { job, changes } => self.on_changes(job, changes, answer),
             Purpose::Clear { job } => self.on_cleared(job),
             Purpose::Dropped => self.dropping = false,
-            Purpose::Deal { rests_on } => self.on_dealt(rests_on, answer),
+            Purpose::Deal { rests_on } => self.on_allocated(rests_on, answer),
             Purpose::Tree => self.on_tree(&answer),
-            Purpose::Void { jobs, shard } => self.on_void(jobs, shard, answer),
+            Purpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
             Purpose::Plan => self.shared.writing = false,
             Purpose::Note => {}
         }
@@ -701,7 +701,7 @@
     }
 
     /// What this controller looked at since it started.
-    pub fn work(&self) -> &Work {
+    pub fn work(&self) -> &WorkCounters {
         &self.work
     }
 
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -8,7 +8,7 @@
 use super::{Controller, Effect};
 use crate::admission::shared::AdmissionReport;
 use crate::peers::{MachineHeartbeat, MachineView, Message, Status};
-use crate::queue::Event;
+use crate::queue::ClusterEvent;
 use crate::types::{
     AgentEpoch, ControllerId, FencingToken, JobId, LeaseId, MachineId, Millis, Revision, ShardId,
     Zone,
@@ -49,7 +49,7 @@
                     self.expect_task(&job);
                 }
             }
-            Message::Left(left) => self.on_left(left),
+            Message::TasksDeparted(left) => self.on_completions(left),
             Message::Failed { job, machine_id } => {
                 self.note_failed(&job.into(), &machine_id.into())
             }
@@ -81,7 +81,7 @@
             return;
         }
         let (now, parts) = (self.now, self.settings.operator.blocks_per_zone);
-        let state = super::PeerState {
+        let state = super::PeerStatus {
             heard: now,
             revision: Revision(status.revision),
             without_store: Millis(status.without_store_ms),
@@ -172,12 +172,12 @@
             self.drains_heard = now;
         }
         for machine_id in fit {
-            self.wake(Event::Machine(machine_id));
+            self.wake(ClusterEvent::Machine(machine_id));
         }
     }
 
     /// Tells the others what we see, once a second.
-    pub(super) fn keep_peers(&mut self) {
+    pub(super) fn broadcast_status(&mut self) {
         if self.leading().is_none()
             && !self.drains.is_empty()
             && self.now.since(self.drains_heard) > DRAIN_HOLDS
--- a/src/controller/placement.rs
+++ b/src/controller/placement.rs
@@ -8,7 +8,7 @@
 use super::{Controller, Effect};
 use crate::admission::backlog::Lane;
 use crate::cycle::{self, PlacementRequest};
-use crate::jobs::cache::{Change, Job, Writing};
+use crate::jobs::cache::{Job, TaskChange, Writing};
 use crate::jobs::{JobKind, Placement, PriorityClass};
 use crate::peers::Message;
 use crate::queue::{Check, QueueKey};
@@ -227,7 +227,7 @@
                     Err(more) => {
                         parked.extend(more);
                         // Where only shares are used up, room is no use.
-                        if !parked.contains(&Check::Share)
+                        if !parked.contains(&Check::ShardQuota)
                             && self.preempt(id, PreemptionScope::Anywhere)
                         {
                             return self.queue.expect_room(id, fails, order, self.now);
@@ -295,7 +295,7 @@
                 Err(more) => checks.extend(more),
                 Ok(_) => return Err(checks),
             }
-            if !checks.contains(&Check::Share) {
+            if !checks.contains(&Check::ShardQuota) {
                 return Err(checks);
             }
             let beyond = self.reserve(id, index, attempt, Scope::All, None, Some(1));
@@ -442,7 +442,7 @@
                 attempt,
             };
             let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
-            self.jobs.want(id, index, Change::Place(placement));
+            self.jobs.want(id, index, TaskChange::Place(placement));
             if let Some(machine) = self.machines.get_mut(&machine_id) {
                 machine.expect_image(&image, gb, self.now);
             }
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -13,7 +13,7 @@
     for (known_after, queued) in [(100, true), (60_000, false)] {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, known) = controller(spec, vec![Task::FRESH; 8]);
-        controller.feed(
+        controller.apply(
             "jt/lead",
             Some(r#"{"leader":"n0","permit":1}"#),
             Revision(8),
@@ -24,12 +24,12 @@
         controller.on_peer("n1".into(), Message::Unplaced { job });
         assert!(!controller.queue.contains(&id));
         controller.now = Millis(known_after);
-        controller.notice_silence();
+        controller.detect_silent_machines();
         let record = record.unwrap().replace("\"n0\"", "\"n1\"");
         // Its home is there, so nothing but the hand-over makes it ours.
         let node = r#"{"permit":2,"zone":"a","hears":true}"#;
-        controller.feed("jt/node/n1", Some(node), Revision(9));
-        controller.feed(&job_key(&id), Some(&record), Revision(10));
+        controller.apply("jt/node/n1", Some(node), Revision(9));
+        controller.apply(&job_key(&id), Some(&record), Revision(10));
         assert_eq!(
             controller.queue.contains(&id),
             queued,
@@ -57,7 +57,7 @@
         let machine = controller.machines.get_mut(&machine_id).unwrap();
         (machine.agent_epoch, machine.heartbeat_sequence) = (AgentEpoch(1), 50);
         let held = r#"{"holder":"n1","permit":2}"#;
-        controller.feed("jt/block/a.0", Some(held), Revision(20));
+        controller.apply("jt/block/a.0", Some(held), Revision(20));
         let pulse = MachineHeartbeat {
             machine_id: machine_id.to_string(),
             silent_ms: 0,
@@ -127,7 +127,7 @@
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut leader, _) = controller(spec.clone(), vec![Task::FRESH; 8]);
         if leads {
-            leader.feed(
+            leader.apply(
                 "jt/lead",
                 Some(r#"{"leader":"n0","permit":1}"#),
                 Revision(8),
@@ -136,7 +136,7 @@
         step(&mut leader);
         leader.effects.clear();
         leader.now = Millis(5_000);
-        leader.keep_peers();
+        leader.broadcast_status();
         let mut sent = leader.effects.into_iter();
         let status = sent.find_map(|effect| match effect {
             Effect::Peer {
@@ -146,7 +146,7 @@
             _ => None,
         });
         let (mut holder, _) = controller(spec, vec![Task::FRESH; 8]);
-        holder.feed(
+        holder.apply(
             "jt/lead",
             Some(r#"{"leader":"n1","permit":2}"#),
             Revision(8),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -4,7 +4,7 @@
 
 use super::Controller;
 use crate::jobs::cache::Job;
-use crate::queue::{Check, Event, QueueKey};
+use crate::queue::{Check, ClusterEvent, QueueKey};
 use crate::types::{JobId, MachineId};
 
 impl Controller {
@@ -68,16 +68,18 @@
     }
 
     /// Tells the parked jobs of a change in the cluster.
-    pub(super) fn wake(&mut self, event: Event) {
-        if let Event::Freed(machine_id) = &event {
+    pub(super) fn wake(&mut self, event: ClusterEvent) {
+        if let ClusterEvent::Freed(machine_id) = &event {
             self.activate_due(machine_id);
         }
         let machine = match &event {
-            Event::Machine(machine_id) | Event::Freed(machine_id) => self.machines.get(machine_id),
+            ClusterEvent::Machine(machine_id) | ClusterEvent::Freed(machine_id) => {
+                self.machines.get(machine_id)
+            }
             _ => None,
         };
         let resources = machine.map(|m| (m, self.available(m)));
-        if let Event::Machine(machine_id) = &event {
+        if let ClusterEvent::Machine(machine_id) = &event {
             self.pool.touched.push(machine_id.clone());
         }
         let jobs = &self.jobs;
@@ -97,19 +99,22 @@
                 return false;
             }
             match (check, &event) {
-                (Check::Resources | Check::Machine, Event::Machine(_) | Event::Freed(_)) => {
-                    resources.as_ref().is_some_and(|(machine, available)| {
-                        job.spec
-                            .allows(&machine.machine_type, &machine.zone, machine.spot)
-                            && job.spec.resources.fits_in(*available)
-                    })
+                (
+                    Check::Resources | Check::Machine,
+                    ClusterEvent::Machine(_) | ClusterEvent::Freed(_),
+                ) => resources.as_ref().is_some_and(|(machine, available)| {
+                    job.spec
+                        .allows(&machine.machine_type, &machine.zone, machine.spot)
+                        && job.spec.resources.fits_in(*available)
+                }),
+                (Check::Zones, ClusterEvent::Machine(_)) => true,
+                (Check::Zones | Check::Attempt, ClusterEvent::TaskLeft(left)) => left == id,
+                (Check::Team | Check::ShardQuota, ClusterEvent::TeamFreed(team)) => {
+                    self.team_helps(team, id)
                 }
-                (Check::Zones, Event::Machine(_)) => true,
-                (Check::Zones | Check::Attempt, Event::TaskLeft(left)) => left == id,
-                (Check::Team | Check::Share, Event::TeamFreed(team)) => self.team_helps(team, id),
-                (Check::Share, Event::Dealt) => true,
-                (Check::Team | Check::Share | Check::Resources, Event::NewTree) => true,
-                (Check::Resources | Check::Machine, Event::Entitled(team)) => {
+                (Check::ShardQuota, ClusterEvent::QuotaReallocated) => true,
+                (Check::Team | Check::ShardQuota | Check::Resources, ClusterEvent::NewTree) => true,
+                (Check::Resources | Check::Machine, ClusterEvent::Entitled(team)) => {
                     *team == job.spec.team
                 }
                 _ => false,
--- a/src/controller/quota_allocation.rs
+++ b/src/controller/quota_allocation.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use super::{After, Controller, Purpose};
-use crate::jobs::cache::{Change, Job, Writing};
-use crate::quota::{self, Dealt, Share, share_key};
+use super::{Controller, PendingRead, Purpose};
+use crate::jobs::cache::{Job, TaskChange, Writing};
+use crate::quota::{self, QuotaAllocation, ShardAllocation, share_key};
 use crate::settings::TeamSettings;
-use crate::store::{Answer, CallClass, Txn};
+use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, Resources, Revision, ShardId};
 
-const DEAL_EVERY: Millis = Millis(4_000);
-const VOID_EVERY: Millis = Millis(500);
+const ALLOCATION_INTERVAL: Millis = Millis(4_000);
+const FENCE_OFF_INTERVAL: Millis = Millis(500);
 
 impl Controller {
     /// Whatever caps a job's team: its own limit, and those of the nodes above it in the tree.
@@ -33,7 +33,10 @@
             let raises = raise.is_some_and(|tasks| {
                 let resources = job.spec.resources.times(f64::from(tasks));
                 self.may_raise()
-                    && quota::covers(quota::slack(team, &self.to_be_dealt(team)), resources)
+                    && quota::covers(
+                        quota::unallocated(team, &self.planned_allocations(team)),
+                        resources,
+                    )
             });
             if raises {
                 continue;
@@ -59,8 +62,8 @@
     /// changed, and no change of a share is under way.
     fn may_raise(&self) -> bool {
         self.leading().is_some()
-            && self.dealing == 0
-            && self.unsure_deals.is_empty()
+            && self.allocations_in_flight == 0
+            && self.unresolved_allocations.is_empty()
             && self.synced
             && self.applied >= self.list_end
             && self.applied >= self.shares.newest()
@@ -79,26 +82,26 @@
         shards
     }
 
-    fn dealt_out(&self, team: &TeamSettings) -> Vec<Dealt> {
-        let dealt = |shard: ShardId| Dealt {
+    fn shard_allocations(&self, team: &TeamSettings) -> Vec<ShardAllocation> {
+        let dealt = |shard: ShardId| ShardAllocation {
             share: self.shares.share(&shard, &team.name),
-            used: Share::of(self.jobs.used_in(&team.name, &shard)),
+            used: QuotaAllocation::of(self.jobs.used_in(&team.name, &shard)),
             live: self.leases.shards.contains_key(&shard),
         };
         self.all_shards(team).into_iter().map(dealt).collect()
     }
 
     /// The same with the shares as they will be raised for what is reserved in others' shards.
-    fn to_be_dealt(&self, team: &TeamSettings) -> Vec<Dealt> {
-        let raised = |shard: ShardId, dealt: Dealt| {
+    fn planned_allocations(&self, team: &TeamSettings) -> Vec<ShardAllocation> {
+        let raised = |shard: ShardId, dealt: ShardAllocation| {
             let resources = self.jobs.reserved_in(&team.name, &shard);
             let used = self.jobs.used_in(&team.name, &shard).minus(resources);
             let own = self.own(&shard);
             let share = quota::raised(dealt.share, used, resources, own);
-            Dealt { share, ..dealt }
+            ShardAllocation { share, ..dealt }
         };
         let shards = self.all_shards(team).into_iter();
-        let dealt = shards.zip(self.dealt_out(team));
+        let dealt = shards.zip(self.shard_allocations(team));
         dealt.map(|(shard, dealt)| raised(shard, dealt)).collect()
     }
 
@@ -108,8 +111,11 @@
     }
 
     /// The leader deals the teams' limits out anew where shares are far off.
-    pub(super) fn keep_shares(&mut self) {
-        if self.now.since(self.dealt) < DEAL_EVERY || !self.may_place() || !self.may_raise() {
+    pub(super) fn reallocate_quota(&mut self) {
+        if self.now.since(self.dealt) < ALLOCATION_INTERVAL
+            || !self.may_place()
+            || !self.may_raise()
+        {
             return;
         }
         let least = self.type_specs.iter().map(|f| f.resources).fold(
@@ -123,7 +129,7 @@
         let mut records = BTreeMap::new();
         for team in self.nested.limited() {
             let shards = self.all_shards(&team);
-            let shares = quota::deal(&team, least, &self.dealt_out(&team));
+            let shares = quota::allocate(&team, least, &self.shard_allocations(&team));
             for (shard, share) in shards.into_iter().zip(shares) {
                 if share != self.shares.share(&shard, &team.name) {
                     records
@@ -141,7 +147,7 @@
         };
         let rests_on = (first.clone(), self.shares.version(&first));
         self.dealt = self.now;
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(crate::lease::LEADER.into(), lead);
         // Dealt by another tree, the shares might exceed the limits of the one in force.
         self.require_tree(&mut txn);
@@ -161,7 +167,7 @@
     pub(super) fn require_shares(
         &self,
         job: &Job,
-        txn: &mut Txn,
+        txn: &mut Transaction,
         placed: &[(ShardId, u32)],
     ) -> bool {
         let limits = self.limits(job);
@@ -179,7 +185,7 @@
                 if own && quota::within_share(used, share, team) {
                     continue;
                 }
-                if !self.may_raise() || !quota::keeps_limit(team, &self.to_be_dealt(team)) {
+                if !self.may_raise() || !quota::keeps_limit(team, &self.planned_allocations(team)) {
                     return false;
                 }
                 let resources = job.spec.resources.times(f64::from(*tasks));
@@ -198,79 +204,84 @@
     /// free before a change of the share that it rests on rules that out.
     /// `changes` are those of the transaction: others of the job may have been noted since, in shards
     /// that it does not rest on.
-    pub(super) fn void_later(&mut self, id: &JobId, changes: &[(u32, Change)]) -> bool {
+    pub(super) fn fence_off_later(&mut self, id: &JobId, changes: &[(u32, TaskChange)]) -> bool {
         let job = self.jobs.get(id);
         let limited = job.is_some_and(|job| !self.limits(job).is_empty());
         let shard = changes.iter().find_map(|(_, change)| match change {
-            Change::Place(placement) => Some(placement.shard.clone()),
+            TaskChange::Place(placement) => Some(placement.shard.clone()),
             _ => None,
         });
         let Some(shard) = shard.filter(|_| limited) else {
             return false;
         };
-        self.to_void.insert(id.clone(), shard);
+        self.to_fence_off.insert(id.clone(), shard);
         true
     }
 
     /// A deal went unanswered and may be carried out late, after others that were reckoned without
     /// it. Nothing is dealt or raised before a change of a share that it rests on rules that out.
-    pub(super) fn on_dealt(&mut self, rests_on: (ShardId, Revision), answer: Answer) {
-        if matches!(answer, Answer::Unknown) {
-            self.unsure_deals.push(rests_on);
+    pub(super) fn on_allocated(&mut self, rests_on: (ShardId, Revision), answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Unknown) {
+            self.unresolved_allocations.push(rests_on);
         }
     }
 
-    fn forget_sure_deals(&mut self) {
+    fn forget_resolved_allocations(&mut self) {
         let shares = &self.shares;
-        self.unsure_deals
+        self.unresolved_allocations
             .retain(|(shard, version)| shares.version(shard) <= *version);
     }
 
-    pub(super) fn void_unknown(&mut self) {
-        self.forget_sure_deals();
-        let none = self.to_void.is_empty() && self.unsure_deals.is_empty();
-        if none || self.now.since(self.voided) < VOID_EVERY {
+    pub(super) fn resolve_unknown_transactions(&mut self) {
+        self.forget_resolved_allocations();
+        let none = self.to_fence_off.is_empty() && self.unresolved_allocations.is_empty();
+        if none || self.now.since(self.fenced_off_at) < FENCE_OFF_INTERVAL {
             return;
         }
-        self.voided = self.now;
+        self.fenced_off_at = self.now;
         let mut shards: BTreeMap<ShardId, Vec<JobId>> = BTreeMap::new();
-        for (job, shard) in std::mem::take(&mut self.to_void) {
+        for (job, shard) in std::mem::take(&mut self.to_fence_off) {
             shards.entry(shard).or_default().push(job);
         }
-        if self.dealing == 0 {
-            for (shard, _) in &self.unsure_deals {
+        if self.allocations_in_flight == 0 {
+            for (shard, _) in &self.unresolved_allocations {
                 shards.entry(shard.clone()).or_default();
             }
         }
         for (shard, jobs) in shards {
-            let mut txn = Txn::default();
+            let mut txn = Transaction::default();
             let record = self.shares.record(&shard);
             txn.require(share_key(&shard), self.shares.version(&shard));
             txn.put(share_key(&shard), &record);
-            self.transact(CallClass::Duties, txn, Purpose::Void { jobs, shard });
+            self.transact(CallClass::Duties, txn, Purpose::FenceOff { jobs, shard });
         }
     }
 
-    pub(super) fn on_void(&mut self, jobs: Vec<JobId>, shard: ShardId, answer: Answer) {
+    pub(super) fn on_fenced_off(
+        &mut self,
+        jobs: Vec<JobId>,
+        shard: ShardId,
+        answer: StoreResponse,
+    ) {
         for id in jobs {
             match answer {
                 // Either way the share has changed: the transaction was applied before that, or
                 // never will be.
-                Answer::Committed(revision) | Answer::Conflict(revision) => {
+                StoreResponse::Committed(revision) | StoreResponse::Conflict(revision) => {
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.writing = Writing::Settling(Some(revision));
                     }
                     self.settle_at(id, revision);
                 }
                 _ => {
-                    self.to_void.insert(id, shard.clone());
+                    self.to_fence_off.insert(id, shard.clone());
                 }
             }
         }
     }
 
     pub(super) fn settle_at(&mut self, job: JobId, revision: Revision) {
-        self.once_applied(revision, self.now, After::Settle { job });
+        self.once_applied(revision, self.now, PendingRead::Settle { job });
         self.proved();
     }
 }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{JobKind, Placement, Task};
 use crate::lease::LEADER;
 use crate::settings::tests::settings;
-use crate::store::{Call, Change as Write};
+use crate::store::{Mutation as Write, StoreCall};
 use crate::types::{AgentEpoch, Attempt, FencingToken};
 
 fn leading(tasks: Vec<Task>) -> (Controller, JobId) {
@@ -22,7 +22,7 @@
     spec.resources.gpus = gpus;
     let (mut controller, id) = controller_with(&settings, spec, tasks);
     let lead = r#"{"leader":"n0","permit":1}"#;
-    controller.feed(LEADER, Some(lead), Revision(9));
+    controller.apply(LEADER, Some(lead), Revision(9));
     controller.applied = Revision(50);
     controller.effects.clear();
     (controller, id)
@@ -42,7 +42,7 @@
     let mut keys = Vec::new();
     for effect in &controller.effects {
         if let Effect::Store {
-            call: Call::Txn(txn),
+            call: StoreCall::Transaction(txn),
             ..
         } = effect
         {
@@ -62,26 +62,26 @@
 fn a_deal_without_an_answer_is_ruled_out_before_the_next() {
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
-        (Answer::Committed(Revision(30)), false),
-        (Answer::Conflict(Revision(30)), false),
-        (Answer::Refused, false),
-        (Answer::Unknown, true),
+        (StoreResponse::Committed(Revision(30)), false),
+        (StoreResponse::Conflict(Revision(30)), false),
+        (StoreResponse::Refused, false),
+        (StoreResponse::Unknown, true),
     ];
     for (answer, unsure) in cases {
         let (mut controller, _) = leading(vec![Task::FRESH]);
         let rests_on = (shard.clone(), controller.shares.version(&shard));
         assert!(controller.may_raise());
         let name = format!("{answer:?}");
-        controller.on_dealt(rests_on, answer);
+        controller.on_allocated(rests_on, answer);
         assert_eq!(controller.may_raise(), !unsure, "{name}");
         controller.now = Millis(9_000);
-        controller.void_unknown();
+        controller.resolve_unknown_transactions();
         let rewritten = written(&controller).contains(&share_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
-        controller.dealing = 0;
+        controller.allocations_in_flight = 0;
         // The watch shows that the share has changed: the deal was carried out before, or never is.
-        controller.feed(&share_key(&shard), Some("{}"), Revision(31));
-        controller.void_unknown();
+        controller.apply(&share_key(&shard), Some("{}"), Revision(31));
+        controller.resolve_unknown_transactions();
         assert!(controller.may_raise(), "{name}");
     }
 }
@@ -96,14 +96,14 @@
         .limits(controller.jobs.get(&id).unwrap())
         .is_empty();
     assert!(limited, "the job's team has a limit");
-    let sent = Change::Place(placement("vm-b", "b.0"));
+    let sent = TaskChange::Place(placement("vm-b", "b.0"));
     controller.jobs.want(&id, 1, sent.clone());
-    let later = Change::Place(placement("vm-a", "a.0"));
+    let later = TaskChange::Place(placement("vm-a", "a.0"));
     controller.jobs.want(&id, 0, later);
     controller.unwritten.under_way = 1;
-    controller.on_changes(id, vec![(1, sent)], Answer::Unknown);
+    controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
-    controller.void_unknown();
+    controller.resolve_unknown_transactions();
     let b = share_key(&ShardId::parse("b.0").unwrap());
     assert_eq!(written(&controller), [b]);
 }
@@ -117,16 +117,16 @@
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
         let shard = ShardId::parse("b.0").unwrap();
         let key = crate::lease::shard_key(&shard);
-        controller.feed(&key, Some(&record), Revision(40));
+        controller.apply(&key, Some(&record), Revision(40));
         assert_eq!(controller.leases.shards[&shard].1, FencingToken(40));
         controller.effects.clear();
-        let change = Change::Place(placement("vm-b", "b.0"));
+        let change = TaskChange::Place(placement("vm-b", "b.0"));
         controller.jobs.want(&id, 0, change);
         controller.now = Millis(9_000);
         controller.commit(&id);
         let conditions = controller.effects.iter().find_map(|effect| match effect {
             Effect::Store {
-                call: Call::Txn(txn),
+                call: StoreCall::Transaction(txn),
                 ..
             } => Some(txn.conditions.clone()),
             _ => None,
@@ -156,17 +156,17 @@
         let (mut controller, id) = leading_with(1.0, 6.0, vec![Task::FRESH; 4]);
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":1}}");
         let [a, b] = ["a.0", "b.0"].map(|name| ShardId::parse(name).unwrap());
-        controller.feed(&crate::lease::shard_key(&b), Some(&record), Revision(20));
+        controller.apply(&crate::lease::shard_key(&b), Some(&record), Revision(20));
         let team = controller.jobs.get(&id).unwrap().spec.team.clone();
         for (shard, gpus) in [(&a, other), (&b, share)] {
             let record = format!("{{\"{team}\":{{\"cpus\":0.0,\"gpus\":{gpus:?}}}}}");
-            controller.feed(&share_key(shard), Some(&record), Revision(21));
+            controller.apply(&share_key(shard), Some(&record), Revision(21));
         }
         for index in 0..tasks {
-            let change = Change::Place(placement("vm-b", "b.0"));
+            let change = TaskChange::Place(placement("vm-b", "b.0"));
             controller.jobs.want(&id, index, change);
         }
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         let job = controller.jobs.get(&id).unwrap();
         let allowed = controller.require_shares(job, &mut txn, &[(b.clone(), tasks)]);
         let case = format!("{holder}, {share}, {other}, {tasks}");
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -82,7 +82,7 @@
 /// Machines that answered direct commands, and could not report, were given tasks by such commands again and
 /// again: all of them died with the worker's lease.
 #[test]
-fn what_answers_and_can_not_report_is_no_room() {
+fn machines_that_answer_but_can_not_report_get_no_work() {
     let silence = reported().0.silence().0;
     for (after, shard_taken, known_unable_to_report, resources) in [
         (silence, 0, false, true),
@@ -140,7 +140,7 @@
                 ..controller.jobs.get(&id).unwrap().record.clone()
             };
             let text = serde_json::to_string(&record).unwrap();
-            controller.feed(&job_key(&id), Some(&text), Revision(20));
+            controller.apply(&job_key(&id), Some(&text), Revision(20));
             controller.effects.clear();
         }
         answers(
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -2,11 +2,11 @@
 
 use rand::Rng;
 
-use super::{After, Controller, Effect, Purpose};
+use super::{Controller, Effect, PendingRead, Purpose};
 use crate::jobs::api::{self, Refusal, Refused, Response, is_final};
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
-use crate::store::{Answer, CallClass, Txn};
+use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
 /// Without an answer of the state service for this long, users are told to come back.
@@ -66,7 +66,7 @@
             page: page_size(deployment.state.value_kb, longest),
             spec: Some(spec),
         };
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         txn.require(job_key(&id), Revision(0));
         txn.put(job_key(&id), &record);
         self.submitting.insert(id.clone(), vec![reply]);
@@ -79,19 +79,19 @@
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
         }
-        self.ask_fresh(After::Refuse { reply, job, why });
+        self.ask_fresh(PendingRead::Refuse { reply, job, why });
     }
 
-    pub(super) fn on_submitted(&mut self, id: JobId, answer: Answer) {
+    pub(super) fn on_submitted(&mut self, id: JobId, answer: StoreResponse) {
         let replies = self.submitting.remove(&id).unwrap_or_default();
         for reply in replies {
             match answer {
-                Answer::Committed(_) => self.tell(reply, Response::Accepted(id.clone())),
+                StoreResponse::Committed(_) => self.tell(reply, Response::Accepted(id.clone())),
                 // Known already: from another controller, or from a request of ours that was
                 // thought lost.
-                Answer::Conflict(revision) => {
+                StoreResponse::Conflict(revision) => {
                     let job = id.clone();
-                    self.once_applied(revision, self.now, After::State { reply, job });
+                    self.once_applied(revision, self.now, PendingRead::State { reply, job });
                     self.proved();
                 }
                 _ => {
@@ -103,7 +103,7 @@
     }
 
     /// Asks for a proof unless the state service is away anyway.
-    pub(super) fn ask_fresh(&mut self, after: After) {
+    pub(super) fn ask_fresh(&mut self, after: PendingRead) {
         if self.without_store() > STORE_LOST || !self.synced {
             self.not_proved(after);
         } else {
@@ -114,45 +114,45 @@
     pub(super) fn on_poll(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
             Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
-            _ => self.ask_fresh(After::State { reply, job }),
+            _ => self.ask_fresh(PendingRead::State { reply, job }),
         }
     }
 
     /// The cache is as new as the request now.
-    pub(super) fn go_on(&mut self, after: After) {
+    pub(super) fn go_on(&mut self, after: PendingRead) {
         match after {
-            After::State { reply, job } => {
+            PendingRead::State { reply, job } => {
                 let response = self
                     .jobs
                     .state(&job)
                     .map_or(Response::Unknown, Response::State);
                 self.tell(reply, response);
             }
-            After::Refuse { reply, job, why } => {
+            PendingRead::Refuse { reply, job, why } => {
                 let state = self.jobs.state(&job).map(Response::State);
                 self.tell(reply, state.unwrap_or(why.into()));
             }
-            After::Abort { reply, job } => match self.jobs.state(&job) {
+            PendingRead::Abort { reply, job } => match self.jobs.state(&job) {
                 None => self.tell(reply, Response::Unknown),
                 Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
                 Some(_) => self.abort_known(reply, job),
             },
-            After::Clear { job } => self.clear(&job),
-            After::Settle { job } => self.settle(&job),
+            PendingRead::Clear { job } => self.clear(&job),
+            PendingRead::Settle { job } => self.settle(&job),
         }
     }
 
-    pub(super) fn not_proved(&mut self, after: After) {
+    pub(super) fn not_proved(&mut self, after: PendingRead) {
         match after {
-            After::State { reply, job }
-            | After::Refuse { reply, job, .. }
-            | After::Abort { reply, job } => {
+            PendingRead::State { reply, job }
+            | PendingRead::Refuse { reply, job, .. }
+            | PendingRead::Abort { reply, job } => {
                 tracing::debug!(%job, "can't tell how new the cache is");
                 self.tell(reply, Response::later());
             }
-            After::Clear { job } => self.clear(&job),
+            PendingRead::Clear { job } => self.clear(&job),
             // A transaction's fate must become known, however long it takes.
-            settle @ After::Settle { .. } => self.fresh.next.push((self.now, settle)),
+            settle @ PendingRead::Settle { .. } => self.read_barrier.next.push((self.now, settle)),
         }
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::commits::tests::controller;
 use crate::controller::{Controller, Effect};
-use crate::jobs::api::{Response, Stage, parse, tests::body};
+use crate::jobs::api::{JobStage, Response, parse, tests::body};
 use crate::jobs::record::{JobRecord, job_key};
 use crate::jobs::{Phase, Task};
 use crate::types::{JobId, Millis, ReplyId, Revision};
@@ -17,7 +17,7 @@
         ..controller.jobs.get(&id).unwrap().record.clone()
     };
     let text = serde_json::to_string(&record).unwrap();
-    controller.feed(&job_key(&id), Some(&text), Revision(20));
+    controller.apply(&job_key(&id), Some(&text), Revision(20));
     (controller.now, controller.store_heard) = (Millis(1_000), Millis(1_000));
     controller.effects.clear();
     controller
@@ -39,13 +39,13 @@
 
 /// The cache is proved to be as new as all that was asked.
 fn prove(controller: &mut Controller) {
-    for (_, after) in std::mem::take(&mut controller.fresh.next) {
+    for (_, after) in std::mem::take(&mut controller.read_barrier.next) {
         controller.go_on(after);
     }
-    for (_, after) in std::mem::take(&mut controller.fresh.watched) {
+    for (_, after) in std::mem::take(&mut controller.read_barrier.watched) {
         controller.go_on(after);
     }
-    for (_, after) in std::mem::take(&mut controller.fresh.current) {
+    for (_, after) in std::mem::take(&mut controller.read_barrier.current) {
         controller.go_on(after);
     }
 }
@@ -62,10 +62,10 @@
         ("more than any machine has", json!({"vcpus": 9000.0})),
     ];
     for (phase, stage) in [
-        (Phase::Active, Stage::Queued),
-        (Phase::Aborting, Stage::Queued),
-        (Phase::Done, Stage::Done),
-        (Phase::Aborted, Stage::Aborted),
+        (Phase::Active, JobStage::Queued),
+        (Phase::Aborting, JobStage::Queued),
+        (Phase::Done, JobStage::Done),
+        (Phase::Aborted, JobStage::Aborted),
     ] {
         for (what, changes) in &odd {
             let mut controller = knowing(phase);
@@ -111,7 +111,7 @@
                 let known = JobId::from("job-1");
                 let record = &controller.jobs.get(&known).unwrap().record;
                 let text = serde_json::to_string(record).unwrap();
-                controller.feed(&job_key(&"job-9".into()), Some(&text), Revision(30));
+                controller.apply(&job_key(&"job-9".into()), Some(&text), Revision(30));
                 controller.effects.clear();
             }
             prove(&mut controller);
@@ -133,8 +133,8 @@
 #[test]
 fn odd_cancellations_are_answered_by_what_is_known() {
     for (phase, id, expected) in [
-        (Phase::Done, "job-1", Some(Stage::Done)),
-        (Phase::Aborted, "job-1", Some(Stage::Aborted)),
+        (Phase::Done, "job-1", Some(JobStage::Done)),
+        (Phase::Aborted, "job-1", Some(JobStage::Aborted)),
         (Phase::Done, "job-9", None),
         (Phase::Done, "no job's id", None),
     ] {
--- a/src/controller/work_counters.rs
+++ b/src/controller/work_counters.rs
@@ -5,9 +5,9 @@
 
 /// How often something was looked at.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct WorkCounter(Cell<u64>);
 
-impl Count {
+impl WorkCounter {
     /// Looked at so many more.
     pub fn add(&self, more: usize) {
         self.0.set(self.0.get() + more as u64);
@@ -20,20 +20,20 @@
 
 /// What a controller looked at since it started.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct WorkCounters {
     /// Cycles that were run.
-    pub cycles: Count,
+    pub cycles: WorkCounter,
     /// Machines that cycles filtered and scored.
-    pub candidates: Count,
+    pub candidates: WorkCounter,
     /// Machines on which room might be made.
-    pub sites: Count,
+    pub sites: WorkCounter,
     /// Machines looked over for whether they can take tasks.
-    pub swept: Count,
+    pub swept: WorkCounter,
     /// Parked jobs that were asked whether an event helps them.
-    pub parked: Count,
+    pub parked: WorkCounter,
 }
 
-impl Work {
+impl WorkCounters {
     /// Each count under its name, for tables and tests.
     pub fn rows(&self) -> [(&'static str, u64); 5] {
         [
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -4,11 +4,11 @@
 
 use super::Controller;
 use crate::jobs::JobKind;
-use crate::lease::Own;
+use crate::lease::OwnLease;
 use crate::types::{FencingToken, MachineId, ShardId, WorkerToken, Zone};
 use crate::workers::wire::HeartbeatResponse;
 use crate::zones::partition_mode::{Circumstances, may_renew};
-use crate::zones::zone_health::{Suspect, Worth, ZoneObservation};
+use crate::zones::zone_health::{EvictionCost, SuspectedMachine, ZoneObservation};
 
 impl Controller {
     /// What workers are told of a token that we hold.
@@ -21,8 +21,8 @@
     }
 
     /// Keeps our machines at work once we are cut off with them.
-    pub(super) fn keep_zone(&mut self) {
-        let over = matches!(self.leases.own, Own::Held { until, .. } if until < self.now);
+    pub(super) fn check_partition_mode(&mut self) {
+        let over = matches!(self.leases.own, OwnLease::Held { until, .. } if until < self.now);
         let seen = Circumstances {
             lease_over: over && self.synced,
             outage: over && self.outage_is_common(),
@@ -37,7 +37,7 @@
 
     /// The state service is there again. Our tokens are marked as keeping, under which silence
     /// proves nothing, so they are given up.
-    pub(super) fn leave_keeping(&mut self) {
+    pub(super) fn leave_partition_mode(&mut self) {
         if let Some(kept) = self.partition_mode.end(self.now) {
             tracing::info!(kept_s = kept.secs(), "the state service is there again");
             self.ended_old = false;
@@ -46,7 +46,7 @@
     }
 
     /// A worker whose holder keeps it came to us instead: its lease is renewed, and that is all.
-    pub(super) fn keep_for_others(
+    pub(super) fn renew_for_partitioned_holder(
         &self,
         shard: &ShardId,
         worker_token: WorkerToken,
@@ -69,26 +69,26 @@
             let mut inside = all.filter(|(_, its)| **its == zone).peekable();
             seen.controllers_silent = inside.peek().is_some()
                 && inside.all(|(label, _)| !self.leases.controllers.contains_key(label));
-            if let Some(standing) = self.zones.observe(&zone, seen, self.now) {
+            if let Some(health) = self.zones.observe(&zone, seen, self.now) {
                 let (machines, silent) = (seen.machines, seen.silent);
-                tracing::info!(%zone, ?standing, machines, silent, "a zone stands otherwise");
+                tracing::info!(%zone, ?health, machines, silent, "a zone stands otherwise");
             }
         }
     }
 
     /// A machine that is thought lost, and what would be lost with it.
-    pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> Suspect {
+    pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> SuspectedMachine {
         let jobs = self.jobs.on_machine(machine_id);
         let worth = jobs.filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.kind));
         let worth = worth.map(|kind| match kind {
-            JobKind::Array => Worth::Arrays,
-            JobKind::Gang => Worth::Gangs,
-            JobKind::Service => Worth::Replicas,
+            JobKind::Array => EvictionCost::Arrays,
+            JobKind::Gang => EvictionCost::Gangs,
+            JobKind::Service => EvictionCost::Replicas,
         });
-        Suspect {
+        SuspectedMachine {
             machine_id: machine_id.clone(),
             zone: zone.clone(),
-            worth: worth.max().unwrap_or(Worth::Idle),
+            worth: worth.max().unwrap_or(EvictionCost::Idle),
         }
     }
 }
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -30,9 +30,9 @@
             agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         });
-        controller.feed(&page_key(&id, 0), Some(&encode_page(&[here])), Revision(8));
+        controller.apply(&page_key(&id, 0), Some(&encode_page(&[here])), Revision(8));
         let holder = r#"{"holder":"n0","permit":1}"#;
-        controller.feed(&crate::lease::shard_key(&shard), Some(holder), Revision(30));
+        controller.apply(&crate::lease::shard_key(&shard), Some(holder), Revision(30));
         controller.applied = Revision(applied);
         let answer = controller.answer_heartbeat(heartbeat(WorkerToken::of(FencingToken(30))));
         let HeartbeatResponse::Commands {
@@ -59,7 +59,7 @@
     );
     for (at, keeps) in [(59_000, false), (60_100, false), (61_700, true)] {
         controller.now = Millis(at);
-        controller.keep_zone();
+        controller.check_partition_mode();
         assert_eq!(controller.partition_mode.on(), keeps, "at {at}");
     }
     assert_eq!(
@@ -67,7 +67,7 @@
         WorkerToken::partitioned(FencingToken(5))
     );
     assert_eq!(held(&controller), 2);
-    controller.leave_keeping();
+    controller.leave_partition_mode();
     assert_eq!(
         (held(&controller), controller.partition_mode.on()),
         (0, false)
--- a/src/cycle.rs
+++ b/src/cycle.rs
@@ -74,7 +74,7 @@
         if !self.zone_allowed(&shard.zone) {
             return Some(Check::Zones);
         }
-        self.full.contains(shard).then_some(Check::Share)
+        self.full.contains(shard).then_some(Check::ShardQuota)
     }
 
     /// `oneZone` counts tasks of old attempts too, until they are proven gone; so does `spread`.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -17,8 +17,8 @@
 use crate::peers::link::{PeerMessage, Peers};
 use crate::request_queue::{RequestKind, RequestQueue};
 use crate::settings::Settings;
-use crate::sockets::{Budget, Patience};
-use crate::store::{Store, StoreAnswer};
+use crate::sockets::{Budget, IdleTimeouts};
+use crate::store::{Store, StoreReply};
 use crate::types::{JobId, Millis, ReplyId};
 use crate::workers::direct::{DirectClient, DirectRequest, DirectRequestKind, DirectResponse};
 use crate::workers::wire::{Heartbeat, HeartbeatResponse};
@@ -79,7 +79,7 @@
 const MOST_WAITING: usize = 4_096;
 
 /// Answers that are still owed.
-enum Owed {
+enum PendingReply {
     User(oneshot::Sender<Response>),
     Worker(oneshot::Sender<HeartbeatResponse>),
     Ready(oneshot::Sender<bool>),
@@ -92,7 +92,7 @@
     cloud: Cloud,
     peers: Peers,
     workers: DirectClient,
-    owed: HashMap<ReplyId, Owed>,
+    pending_replies: HashMap<ReplyId, PendingReply>,
     next_reply: u64,
 }
 
@@ -100,7 +100,7 @@
     let settings = Arc::new(settings);
     let clock = Clock::start();
     // No more answers wait than calls were made, and the controller bounds those.
-    let (store_answers, mut from_store) = mpsc::unbounded_channel::<StoreAnswer>();
+    let (store_answers, mut from_store) = mpsc::unbounded_channel::<StoreReply>();
     let (cloud_answers, mut from_cloud) = mpsc::unbounded_channel::<CloudReply>();
     let (peer_messages, mut from_peers) = mpsc::channel::<PeerMessage>(PEERS_WAIT);
     // One for each machine at the most.
@@ -115,12 +115,18 @@
         cloud: Cloud::start(&settings, clock, cloud_answers),
         peers: Peers::start(&settings, budget.peers, peer_messages),
         workers: DirectClient::start(to_workers, budget.direct, clock, outcomes),
-        owed: HashMap::new(),
+        pending_replies: HashMap::new(),
         next_reply: 0,
     };
     let heartbeat = Millis::from_secs(settings.deployment.workers.heartbeat_interval_s);
-    let patience = Patience::for_heartbeats_every(heartbeat);
-    let serving = http_server::serve(settings.public_addr, inbox, budget.server, patience, clock);
+    let idle_timeouts = IdleTimeouts::for_heartbeats_every(heartbeat);
+    let serving = http_server::serve(
+        settings.public_addr,
+        inbox,
+        budget.server,
+        idle_timeouts,
+        clock,
+    );
     let mut server = tokio::spawn(serving);
     let mut intake = RequestQueue::new(MOST_WAITING);
     let mut ticks = tokio::time::interval(TICK);
@@ -135,7 +141,7 @@
             biased;
             ended = &mut server => return ended?,
             _ = ticks.tick() => daemon.handle(Event::Tick),
-            Some(StoreAnswer { tag, answer }) = from_store.recv() => {
+            Some(StoreReply { tag, answer }) = from_store.recv() => {
                 daemon.handle(Event::Store { tag, answer });
             }
             Some(CloudReply { tag, answer }) = from_cloud.recv() => {
@@ -163,33 +169,33 @@
 }
 
 impl Daemon {
-    fn owe(&mut self, owed: Owed) -> ReplyId {
+    fn expect_reply(&mut self, pending_replies: PendingReply) -> ReplyId {
         self.next_reply += 1;
         let reply = ReplyId(self.next_reply);
-        self.owed.insert(reply, owed);
+        self.pending_replies.insert(reply, pending_replies);
         reply
     }
 
     fn request(&mut self, request: Request) {
         let event = match request {
             Request::Submit { submission, reply } => {
-                let reply = self.owe(Owed::User(reply));
+                let reply = self.expect_reply(PendingReply::User(reply));
                 Event::Submit { reply, submission }
             }
             Request::Poll { job, reply } => {
-                let reply = self.owe(Owed::User(reply));
+                let reply = self.expect_reply(PendingReply::User(reply));
                 Event::Poll { reply, job }
             }
             Request::Abort { job, reply } => {
-                let reply = self.owe(Owed::User(reply));
+                let reply = self.expect_reply(PendingReply::User(reply));
                 Event::Abort { reply, job }
             }
             Request::Heartbeat { heartbeat, reply } => {
-                let reply = self.owe(Owed::Worker(reply));
+                let reply = self.expect_reply(PendingReply::Worker(reply));
                 Event::Heartbeat { reply, heartbeat }
             }
             Request::Ready { reply } => {
-                let reply = self.owe(Owed::Ready(reply));
+                let reply = self.expect_reply(PendingReply::Ready(reply));
                 Event::Ready { reply }
             }
         };
@@ -240,17 +246,17 @@
             Effect::Cloud { tag, call } => self.cloud.send(tag, call),
             Effect::Peer { to, message } => self.peers.send(&to, message),
             Effect::User { reply, response } => {
-                if let Some(Owed::User(sender)) = self.owed.remove(&reply) {
+                if let Some(PendingReply::User(sender)) = self.pending_replies.remove(&reply) {
                     let _ = sender.send(response);
                 }
             }
             Effect::Worker { reply, answer } => {
-                if let Some(Owed::Worker(sender)) = self.owed.remove(&reply) {
+                if let Some(PendingReply::Worker(sender)) = self.pending_replies.remove(&reply) {
                     let _ = sender.send(answer);
                 }
             }
             Effect::Ready { reply, ready } => {
-                if let Some(Owed::Ready(sender)) = self.owed.remove(&reply) {
+                if let Some(PendingReply::Ready(sender)) = self.pending_replies.remove(&reply) {
                     let _ = sender.send(ready);
                 }
             }
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 
 use super::wire::{ListBody, MachineTypesBody, Machines, RentBody};
-use super::{CloudAnswer, CloudCall};
+use super::{CloudCall, CloudResponse};
 use crate::clock::Clock;
 use crate::http_client::HttpClient;
 use crate::settings::Settings;
@@ -26,7 +26,7 @@
 
 pub struct CloudReply {
     pub tag: u64,
-    pub answer: CloudAnswer,
+    pub answer: CloudResponse,
 }
 
 impl Cloud {
@@ -60,7 +60,7 @@
     }
 }
 
-async fn perform(client: &HttpClient, call: &CloudCall) -> CloudAnswer {
+async fn perform(client: &HttpClient, call: &CloudCall) -> CloudResponse {
     let body_of = |value: Result<Vec<u8>, serde_json::Error>| value.unwrap_or_default();
     let (method, path, body) = match call {
         CloudCall::MachineTypes => (Method::GET, "/flavors".to_string(), Vec::new()),
@@ -100,34 +100,34 @@
         }
     };
     let Ok((status, body)) = client.call(method, &path, body, CALL_LIMIT).await else {
-        return CloudAnswer::Failed;
+        return CloudResponse::Failed;
     };
     let parsed = match (call, status) {
         (CloudCall::MachineTypes, 200) => {
             serde_json::from_slice(&body).map(|b: MachineTypesBody| {
-                CloudAnswer::MachineTypes(b.machine_types.into_iter().map(Into::into).collect())
+                CloudResponse::MachineTypes(b.machine_types.into_iter().map(Into::into).collect())
             })
         }
         (CloudCall::List { .. }, 200) => {
-            serde_json::from_slice(&body).map(|b: ListBody| CloudAnswer::Page {
+            serde_json::from_slice(&body).map(|b: ListBody| CloudResponse::Page {
                 machine_ids: b.machine_ids.into_iter().map(Into::into).collect(),
                 more: b.truncated,
             })
         }
         (CloudCall::Rent { .. }, 200) => {
-            serde_json::from_slice(&body).map(|b: Machines| CloudAnswer::Rented(b.machine_ids))
+            serde_json::from_slice(&body).map(|b: Machines| CloudResponse::Rented(b.machine_ids))
         }
         (CloudCall::Rent { .. }, 503) if body.windows(8).any(|w| w == b"capacity") => {
-            Ok(CloudAnswer::NoCapacity)
+            Ok(CloudResponse::NoCapacity)
         }
-        (CloudCall::Delete(_), 200) => Ok(CloudAnswer::Deleted),
+        (CloudCall::Delete(_), 200) => Ok(CloudResponse::Deleted),
         (_, status) => {
             tracing::debug!(status, path, "the cloud refused");
-            Ok(CloudAnswer::Failed)
+            Ok(CloudResponse::Failed)
         }
     };
     parsed.unwrap_or_else(|error| {
         tracing::error!(%error, path, "the cloud's answer makes no sense");
-        CloudAnswer::Failed
+        CloudResponse::Failed
     })
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -55,7 +55,7 @@
 pub type Offer = (MachineTypeId, Zone, bool);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum MachineStage {
     Booting,
     Running,
     Failed,
@@ -67,7 +67,7 @@
     pub machine_type: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
-    pub stage: Stage,
+    pub stage: MachineStage,
     pub since: Millis,
     /// When it was last in a list, or rented.
     pub seen: Millis,
@@ -95,12 +95,12 @@
     pub machine_type: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
-    pub stage: Stage,
+    pub stage: MachineStage,
     pub age: Millis,
 }
 
 #[derive(Clone, Debug)]
-pub enum CloudAnswer {
+pub enum CloudResponse {
     MachineTypes(Vec<MachineTypeSpec>),
     Page {
         machine_ids: Vec<Listed>,
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Listed, MachineTypeSpec, Stage};
+use super::{Listed, MachineStage, MachineTypeSpec};
 use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
 
 #[derive(Deserialize)]
@@ -108,9 +108,9 @@
             zone: item.zone,
             spot: item.spot,
             stage: match item.stage {
-                StageBody::Booting => Stage::Booting,
-                StageBody::Running => Stage::Running,
-                StageBody::Failed => Stage::Failed,
+                StageBody::Booting => MachineStage::Booting,
+                StageBody::Running => MachineStage::Running,
+                StageBody::Failed => MachineStage::Failed,
             },
             age: Millis::from_secs(item.age_s),
         }
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::daemon::{Inbox, Request};
 use crate::jobs::api::{self, Response};
-use crate::sockets::{Patience, connection_acceptor};
+use crate::sockets::{IdleTimeouts, connection_acceptor};
 use crate::types::{ControllerId, JobId, WorkerToken};
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES, WorkerCommand};
 
@@ -34,7 +34,7 @@
 #[derive(Serialize)]
 struct Accepted<'a> {
     id: &'a JobId,
-    stage: api::Stage,
+    stage: api::JobStage,
 }
 
 #[derive(Serialize)]
@@ -69,7 +69,7 @@
 fn user_response(response: Response) -> HttpResponse {
     match response {
         Response::Accepted(id) => {
-            let stage = api::Stage::Queued;
+            let stage = api::JobStage::Queued;
             json(StatusCode::CREATED, &Accepted { id: &id, stage })
         }
         Response::State(state) => json(StatusCode::OK, &state),
@@ -186,7 +186,7 @@
     address: SocketAddr,
     inbox: Inbox,
     most: usize,
-    patience: Patience,
+    idle_timeouts: IdleTimeouts,
     clock: Clock,
 ) -> anyhow::Result<()> {
     let inbox = Arc::new(inbox);
@@ -243,6 +243,6 @@
     let listener = tokio::net::TcpListener::bind(address).await?;
     tracing::info!(%address, "serving");
     let service = TowerToHyperService::new(warp::service(routes.recover(rejected)));
-    connection_acceptor::serve(listener, service, || later(1), most, patience, clock).await;
+    connection_acceptor::serve(listener, service, || later(1), most, idle_timeouts, clock).await;
     Ok(())
 }
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -209,7 +209,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum JobStage {
     Queued,
     Running,
     Done,
@@ -219,13 +219,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobState {
     pub id: JobId,
-    pub stage: Stage,
+    pub stage: JobStage,
     pub done: u32,
     pub running: u32,
 }
 
 pub fn is_final(state: &JobState) -> bool {
-    matches!(state.stage, Stage::Done | Stage::Aborted)
+    matches!(state.stage, JobStage::Done | JobStage::Aborted)
 }
 
 /// What a user is told.
