--- a/src/jobs/cache.rs
+++ b/src/jobs/cache.rs
@@ -6,7 +6,7 @@
 
 use super::record::{JobRecord, decode_page, parse_page_key};
 use super::{JobKind, JobSpec, Phase, Placement, PriorityClass, Task};
-use crate::jobs::api::{JobState, Stage};
+use crate::jobs::api::{JobStage, JobState};
 use crate::types::{
     Attempt, FencingToken, JobId, MachineId, Millis, Resources, Revision, ShardId, Team, Zone,
 };
@@ -14,7 +14,7 @@
 /// What this controller wants the record of a task to say next. What is known of an attempt holds
 /// for that attempt alone: by the time it is written, the task may be elsewhere with another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum TaskChange {
     Place(Placement),
     /// The task is proven off the machine it was placed on, without being done.
     Release {
@@ -26,9 +26,9 @@
     },
 }
 
-impl Change {
+impl TaskChange {
     pub fn finishes(&self) -> bool {
-        matches!(self, Change::Finish { .. })
+        matches!(self, TaskChange::Finish { .. })
     }
 }
 
@@ -84,7 +84,7 @@
     pages: BTreeMap<u32, Page>,
     pub placed: u32,
     pub done: u32,
-    pub changes: BTreeMap<u32, Change>,
+    pub changes: BTreeMap<u32, TaskChange>,
     /// Tasks that are known to have left their machines, though that is not written yet: their room
     /// is free, but they count for the team and for zones.
     left: BTreeMap<u32, MachineId>,
@@ -123,7 +123,7 @@
         let placing = self
             .changes
             .values()
-            .filter(|c| matches!(c, Change::Place(_)))
+            .filter(|c| matches!(c, TaskChange::Place(_)))
             .count() as u32;
         self.record
             .tasks
@@ -184,7 +184,7 @@
     pub fn zones(&self) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
         let placing = self.changes.values().filter_map(|change| match change {
-            Change::Place(placement) => Some(placement),
+            TaskChange::Place(placement) => Some(placement),
             _ => None,
         });
         for placement in self.placements().map(|(_, p)| p).chain(placing) {
@@ -219,10 +219,10 @@
 
     pub fn state(&self) -> JobState {
         let stage = match self.record.phase {
-            Phase::Done => Stage::Done,
-            Phase::Aborted => Stage::Aborted,
-            Phase::Active | Phase::Aborting if self.placed > 0 => Stage::Running,
-            Phase::Active | Phase::Aborting => Stage::Queued,
+            Phase::Done => JobStage::Done,
+            Phase::Aborted => JobStage::Aborted,
+            Phase::Active | Phase::Aborting if self.placed > 0 => JobStage::Running,
+            Phase::Active | Phase::Aborting => JobStage::Queued,
         };
         JobState {
             id: self.id.clone(),
@@ -437,8 +437,8 @@
         self.over.get(id).map(|over| JobState {
             id: id.clone(),
             stage: match over.phase {
-                Phase::Aborted => Stage::Aborted,
-                _ => Stage::Done,
+                Phase::Aborted => JobStage::Aborted,
+                _ => JobStage::Done,
             },
             done: if over.phase == Phase::Done {
                 over.tasks
@@ -518,7 +518,7 @@
                 count(&mut self.left_by, groups, &spec.team, spec.resources);
             }
             for change in job.changes.values() {
-                if let Change::Place(placement) = change {
+                if let TaskChange::Place(placement) = change {
                     count(&mut self.reserved_by, groups, &spec.team, spec.resources);
                     enter(&mut self.reserved_in, groups, &placement.shard, spec);
                     enter(&mut self.in_shard, groups, &placement.shard, spec);
@@ -761,12 +761,12 @@
 
     /// Notes a change to be committed. A placement reserves its room at once; that of a task that
     /// has left is free at once.
-    pub fn want(&mut self, id: &JobId, index: u32, change: Change) {
+    pub fn want(&mut self, id: &JobId, index: u32, change: TaskChange) {
         self.discard(id, &[index]);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Change::Place(placement) = &change {
+        if let TaskChange::Place(placement) = &change {
             self.uses.occupy(&placement.machine_id, &job.spec, false);
             let (groups, spec) = (&self.groups, &job.spec);
             enter(&mut self.in_shard, groups, &placement.shard, spec);
@@ -794,7 +794,7 @@
                 let less = Resources::default().minus(job.spec.resources);
                 left(&mut self.left_by, &self.groups, &job.spec.team, less);
             }
-            if let Some(Change::Place(placement)) = change {
+            if let Some(TaskChange::Place(placement)) = change {
                 self.uses.vacate(&placement.machine_id, &job.spec, false);
                 let (groups, spec) = (&self.groups, &job.spec);
                 leave(&mut self.in_shard, groups, &placement.shard, spec);
@@ -814,7 +814,7 @@
     }
 
     /// Feeds a record from the state service; `None`: the key was dropped.
-    pub fn feed(
+    pub fn apply(
         &mut self,
         key: &str,
         data: Option<&str>,
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -24,10 +24,10 @@
     };
     let mut jobs = JobCache::default();
     let record = serde_json::to_string(&record).unwrap();
-    jobs.feed(&job_key(&id), Some(&record), Revision(1), Millis(1));
+    jobs.apply(&job_key(&id), Some(&record), Revision(1), Millis(1));
     for (page, tasks) in pages {
         let text = encode_page(tasks);
-        jobs.feed(&page_key(&id, *page), Some(&text), Revision(2), Millis(1));
+        jobs.apply(&page_key(&id, *page), Some(&text), Revision(2), Millis(1));
     }
     (jobs, id)
 }
@@ -50,12 +50,12 @@
     let aborting = record(Phase::Aborting, false);
     let aborted = record(Phase::Aborted, true);
     let steps = [
-        (&aborting, 20, Stage::Queued),
-        (&aborted, 30, Stage::Aborted),
-        (&aborting, 20, Stage::Aborted),
+        (&aborting, 20, JobStage::Queued),
+        (&aborted, 30, JobStage::Aborted),
+        (&aborting, 20, JobStage::Aborted),
     ];
     for (text, version, expected) in steps {
-        jobs.feed(&job_key(&id), Some(text), Revision(version), Millis(1));
+        jobs.apply(&job_key(&id), Some(text), Revision(version), Millis(1));
         assert_eq!(jobs.state(&id).unwrap().stage, expected, "at {version}");
     }
 }
@@ -87,7 +87,7 @@
             let Task::Placed(placement) = placed("vm-3") else {
                 unreachable!()
             };
-            jobs.want(&id, index, Change::Place(placement));
+            jobs.want(&id, index, TaskChange::Place(placement));
         }
         let found = jobs.get(&id).unwrap().next_waiting(3);
         let found: Vec<(u32, u64)> = found.into_iter().map(|(i, a)| (i, a.0)).collect();
@@ -104,12 +104,12 @@
     let page = |tasks: &[Task]| encode_page(tasks);
     let first = [placed("vm-1"), placed("vm-1"), Task::FRESH, Task::FRESH];
     let key = page_key(&id, 0);
-    jobs.feed(&key, Some(&page(&first)), Revision(3), Millis(1));
+    jobs.apply(&key, Some(&page(&first)), Revision(3), Millis(1));
     let each = jobs.get(&id).unwrap().spec.resources.gpus;
     let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
     assert_eq!(gpus(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
-    jobs.want(&id, 0, Change::Finish { attempt });
+    jobs.want(&id, 0, TaskChange::Finish { attempt });
     assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
     let used = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
@@ -118,12 +118,12 @@
     assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
     jobs.discard(&id, &[0]);
     assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
-    jobs.want(&id, 0, Change::Finish { attempt });
+    jobs.want(&id, 0, TaskChange::Finish { attempt });
     let second = [Task::Done, placed("vm-1"), placed("vm-2"), Task::FRESH];
-    jobs.feed(&key, Some(&page(&second)), Revision(4), Millis(2));
+    jobs.apply(&key, Some(&page(&second)), Revision(4), Millis(2));
     jobs.discard(&id, &[0]);
     assert_eq!((gpus(&jobs, "vm-1"), gpus(&jobs, "vm-2")), (1.0, 1.0));
     assert_eq!(used(&jobs), 2.0);
-    jobs.feed(&key, None, Revision(5), Millis(3));
+    jobs.apply(&key, None, Revision(5), Millis(3));
     assert!(!jobs.busy(&"vm-1".into()) && !jobs.busy(&"vm-2".into()));
 }
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -9,8 +9,8 @@
 
 use rustc_hash::FxHashMap as HashMap;
 
-use crate::jobs::cache::{Change, Evidence, Job};
-use crate::peers::Left;
+use crate::jobs::cache::{Evidence, Job, TaskChange};
+use crate::peers::TaskDeparture;
 use crate::types::{Attempt, ControllerId, FencingToken, JobId, Millis};
 
 /// What was told is told again after this long: a message may be lost.
@@ -27,26 +27,26 @@
 pub struct CompletionForwarder {
     /// Jobs with many changes, when they were looked over last, and whether there is more since.
     looked: HashMap<JobId, (Millis, bool)>,
-    told: HashMap<JobId, BTreeMap<u32, (Attempt, Millis)>>,
-    outbox: BTreeMap<ControllerId, Vec<Left>>,
+    forwarded_at: HashMap<JobId, BTreeMap<u32, (Attempt, Millis)>>,
+    outbox: BTreeMap<ControllerId, Vec<TaskDeparture>>,
 }
 
 /// What is told of a change, if it is one that another may write: evidence of its holder.
-fn told(
+fn forwarded_at(
     id: &JobId,
     index: u32,
-    change: &Change,
+    change: &TaskChange,
     token: impl Fn(u32) -> Option<FencingToken>,
-) -> Option<Left> {
+) -> Option<TaskDeparture> {
     let (attempt, token, done) = match change {
-        Change::Finish { attempt } => (*attempt, token(index)?, true),
-        Change::Release {
+        TaskChange::Finish { attempt } => (*attempt, token(index)?, true),
+        TaskChange::Release {
             attempt,
             evidence: Evidence::Holder(token),
         } => (*attempt, *token, false),
-        Change::Release { .. } | Change::Place(_) => return None,
+        TaskChange::Release { .. } | TaskChange::Place(_) => return None,
     };
-    Some(Left {
+    Some(TaskDeparture {
         job: id.to_string(),
         index,
         attempt: attempt.0,
@@ -93,11 +93,11 @@
         now: Millis,
     ) -> bool {
         let changes = job.changes.iter();
-        let all: Option<Vec<Left>> = changes
-            .map(|(index, change)| told(&job.id, *index, change, &token))
+        let all: Option<Vec<TaskDeparture>> = changes
+            .map(|(index, change)| forwarded_at(&job.id, *index, change, &token))
             .collect();
         let Some(all) = all else { return false };
-        let known = self.told.entry(job.id.clone()).or_default();
+        let known = self.forwarded_at.entry(job.id.clone()).or_default();
         let outbox = self.outbox.entry(owner.clone()).or_default();
         for left in all {
             let attempt = Attempt(left.attempt);
@@ -113,26 +113,26 @@
     }
 
     /// What is to be sent, by home.
-    pub fn take(&mut self) -> BTreeMap<ControllerId, Vec<Left>> {
+    pub fn take(&mut self) -> BTreeMap<ControllerId, Vec<TaskDeparture>> {
         std::mem::take(&mut self.outbox)
     }
 
     /// The jobs of which something was told and nothing came yet; `pending` says of which that
     /// still holds.
     pub fn pending(&mut self, pending: impl Fn(&JobId) -> bool) -> Vec<JobId> {
-        self.told.retain(|job, _| pending(job));
-        self.told.keys().cloned().collect()
+        self.forwarded_at.retain(|job, _| pending(job));
+        self.forwarded_at.keys().cloned().collect()
     }
 }
 
-impl Left {
+impl TaskDeparture {
     /// What the home notes, if the records still say that the task is on that machine.
-    pub fn change(&self) -> Change {
+    pub fn change(&self) -> TaskChange {
         let attempt = Attempt(self.attempt);
         if self.done {
-            Change::Finish { attempt }
+            TaskChange::Finish { attempt }
         } else {
-            Change::Release {
+            TaskChange::Release {
                 attempt,
                 evidence: Evidence::Holder(FencingToken(self.token)),
             }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -50,7 +50,7 @@
 
 /// The lease of this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Own {
+pub enum OwnLease {
     None,
     Asked,
     /// Held at least until `until` by our clock.
@@ -62,7 +62,7 @@
 
 #[derive(Debug)]
 pub struct Leases {
-    pub own: Own,
+    pub own: OwnLease,
     pub renewed: Millis,
     pub controllers: BTreeMap<ControllerId, (ControllerRecord, Revision)>,
     pub leader: Option<(ControllerId, Revision)>,
@@ -77,7 +77,7 @@
 impl Default for Leases {
     fn default() -> Self {
         Self {
-            own: Own::None,
+            own: OwnLease::None,
             renewed: Millis(0),
             controllers: BTreeMap::new(),
             leader: None,
@@ -89,7 +89,7 @@
 
 /// What a fed record changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum LeaseChange {
     Controller(ControllerId),
     Leader,
     Shard(ShardId),
@@ -98,7 +98,7 @@
 impl Leases {
     pub fn lease_id(&self) -> Option<LeaseId> {
         match self.own {
-            Own::Held { lease_id, .. } => Some(lease_id),
+            OwnLease::Held { lease_id, .. } => Some(lease_id),
             _ => None,
         }
     }
@@ -149,19 +149,19 @@
     /// Our lease is over, and all that hung on it with it, though the watch may bring that later.
     /// Without this a leader back from a cut takes up its old lease under its new lease.
     pub fn lose(&mut self, me: &ControllerId) {
-        self.own = Own::None;
+        self.own = OwnLease::None;
         self.leader.take_if(|(leader, _)| leader == me);
         self.shards.retain(|_, (holder, _)| holder != me);
     }
 
     /// Takes in a record. A lease of the process that had our label before counts as nobody's.
-    pub fn feed(
+    pub fn apply(
         &mut self,
         me: &ControllerId,
         key: &str,
         data: Option<&str>,
         version: Revision,
-    ) -> Option<Moved> {
+    ) -> Option<LeaseChange> {
         if key == LEADER {
             let record: Option<LeaderRecord> = data.and_then(|d| serde_json::from_str(d).ok());
             if self
@@ -173,7 +173,7 @@
             }
             let record = record.filter(|r| !self.of_the_dead(&r.leader, r.lease_id, me));
             self.leader = record.map(|r| (r.leader, version));
-            return Some(Moved::Leader);
+            return Some(LeaseChange::Leader);
         }
         if let Some(name) = key.strip_prefix(CONTROLLERS) {
             let controller = ControllerId::from(name);
@@ -196,7 +196,7 @@
             if let Some(ended) = before.filter(|before| Some(*before) != lease_id) {
                 self.note_ended(ended);
             }
-            return Some(Moved::Controller(controller));
+            return Some(LeaseChange::Controller(controller));
         }
         let shard = ShardId::parse(key.strip_prefix(SHARDS)?)?;
         let token = FencingToken(version.0);
@@ -212,7 +212,7 @@
             Some(record) => self.shards.insert(shard.clone(), (record.holder, token)),
             None => self.shards.remove(&shard),
         };
-        Some(Moved::Shard(shard))
+        Some(LeaseChange::Shard(shard))
     }
 }
 
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -60,7 +60,7 @@
         (None, 10, None),
     ];
     for (data, version, expected) in steps {
-        leases.feed(
+        leases.apply(
             &"n9".into(),
             "jt/block/a.0",
             data.as_deref(),
@@ -76,25 +76,25 @@
 #[test]
 fn the_end_of_our_lease_ends_our_offices_and_nobody_elses() {
     let mut leases = Leases {
-        own: Own::Held {
+        own: OwnLease::Held {
             lease_id: LeaseId(7),
             until: Millis(9),
         },
         ..Leases::default()
     };
-    leases.feed(
+    leases.apply(
         &"n9".into(),
         "jt/lead",
         Some(r#"{"leader":"n0","permit":7}"#),
         Revision(3),
     );
-    leases.feed(
+    leases.apply(
         &"n9".into(),
         "jt/block/a.0",
         Some(r#"{"holder":"n0","permit":7}"#),
         Revision(4),
     );
-    leases.feed(
+    leases.apply(
         &"n9".into(),
         "jt/block/a.1",
         Some(r#"{"holder":"n1","permit":8}"#),
@@ -108,9 +108,9 @@
     leases.lose(&n0);
     assert_eq!((leases.leads(&n0), leases.holds(&a0, &n0)), (None, None));
     assert_eq!(leases.holds(&a1, &n1), Some(FencingToken(5)));
-    assert_eq!(leases.own, Own::None);
+    assert_eq!(leases.own, OwnLease::None);
     // What others then do is heard as ever.
-    leases.feed(
+    leases.apply(
         &"n9".into(),
         "jt/lead",
         Some(r#"{"leader":"n1","permit":8}"#),
@@ -131,7 +131,7 @@
         (9, "n0", false),
     ] {
         let mut leases = Leases::default();
-        leases.feed(
+        leases.apply(
             &"n9".into(),
             "jt/block/a.0",
             Some(r#"{"holder":"n0","permit":7}"#),
@@ -160,15 +160,15 @@
     for (own, holder, lease_id, ours, known) in cases {
         let mut leases = Leases::default();
         if let Some(lease_id) = own {
-            leases.own = Own::Held {
+            leases.own = OwnLease::Held {
                 lease_id: LeaseId(lease_id),
                 until: Millis(9),
             };
         }
         let lead = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
         let held = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
-        leases.feed(&me, LEADER, Some(&lead), Revision(3));
-        leases.feed(&me, &shard_key(&shard), Some(&held), Revision(4));
+        leases.apply(&me, LEADER, Some(&lead), Revision(3));
+        leases.apply(&me, &shard_key(&shard), Some(&held), Revision(4));
         let case = format!("{own:?}, {holder} under {lease_id}");
         assert_eq!(leases.leads(&me).is_some(), ours, "{case}");
         assert_eq!(leases.holds(&shard, &me).is_some(), ours, "{case}");
@@ -192,7 +192,7 @@
     ];
     for (data, version, over) in steps {
         let (key, version) = (controller_key(&"n1".into()), Revision(version));
-        leases.feed(&"n0".into(), &key, data.as_deref(), version);
+        leases.apply(&"n0".into(), &key, data.as_deref(), version);
         let found: Vec<u64> = (1..12).filter(|p| leases.is_over(LeaseId(*p))).collect();
         assert_eq!(found, over, "at {version:?}");
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -17,7 +17,7 @@
     },
     Status(Status),
     /// To the homes of their jobs: these tasks have left machines of the sender's shards.
-    Left(Vec<Left>),
+    TasksDeparted(Vec<TaskDeparture>),
     /// To all: a task of this job failed on that machine.
     Failed {
         job: String,
@@ -43,7 +43,7 @@
 
 /// A task that has left its machine.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Left {
+pub struct TaskDeparture {
     pub job: String,
     pub index: u32,
     pub attempt: u64,
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -64,7 +64,7 @@
             label: "n0".into(),
         },
         Message::Status(status),
-        Message::Left(vec![Left {
+        Message::TasksDeparted(vec![TaskDeparture {
             job: job(),
             index: 3,
             attempt: 2,
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -26,7 +26,7 @@
     /// The team's limit.
     Team,
     /// The shard's share of the team's limit.
-    Share,
+    ShardQuota,
     /// The rest of an old attempt.
     Attempt,
 }
@@ -51,7 +51,7 @@
 
 /// A change in the cluster that may help a parked task.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum ClusterEvent {
     /// A machine came, or became fit for tasks.
     Machine(MachineId),
     /// Room came free on a machine.
@@ -61,7 +61,7 @@
     /// The team uses less.
     TeamFreed(Team),
     /// Shares of the teams' limits were dealt anew.
-    Dealt,
+    QuotaReallocated,
     /// Another tree of quotas is in force.
     NewTree,
     /// The tree of quotas entitles the team to more than before.
--- a/src/quota/hierarchical.rs
+++ b/src/quota/hierarchical.rs
@@ -118,7 +118,7 @@
 
 /// What the controller has to write so that its file comes into force.
 #[derive(Debug, PartialEq)]
-pub enum Owed {
+pub enum PendingTreeWrite {
     Nothing,
     /// Pages that are not there yet: key and text.
     Pages(Vec<(String, String)>),
@@ -128,7 +128,7 @@
 
 /// How the file of this controller stands to the tree in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum TreeStatus {
     None,
     InForce,
     /// A newer one is in force.
@@ -140,7 +140,7 @@
 }
 
 /// The tree in force, and what its nodes are entitled to.
-pub struct Force {
+pub struct ActiveTree {
     pub shares: Shares,
     /// By team: those that cap it, itself first.
     limits: HashMap<Team, Vec<TeamSettings>>,
@@ -150,7 +150,7 @@
 }
 
 #[derive(Default)]
-pub struct Nested {
+pub struct HierarchicalQuota {
     platform: Vec<TeamSettings>,
     file: Option<Paged>,
     head: Option<Head>,
@@ -158,7 +158,7 @@
     pages: BTreeMap<String, (String, Revision)>,
     /// The version of the head that `force` was made from.
     version: Revision,
-    force: Option<Force>,
+    force: Option<ActiveTree>,
     /// Without a tree: each team's own limit.
     flat: HashMap<Team, Vec<TeamSettings>>,
     refreshed: Millis,
@@ -168,7 +168,7 @@
     team.limited().then(|| team.clone()).into_iter().collect()
 }
 
-impl Nested {
+impl HierarchicalQuota {
     pub fn new(teams: &[TeamSettings], file: Option<&TreeSpec>, value_kb: f64) -> Self {
         Self {
             platform: teams.to_vec(),
@@ -192,7 +192,7 @@
         self.version == self.head_version
     }
 
-    pub fn force(&self) -> Option<&Force> {
+    pub fn force(&self) -> Option<&ActiveTree> {
         self.force.as_ref()
     }
 
@@ -222,28 +222,28 @@
         a == b || self.limits(a).iter().any(|limit| caps_b(&limit.name))
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> TreeStatus {
         let Some(file) = &self.file else {
-            return Standing::None;
+            return TreeStatus::None;
         };
         match &self.head {
-            Some(head) if head.revision > file.head.revision => Standing::Old,
+            Some(head) if head.revision > file.head.revision => TreeStatus::Old,
             Some(head) if head.revision == file.head.revision && *head != file.head => {
-                Standing::Differs
+                TreeStatus::Differs
             }
-            Some(head) if head.revision == file.head.revision => Standing::InForce,
-            _ => Standing::New,
+            Some(head) if head.revision == file.head.revision => TreeStatus::InForce,
+            _ => TreeStatus::New,
         }
     }
 
     /// What is to be written next, at most so many pages and bytes at a time.
-    pub fn owed(&self, most: usize) -> Owed {
+    pub fn owed(&self, most: usize) -> PendingTreeWrite {
         let Some(file) = self
             .file
             .as_ref()
-            .filter(|_| self.standing() == Standing::New)
+            .filter(|_| self.standing() == TreeStatus::New)
         else {
-            return Owed::Nothing;
+            return PendingTreeWrite::Nothing;
         };
         // Revision and hash in its key say what a page holds.
         let missing = |(page, _): &(u32, &String)| {
@@ -257,10 +257,10 @@
             .map(|(page, text)| (file.head.page_key(page), text.clone()))
             .collect();
         if !pages.is_empty() {
-            return Owed::Pages(pages);
+            return PendingTreeWrite::Pages(pages);
         }
         let head = serde_json::to_string(&file.head).unwrap_or_default();
-        Owed::Head(head, self.head_version)
+        PendingTreeWrite::Head(head, self.head_version)
     }
 
     /// Pages of trees that have been replaced. Those of a newer revision than the head's are on
@@ -284,7 +284,7 @@
     }
 
     /// Takes a record; whether another tree is in force now.
-    pub fn feed(&mut self, key: &str, data: Option<&str>, version: Revision) -> bool {
+    pub fn apply(&mut self, key: &str, data: Option<&str>, version: Revision) -> bool {
         if key == HEAD {
             if version <= self.head_version {
                 return false;
@@ -306,7 +306,7 @@
 
     /// Forgets what came from the state service, but goes on by the tree it knows until it has
     /// read it again.
-    pub fn start_over(&mut self) {
+    pub fn resync(&mut self) {
         self.head = None;
         self.head_version = Revision(0);
         self.version = Revision(0);
@@ -365,7 +365,7 @@
     head: &Head,
     texts: &[&str],
     platform: &[TeamSettings],
-) -> Result<Option<Force>, TreeError> {
+) -> Result<Option<ActiveTree>, TreeError> {
     let problem = |reason: &str| TreeError {
         file: HEAD.into(),
         field: format!("revision {}", head.revision),
@@ -390,10 +390,10 @@
         nodes,
     };
     let tree = spec.adopt(HEAD, &outers(platform))?;
-    Ok(Some(Force::new(Arc::new(tree), platform)))
+    Ok(Some(ActiveTree::new(Arc::new(tree), platform)))
 }
 
-impl Force {
+impl ActiveTree {
     fn new(tree: Arc<Tree>, platform: &[TeamSettings]) -> Self {
         let names: Vec<Team> = tree
             .all()
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -18,25 +18,29 @@
     TreeSpec::parse("f", &text).unwrap()
 }
 
-fn nested(file: Option<&TreeSpec>) -> Nested {
-    Nested::new(&[team("a", 2.0, 0.0), team("b", 0.0, 0.0)], file, 0.2)
+fn nested(file: Option<&TreeSpec>) -> HierarchicalQuota {
+    HierarchicalQuota::new(&[team("a", 2.0, 0.0), team("b", 0.0, 0.0)], file, 0.2)
 }
 
 /// A state service of one client.
-fn write(nested: &mut Nested, others: &mut [&mut Nested], revision: &mut u64) -> usize {
+fn write(
+    nested: &mut HierarchicalQuota,
+    others: &mut [&mut HierarchicalQuota],
+    revision: &mut u64,
+) -> usize {
     let mut writes = 0;
     loop {
         let changes = match nested.owed(1) {
-            Owed::Nothing => return writes,
-            Owed::Pages(pages) => pages,
-            Owed::Head(text, _) => vec![(HEAD.to_string(), text)],
+            PendingTreeWrite::Nothing => return writes,
+            PendingTreeWrite::Pages(pages) => pages,
+            PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
         };
         for (key, text) in changes {
             *revision += 1;
             writes += 1;
-            nested.feed(&key, Some(&text), Revision(*revision));
+            nested.apply(&key, Some(&text), Revision(*revision));
             for other in others.iter_mut() {
-                other.feed(&key, Some(&text), Revision(*revision));
+                other.apply(&key, Some(&text), Revision(*revision));
             }
         }
     }
@@ -53,23 +57,23 @@
         write(&mut holds_old, &mut others, &mut revision)
     };
     assert!(first > 2, "{first} writes: pages and a head");
-    assert_eq!(holds_new.standing(), Standing::New);
+    assert_eq!(holds_new.standing(), TreeStatus::New);
     assert_eq!(has_none.limits(&"b".into())[0].gpus_max, 8.0);
     let mut others = [&mut holds_old, &mut holds_odd, &mut has_none];
     write(&mut holds_new, &mut others, &mut revision);
     let all = [&holds_old, &holds_new, &holds_odd, &has_none];
     let standings = [
-        Standing::Old,
-        Standing::InForce,
-        Standing::Differs,
-        Standing::None,
+        TreeStatus::Old,
+        TreeStatus::InForce,
+        TreeStatus::Differs,
+        TreeStatus::None,
     ];
     for (nested, standing) in all.into_iter().zip(standings) {
         assert_eq!(nested.standing(), standing);
         assert!(nested.settled());
         assert_eq!(nested.version(), Revision(revision));
         assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
-        assert_eq!(nested.owed(9), Owed::Nothing);
+        assert_eq!(nested.owed(9), PendingTreeWrite::Nothing);
     }
     // Its pages are of no more use; those of the tree in force are.
     assert_eq!(has_none.leftovers().count(), first - 1);
@@ -86,10 +90,10 @@
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
         let other = serde_json::to_string_pretty(&value).unwrap();
         assert_ne!(text, other);
-        reader.feed(&key, Some(&other), version);
+        reader.apply(&key, Some(&other), version);
     }
     let head = serde_json::to_string_pretty(writer.head.as_ref().unwrap()).unwrap();
-    assert!(reader.feed(HEAD, Some(&head), writer.head_version));
+    assert!(reader.apply(HEAD, Some(&head), writer.head_version));
     assert!(reader.settled());
 }
 
@@ -103,13 +107,13 @@
     write(&mut writer, &mut [], &mut revision);
     let mut reader = nested(None);
     let head = serde_json::to_string(writer.head.as_ref().unwrap()).unwrap();
-    assert!(!reader.feed(HEAD, Some(&head), Revision(revision)));
+    assert!(!reader.apply(HEAD, Some(&head), Revision(revision)));
     assert!(!reader.settled());
     assert_eq!(reader.version(), Revision(0));
     let pages: Vec<_> = writer.pages.clone().into_iter().collect();
     for (index, (key, (text, version))) in pages.iter().enumerate() {
         let last = index == pages.len() - 1;
-        assert_eq!(reader.feed(key, Some(text), *version), last);
+        assert_eq!(reader.apply(key, Some(text), *version), last);
     }
     assert_eq!(reader.version(), Revision(revision));
     assert_eq!(reader.limits(&"a".into()).len(), 2);
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -22,12 +22,12 @@
 
 /// What a team may use in one shard, of each amount that its limit names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct QuotaAllocation {
     pub cpus: f64,
     pub gpus: f64,
 }
 
-impl Share {
+impl QuotaAllocation {
     pub fn of(resources: Resources) -> Self {
         Self {
             cpus: resources.cpus,
@@ -35,7 +35,7 @@
         }
     }
 
-    fn plus(self, other: Share) -> Self {
+    fn plus(self, other: QuotaAllocation) -> Self {
         Self {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
@@ -44,16 +44,16 @@
 }
 
 /// The record of a shard: the share of each team that has a limit.
-pub type ShareRecord = BTreeMap<Team, Share>;
+pub type AllocationRecord = BTreeMap<Team, QuotaAllocation>;
 
 /// All shards' shares, as the state service has them.
 #[derive(Debug, Default)]
-pub struct Shares {
-    pub shards: BTreeMap<ShardId, (ShareRecord, Revision)>,
+pub struct QuotaAllocations {
+    pub shards: BTreeMap<ShardId, (AllocationRecord, Revision)>,
 }
 
-impl Shares {
-    pub fn feed(&mut self, shard: ShardId, data: Option<&str>, version: Revision) -> bool {
+impl QuotaAllocations {
+    pub fn apply(&mut self, shard: ShardId, data: Option<&str>, version: Revision) -> bool {
         if self.version(&shard) >= version {
             return false;
         }
@@ -67,12 +67,12 @@
         self.shards.get(shard).map(|(_, v)| *v).unwrap_or_default()
     }
 
-    pub fn share(&self, shard: &ShardId, team: &Team) -> Share {
+    pub fn share(&self, shard: &ShardId, team: &Team) -> QuotaAllocation {
         let record = self.shards.get(shard).and_then(|(r, _)| r.get(team));
         record.copied().unwrap_or_default()
     }
 
-    pub fn record(&self, shard: &ShardId) -> ShareRecord {
+    pub fn record(&self, shard: &ShardId) -> AllocationRecord {
         self.shards
             .get(shard)
             .map(|(r, _)| r.clone())
@@ -90,7 +90,7 @@
 }
 
 /// Whether a team that uses `resources` in a shard keeps to its share there.
-pub fn within_share(resources: Resources, share: Share, team: &TeamSettings) -> bool {
+pub fn within_share(resources: Resources, share: QuotaAllocation, team: &TeamSettings) -> bool {
     let keeps = |limit: f64, used: f64, share: f64| limit <= 0.0 || used <= share + 1e-6;
     keeps(team.cpus_max, resources.cpus, share.cpus)
         && keeps(team.gpus_max, resources.gpus, share.gpus)
@@ -98,11 +98,11 @@
 
 /// One shard as the leader sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Dealt {
-    pub share: Share,
+pub struct ShardAllocation {
+    pub share: QuotaAllocation,
     /// By a cache that is newer than all shares: nobody has placed more since than the share
     /// allows.
-    pub used: Share,
+    pub used: QuotaAllocation,
     /// Somebody may hold it.
     pub live: bool,
 }
@@ -112,7 +112,7 @@
     share.max(used)
 }
 
-fn slack_of(limit: f64, shards: impl Iterator<Item = (f64, f64)>) -> f64 {
+fn unallocated_of(limit: f64, shards: impl Iterator<Item = (f64, f64)>) -> f64 {
     if limit <= 0.0 {
         return f64::INFINITY;
     }
@@ -120,13 +120,13 @@
 }
 
 /// What is left of a team's limit to raise some shard's share by.
-pub fn slack(team: &TeamSettings, shards: &[Dealt]) -> Share {
-    Share {
-        cpus: slack_of(
+pub fn unallocated(team: &TeamSettings, shards: &[ShardAllocation]) -> QuotaAllocation {
+    QuotaAllocation {
+        cpus: unallocated_of(
             team.cpus_max,
             shards.iter().map(|b| (b.share.cpus, b.used.cpus)),
         ),
-        gpus: slack_of(
+        gpus: unallocated_of(
             team.gpus_max,
             shards.iter().map(|b| (b.share.gpus, b.used.gpus)),
         ),
@@ -134,8 +134,8 @@
 }
 
 /// Whether a team keeps its limit even if every shard uses its whole share.
-pub fn keeps_limit(team: &TeamSettings, shards: &[Dealt]) -> bool {
-    let sum = |of: fn(&Share) -> f64| -> f64 {
+pub fn keeps_limit(team: &TeamSettings, shards: &[ShardAllocation]) -> bool {
+    let sum = |of: fn(&QuotaAllocation) -> f64| -> f64 {
         shards
             .iter()
             .map(|b| bound(of(&b.share), of(&b.used)))
@@ -145,8 +145,8 @@
 }
 
 /// Whether `resources` can be added to a share out of the slack.
-pub fn covers(slack: Share, resources: Resources) -> bool {
-    resources.cpus <= slack.cpus + 1e-6 && resources.gpus <= slack.gpus + 1e-6
+pub fn covers(unallocated: QuotaAllocation, resources: Resources) -> bool {
+    resources.cpus <= unallocated.cpus + 1e-6 && resources.gpus <= unallocated.gpus + 1e-6
 }
 
 /// The part of what a team leaves unused that is dealt out; the leader places out of the rest.
@@ -156,7 +156,7 @@
 
 /// New shares of one amount. Raised only out of what no shard can come to use as shares are now,
 /// so that a share that falls at the same time is not counted on yet.
-fn deal_amount(limit: f64, least: f64, shards: &[(f64, f64, bool)]) -> Vec<f64> {
+fn allocate_amount(limit: f64, least: f64, shards: &[(f64, f64, bool)]) -> Vec<f64> {
     if limit <= 0.0 {
         return vec![0.0; shards.len()];
     }
@@ -167,7 +167,7 @@
         // Too little for a task in each shard: all of it is the leader's to place with.
         fair = 0.0;
     }
-    let slack = slack_of(limit, shards.iter().map(|(share, used, _)| (*share, *used)));
+    let unallocated = unallocated_of(limit, shards.iter().map(|(share, used, _)| (*share, *used)));
     let wanted = |(share, used, live): &(f64, f64, bool)| -> f64 {
         let target = if *live { used + fair } else { 0.0 };
         let off = (target - share).abs();
@@ -181,7 +181,11 @@
         .iter()
         .map(|shard| (wanted(shard) - bound(shard.0, shard.1)).max(0.0))
         .sum();
-    let part = if raises > slack { slack / raises } else { 1.0 };
+    let part = if raises > unallocated {
+        unallocated / raises
+    } else {
+        1.0
+    };
     shards
         .iter()
         .map(|shard| {
@@ -196,31 +200,40 @@
 }
 
 /// New shares of a team's limit. `least`: shares smaller than this are of no use.
-pub fn deal(team: &TeamSettings, least: Resources, shards: &[Dealt]) -> Vec<Share> {
-    let amounts = |of: fn(&Share) -> f64| -> Vec<(f64, f64, bool)> {
-        let amount = |b: &Dealt| (of(&b.share), of(&b.used), b.live);
+pub fn allocate(
+    team: &TeamSettings,
+    least: Resources,
+    shards: &[ShardAllocation],
+) -> Vec<QuotaAllocation> {
+    let amounts = |of: fn(&QuotaAllocation) -> f64| -> Vec<(f64, f64, bool)> {
+        let amount = |b: &ShardAllocation| (of(&b.share), of(&b.used), b.live);
         shards.iter().map(amount).collect()
     };
-    let cpus = deal_amount(team.cpus_max, least.cpus, &amounts(|s| s.cpus));
-    let gpus = deal_amount(team.gpus_max, least.gpus, &amounts(|s| s.gpus));
+    let cpus = allocate_amount(team.cpus_max, least.cpus, &amounts(|s| s.cpus));
+    let gpus = allocate_amount(team.gpus_max, least.gpus, &amounts(|s| s.gpus));
     cpus.into_iter()
         .zip(gpus)
-        .map(|(cpus, gpus)| Share { cpus, gpus })
+        .map(|(cpus, gpus)| QuotaAllocation { cpus, gpus })
         .collect()
 }
 
 /// A share raised for `resources` that is placed where `used` is seen to be used. A holder may have used the
 /// rest of its share unseen, so it is not counted on unless the shard is the leader's `own`.
-pub fn raised(share: Share, used: Resources, resources: Resources, own: bool) -> Share {
-    let at_least = |a: Share, b: Share| Share {
+pub fn raised(
+    share: QuotaAllocation,
+    used: Resources,
+    resources: Resources,
+    own: bool,
+) -> QuotaAllocation {
+    let at_least = |a: QuotaAllocation, b: QuotaAllocation| QuotaAllocation {
         cpus: a.cpus.max(b.cpus),
         gpus: a.gpus.max(b.gpus),
     };
     // A shard may use more than its share, if that was larger before.
     if own {
-        at_least(share, Share::of(used.plus(resources)))
+        at_least(share, QuotaAllocation::of(used.plus(resources)))
     } else {
-        at_least(share, Share::of(used)).plus(Share::of(resources))
+        at_least(share, QuotaAllocation::of(used)).plus(QuotaAllocation::of(resources))
     }
 }
 
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -6,7 +6,7 @@
 use hierarchical_quota::{Amount, NodeIx, Wanted};
 use rustc_hash::FxHashMap as HashMap;
 
-use super::hierarchical::Force;
+use super::hierarchical::ActiveTree;
 use crate::jobs::cache::JobCache;
 use crate::preempt::{PreemptionOffer, Site, Victim, cheapest_set, offer};
 use crate::types::{MachineId, Resources, TaskId, Team};
@@ -24,7 +24,7 @@
 /// What the teams use, and what is about to change hands.
 #[derive(Clone)]
 pub struct Ledger<'a> {
-    force: &'a Force,
+    force: &'a ActiveTree,
     jobs: &'a JobCache,
     leaf: NodeIx,
     team: Team,
@@ -40,7 +40,7 @@
 impl<'a> Ledger<'a> {
     /// None: the team is not in the tree.
     pub fn new(
-        force: &'a Force,
+        force: &'a ActiveTree,
         jobs: &'a JobCache,
         team: &Team,
         total: Resources,
@@ -100,7 +100,7 @@
         let used = |ix| self.used(ix, &also);
         let shares = &self.force.shares;
         let may = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
-        let over = may.then(|| steps_over(self.force, from, used(from)));
+        let over = may.then(|| overuse_steps(self.force, from, used(from)));
         self.known.borrow_mut().insert(key, over);
         over
     }
@@ -225,6 +225,6 @@
 }
 
 /// How far a leaf that uses so much is over its share, in steps.
-pub fn steps_over(force: &Force, leaf: NodeIx, used: Amount) -> i64 {
+pub fn overuse_steps(force: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
     (force.shares.over(leaf, used) * STEPS).ceil() as i64
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -36,20 +36,20 @@
                 }
             };
             place(&mut rng, &mut used, &share);
-            let shards: Vec<Dealt> = (0..6)
-                .map(|b| Dealt {
-                    share: Share {
+            let shards: Vec<ShardAllocation> = (0..6)
+                .map(|b| ShardAllocation {
+                    share: QuotaAllocation {
                         cpus: 0.0,
                         gpus: share[b],
                     },
-                    used: Share {
+                    used: QuotaAllocation {
                         cpus: 0.0,
                         gpus: seen[b],
                     },
                     live: b != 5,
                 })
                 .collect();
-            if rng.random_bool(0.3) && covers(slack(&team, &shards), least) {
+            if rng.random_bool(0.3) && covers(unallocated(&team, &shards), least) {
                 // The leader places in a shard, and raises its share by as much.
                 let shard = rng.random_range(0..6);
                 let resources = |gpus| Resources {
@@ -60,7 +60,7 @@
                 share[shard] = raised.gpus;
                 used[shard] += 4.0;
             } else {
-                for (shard, dealt) in deal(&team, least, &shards).into_iter().enumerate() {
+                for (shard, dealt) in allocate(&team, least, &shards).into_iter().enumerate() {
                     share[shard] = dealt.gpus;
                 }
             }
--- a/src/request_queue.rs
+++ b/src/request_queue.rs
@@ -19,7 +19,7 @@
 const KINDS: usize = 3;
 
 /// A request that is worked on later than this comes too late for its asker.
-fn patience(kind: RequestKind) -> Millis {
+fn idle_timeouts(kind: RequestKind) -> Millis {
     match kind {
         RequestKind::Probe => Millis(900),
         RequestKind::Heartbeat => Millis(3_500),
@@ -75,7 +75,7 @@
         ] {
             let waiting = &mut self.waiting[kind as usize];
             while let Some((at, _)) = waiting.front()
-                && now.since(*at) > patience(kind)
+                && now.since(*at) > idle_timeouts(kind)
             {
                 gone.extend(waiting.pop_front().map(|(_, old)| old));
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use hierarchical_quota::{Note, TreeSpec};
+use hierarchical_quota::{TreeNote, TreeSpec};
 use ini::Ini;
 use rustc_hash::FxHashMap as HashMap;
 use serde::Deserialize;
@@ -57,7 +57,7 @@
     pub tree: Option<TreeSpec>,
     /// What the operator should know of it.
     #[serde(skip)]
-    pub tree_notes: Vec<Note>,
+    pub tree_notes: Vec<TreeNote>,
     /// Where each team stands in the deployment's list.
     #[serde(skip)]
     team_positions: HashMap<Team, usize>,
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{Id, JoinSet};
 
-use super::{ConnectionClass, Ledger, Patience, Pressure};
+use super::{ConnectionClass, ConnectionPressure, IdleTimeouts, Ledger};
 use crate::clock::Clock;
 
 /// A request's head has to come within this time, whatever the connection did before.
@@ -36,7 +36,7 @@
     ledger: Ledger<Id>,
     ends: HashMap<Id, oneshot::Sender<()>>,
     tasks: JoinSet<()>,
-    pressure: watch::Sender<Pressure>,
+    pressure: watch::Sender<ConnectionPressure>,
     turned_away: u64,
 }
 
@@ -47,7 +47,7 @@
     service: S,
     busy: fn() -> Response<B>,
     most: usize,
-    patience: Patience,
+    idle_timeouts: IdleTimeouts,
     clock: Clock,
 ) where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible>
@@ -64,10 +64,10 @@
     let (tell, mut told) = mpsc::channel(256);
     let mut door = Door {
         clock,
-        ledger: Ledger::new(most, patience),
+        ledger: Ledger::new(most, idle_timeouts),
         ends: HashMap::new(),
         tasks: JoinSet::new(),
-        pressure: watch::Sender::new(Pressure::default()),
+        pressure: watch::Sender::new(ConnectionPressure::default()),
         turned_away: 0,
     };
     let mut sweep = tokio::time::interval(SWEEP);
@@ -157,7 +157,7 @@
 #[derive(Clone)]
 struct Gate {
     tell: mpsc::Sender<Told>,
-    pressure: watch::Receiver<Pressure>,
+    pressure: watch::Receiver<ConnectionPressure>,
 }
 
 async fn converse<S, B>(
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -74,14 +74,14 @@
 
 /// What connections have to know of all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pressure {
+pub struct ConnectionPressure {
     /// Users are told to come back.
     pub users_full: bool,
     pub close_users: bool,
     pub close_heartbeats: bool,
 }
 
-impl Pressure {
+impl ConnectionPressure {
     /// Whether a connection ends with the answer that it gets.
     pub fn closes(self, class: ConnectionClass) -> bool {
         match class {
@@ -102,14 +102,14 @@
 
 /// How long a connection may be idle.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct IdleTimeouts {
     /// Until its first request is there in full.
     pub new: Millis,
     pub user: Millis,
     pub heartbeat: Millis,
 }
 
-impl Patience {
+impl IdleTimeouts {
     /// Workers report so often, give or take a quarter.
     pub fn for_heartbeats_every(heartbeat: Millis) -> Self {
         Self {
@@ -124,17 +124,17 @@
 #[derive(Debug)]
 pub struct Ledger<K> {
     most: usize,
-    patience: Patience,
+    idle_timeouts: IdleTimeouts,
     open: HashMap<K, Open>,
     new: usize,
     users: usize,
 }
 
 impl<K: Copy + Eq + Hash> Ledger<K> {
-    pub fn new(most: usize, patience: Patience) -> Self {
+    pub fn new(most: usize, idle_timeouts: IdleTimeouts) -> Self {
         Self {
             most,
-            patience,
+            idle_timeouts,
             open: HashMap::new(),
             new: 0,
             users: 0,
@@ -200,8 +200,8 @@
         }
     }
 
-    pub fn pressure(&self) -> Pressure {
-        Pressure {
+    pub fn pressure(&self) -> ConnectionPressure {
+        ConnectionPressure {
             users_full: self.users > self.part(MOST_USERS),
             close_users: self.open.len() >= self.part(CLOSE_USERS),
             close_heartbeats: self.open.len() >= self.part(CLOSE_HEARTBEATS),
@@ -211,19 +211,19 @@
     /// Connections that have been idle for too long.
     pub fn idle(&self, now: Millis) -> Vec<K> {
         let haste = self.open.len() >= self.part(HASTE);
-        let hurry = |patience: Millis| {
+        let hurry = |idle_timeouts: Millis| {
             if haste {
-                Millis(patience.0 / 5)
+                Millis(idle_timeouts.0 / 5)
             } else {
-                patience
+                idle_timeouts
             }
         };
         let limit = |open: &Open| match open.class {
             // Work on a request is bounded already; a peer that does not read the answer is not.
-            _ if open.asked => self.patience.user,
-            ConnectionClass::New => hurry(self.patience.new),
-            ConnectionClass::User => hurry(self.patience.user),
-            ConnectionClass::Probe | ConnectionClass::Heartbeat => self.patience.heartbeat,
+            _ if open.asked => self.idle_timeouts.user,
+            ConnectionClass::New => hurry(self.idle_timeouts.new),
+            ConnectionClass::User => hurry(self.idle_timeouts.user),
+            ConnectionClass::Probe | ConnectionClass::Heartbeat => self.idle_timeouts.heartbeat,
         };
         let over = self
             .open
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn ledger(most: usize) -> Ledger<u32> {
-    Ledger::new(most, Patience::for_heartbeats_every(Millis(5_000)))
+    Ledger::new(most, IdleTimeouts::for_heartbeats_every(Millis(5_000)))
 }
 
 fn open(ledger: &mut Ledger<u32>, keys: std::ops::Range<u32>, class: ConnectionClass) {
@@ -29,7 +29,7 @@
 fn users_give_way_to_workers_and_workers_connections_to_room() {
     let mut ledger = ledger(100);
     open(&mut ledger, 0..64, ConnectionClass::Heartbeat);
-    assert_eq!(ledger.pressure(), Pressure::default());
+    assert_eq!(ledger.pressure(), ConnectionPressure::default());
     open(&mut ledger, 100..101, ConnectionClass::User);
     let tight = ledger.pressure();
     assert!(tight.closes(ConnectionClass::User) && !tight.closes(ConnectionClass::Heartbeat));
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -8,7 +8,7 @@
 
 use super::lanes::{Lanes, Next, Waiting};
 use super::wire::{GrantBody, Granted, Ledger, Listing, News, NewsItem, txn_body};
-use super::{Answer, Call, CallClass};
+use super::{CallClass, StoreCall, StoreResponse};
 use crate::clock::Clock;
 use crate::http_client::{Failure, HttpClient};
 use crate::settings::Settings;
@@ -21,16 +21,16 @@
 /// Calls give up after this long.
 const CALL_LIMIT: Duration = Duration::from_millis(2_500);
 
-pub struct StoreAnswer {
+pub struct StoreReply {
     pub tag: u64,
-    pub answer: Answer,
+    pub answer: StoreResponse,
 }
 
 enum Request {
-    Call {
+    StoreCall {
         tag: u64,
         class: CallClass,
-        call: Call,
+        call: StoreCall,
         asked: Millis,
     },
     /// So many changes a second are ours.
@@ -48,7 +48,7 @@
     pub fn start(
         settings: &Settings,
         clock: Clock,
-        answers: mpsc::UnboundedSender<StoreAnswer>,
+        answers: mpsc::UnboundedSender<StoreReply>,
     ) -> Self {
         // What the controller asks for is bounded: one call for a lease, watch, list or proof, three
         // transactions of jobs, and one for each user who waits. Users' calls are refused after a while.
@@ -69,10 +69,10 @@
         let _ = self.inbox.send(Request::Allow(writes));
     }
 
-    pub fn send(&self, tag: u64, class: CallClass, call: Call) {
+    pub fn send(&self, tag: u64, class: CallClass, call: StoreCall) {
         // The actor ends only with the process.
         let asked = self.clock.now();
-        let _ = self.inbox.send(Request::Call {
+        let _ = self.inbox.send(Request::StoreCall {
             tag,
             class,
             call,
@@ -83,9 +83,9 @@
 
 struct Actor {
     client: HttpClient,
-    lanes: Lanes<(u64, Call)>,
+    lanes: Lanes<(u64, StoreCall)>,
     clock: Clock,
-    answers: mpsc::UnboundedSender<StoreAnswer>,
+    answers: mpsc::UnboundedSender<StoreReply>,
 }
 
 impl Actor {
@@ -96,7 +96,7 @@
             let pause = tokio::time::sleep(Duration::from_millis(pause.0));
             tokio::select! {
                 request = requests.recv() => match request {
-                    Some(Request::Call { tag, class, call, asked }) => {
+                    Some(Request::StoreCall { tag, class, call, asked }) => {
                         let writes = call.writes();
                         self.lanes.push(class, writes, (tag, call), asked);
                     }
@@ -104,7 +104,7 @@
                     None => return,
                 },
                 Some(call) = over_limit.recv() => {
-                    let call: Waiting<(u64, Call)> = call;
+                    let call: Waiting<(u64, StoreCall)> = call;
                     tracing::debug!(call.writes, ?call.class, "over the state service's limit");
                     self.lanes.over_limit(call, self.clock.now());
                 }
@@ -114,14 +114,14 @@
     }
 
     /// Starts every call the budget allows; returns how long until the next.
-    fn dispatch(&mut self, refused: &mpsc::UnboundedSender<Waiting<(u64, Call)>>) -> Millis {
+    fn dispatch(&mut self, refused: &mpsc::UnboundedSender<Waiting<(u64, StoreCall)>>) -> Millis {
         loop {
             let now = self.clock.now();
             let call = match self.lanes.next(now) {
-                Next::Call(call) => call,
+                Next::StoreCall(call) => call,
                 Next::Refuse((tag, _)) => {
-                    let answer = Answer::Refused;
-                    let _ = self.answers.send(StoreAnswer { tag, answer });
+                    let answer = StoreResponse::Refused;
+                    let _ = self.answers.send(StoreReply { tag, answer });
                     continue;
                 }
                 Next::Wait(wait) => return wait,
@@ -142,54 +142,57 @@
                     return;
                 }
                 let tag = call.what.0;
-                let _ = answers.send(StoreAnswer { tag, answer });
+                let _ = answers.send(StoreReply { tag, answer });
             });
         }
     }
 }
 
-fn decode<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> Answer) -> Answer {
+fn decode<T: DeserializeOwned>(
+    body: &[u8],
+    then: impl FnOnce(T) -> StoreResponse,
+) -> StoreResponse {
     match serde_json::from_slice(body) {
         Ok(value) => then(value),
         Err(error) => {
             tracing::error!(%error, "the state service's answer makes no sense");
-            Answer::Unknown
+            StoreResponse::Unknown
         }
     }
 }
 
 /// Makes one call. Also tells whether the service said that the budget is exceeded.
-async fn perform(client: &HttpClient, call: &Call) -> (Answer, bool) {
+async fn perform(client: &HttpClient, call: &StoreCall) -> (StoreResponse, bool) {
     let json = |value: &GrantBody| serde_json::to_vec(value).unwrap_or_default();
     let (method, path, body, limit) = match call {
-        Call::Grant { life_ms } => {
+        StoreCall::Grant { life_ms } => {
             let body = json(&GrantBody { life_ms: *life_ms });
             (Method::POST, "/leases".into(), body, CALL_LIMIT)
         }
-        Call::Renew(lease_id) => {
+        StoreCall::Renew(lease_id) => {
             let path = format!("/leases/{}/renew", lease_id.0);
             (Method::POST, path, b"{}".to_vec(), CALL_LIMIT)
         }
-        Call::End(lease_id) => (
+        StoreCall::End(lease_id) => (
             Method::DELETE,
             format!("/leases/{}", lease_id.0),
             Vec::new(),
             CALL_LIMIT,
         ),
-        Call::Txn(txn) => match txn_body(txn) {
+        StoreCall::Transaction(txn) => match txn_body(txn) {
             Ok(body) => (Method::POST, "/txn".into(), body, CALL_LIMIT),
             Err(error) => {
                 tracing::error!(%error, "a transaction can't be written as JSON");
-                return (Answer::Refused, false);
+                return (StoreResponse::Refused, false);
             }
         },
-        Call::ReadRevision => (
+        StoreCall::ReadRevision => (
             Method::GET,
             format!("/store/{NOWHERE}"),
             Vec::new(),
             CALL_LIMIT,
         ),
-        Call::List { after } => {
+        StoreCall::List { after } => {
             let from = after
                 .as_ref()
                 .map(|a| format!("&from={a}"))
@@ -197,7 +200,7 @@
             let path = format!("/store?starts={PREFIX}{from}&most=500");
             (Method::GET, path, Vec::new(), CALL_LIMIT)
         }
-        Call::Follow { from, wait_ms } => {
+        StoreCall::Watch { from, wait_ms } => {
             let path = format!("/follow?starts={PREFIX}&from={}&waitMs={wait_ms}", from.0);
             let limit = Duration::from_millis(wait_ms + 3_000);
             (Method::GET, path, Vec::new(), limit)
@@ -205,36 +208,44 @@
     };
     let (status, body) = match client.call(method, &path, body, limit).await {
         Ok(response) => response,
-        Err(Failure::NotSent) => return (Answer::Refused, false),
-        Err(Failure::Unknown) => return (Answer::Unknown, false),
+        Err(Failure::NotSent) => return (StoreResponse::Refused, false),
+        Err(Failure::Unknown) => return (StoreResponse::Unknown, false),
     };
     let answer = match (call, status) {
-        (_, 429) => return (Answer::Refused, true),
-        (_, 503) => Answer::Refused,
-        (Call::Grant { .. }, 200) => decode(&body, |g: Granted| Answer::Granted(g.lease_id)),
-        (Call::Renew(_), 200) => Answer::Renewed,
-        (Call::Renew(_), 404) => Answer::NoLease,
-        (Call::End(_), 200 | 204 | 404) => Answer::Ended,
-        (Call::Txn(_), 200) => decode(&body, |l: Ledger| Answer::Committed(l.ledger)),
-        (Call::Txn(_), 409) => decode(&body, |l: Ledger| Answer::Conflict(l.ledger)),
-        (Call::Txn(_), 400) => {
+        (_, 429) => return (StoreResponse::Refused, true),
+        (_, 503) => StoreResponse::Refused,
+        (StoreCall::Grant { .. }, 200) => {
+            decode(&body, |g: Granted| StoreResponse::Granted(g.lease_id))
+        }
+        (StoreCall::Renew(_), 200) => StoreResponse::Renewed,
+        (StoreCall::Renew(_), 404) => StoreResponse::NoLease,
+        (StoreCall::End(_), 200 | 204 | 404) => StoreResponse::Ended,
+        (StoreCall::Transaction(_), 200) => {
+            decode(&body, |l: Ledger| StoreResponse::Committed(l.ledger))
+        }
+        (StoreCall::Transaction(_), 409) => {
+            decode(&body, |l: Ledger| StoreResponse::Conflict(l.ledger))
+        }
+        (StoreCall::Transaction(_), 400) => {
             tracing::info!(body = %String::from_utf8_lossy(&body), "transaction refused");
-            Answer::NoLease
+            StoreResponse::NoLease
+        }
+        (StoreCall::ReadRevision, 404) => {
+            decode(&body, |l: Ledger| StoreResponse::Revision(l.ledger))
         }
-        (Call::ReadRevision, 404) => decode(&body, |l: Ledger| Answer::Revision(l.ledger)),
-        (Call::List { .. }, 200) => decode(&body, |l: Listing| Answer::Page {
+        (StoreCall::List { .. }, 200) => decode(&body, |l: Listing| StoreResponse::Page {
             entries: l.entries.into_iter().map(Into::into).collect(),
             more: l.truncated,
             revision: l.ledger,
         }),
-        (Call::Follow { .. }, 200) => decode(&body, |n: News| Answer::Updates {
+        (StoreCall::Watch { .. }, 200) => decode(&body, |n: News| StoreResponse::Updates {
             updates: n.news.into_iter().filter_map(NewsItem::update).collect(),
             revision: n.ledger,
         }),
-        (Call::Follow { .. }, 410) => Answer::TooOld,
+        (StoreCall::Watch { .. }, 410) => StoreResponse::TooOld,
         (_, status) => {
             tracing::error!(status, path, "the state service gave an unexpected status");
-            Answer::Unknown
+            StoreResponse::Unknown
         }
     };
     (answer, false)
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -29,7 +29,7 @@
 /// What is to be done next.
 #[derive(Debug)]
 pub enum Next<T> {
-    Call(Waiting<T>),
+    StoreCall(Waiting<T>),
     /// It waited for too long.
     Refuse(T),
     /// Nothing before so long.
@@ -110,7 +110,7 @@
             }
             self.floors.served(&class, call.writes, asking);
         }
-        Next::Call(call)
+        Next::StoreCall(call)
     }
 
     /// A user's call that the budget kept waiting for too long.
--- a/src/store/lanes/tests.rs
+++ b/src/store/lanes/tests.rs
@@ -21,7 +21,7 @@
         asks(&mut lanes, now);
         loop {
             match lanes.next(now) {
-                Next::Call(call) => made.push((call.class, Millis(now.0 - call.asked.0))),
+                Next::StoreCall(call) => made.push((call.class, Millis(now.0 - call.asked.0))),
                 Next::Refuse(_) => {}
                 Next::Wait(_) | Next::Nothing => break,
             }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,7 +5,7 @@
 pub mod lanes;
 pub mod wire;
 
-pub use client::{Store, StoreAnswer};
+pub use client::{Store, StoreReply};
 
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Change {
+pub enum Mutation {
     Put {
         key: String,
         data: String,
@@ -78,13 +78,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// Keys with the version each must have; zero: it must not exist.
     pub conditions: Vec<(String, Revision)>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<Mutation>,
 }
 
-impl Txn {
+impl Transaction {
     pub fn require(&mut self, key: String, version: Revision) {
         if !self.conditions.iter().any(|(k, _)| *k == key) {
             self.conditions.push((key, version));
@@ -106,7 +106,7 @@
 
     /// Puts what is JSON already.
     pub fn put_text(&mut self, key: String, data: String, lease_id: Option<LeaseId>) {
-        self.changes.push(Change::Put {
+        self.changes.push(Mutation::Put {
             key,
             data,
             lease_id,
@@ -114,26 +114,26 @@
     }
 
     pub fn drop_key(&mut self, key: String) {
-        self.changes.push(Change::Drop { key });
+        self.changes.push(Mutation::Drop { key });
     }
 }
 
 #[derive(Clone, Debug)]
-pub enum Call {
+pub enum StoreCall {
     Grant { life_ms: u64 },
     Renew(LeaseId),
     End(LeaseId),
-    Txn(Txn),
+    Transaction(Transaction),
     ReadRevision,
     List { after: Option<String> },
-    Follow { from: Revision, wait_ms: u64 },
+    Watch { from: Revision, wait_ms: u64 },
 }
 
-impl Call {
+impl StoreCall {
     /// Puts and deletes, which the state service counts.
     pub fn writes(&self) -> f64 {
         match self {
-            Call::Txn(txn) => txn.changes.len() as f64,
+            StoreCall::Transaction(txn) => txn.changes.len() as f64,
             _ => 0.0,
         }
     }
@@ -153,7 +153,7 @@
 }
 
 #[derive(Debug)]
-pub enum Answer {
+pub enum StoreResponse {
     Granted(LeaseId),
     Renewed,
     Ended,
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use super::{Change, Entry, Txn, Update};
+use super::{Entry, Mutation, Transaction, Update};
 use crate::types::{LeaseId, Revision};
 
 #[derive(Serialize)]
@@ -104,7 +104,7 @@
     then: Vec<Op<'a>>,
 }
 
-pub fn txn_body(txn: &Txn) -> serde_json::Result<Vec<u8>> {
+pub fn txn_body(txn: &Transaction) -> serde_json::Result<Vec<u8>> {
     let conditions = txn
         .conditions
         .iter()
@@ -115,7 +115,7 @@
         .iter()
         .map(|change| {
             Ok(match change {
-                Change::Put {
+                Mutation::Put {
                     key,
                     data,
                     lease_id,
@@ -124,7 +124,7 @@
                     data: serde_json::from_str(data)?,
                     lease_id: *lease_id,
                 },
-                Change::Drop { key } => Op::Drop { drop: key },
+                Mutation::Drop { key } => Op::Drop { drop: key },
             })
         })
         .collect::<serde_json::Result<_>>()?;
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn transactions_are_written_as_the_protocol_has_them() {
-    let mut txn = Txn::default();
+    let mut txn = Transaction::default();
     txn.require("a/b".into(), Revision(0));
     txn.put_text("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
     txn.drop_key("c/d".into());
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -4,7 +4,7 @@
 
 use super::Machine;
 use super::wire::{ExitCause, TaskStage, WorkerCommand};
-use crate::jobs::cache::{Change, Evidence, Job, JobCache};
+use crate::jobs::cache::{Evidence, Job, JobCache, TaskChange};
 use crate::jobs::{Phase, Placement, Task};
 use crate::types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Reconciliation {
     pub commands: Vec<WorkerCommand>,
-    pub changes: Vec<(JobId, u32, Change)>,
+    pub changes: Vec<(JobId, u32, TaskChange)>,
     /// Exits with an error, and starts that were refused.
     pub failures: Vec<(JobId, ExitCause)>,
     pub successes: u32,
@@ -105,7 +105,7 @@
                 } else if exited && !pending {
                     let change = if cause == ExitCause::Done {
                         out.successes += 1;
-                        Change::Finish { attempt }
+                        TaskChange::Finish { attempt }
                     } else {
                         if matches!(
                             cause,
@@ -113,7 +113,7 @@
                         ) {
                             out.failures.push((task.job.clone(), cause));
                         }
-                        Change::Release {
+                        TaskChange::Release {
                             attempt,
                             evidence: Evidence::Holder(token),
                         }
@@ -172,7 +172,7 @@
         let Task::Placed(placement) = job.task(*index) else {
             continue;
         };
-        let release = Change::Release {
+        let release = TaskChange::Release {
             attempt: placement.attempt,
             evidence: Evidence::Holder(token),
         };
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -52,9 +52,9 @@
     ];
     for (index, (cause, mate, fetches, rides, again, released)) in cases.into_iter().enumerate() {
         let mut jobs = JobCache::default();
-        jobs.feed(&job_key(&id), Some(&record), Revision(5), Millis(1));
+        jobs.apply(&job_key(&id), Some(&record), Revision(5), Millis(1));
         let page = encode_page(&[here.clone(), mate]);
-        jobs.feed(&page_key(&id, 0), Some(&page), Revision(6), Millis(1));
+        jobs.apply(&page_key(&id, 0), Some(&page), Revision(6), Millis(1));
         let (machine_id, shard) = (MachineId::from("vm-1"), ShardId::parse("a.0").unwrap());
         let (machine_type, zone) = ("g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
@@ -102,9 +102,9 @@
     };
     let mut jobs = JobCache::default();
     let record = serde_json::to_string(&record).unwrap();
-    jobs.feed(&job_key(id), Some(&record), Revision(5), Millis(1));
+    jobs.apply(&job_key(id), Some(&record), Revision(5), Millis(1));
     let page = encode_page(&[Task::Placed(placement)]);
-    jobs.feed(&page_key(id, 0), Some(&page), Revision(6), Millis(1));
+    jobs.apply(&page_key(id, 0), Some(&page), Revision(6), Millis(1));
     jobs
 }
 
@@ -140,8 +140,9 @@
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
             false
         });
-        let release =
-            |(_, _, change): &(JobId, u32, Change)| matches!(change, Change::Release { .. });
+        let release = |(_, _, change): &(JobId, u32, TaskChange)| {
+            matches!(change, TaskChange::Release { .. })
+        };
         let found = outcome.changes.iter().any(release);
         assert_eq!(found, released, "placed in {placed}, now {now}, {proved}");
     }
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -12,16 +12,16 @@
 
 /// How a zone stands, as far as its machines are heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ZoneHealth {
     #[default]
-    Sound,
+    Healthy,
     /// Many machines are silent while others speak, or all though a controller is in contact from
     /// there: they are lost.
-    PartlyLost,
+    Degraded,
     /// Nearly all are silent, and so are the zone's controllers: they go on without us.
-    CutOff,
+    Partitioned,
     /// Machines of a zone that was cut off speak again, not all of them yet.
-    Returning,
+    Recovering,
 }
 
 /// What is seen of a zone at a moment.
@@ -38,7 +38,7 @@
 
 /// What would be destroyed with a machine, least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Worth {
+pub enum EvictionCost {
     Idle,
     Arrays,
     Gangs,
@@ -47,10 +47,10 @@
 
 /// A machine that is thought lost for its silence.
 #[derive(Clone, Debug)]
-pub struct Suspect {
+pub struct SuspectedMachine {
     pub machine_id: MachineId,
     pub zone: Zone,
-    pub worth: Worth,
+    pub worth: EvictionCost,
 }
 
 /// Fewer machines than this tell nothing of their zone.
@@ -73,7 +73,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    standing: Standing,
+    health: ZoneHealth,
     since: Millis,
     machines: u32,
     /// Deleted for silence since the zone was cut off.
@@ -82,7 +82,7 @@
 
 /// All zones.
 #[derive(Debug, Default)]
-pub struct Zones {
+pub struct ZoneHealthTracker {
     zones: BTreeMap<Zone, State>,
     /// Deletions for silence within the window.
     deleted: VecDeque<(Millis, Zone)>,
@@ -92,52 +92,57 @@
     silent >= if is { leave } else { enter }
 }
 
-impl Zones {
+impl ZoneHealthTracker {
     /// Takes in how a zone looks; its standing, if that has changed.
-    pub fn observe(&mut self, zone: &Zone, seen: ZoneObservation, now: Millis) -> Option<Standing> {
+    pub fn observe(
+        &mut self,
+        zone: &Zone,
+        seen: ZoneObservation,
+        now: Millis,
+    ) -> Option<ZoneHealth> {
         let state = self.zones.entry(zone.clone()).or_default();
         if seen.machines < FEW {
             return None;
         }
         state.machines = seen.machines;
         let silent = f64::from(seen.silent) / f64::from(seen.machines);
-        let was = state.standing;
+        let was = state.health;
         let one_way = f64::from(seen.one_way) / f64::from(seen.machines);
         // Many that are there, and in contact one way only, are no dead machines: it is the way to them.
         let many = seen.one_way as usize >= LEAST || seen.one_way >= FEW && one_way >= CUT.1;
-        let cut = over(silent, CUT, was == Standing::CutOff) && seen.controllers_silent
-            || many && over(one_way, PART, was == Standing::CutOff);
-        let part = over(silent, PART, was != Standing::Sound);
+        let cut = over(silent, CUT, was == ZoneHealth::Partitioned) && seen.controllers_silent
+            || many && over(one_way, PART, was == ZoneHealth::Partitioned);
+        let part = over(silent, PART, was != ZoneHealth::Healthy);
         let next = match (was, cut, part) {
-            (_, true, _) => Standing::CutOff,
-            (Standing::CutOff | Standing::Returning, _, true) => Standing::Returning,
-            (_, _, true) => Standing::PartlyLost,
-            _ => Standing::Sound,
+            (_, true, _) => ZoneHealth::Partitioned,
+            (ZoneHealth::Partitioned | ZoneHealth::Recovering, _, true) => ZoneHealth::Recovering,
+            (_, _, true) => ZoneHealth::Degraded,
+            _ => ZoneHealth::Healthy,
         };
         if next == was {
             return None;
         }
-        if next == Standing::CutOff {
+        if next == ZoneHealth::Partitioned {
             state.given_up = 0;
         }
-        (state.standing, state.since) = (next, now);
+        (state.health, state.since) = (next, now);
         Some(next)
     }
 
-    pub fn standing(&self, zone: &Zone) -> Standing {
-        self.zones.get(zone).map(|s| s.standing).unwrap_or_default()
+    pub fn health(&self, zone: &Zone) -> ZoneHealth {
+        self.zones.get(zone).map(|s| s.health).unwrap_or_default()
     }
 
     /// Whether nothing should be started or rented there, since nobody could tell it to.
     pub fn out_of_reach(&self, zone: &Zone) -> bool {
-        self.standing(zone) == Standing::CutOff
+        self.health(zone) == ZoneHealth::Partitioned
     }
 
     /// Of machines thought lost, those that are given up now; the others stay for the time being.
     /// No more than `max_deletions` can be deleted now; `hold` is how long a zone that is cut off is left alone.
     pub fn give_up(
         &mut self,
-        mut lost: Vec<Suspect>,
+        mut lost: Vec<SuspectedMachine>,
         max_deletions: usize,
         hold: Millis,
         now: Millis,
@@ -155,11 +160,13 @@
             let in_zone = self.deleted.iter().filter(|(_, z)| *z == suspect.zone);
             let bounded = in_zone.count() >= most(MOST_OF_ZONE, state.machines)
                 || self.deleted.len() >= most(MOST_OF_ALL, all);
-            let stays = match state.standing {
-                Standing::CutOff => state.given_up >= steps(now.since(state.since), hold, state),
+            let stays = match state.health {
+                ZoneHealth::Partitioned => {
+                    state.given_up >= steps(now.since(state.since), hold, state)
+                }
                 // Word of it may be on its way.
-                Standing::Returning => now.since(state.since) < STEP,
-                Standing::Sound | Standing::PartlyLost => false,
+                ZoneHealth::Recovering => now.since(state.since) < STEP,
+                ZoneHealth::Healthy | ZoneHealth::Degraded => false,
             };
             if bounded || stays || given_up.len() >= max_deletions {
                 held += 1;
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -12,9 +12,14 @@
     }
 }
 
-fn suspects(zone: &str, count: usize) -> Vec<Suspect> {
-    let worth = [Worth::Replicas, Worth::Idle, Worth::Gangs, Worth::Arrays];
-    let suspect = |i: usize| Suspect {
+fn suspects(zone: &str, count: usize) -> Vec<SuspectedMachine> {
+    let worth = [
+        EvictionCost::Replicas,
+        EvictionCost::Idle,
+        EvictionCost::Gangs,
+        EvictionCost::Arrays,
+    ];
+    let suspect = |i: usize| SuspectedMachine {
         machine_id: format!("vm-{i:04}").into(),
         zone: zone.into(),
         worth: worth[i % 4],
@@ -24,17 +29,17 @@
 
 #[test]
 fn a_zone_stands_as_its_machines_are_heard() {
-    use Standing::{CutOff, PartlyLost, Returning, Sound};
+    use ZoneHealth::{Degraded, Healthy, Partitioned, Recovering};
     let cases = [
         // machines, silent, its controllers too: standing after each
-        (vec![(100, 5, false)], vec![Sound]),
-        (vec![(2, 2, true)], vec![Sound]),
-        (vec![(100, 30, false)], vec![PartlyLost]),
+        (vec![(100, 5, false)], vec![Healthy]),
+        (vec![(2, 2, true)], vec![Healthy]),
+        (vec![(100, 30, false)], vec![Degraded]),
         // A controller speaks from there, so it is no cut.
-        (vec![(100, 100, false)], vec![PartlyLost]),
+        (vec![(100, 100, false)], vec![Degraded]),
         (
             vec![(100, 79, true), (100, 80, true)],
-            vec![PartlyLost, CutOff],
+            vec![Degraded, Partitioned],
         ),
         // It is left at another point than entered.
         (
@@ -44,48 +49,44 @@
                 (100, 49, true),
                 (100, 9, true),
             ],
-            vec![CutOff, CutOff, Returning, Sound],
+            vec![Partitioned, Partitioned, Recovering, Healthy],
         ),
         (
             vec![(100, 90, true), (100, 90, false)],
-            vec![CutOff, Returning],
+            vec![Partitioned, Recovering],
         ),
         (
             vec![(100, 30, false), (100, 13, false), (100, 12, false)],
-            vec![PartlyLost, PartlyLost, Sound],
+            vec![Degraded, Degraded, Healthy],
         ),
     ];
     // Machines in contact one way only: a few are replaced, many are a cut, and in a small zone most.
     for (machines, one_way, expected) in [
-        (4, 2, PartlyLost),
-        (5, 3, CutOff),
-        (7, 3, PartlyLost),
-        (100, 20, Sound),
-        (100, 30, CutOff),
+        (4, 2, Degraded),
+        (5, 3, Partitioned),
+        (7, 3, Degraded),
+        (100, 20, Healthy),
+        (100, 30, Partitioned),
     ] {
-        let mut zones = Zones::default();
+        let mut zones = ZoneHealthTracker::default();
         let observed = ZoneObservation {
             one_way,
             ..seen(machines, one_way, false)
         };
         zones.observe(&Zone::from("a"), observed, Millis(1));
         assert_eq!(
-            zones.standing(&Zone::from("a")),
+            zones.health(&Zone::from("a")),
             expected,
             "{one_way} of {machines}"
         );
     }
     for (observations, expected) in cases {
-        let (mut zones, zone) = (Zones::default(), Zone::from("a"));
+        let (mut zones, zone) = (ZoneHealthTracker::default(), Zone::from("a"));
         for (index, (observed, expected)) in observations.iter().zip(&expected).enumerate() {
             let (machines, silent, controllers) = *observed;
             let at = Millis(index as u64 * 1_000);
             zones.observe(&zone, seen(machines, silent, controllers), at);
-            assert_eq!(
-                zones.standing(&zone),
-                *expected,
-                "{observations:?}, {index}"
-            );
+            assert_eq!(zones.health(&zone), *expected, "{observations:?}, {index}");
         }
     }
 }
@@ -102,7 +103,7 @@
         (100, true, [0, 0, 2, 4, 8, 54]),
     ];
     for (silent, controllers, expected) in cases {
-        let mut zones = Zones::default();
+        let mut zones = ZoneHealthTracker::default();
         zones.observe(&zone, seen(100, silent, controllers), Millis(0));
         zones.observe(&Zone::from("b"), seen(900, 0, false), Millis(0));
         let mut left = suspects("a", silent as usize);
@@ -118,7 +119,7 @@
 
 #[test]
 fn what_is_worth_least_goes_first() {
-    let mut zones = Zones::default();
+    let mut zones = ZoneHealthTracker::default();
     let zone = Zone::from("a");
     zones.observe(&zone, seen(40, 40, true), Millis(0));
     let gone = zones.give_up(suspects("a", 40), ANY, Millis(0), Millis(30_000));
@@ -132,7 +133,7 @@
 /// bound, and what had not been sent waited for half a minute.
 #[test]
 fn only_what_is_sent_counts_against_the_bound() {
-    let mut zones = Zones::default();
+    let mut zones = ZoneHealthTracker::default();
     zones.observe(&Zone::from("a"), seen(1_000, 200, false), Millis(0));
     let mut lost = suspects("a", 200);
     for at in [1_000, 2_000] {
@@ -146,7 +147,7 @@
 #[test]
 fn deletions_for_silence_are_bounded_in_a_zone_and_in_all() {
     for (zones_silent, expected) in [(1, 50), (4, 100)] {
-        let mut zones = Zones::default();
+        let mut zones = ZoneHealthTracker::default();
         let names = ["a", "b", "c", "d"];
         let mut lost = Vec::new();
         for (index, name) in names.into_iter().enumerate() {
@@ -155,7 +156,7 @@
             lost.extend(
                 suspects(name, silent as usize)
                     .into_iter()
-                    .map(|s| Suspect {
+                    .map(|s| SuspectedMachine {
                         machine_id: format!("{name}-{}", s.machine_id).into(),
                         ..s
                     }),
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -8,7 +8,7 @@
 use jaspertiller::http_client::HttpClient;
 use jaspertiller::http_server;
 use jaspertiller::jobs::api::Response;
-use jaspertiller::sockets::Patience;
+use jaspertiller::sockets::IdleTimeouts;
 use jaspertiller::types::{Millis, WorkerToken};
 use jaspertiller::workers::wire::HeartbeatResponse;
 use tokio::io::AsyncWriteExt;
@@ -74,13 +74,19 @@
     drop(free);
     let (inbox, requests) = mpsc::channel(64);
     tokio::spawn(answer(requests));
-    let patience = Patience {
+    let idle_timeouts = IdleTimeouts {
         new: Millis(500),
         user: Millis(1_000),
         heartbeat: Millis(2_000),
     };
     let clock = Clock::start();
-    tokio::spawn(http_server::serve(address, inbox, MOST, patience, clock));
+    tokio::spawn(http_server::serve(
+        address,
+        inbox,
+        MOST,
+        idle_timeouts,
+        clock,
+    ));
     tokio::time::sleep(Duration::from_millis(200)).await;
     for index in 0..CROWD {
         tokio::spawn(stand_about(index, address));
--- a/tests/models/late_writes.rs
+++ b/tests/models/late_writes.rs
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Txn {
+struct Transaction {
     rests_on: Records,
     write: Write,
 }
@@ -76,7 +76,7 @@
     views: [Records; 2],
     /// The attempt that a holder wants stopped.
     stops: [Option<u8>; 2],
-    late: [Option<Txn>; 2],
+    late: [Option<Transaction>; 2],
     told: bool,
     // The machine: the highest token it has seen, the last attempt it knows, and whether that runs.
     seen: u8,
@@ -114,7 +114,7 @@
         on_two || self.told && (self.runs || self.runs_elsewhere)
     }
 
-    fn carry_out(&mut self, txn: Txn, rest_on: Conditions) {
+    fn carry_out(&mut self, txn: Transaction, rest_on: Conditions) {
         let (now, then) = (self.store, txn.rests_on);
         let job = now.phase == then.phase;
         let page = now.page == then.page || !rest_on.page;
@@ -145,7 +145,7 @@
     /// All that may happen next.
     fn next(self, rest_on: Conditions) -> Vec<State> {
         let mut next = Vec::new();
-        let mut txns: Vec<Txn> = Vec::new();
+        let mut txns: Vec<Transaction> = Vec::new();
         for holder in [0, 1] {
             let (view, token) = (self.views[holder], holder as u8 + 1);
             let mut then = |change: &dyn Fn(&mut State)| {
@@ -161,7 +161,7 @@
             }
             let mut write = |write| {
                 let rests_on = view;
-                txns.push(Txn { rests_on, write });
+                txns.push(Transaction { rests_on, write });
             };
             if view.phase == Phase::Active {
                 write(Write::Phase(Phase::Aborting));
