--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxHashSet as HashSet;
 
-use super::{Arrival, Controller, Effect, Purpose};
+use super::{CallPurpose, Controller, Effect};
 use crate::fleet::plan::{Bin, Headroom, Need, plan};
 use crate::fleet::{
     CloudCall, CloudResponse, Fleet, MACHINE_TYPES_KEY, MachineStage, MachineTypeSpec, Offer,
@@ -61,50 +61,85 @@
     cached.map(|cached| type_spec.slow_s(cached.gb)).sum()
 }
 
+/// Work that came and should not have to wait for a machine to boot.
+#[derive(Debug)]
+pub(super) struct Arrival {
+    pub(super) at: Millis,
+    /// How many machines it takes.
+    pub(super) share: f64,
+    pub(super) image_gb: f64,
+    /// Whether spot machines will do.
+    pub(super) spot: bool,
+    /// Whether it may have other work stopped.
+    pub(super) urgent: bool,
+}
+
+/// The fleet as the leader knows it, and the demand that decides its size.
+#[derive(Default)]
+pub(super) struct Autoscaler {
+    pub(super) type_specs: Vec<MachineTypeSpec>,
+    /// The machine types as the key-value store has them.
+    pub(super) stored_type_specs: Vec<MachineTypeSpec>,
+    pub(super) type_specs_requested_at: Millis,
+    pub(super) fleet: Fleet,
+    pub(super) reconciled_at: Millis,
+    pub(super) arrivals: Vec<Arrival>,
+    pub(super) arrivals_until: Millis,
+    pub(super) arrivals_since: Millis,
+    /// Machines that are being drained.
+    pub(super) drains: HashSet<MachineId>,
+    /// When the leader's list of drains last arrived.
+    pub(super) drains_heard_at: Millis,
+}
+
 impl Controller {
     pub(super) fn start_leading(&mut self) {
-        self.fleet = Fleet::default();
+        self.autoscaler.fleet = Fleet::default();
         // The next answer may have to be noted.
-        self.type_specs_asked = Millis(0);
-        self.drains.clear();
-        self.zones = ZoneHealthTracker::default();
+        self.autoscaler.type_specs_requested_at = Millis(0);
+        self.autoscaler.drains.clear();
+        self.partition.zone_health = ZoneHealthTracker::default();
         // Deals of an earlier term rest on it.
-        self.unresolved_allocations.clear();
+        self.quota.unresolved_allocations.clear();
     }
 
     fn call_cloud(&mut self, call: CloudCall) -> u64 {
         let tag = self.tag();
-        self.cloud_calls.insert(tag, call.clone());
+        self.calls.cloud.insert(tag, call.clone());
         self.effects.push(Effect::Cloud { tag, call });
         tag
     }
 
     pub(super) fn reconcile_fleet(&mut self) {
-        let pause = if self.type_specs.is_empty() {
+        let pause = if self.autoscaler.type_specs.is_empty() {
             RETRY
         } else {
             TYPE_SPECS_EVERY
         };
-        if self.type_specs_asked == Millis(0) || self.now.since(self.type_specs_asked) >= pause {
-            self.type_specs_asked = self.now;
+        if self.autoscaler.type_specs_requested_at == Millis(0)
+            || self.now.since(self.autoscaler.type_specs_requested_at) >= pause
+        {
+            self.autoscaler.type_specs_requested_at = self.now;
             self.call_cloud(CloudCall::MachineTypes);
         }
-        if self.synced {
+        if self.store_sync.synced {
             self.note_arrivals();
         }
         // A leader whose lease may be over acts no more: another may lead already, and hear
         // machines that this one thinks dead.
         if self.leading().is_none()
             || !self.may_place()
-            || self.now.since(self.fleet_ticked) < EVERY
-            || self.type_specs.is_empty()
+            || self.now.since(self.autoscaler.reconciled_at) < EVERY
+            || self.autoscaler.type_specs.is_empty()
         {
             return;
         }
-        self.fleet_ticked = self.now;
-        if !self.fleet.listing && self.now.since(self.fleet.list_started) >= LIST_EVERY {
-            self.fleet.listing = true;
-            self.fleet.list_started = self.now;
+        self.autoscaler.reconciled_at = self.now;
+        if !self.autoscaler.fleet.listing
+            && self.now.since(self.autoscaler.fleet.list_started) >= LIST_EVERY
+        {
+            self.autoscaler.fleet.listing = true;
+            self.autoscaler.fleet.list_started = self.now;
             self.call_cloud(CloudCall::List { after: None });
         }
         self.adopt_reporting();
@@ -120,7 +155,7 @@
     /// Jobs that are new since the last look, for the rate at which room is asked for.
     fn note_arrivals(&mut self) {
         let now = self.now;
-        let seen = self.arrivals_until;
+        let seen = self.autoscaler.arrivals_until;
         let mut found = Vec::new();
         for job in self
             .jobs
@@ -132,6 +167,7 @@
                 continue;
             }
             let capacity = self
+                .autoscaler
                 .type_specs
                 .iter()
                 .filter(|f| job.spec.resources.fits_in(f.resources))
@@ -146,9 +182,10 @@
                 urgent,
             });
         }
-        self.arrivals.extend(found);
-        self.arrivals_until = now;
-        self.arrivals
+        self.autoscaler.arrivals.extend(found);
+        self.autoscaler.arrivals_until = now;
+        self.autoscaler
+            .arrivals
             .retain(|arrival| now.since(arrival.at) <= WINDOW);
     }
 
@@ -164,10 +201,11 @@
     fn adopt_reporting(&mut self) {
         let silence = self.silence();
         for machine in self.machines.values() {
-            if self.fleet.gone.contains(&machine.machine_id) {
+            if self.autoscaler.fleet.gone.contains(&machine.machine_id) {
                 continue;
             }
             let rented = self
+                .autoscaler
                 .fleet
                 .machine_ids
                 .entry(machine.machine_id.clone())
@@ -188,7 +226,7 @@
     }
 
     fn mark_idle(&mut self) {
-        for (machine_id, rented) in &mut self.fleet.machine_ids {
+        for (machine_id, rented) in &mut self.autoscaler.fleet.machine_ids {
             let idle = rented.stage == MachineStage::Running && !self.jobs.busy(machine_id);
             rented.idle = match (idle, rented.idle) {
                 (false, _) => None,
@@ -207,7 +245,7 @@
         let mut zones: BTreeMap<Zone, ZoneObservation> = BTreeMap::new();
         let early =
             Millis::from_secs(3.2 * self.settings.deployment.workers.heartbeat_interval_s + 1.0);
-        for (machine_id, rented) in &self.fleet.machine_ids {
+        for (machine_id, rented) in &self.autoscaler.fleet.machine_ids {
             let boot = self
                 .type_spec(&rented.machine_type)
                 .map_or(60.0, |f| f.boot_s.max(5.0));
@@ -255,7 +293,7 @@
         // Machines that no list shows any more, though the records have tasks there: an earlier leader
         // may have had them deleted, and been kept from writing what the cloud said.
         for machine_id in self.jobs.machine_ids() {
-            if self.fleet.machine_ids.contains_key(machine_id) {
+            if self.autoscaler.fleet.machine_ids.contains_key(machine_id) {
                 continue;
             }
             let shard = self
@@ -266,7 +304,12 @@
             let silent = self.silent_for(machine_id, shard);
             // A holder whose last machine this was hears nobody, and can't tell. But what was there when
             // we came to lead and is on no list so long after is there no more.
-            let unlisted = self.fleet.listed.since(self.led_since) > self.lists_lag()
+            let unlisted = self
+                .autoscaler
+                .fleet
+                .listed
+                .since(self.membership.leading_since)
+                > self.lists_lag()
                 && self.last_heard(machine_id) + lease < self.now;
             if unlisted || silent.is_some_and(|silent| silent.outlasts(lease)) {
                 silenced.push(self.suspect(machine_id, &shard.zone));
@@ -274,15 +317,19 @@
         }
         self.observe_zones(zones);
         // What is given up counts against a bound, so it must be what is sent now.
-        let deleting = &self.fleet.deleting;
+        let deleting = &self.autoscaler.fleet.deleting;
         lost.retain(|machine_id| !deleting.contains(machine_id));
         silenced.retain(|suspect| !deleting.contains(&suspect.machine_id));
         let remaining = MOST_DELETED.saturating_sub(lost.len());
         let hold = self.settings.operator.hold;
-        lost.extend(self.zones.give_up(silenced, remaining, hold, self.now));
+        lost.extend(
+            self.partition
+                .zone_health
+                .give_up(silenced, remaining, hold, self.now),
+        );
         for (machine_id, machine) in &self.machines {
-            if machine.quarantined && !self.fleet.gone.contains(machine_id) {
-                self.drains.insert(machine_id.clone());
+            if machine.quarantined && !self.autoscaler.fleet.gone.contains(machine_id) {
+                self.autoscaler.drains.insert(machine_id.clone());
             }
         }
         self.delete(lost);
@@ -291,19 +338,22 @@
     fn delete(&mut self, machine_ids: Vec<MachineId>) {
         let mut machine_ids: Vec<MachineId> = machine_ids
             .into_iter()
-            .filter(|h| !self.fleet.deleting.contains(h))
+            .filter(|h| !self.autoscaler.fleet.deleting.contains(h))
             .collect();
         machine_ids.truncate(MOST_DELETED);
         if !machine_ids.is_empty() {
             tracing::info!(?machine_ids, "deleting machines");
-            self.fleet.deleting.extend(machine_ids.iter().cloned());
+            self.autoscaler
+                .fleet
+                .deleting
+                .extend(machine_ids.iter().cloned());
             self.call_cloud(CloudCall::Delete(machine_ids));
         }
     }
 
     /// Whether a machine's holder keeps it free of new tasks and we know of all it placed there.
     fn drained(&self, machine_id: &MachineId) -> bool {
-        if !self.drains.contains(machine_id) || self.jobs.busy(machine_id) {
+        if !self.autoscaler.drains.contains(machine_id) || self.jobs.busy(machine_id) {
             return false;
         }
         let Some(machine) = self.machines.get(machine_id) else {
@@ -314,11 +364,12 @@
         }
         machine.draining
             && (self.recent_status(&machine.heard_by))
-                .is_some_and(|peer| self.applied >= peer.revision)
+                .is_some_and(|peer| self.store_sync.applied >= peer.revision)
     }
 
     fn sold_out(&self, offer: &Offer) -> bool {
-        self.fleet
+        self.autoscaler
+            .fleet
             .refused
             .get(offer)
             .is_some_and(|until| *until > self.now)
@@ -327,19 +378,19 @@
     fn rent_and_return(&mut self) {
         let mut bins = Vec::new();
         let mut draining_idle = Vec::new();
-        for (machine_id, rented) in &self.fleet.machine_ids {
+        for (machine_id, rented) in &self.autoscaler.fleet.machine_ids {
             let Some(type_spec) = self.type_spec(&rented.machine_type) else {
                 continue;
             };
             let machine = self.machines.get(machine_id);
             let bad = machine.is_some_and(|m| m.quarantined || m.warned)
-                || self.fleet.deleting.contains(machine_id)
+                || self.autoscaler.fleet.deleting.contains(machine_id)
                 || rented.stage == MachineStage::Failed;
             // One that is late is not counted on.
             let late = rented.stage == MachineStage::Booting
                 && self.now.since(rented.since).secs() > type_spec.boot_s * 1.8 + 5.0;
             // One that nobody could tell to start a task is no room, though it may be at work.
-            let idle_timeouts = if self.zones.out_of_reach(&rented.zone) {
+            let idle_timeouts = if self.partition.zone_health.out_of_reach(&rented.zone) {
                 1
             } else {
                 3
@@ -350,12 +401,13 @@
             if bad || late || silent {
                 continue;
             }
-            if self.drains.contains(machine_id) {
+            if self.autoscaler.drains.contains(machine_id) {
                 draining_idle.push(machine_id.clone());
                 continue;
             }
             let allocated = self.jobs.allocated(machine_id);
             let kept = self
+                .scheduler
                 .nominations
                 .on(machine_id, self.now)
                 .fold(Resources::default(), |sum, (_, resources)| {
@@ -375,7 +427,7 @@
                 worth_s: machine.map_or(0.0, |m| cache_worth_s(m, type_spec)),
             });
         }
-        for (offer, count) in self.fleet.renting.values() {
+        for (offer, count) in self.autoscaler.fleet.renting.values() {
             let type_spec = self.type_spec(&offer.0);
             for _ in 0..*count {
                 bins.extend(type_spec.map(|type_spec| Bin {
@@ -399,7 +451,7 @@
         let mut budget: BTreeMap<_, Resources> = BTreeMap::new();
         let mut needs = Vec::new();
         for job in jobs {
-            if self.nominations.of(&job.id, self.now).is_some() {
+            if self.scheduler.nominations.of(&job.id, self.now).is_some() {
                 // Its room is being made.
                 continue;
             }
@@ -427,8 +479,8 @@
             bins,
             &needs,
             &self.headroom(),
-            &self.type_specs,
-            |offer| self.sold_out(offer) || self.zones.out_of_reach(&offer.1),
+            &self.autoscaler.type_specs,
+            |offer| self.sold_out(offer) || self.partition.zone_health.out_of_reach(&offer.1),
             self.settings.operator.idle_return,
         );
         if !plan.rent.is_empty() && self.keep_drained() {
@@ -436,13 +488,13 @@
         }
         // A controller that has just come back knows neither how long machines have stood idle
         // nor what usually comes for them.
-        let returns = self.now.since(self.arrivals_since) >= RETURNS_AFTER;
+        let returns = self.now.since(self.autoscaler.arrivals_since) >= RETURNS_AFTER;
         if !returns {
-            let due = self.now.since(self.fleet.returned) >= RETURN_EVERY;
+            let due = self.now.since(self.autoscaler.fleet.returned) >= RETURN_EVERY;
             plan.release.truncate(usize::from(due));
         }
         if !plan.release.is_empty() {
-            self.fleet.returned = self.now;
+            self.autoscaler.fleet.returned = self.now;
         }
         let waiting = self
             .jobs
@@ -459,7 +511,7 @@
         if returns && quiet && draining_idle.is_empty() {
             self.consolidate();
         }
-        self.drains.extend(plan.release);
+        self.autoscaler.drains.extend(plan.release);
         let ready: Vec<MachineId> = draining_idle
             .into_iter()
             .filter(|machine_id| self.drained(machine_id))
@@ -470,9 +522,10 @@
     /// Room is short: machines that were to be returned are kept instead of renting more.
     fn keep_drained(&mut self) -> bool {
         let kept: Vec<MachineId> = self
+            .autoscaler
             .drains
             .iter()
-            .filter(|machine_id| !self.fleet.deleting.contains(*machine_id))
+            .filter(|machine_id| !self.autoscaler.fleet.deleting.contains(*machine_id))
             .filter(|machine_id| {
                 self.machines
                     .get(*machine_id)
@@ -481,7 +534,7 @@
             .cloned()
             .collect();
         for machine_id in &kept {
-            self.drains.remove(machine_id);
+            self.autoscaler.drains.remove(machine_id);
         }
         !kept.is_empty()
     }
@@ -490,7 +543,7 @@
     /// where their image is at hand, so that they are back at once; arrays end by themselves.
     fn consolidate(&mut self) {
         let mut bins: Vec<(MachineId, Resources, Resources)> = Vec::new();
-        for (machine_id, rented) in &self.fleet.machine_ids {
+        for (machine_id, rented) in &self.autoscaler.fleet.machine_ids {
             let usable = self
                 .machines
                 .get(machine_id)
@@ -514,6 +567,7 @@
         let ready = |machine_id: &MachineId| {
             self.jobs.yielding(machine_id)
                 && self
+                    .autoscaler
                     .fleet
                     .machine_ids
                     .get(machine_id)
@@ -523,7 +577,7 @@
         {
             let mut left: Vec<_> = bins.clone();
             left.remove(index);
-            left.retain(|(other, _, _)| !self.drains.contains(other));
+            left.retain(|(other, _, _)| !self.autoscaler.drains.contains(other));
             if available == capacity || available.share_of(*capacity) < EMPTY_ENOUGH {
                 continue;
             }
@@ -564,7 +618,7 @@
                 .count();
             if fits && (still_ready >= wanted || !ready(machine_id)) {
                 tracing::info!(%machine_id, "emptying the machine");
-                self.drains.insert(machine_id.clone());
+                self.autoscaler.drains.insert(machine_id.clone());
                 return;
             }
         }
@@ -572,13 +626,13 @@
 
     /// A line for the log: how much of the fleet is in use.
     fn log_use(&mut self) {
-        if self.now.since(self.fleet.logged) < LOG_EVERY {
+        if self.now.since(self.autoscaler.fleet.logged) < LOG_EVERY {
             return;
         }
-        self.fleet.logged = self.now;
+        self.autoscaler.fleet.logged = self.now;
         let (mut booting, mut idle, mut busy, mut spot) = (0, 0, 0, 0);
         let (mut capacity, mut used) = (Resources::default(), Resources::default());
-        for (machine_id, rented) in &self.fleet.machine_ids {
+        for (machine_id, rented) in &self.autoscaler.fleet.machine_ids {
             match (rented.stage, rented.idle) {
                 (MachineStage::Running, None) => busy += 1,
                 (MachineStage::Running, Some(_)) => idle += 1,
@@ -601,7 +655,7 @@
             idle,
             booting,
             spot,
-            draining = self.drains.len(),
+            draining = self.autoscaler.drains.len(),
             waiting,
             headroom = ?self.headroom().iter().map(|h| h.machines).collect::<Vec<_>>(),
             used = format!("{:.2}", used.share_of(capacity)),
@@ -613,12 +667,13 @@
     fn unplaced_spot_demand(&self) -> Vec<Need<'_>> {
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
         for (machine_id, _) in self
+            .autoscaler
             .fleet
             .machine_ids
             .iter()
             .filter(|(_, rented)| !rented.spot)
         {
-            if !self.drains.contains(machine_id) && self.jobs.yielding(machine_id) {
+            if !self.autoscaler.drains.contains(machine_id) && self.jobs.yielding(machine_id) {
                 for (id, _) in self.jobs.on_machine(machine_id) {
                     *counts.entry(id).or_default() += 1;
                 }
@@ -639,13 +694,14 @@
     /// For how long arrivals have been seen: a controller that came back has seen few, but the
     /// others' users went on asking.
     fn arrivals_observed_for(&self) -> Millis {
-        let seen = self.now.since(self.arrivals_since);
+        let seen = self.now.since(self.autoscaler.arrivals_since);
         Millis(seen.0.clamp(LEAST_SEEN.0, WINDOW.0))
     }
 
     /// Whole machines that should stand ready: what urgent work asks for while one boots.
     pub(super) fn headroom(&self) -> Vec<Headroom> {
         let Some(type_spec) = self
+            .autoscaler
             .type_specs
             .iter()
             .min_by(|a, b| a.price.total_cmp(&b.price))
@@ -653,8 +709,8 @@
             return Vec::new();
         };
         // A machine serves once it has booted and fetched an image.
-        let images_gb: f64 = self.arrivals.iter().map(|a| a.image_gb).sum();
-        let mean_gb = images_gb / self.arrivals.len().max(1) as f64;
+        let images_gb: f64 = self.autoscaler.arrivals.iter().map(|a| a.image_gb).sum();
+        let mean_gb = images_gb / self.autoscaler.arrivals.len().max(1) as f64;
         let lead_s = type_spec.boot_s + QUICK_FETCH_S + type_spec.slow_s(mean_gb);
         [false, true]
             .map(|spot| {
@@ -662,7 +718,7 @@
                 // meanwhile, and only the fluctuation of both is to be covered.
                 let part = lead_s / self.arrivals_observed_for().secs();
                 let machines = |urgent: bool| {
-                    let asked = self.arrivals.iter();
+                    let asked = self.autoscaler.arrivals.iter();
                     let asked = asked.filter(|a| a.spot == spot && (urgent || !a.urgent));
                     let (sum, squares) = asked.fold((0.0, 0.0), |(sum, squares), a| {
                         (sum + a.share, squares + a.share * a.share)
@@ -682,9 +738,12 @@
 
     fn rent(&mut self, offer: Offer, count: u32) {
         let Some(lead) = self.leading() else { return };
-        self.fleet.rental_requests += 1;
+        self.autoscaler.fleet.rental_requests += 1;
         // Unique for good: no two terms of leadership begin at the same revision.
-        let request_id = format!("{}-{}-{}", self.me, lead.0, self.fleet.rental_requests);
+        let request_id = format!(
+            "{}-{}-{}",
+            self.me, lead.0, self.autoscaler.fleet.rental_requests
+        );
         tracing::info!(request_id, ?offer, count, "renting");
         let call = CloudCall::Rent {
             request_id,
@@ -692,29 +751,30 @@
             count,
         };
         let tag = self.call_cloud(call);
-        self.fleet.renting.insert(tag, (offer, count));
+        self.autoscaler.fleet.renting.insert(tag, (offer, count));
     }
 
     pub(super) fn on_cloud(&mut self, tag: u64, answer: CloudResponse) {
-        let Some(call) = self.cloud_calls.remove(&tag) else {
+        let Some(call) = self.calls.cloud.remove(&tag) else {
             return;
         };
         match (call, answer) {
             (CloudCall::MachineTypes, CloudResponse::MachineTypes(type_specs)) => {
-                if self.type_specs.is_empty() {
+                if self.autoscaler.type_specs.is_empty() {
                     tracing::info!(types = type_specs.len(), "know the machine types");
                 }
                 self.store_machine_types(&type_specs);
-                self.type_specs = type_specs;
+                self.autoscaler.type_specs = type_specs;
             }
             (CloudCall::List { .. }, CloudResponse::Page { machine_ids, more }) => {
                 let last = machine_ids.last().map(|listed| listed.machine_id.clone());
                 for listed in machine_ids {
-                    if self.fleet.gone.contains(&listed.machine_id) {
+                    if self.autoscaler.fleet.gone.contains(&listed.machine_id) {
                         continue;
                     }
                     let now = self.now;
                     let rented = self
+                        .autoscaler
                         .fleet
                         .machine_ids
                         .entry(listed.machine_id)
@@ -739,20 +799,23 @@
                     None => self.end_of_list(),
                 }
             }
-            (CloudCall::List { .. }, _) => self.fleet.listing = false,
+            (CloudCall::List { .. }, _) => self.autoscaler.fleet.listing = false,
             (CloudCall::Rent { offer, .. }, CloudResponse::Rented(machine_ids)) => {
                 let asked = self
+                    .autoscaler
                     .fleet
                     .renting
                     .remove(&tag)
                     .map_or(0, |(_, count)| count);
                 if (machine_ids.len() as u32) < asked {
-                    self.fleet
+                    self.autoscaler
+                        .fleet
                         .refused
                         .insert(offer.clone(), self.now + SOLD_OUT);
                 }
                 for machine_id in machine_ids {
-                    self.fleet
+                    self.autoscaler
+                        .fleet
                         .machine_ids
                         .entry(machine_id)
                         .or_insert_with(|| Rented {
@@ -767,17 +830,20 @@
                 }
             }
             (CloudCall::Rent { offer, .. }, answer) => {
-                self.fleet.renting.remove(&tag);
+                self.autoscaler.fleet.renting.remove(&tag);
                 let pause = match answer {
                     CloudResponse::NoCapacity => SOLD_OUT,
                     _ => Millis(3_000),
                 };
-                self.fleet.refused.insert(offer, self.now + pause);
+                self.autoscaler
+                    .fleet
+                    .refused
+                    .insert(offer, self.now + pause);
             }
             (CloudCall::Delete(machine_ids), CloudResponse::Deleted) => self.deleted(machine_ids),
             (CloudCall::Delete(machine_ids), _) => {
                 for machine_id in machine_ids {
-                    self.fleet.deleting.remove(&machine_id);
+                    self.autoscaler.fleet.deleting.remove(&machine_id);
                 }
             }
             (CloudCall::MachineTypes, _) => {}
@@ -788,13 +854,13 @@
     fn store_machine_types(&mut self, type_specs: &[MachineTypeSpec]) {
         if let Some(lead) = self
             .leading()
-            .filter(|_| self.stored_type_specs != type_specs)
+            .filter(|_| self.autoscaler.stored_type_specs != type_specs)
         {
             let mut txn = Transaction::default();
             // Carried out late, it would bring back what a later leader has replaced.
             txn.require(LEADER.into(), lead);
             txn.put(MACHINE_TYPES_KEY.into(), type_specs);
-            self.transact(CallClass::Rest, txn, Purpose::Note);
+            self.transact(CallClass::Rest, txn, CallPurpose::Note);
         }
     }
 
@@ -805,10 +871,11 @@
 
     /// A machine that was listed and is no more, nor heard, is gone.
     fn end_of_list(&mut self) {
-        self.fleet.listing = false;
-        self.fleet.listed = self.now;
+        self.autoscaler.fleet.listing = false;
+        self.autoscaler.fleet.listed = self.now;
         let (lag, now) = (self.lists_lag(), self.now);
         let vanished: Vec<MachineId> = self
+            .autoscaler
             .fleet
             .machine_ids
             .iter()
@@ -822,12 +889,12 @@
     fn deleted(&mut self, machine_ids: Vec<MachineId>) {
         let mut changes = Vec::new();
         for machine_id in machine_ids {
-            self.fleet.deleting.remove(&machine_id);
-            self.fleet.machine_ids.remove(&machine_id);
-            self.drains.remove(&machine_id);
+            self.autoscaler.fleet.deleting.remove(&machine_id);
+            self.autoscaler.fleet.machine_ids.remove(&machine_id);
+            self.autoscaler.drains.remove(&machine_id);
             self.machines.remove(&machine_id);
             self.gone_from(&machine_id, &mut changes);
-            self.fleet.gone.insert(machine_id);
+            self.autoscaler.fleet.gone.insert(machine_id);
         }
         self.note_changes(changes);
     }
@@ -858,7 +925,7 @@
     fn leave_the_gone(&mut self) {
         let machine_ids = self.jobs.machine_ids();
         let gone: Vec<MachineId> = machine_ids
-            .filter(|h| self.fleet.gone.contains(*h))
+            .filter(|h| self.autoscaler.fleet.gone.contains(*h))
             .cloned()
             .collect();
         let mut changes = Vec::new();
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -19,7 +19,7 @@
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![here.clone()]);
         if gone {
-            controller.fleet.gone.insert("vm-a".into());
+            controller.autoscaler.fleet.gone.insert("vm-a".into());
         }
         controller.leave_the_gone();
         let job = controller.jobs.get(&id).unwrap();
@@ -57,13 +57,16 @@
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, _) = controller(spec, vec![here]);
         controller.now = Millis(100_000);
-        controller.receives_heartbeats = true;
-        controller.last_heartbeat =
+        controller.contact.receives_heartbeats = true;
+        controller.contact.last_heartbeat =
             controller.now - Millis(if receives_heartbeats { 0 } else { 60_000 });
-        controller.led_since = controller.now - Millis(led_s * 1_000);
-        controller.fleet.listed = controller.now;
+        controller.membership.leading_since = controller.now - Millis(led_s * 1_000);
+        controller.autoscaler.fleet.listed = controller.now;
         let shard = ShardId::parse("a.0").unwrap();
-        controller.moved.insert(shard.clone(), Millis(1));
+        controller
+            .membership
+            .shard_moved_at
+            .insert(shard.clone(), Millis(1));
         let machine_id = MachineId::from("vm-2");
         if known {
             let (machine_type, zone, by) = ("g8".into(), "a".into(), "n0".into());
@@ -83,6 +86,7 @@
                 idle: None,
             };
             controller
+                .autoscaler
                 .fleet
                 .machine_ids
                 .insert(machine_id.clone(), rented);
@@ -90,7 +94,7 @@
         controller.delete_lost();
         let case = format!("{known}, {silent_s} s, {listed}, {receives_heartbeats}, {led_s} s");
         assert_eq!(
-            controller.fleet.deleting.contains(&machine_id),
+            controller.autoscaler.fleet.deleting.contains(&machine_id),
             deleted,
             "{case}"
         );
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -1,6 +1,7 @@
 //! Cancellations: what is asked is committed at once, and told once no task is left anywhere.
 
-use super::{Controller, PendingRead, Purpose};
+use super::store_sync::PendingRead;
+use super::{CallPurpose, Controller};
 use crate::jobs::Phase;
 use crate::jobs::api::{Response, is_final};
 use crate::jobs::record::{JobRecord, job_key};
@@ -21,7 +22,7 @@
             return self.tell(reply, Response::later());
         };
         if !job.active() {
-            self.cancelling.add(&id, reply, self.now);
+            self.requests.cancellations.add(&id, reply, self.now);
             return self.clear(&id);
         }
         let record = JobRecord {
@@ -34,14 +35,14 @@
         self.transact(
             CallClass::Cancellations,
             txn,
-            Purpose::Abort { reply, job: id },
+            CallPurpose::Abort { reply, job: id },
         );
     }
 
     pub(super) fn on_aborted(&mut self, reply: ReplyId, job: JobId, answer: StoreResponse) {
         match answer {
             StoreResponse::Committed(_) => {
-                self.cancelling.add(&job, reply, self.now);
+                self.requests.cancellations.add(&job, reply, self.now);
                 self.clear(&job);
             }
             StoreResponse::Conflict(revision) => {
@@ -56,7 +57,7 @@
     pub(super) fn tell_cancelled(&mut self) {
         let jobs = &self.jobs;
         let state = |id: &JobId| jobs.state(id).filter(is_final);
-        let over = self.cancelling.over(|id| state(id).is_some());
+        let over = self.requests.cancellations.over(|id| state(id).is_some());
         let told: Vec<_> = over
             .into_iter()
             .filter_map(|(id, reply)| Some((reply, state(&id)?)))
@@ -68,7 +69,7 @@
 
     /// A task that nobody hears of may take long to be seen gone: its user asks again.
     pub(super) fn expire_cancellations(&mut self) {
-        for reply in self.cancelling.late(self.now) {
+        for reply in self.requests.cancellations.late(self.now) {
             self.tell(reply, Response::later());
         }
     }
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -32,8 +32,8 @@
         };
         let text = serde_json::to_string(&record).unwrap();
         controller.apply(&job_key(&id), Some(&text), Revision(20));
-        controller.applied = Revision(applied);
-        controller.read_barrier.waiting.clear();
+        controller.store_sync.applied = Revision(applied);
+        controller.store_sync.read_barrier.waiting.clear();
         controller.effects.clear();
         controller.clear(&id);
         let completions = controller.effects.iter().any(|effect| {
--- a/src/controller/candidates.rs
+++ b/src/controller/candidates.rs
@@ -1,5 +1,6 @@
 //! The machines that a cycle looks at, and what it sees of each.
 
+use crate::cycle::index::CapacityIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Controller;
@@ -31,9 +32,22 @@
     All,
 }
 
+/// Machines that can take tasks.
+#[derive(Debug, Default)]
+pub(super) struct Candidates {
+    /// When all machines were last looked over.
+    pub(super) built: Millis,
+    /// More machines are empty than stand ready for urgent work.
+    pub(super) spare: bool,
+    pub(super) index: CapacityIndex,
+    /// Hosts of which something else than what is taken has changed.
+    pub(super) touched: Vec<MachineId>,
+}
+
 impl Controller {
     pub(super) fn type_spec(&self, machine_type: &MachineTypeId) -> Option<&MachineTypeSpec> {
-        self.type_specs
+        self.autoscaler
+            .type_specs
             .iter()
             .find(|type_spec| type_spec.id == *machine_type)
     }
@@ -54,8 +68,8 @@
             machine.worker_token.token() == token
                 && machine.answered.is_some_and(|(under, _)| under == token)
                 && machine.fit(self.now, self.silence())
-                && !self.drains.contains(&machine.machine_id)
-                && !self.fleet.gone.contains(&machine.machine_id)
+                && !self.autoscaler.drains.contains(&machine.machine_id)
+                && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
         })
     }
 
@@ -63,21 +77,22 @@
     pub(super) fn others(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_none()
             && self
+                .membership
                 .leases
                 .shards
                 .get(&machine.shard)
                 .is_some_and(|(holder, _)| *holder == machine.heard_by)
             && machine.fit(self.now, self.silence())
-            && !self.drains.contains(&machine.machine_id)
-            && !self.fleet.gone.contains(&machine.machine_id)
+            && !self.autoscaler.drains.contains(&machine.machine_id)
+            && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
     }
 
     /// Brings the index of free room up to date: with what has changed, and once in a while with all
     /// machines, since some become fit or unfit as time passes.
     pub(super) fn refresh_pool(&mut self) {
         let mut changed = self.jobs.take_changed_machines();
-        changed.extend(std::mem::take(&mut self.pool.touched));
-        if self.now.since(self.pool.built) >= POOL_HOLDS {
+        changed.extend(std::mem::take(&mut self.scheduler.candidates.touched));
+        if self.now.since(self.scheduler.candidates.built) >= POOL_HOLDS {
             // Images are entered when a machine is named; a sweep looks at the rest.
             self.enter(changed);
             self.sweep_pool();
@@ -91,8 +106,8 @@
         for machine_id in machine_ids {
             let entry = self.machines.get(&machine_id).and_then(|m| self.entry(m));
             match entry {
-                Some(entry) => self.pool.resources.update(&machine_id, entry),
-                None => self.pool.resources.remove(&machine_id),
+                Some(entry) => self.scheduler.candidates.index.update(&machine_id, entry),
+                None => self.scheduler.candidates.index.remove(&machine_id),
             }
         }
     }
@@ -136,40 +151,43 @@
             let level = self.level(machine);
             let (shard, images) = (&machine.shard, machine.images.len());
             let stands = self
-                .pool
-                .resources
+                .scheduler
+                .candidates
+                .index
                 .stands(machine_id, own, shard, level, images);
             if !stands {
                 stale.push(machine_id.clone());
             }
         }
-        self.work.swept.add(self.machines.len());
+        self.work_counters.swept.add(self.machines.len());
         let entered = stale.len();
         self.enter(stale);
-        if self.pool.resources.len() > usable {
+        if self.scheduler.candidates.index.len() > usable {
             let unfit = |machine_id: &&MachineId| {
                 let machine = self.machines.get(*machine_id);
                 machine.is_none_or(|m| !self.ours(m) && !self.others(m))
             };
             let unfit: Vec<MachineId> = self
-                .pool
-                .resources
+                .scheduler
+                .candidates
+                .index
                 .machine_ids()
                 .filter(unfit)
                 .cloned()
                 .collect();
             for machine_id in unfit {
-                self.pool.resources.remove(&machine_id);
+                self.scheduler.candidates.index.remove(&machine_id);
             }
         }
         let ready: u32 = self.headroom().iter().map(|h| h.machines).sum();
         let empty = self
-            .pool
-            .resources
+            .scheduler
+            .candidates
+            .index
             .machine_ids()
             .filter(|machine_id| !self.jobs.busy(machine_id));
-        self.pool.spare = empty.count() > ready as usize;
-        self.pool.built = self.now;
+        self.scheduler.candidates.spare = empty.count() > ready as usize;
+        self.scheduler.candidates.built = self.now;
         tracing::trace!(usable, entered, "looked over the fleet");
     }
 
@@ -177,9 +195,9 @@
     /// have become fit or unfit with time, or given a fetch up; all else has to be right at any moment.
     pub fn recount_pool(&mut self) -> Vec<String> {
         self.refresh_pool();
-        let swept = self.pool.built == self.now;
+        let swept = self.scheduler.candidates.built == self.now;
         let mut differs = Vec::new();
-        for (machine_id, entered) in self.pool.resources.entries() {
+        for (machine_id, entered) in self.scheduler.candidates.index.entries() {
             let machine = self.machines.get(machine_id);
             let should = machine.and_then(|machine| self.entry(machine));
             let right = match &should {
@@ -195,7 +213,7 @@
             }
         }
         let usable = self.machines.values().filter(|m| self.entry(m).is_some());
-        let (usable, entered) = (usable.count(), self.pool.resources.len());
+        let (usable, entered) = (usable.count(), self.scheduler.candidates.index.len());
         if swept && usable != entered {
             differs.push(format!("{entered} machines entered, {usable} usable"));
         }
@@ -209,7 +227,7 @@
         scope: Scope,
         zone: Option<&Zone>,
     ) -> Vec<&'a Group> {
-        let groups = self.pool.resources.groups();
+        let groups = self.scheduler.candidates.index.groups();
         let groups = groups.filter(|group| match scope {
             Scope::Own => group.own,
             Scope::Others => !group.own,
@@ -235,8 +253,9 @@
         mut passes: impl FnMut(Candidate<'a>) -> bool,
     ) -> usize {
         let classes: Vec<MachineClass> = self
-            .pool
-            .resources
+            .scheduler
+            .candidates
+            .index
             .fitting(having, group, job.spec.resources)
             .collect();
         let mut passed = 0;
@@ -249,7 +268,7 @@
                 let Some(machine) = self.machines.get(machine_id) else {
                     continue;
                 };
-                self.work.candidates.add(1);
+                self.work_counters.candidates.add(1);
                 if passes(self.candidate(job, machine)) {
                     of_class += 1;
                     passed += 1;
@@ -265,7 +284,7 @@
             self.capacity(machine),
             self.jobs.machine_usage(&machine.machine_id),
         );
-        let rate = fetch_rate(&self.type_specs, &machine.machine_type);
+        let rate = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Candidate {
             machine,
@@ -299,7 +318,7 @@
                 return Ok(machine_id);
             }
             // Not fit any more: the index is behind.
-            self.pool.resources.remove(&machine_id);
+            self.scheduler.candidates.index.remove(&machine_id);
         }
     }
 
@@ -319,17 +338,24 @@
                 .map(|f| f.resources)
                 .unwrap_or_default();
             let ever = job.spec.resources.fits_in(capacity);
-            if ever && self.pool.resources.any_too_full(group, job.spec.resources) {
+            if ever
+                && self
+                    .scheduler
+                    .candidates
+                    .index
+                    .any_too_full(group, job.spec.resources)
+            {
                 choice.reject(Check::Resources);
             }
             match asking.closes(&group.shard) {
                 None => open.push(group),
                 Some(check) => {
                     let having = ImageFilter::Any;
-                    let mut fits = self
-                        .pool
-                        .resources
-                        .fitting(having, group, job.spec.resources);
+                    let mut fits =
+                        self.scheduler
+                            .candidates
+                            .index
+                            .fitting(having, group, job.spec.resources);
                     if fits.next().is_some() {
                         choice.reject(check);
                     }
@@ -370,10 +396,11 @@
         for group in open {
             let zone = job.spec.one_zone.then_some(group.zone());
             let tasks = zones.entry(zone).or_default();
-            let classes = self
-                .pool
-                .resources
-                .fitting(having, group, job.spec.resources);
+            let classes =
+                self.scheduler
+                    .candidates
+                    .index
+                    .fitting(having, group, job.spec.resources);
             for machine in classes.flat_map(|class| class.machine_ids) {
                 if *tasks >= job.record.tasks {
                     return true;
@@ -381,7 +408,7 @@
                 let Some(machine) = self.machines.get(machine) else {
                     continue;
                 };
-                self.work.candidates.add(1);
+                self.work_counters.candidates.add(1);
                 let candidate = self.candidate(job, machine);
                 if cycle::filter(&asking, &candidate).is_none() {
                     *tasks += candidate.available.holds(job.spec.resources);
@@ -403,10 +430,11 @@
             if asking.closes(&group.shard).is_some() {
                 continue;
             }
-            for class in self
-                .pool
-                .resources
-                .fitting(ImageFilter::Any, group, job.spec.resources)
+            for class in
+                self.scheduler
+                    .candidates
+                    .index
+                    .fitting(ImageFilter::Any, group, job.spec.resources)
             {
                 let each = class.level.available().holds(job.spec.resources);
                 let there = each.saturating_mul(class.machine_ids.len() as u32);
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -113,7 +113,7 @@
             step: |controller, id| {
                 let job = controller.jobs.get_mut(id).unwrap();
                 (job.spec.priority, job.born) = (PriorityClass::BestEffort, NOW);
-                controller.pool.spare = false;
+                controller.scheduler.candidates.spare = false;
                 let _ = controller.choose(id, Scope::All, None, None);
             },
         },
@@ -159,9 +159,12 @@
     for case in cases {
         for machines in [100, 1_000, 10_000] {
             let (mut controller, id) = fleet(machines, case.allocated);
-            let before = controller.work.candidates.get() + controller.work.sites.get();
+            let before =
+                controller.work_counters.candidates.get() + controller.work_counters.sites.get();
             (case.step)(&mut controller, &id);
-            let looked = controller.work.candidates.get() + controller.work.sites.get() - before;
+            let looked = controller.work_counters.candidates.get()
+                + controller.work_counters.sites.get()
+                - before;
             let name = case.name;
             assert!(looked <= case.most, "{name}, {machines}: {looked}");
         }
@@ -186,7 +189,7 @@
         ("an image comes", |controller| {
             let machine = controller.machines.get_mut(&machine_id(4)).unwrap();
             machine.note_image(&"img-1".into(), 1.0, 100.0, NOW);
-            controller.pool.touched.push(machine_id(4));
+            controller.scheduler.candidates.touched.push(machine_id(4));
         }),
         ("a machine falls silent", |controller| {
             controller.now = NOW + Millis(500);
@@ -209,7 +212,7 @@
 #[test]
 fn a_sweep_mends_the_index() {
     let (mut controller, _) = fleet(12, |_| false);
-    controller.pool.resources.remove(&machine_id(2));
+    controller.scheduler.candidates.index.remove(&machine_id(2));
     controller.now = NOW + Millis(1_000);
     assert_eq!(controller.recount_pool(), Vec::<String>::new());
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -1,9 +1,16 @@
 //! How changes of tasks reach the state service: one transaction at a time per job, conditioned
 //! on all that the decision rested on.
 
+use crate::admission::Flows;
+use crate::admission::backlog::Backlog;
+use crate::admission::shared::Shared;
+use crate::jobs::completion_forwarding::CompletionForwarder;
+use crate::settings::Settings;
+use admission_control::gate::Gate;
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Controller, Effect, PendingRead, Purpose};
+use super::store_sync::PendingRead;
+use super::{CallPurpose, Controller, Effect};
 use crate::admission::backlog::Lane;
 use crate::jobs::cache::{Evidence, Job, TaskChange, Writing};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
@@ -40,13 +47,43 @@
 /// A team that uses this part of its limit waits for every end.
 const NEAR_LIMIT: f64 = 0.8;
 
+/// Task changes on their way to the store, and the admission that divides its write limit.
+pub(super) struct Commits {
+    /// Jobs with changes that the cycles of this event noted.
+    pub(super) noted_jobs: Vec<JobId>,
+    pub(super) completions: CompletionForwarder,
+    pub(super) flows: Flows,
+    pub(super) admission: Shared,
+    pub(super) gate: Gate,
+    pub(super) backlog: Backlog,
+    /// Until then writes count as short: cycles were stopped for want of them.
+    pub(super) writes_short_until: Millis,
+    /// Pages of finished jobs are being deleted.
+    pub(super) deleting_pages: bool,
+}
+
+impl Commits {
+    pub(super) fn new(settings: &Settings) -> Self {
+        Self {
+            noted_jobs: Vec::new(),
+            completions: CompletionForwarder::default(),
+            flows: Flows::new(settings),
+            admission: Shared::default(),
+            gate: Gate::default(),
+            backlog: Backlog::default(),
+            writes_short_until: Millis(0),
+            deleting_pages: false,
+        }
+    }
+}
+
 impl Controller {
     /// Has a job's noted changes written when it is their turn.
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.writing != Writing::Idle
             || job.changes.is_empty()
-            || self.completions.waits(job, self.now)
+            || self.commits.completions.waits(job, self.now)
         {
             return;
         }
@@ -92,13 +129,13 @@
         } else {
             (Lane::Places, now)
         };
-        let class = self.flows.of(&job.spec).class;
+        let class = self.commits.flows.of(&job.spec).class;
         let turn = if self.forwarded_to_owner(id) {
             turn + OWNER_WRITE_TIMEOUT
         } else {
             turn
         };
-        self.unwritten.add(id, lane, class, turn);
+        self.commits.backlog.add(id, lane, class, turn);
         self.write_next();
     }
 
@@ -108,16 +145,16 @@
             return false;
         };
         let owner = &job.record.owner;
-        let there =
-            self.leases.controllers.contains_key(owner) && self.recent_status(owner).is_some();
+        let there = self.membership.leases.controllers.contains_key(owner)
+            && self.recent_status(owner).is_some();
         if *owner == self.me || !there {
             return false;
         }
         let token = |index| {
             let shard = &job.task(index).placement()?.shard;
-            self.leases.holds(shard, &self.me)
+            self.membership.leases.holds(shard, &self.me)
         };
-        self.completions.tell(owner, job, token, self.now)
+        self.commits.completions.tell(owner, job, token, self.now)
     }
 
     /// Sends the homes what there is to tell, and sees to what they have not written yet.
@@ -127,12 +164,12 @@
             jobs.get(id)
                 .is_some_and(|job| job.writing == Writing::Idle && !job.changes.is_empty())
         };
-        let mut due = self.completions.pending(waits);
-        due.extend(self.completions.due(self.now));
+        let mut due = self.commits.completions.pending(waits);
+        due.extend(self.commits.completions.due(self.now));
         for id in due {
             self.commit(&id);
         }
-        for (to, left) in self.completions.take() {
+        for (to, left) in self.commits.completions.take() {
             let message = Message::TasksDeparted(left);
             self.effects.push(Effect::Peer { to, message });
         }
@@ -153,7 +190,12 @@
             let Task::Placed(placement) = job.task(left.index) else {
                 continue;
             };
-            let token = self.leases.shards.get(&placement.shard).map(|(_, t)| t.0);
+            let token = self
+                .membership
+                .leases
+                .shards
+                .get(&placement.shard)
+                .map(|(_, t)| t.0);
             if placement.attempt.0 == left.attempt && token == Some(left.token) {
                 changes.push((id, left.index, left.change()));
             }
@@ -187,9 +229,9 @@
 
     pub(super) fn write_next(&mut self) {
         // What waits in the budget's queue rests on versions that grow old.
-        let most = (self.shared.allowed * UNDER_WAY_S).ceil() as usize;
-        while self.unwritten.under_way < most.clamp(1, MOST_UNDER_WAY)
-            && let Some(id) = self.unwritten.next(self.now)
+        let most = (self.commits.admission.allowed * UNDER_WAY_S).ceil() as usize;
+        while self.commits.backlog.under_way < most.clamp(1, MOST_UNDER_WAY)
+            && let Some(id) = self.commits.backlog.next(self.now)
         {
             self.write(&id);
         }
@@ -217,8 +259,14 @@
             }
             // No higher token may exist when this is written. The leader places in shards of
             // others too: whoever holds the shard then starts the task.
-            let held = |shard| self.leases.holds(shard, &self.me);
-            let known = |shard| self.leases.shards.get(shard).map(|(_, token)| *token);
+            let held = |shard| self.membership.leases.holds(shard, &self.me);
+            let known = |shard| {
+                self.membership
+                    .leases
+                    .shards
+                    .get(shard)
+                    .map(|(_, token)| *token)
+            };
             let leads = self.leading().is_some();
             let next = match (change, job.task(*index)) {
                 (TaskChange::Place(placement), Task::Waiting { tried })
@@ -264,7 +312,7 @@
             };
             if let Some((shard, token)) = under {
                 txn.require(shard_key(shard), Revision(token.0));
-                borrowed |= places && self.leases.holds(shard, &self.me).is_none();
+                borrowed |= places && self.membership.leases.holds(shard, &self.me).is_none();
             }
             placing |= places;
             let tasks = pages.entry(page).or_insert_with(|| job.page_tasks(page));
@@ -358,8 +406,8 @@
             job.writing = Writing::InFlight;
         }
         let job = id.clone();
-        self.unwritten.under_way += 1;
-        self.transact(CallClass::Jobs, txn, Purpose::Changes { job, changes });
+        self.commits.backlog.under_way += 1;
+        self.transact(CallClass::Jobs, txn, CallPurpose::Changes { job, changes });
     }
 
     pub(super) fn on_changes(
@@ -368,7 +416,7 @@
         changes: Vec<(u32, TaskChange)>,
         answer: StoreResponse,
     ) {
-        self.unwritten.under_way -= 1;
+        self.commits.backlog.under_way -= 1;
         let indices: Vec<u32> = changes.iter().map(|(index, _)| *index).collect();
         match answer {
             StoreResponse::Committed(_) => {
@@ -480,20 +528,20 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.writing = Writing::InFlight;
         }
-        self.transact(class, txn, Purpose::Clear { job: id.clone() });
+        self.transact(class, txn, CallPurpose::Clear { job: id.clone() });
     }
 
     /// Whether the cache shows all that was placed of a job before it was cancelled: nothing can be
     /// any more. A placement that is not known yet would be on its machine when the user hears
     /// that the job is over.
     fn knows_all_of(&self, job: &Job) -> bool {
-        self.applied >= job.version
+        self.store_sync.applied >= job.version
     }
 
     /// The leader drops pages of jobs that are over while there is nothing else to write. No
     /// transaction can bring them back: all rest on the version of the job's record.
     pub(super) fn delete_finished_pages(&mut self) {
-        if !self.unwritten.is_empty() || self.dropping || !self.may_place() {
+        if !self.commits.backlog.is_empty() || self.commits.deleting_pages || !self.may_place() {
             return;
         }
         let ops = self.settings.deployment.state.txn_ops;
@@ -507,8 +555,8 @@
         if txn.changes.is_empty() {
             return;
         }
-        self.dropping = true;
-        self.transact(CallClass::Rest, txn, Purpose::Dropped);
+        self.commits.deleting_pages = true;
+        self.transact(CallClass::Rest, txn, CallPurpose::Dropped);
     }
 
     pub(super) fn on_cleared(&mut self, id: JobId) {
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -30,8 +30,8 @@
 ) -> (Controller, JobId) {
     let settings = Settings::parse("f", &settings.to_string()).unwrap();
     let mut controller = Controller::new(Arc::new(settings), 1);
-    controller.synced = true;
-    controller.leases.own = OwnLease::Held {
+    controller.store_sync.synced = true;
+    controller.membership.leases.own = OwnLease::Held {
         lease_id: LeaseId(1),
         until: Millis(60_000),
     };
@@ -250,7 +250,7 @@
         let (mut controller, id) = controller(spec, tasks);
         controller.now = Millis(10_000);
         if short {
-            controller.short_until = Millis(11_000);
+            controller.commits.writes_short_until = Millis(11_000);
         }
         controller.jobs.want(&id, index, change.clone());
         controller.commit(&id);
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -14,14 +14,14 @@
 impl Controller {
     /// Whether the job is suspect: it failed wherever it was tried. A task that is done clears it.
     fn suspected(&self, job: &Job) -> bool {
-        job.done == 0 && self.crash_loops.suspect(&job.id)
+        job.done == 0 && self.scheduler.crash_loops.suspect(&job.id)
     }
 
     /// Tasks of these jobs failed on a machine of ours: all controllers are told, since any of them
     /// may place the next.
     pub(super) fn tasks_failed(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
         for id in failed {
-            self.failed_jobs.insert(id.clone());
+            self.scheduler.failed_jobs.insert(id.clone());
             let (job, on) = (id.to_string(), machine_id.to_string());
             for member in &self.settings.members {
                 let to = member.label.clone();
@@ -39,22 +39,22 @@
             return;
         };
         let fails_everywhere = job.done == 0;
-        let newly =
-            fails_everywhere && (self.crash_loops).failed(id, job.spec.kind, machine_id, self.now);
+        let newly = fails_everywhere
+            && (self.scheduler.crash_loops).failed(id, job.spec.kind, machine_id, self.now);
         let jobs = &self.jobs;
         let suspect = |crash_loops: &CrashLoopTracker, id: &JobId| {
             let done = jobs.get(id).is_some_and(|job| job.done > 0);
             !done && crash_loops.suspect(id)
         };
         // Its holder judges a machine, and tells the others.
-        let (leases, me) = (&self.leases, &self.me);
+        let (leases, me) = (&self.membership.leases, &self.me);
         let ours = |machine: &&mut Machine| leases.holds(&machine.shard, me).is_some();
         if let Some(machine) = self.machines.get_mut(machine_id).filter(ours) {
             machine.note_failure(id, self.now);
-            machine.judge(|id| suspect(&self.crash_loops, id));
+            machine.judge(|id| suspect(&self.scheduler.crash_loops, id));
             if machine.quarantined {
                 tracing::info!(%machine_id, "the machine is sick");
-                self.crash_loops.quarantined(machine_id, self.now);
+                self.scheduler.crash_loops.quarantined(machine_id, self.now);
             }
         }
         if newly {
@@ -63,9 +63,9 @@
             for (machine_id, machine) in self.machines.iter_mut() {
                 if machine.failed.contains_key(id) && ours(&machine) {
                     let was = machine.quarantined;
-                    machine.judge(|id| suspect(&self.crash_loops, id));
+                    machine.judge(|id| suspect(&self.scheduler.crash_loops, id));
                     if was && !machine.quarantined {
-                        self.drains.remove(machine_id);
+                        self.autoscaler.drains.remove(machine_id);
                     }
                 }
             }
@@ -83,16 +83,17 @@
         let service = job.spec.kind == JobKind::Service;
         if !service && (job.placed > 0 || job.changes.values().any(placing)) {
             // Its next end brings it back.
-            self.queue.remove(id);
+            self.scheduler.queue.remove(id);
             return true;
         }
         match self
+            .scheduler
             .crash_loops
             .not_before(id)
             .filter(|until| *until > self.now)
         {
             Some(until) => {
-                self.queue.hold(id, order, until);
+                self.scheduler.queue.hold(id, order, until);
                 true
             }
             None => false,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -4,7 +4,8 @@
 
 use rustc_hash::FxHashSet as HashSet;
 
-use super::{CommandReply, Controller, Effect, PeerStatus};
+use super::peer_messages::PeerStatus;
+use super::{CommandReply, Controller, Effect};
 use crate::fleet::{MachineTypeSpec, fetch_rate};
 use crate::jobs::JobKind;
 use crate::jobs::cache::{Evidence, Job, TaskChange};
@@ -71,9 +72,9 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, reply: ReplyId, heartbeat: Heartbeat) {
-        self.last_heartbeat = self.now;
-        self.receives_heartbeats = true;
-        self.shard_release_streak = 0;
+        self.contact.last_heartbeat = self.now;
+        self.contact.receives_heartbeats = true;
+        self.contact.shard_release_streak = 0;
         let answer = self.answer_heartbeat(heartbeat);
         self.effects.push(Effect::Worker { reply, answer });
     }
@@ -81,13 +82,13 @@
     /// A controller that none of its workers reaches gives its shards up, and takes some again
     /// once it reaches workers.
     pub(super) fn check_worker_contact(&mut self) {
-        if !self.receives_heartbeats {
-            if self.now.since(self.inspected) >= INSPECT_EVERY {
-                self.inspected = self.now;
+        if !self.contact.receives_heartbeats {
+            if self.now.since(self.contact.last_inspection) >= INSPECT_EVERY {
+                self.contact.last_inspection = self.now;
                 let asked = self
                     .machines
                     .values()
-                    .filter(|m| !self.fleet.gone.contains(&m.machine_id))
+                    .filter(|m| !self.autoscaler.fleet.gone.contains(&m.machine_id))
                     .max_by_key(|m| m.heard)
                     .and_then(|m| Some((m.machine_id.clone(), m.address?)));
                 if let Some((machine_id, address)) = asked {
@@ -103,24 +104,25 @@
         let expected = self
             .machines
             .values()
-            .filter(|m| m.answered.is_some() && !self.fleet.gone.contains(&m.machine_id))
+            .filter(|m| m.answered.is_some() && !self.autoscaler.fleet.gone.contains(&m.machine_id))
             .filter(|m| {
                 self.token_for(&m.shard).is_some()
                     && self
-                        .moved
+                        .membership
+                        .shard_moved_at
                         .get(&m.shard)
                         .is_none_or(|at| self.now.since(*at) > one_way)
                     && self.now.since(m.heard).0 < 4 * one_way.0
             })
             .count();
         if expected >= 2
-            && self.now.since(self.last_heartbeat) > one_way
+            && self.now.since(self.contact.last_heartbeat) > one_way
             && !self.no_controller_receives_heartbeats()
         {
             tracing::info!(expected, "no worker reaches us: giving up our blocks");
-            self.receives_heartbeats = false;
-            self.inspected = self.now + pause_of(self.shard_release_streak);
-            self.shard_release_streak += 1;
+            self.contact.receives_heartbeats = false;
+            self.contact.last_inspection = self.now + pause_of(self.contact.shard_release_streak);
+            self.contact.shard_release_streak += 1;
         }
     }
 
@@ -136,37 +138,39 @@
     }
 
     pub(super) fn on_inspected(&mut self, answered: bool) {
-        if answered && !self.receives_heartbeats {
+        if answered && !self.contact.receives_heartbeats {
             tracing::info!("workers can be reached again");
-            self.receives_heartbeats = true;
-            self.last_heartbeat = self.now;
+            self.contact.receives_heartbeats = true;
+            self.contact.last_heartbeat = self.now;
         }
     }
 
     /// What another controller said last, if that was just now.
     pub(super) fn recent_status(&self, controller: &ControllerId) -> Option<&PeerStatus> {
-        let peer = self.peers.get(controller);
+        let peer = self.peers.statuses.get(controller);
         peer.filter(|peer| self.now.since(peer.heard) <= WORD_HOLDS)
     }
 
     /// When anybody heard a machine last, as far as we know; 0: never.
     pub(super) fn last_heard(&self, machine_id: &MachineId) -> Millis {
         let known = self.machines.get(machine_id).map(|m| m.heard);
-        let heard = known.or(self.relayed_heartbeats.get(machine_id).copied());
+        let heard = known.or(self.contact.relayed_heartbeats.get(machine_id).copied());
         heard.unwrap_or_default()
     }
 
     /// How long a machine has been silent, by the word of whoever holds its shard now; nobody
     /// else can tell. A holder that hears nobody can't either.
     pub(super) fn silent_for(&self, machine_id: &MachineId, shard: &ShardId) -> Option<Silence> {
-        let (holder, _) = self.leases.shards.get(shard)?;
+        let (holder, _) = self.membership.leases.shards.get(shard)?;
         let held = self
-            .moved
+            .membership
+            .shard_moved_at
             .get(shard)
             .map_or(self.now, |at| self.now.since(*at));
         let heard = self.last_heard(machine_id);
         let can_tell = if *holder == self.me {
-            self.receives_heartbeats && self.now.since(self.last_heartbeat) <= self.silence()
+            self.contact.receives_heartbeats
+                && self.now.since(self.contact.last_heartbeat) <= self.silence()
         } else {
             self.recent_status(holder)
                 .is_some_and(|peer| peer.receives_heartbeats)
@@ -187,7 +191,7 @@
             .filter(|m| {
                 m.zone == *zone
                     && m.machine_id != *machine_id
-                    && !self.fleet.gone.contains(&m.machine_id)
+                    && !self.autoscaler.fleet.gone.contains(&m.machine_id)
             })
             .filter(|m| self.now.since(m.heard).0 < 8 * read_barrier.0)
             .map(|m| self.now.since(m.heard) <= read_barrier)
@@ -203,7 +207,7 @@
             if let Some(kept) = self.renew_for_partitioned_holder(&shard, heartbeat.worker_token) {
                 return kept;
             }
-            return match self.leases.shards.get(&shard) {
+            return match self.membership.leases.shards.get(&shard) {
                 Some((holder, _)) => HeartbeatResponse::Redirect(Some(holder.clone())),
                 None => HeartbeatResponse::RetryLater,
             };
@@ -309,7 +313,8 @@
             return;
         }
         let gathering = |job: &Job| self.gathering(job);
-        let mut commands = reconcile(machine, token, &self.jobs, &self.stops, gathering).commands;
+        let mut commands =
+            reconcile(machine, token, &self.jobs, &self.scheduler.stops, gathering).commands;
         // An attempt is forgotten, and one that waited alone is started once more, only by the
         // answer to a heartbeat: direct commands may come minutes late.
         let forgotten: HashSet<(TaskId, Attempt)> = commands
@@ -418,7 +423,7 @@
 
     /// Whether tasks of a gang may still be fetching its image, wherever they were placed.
     fn gathering(&self, job: &Job) -> bool {
-        let rates = self.type_specs.iter().map(MachineTypeSpec::rate);
+        let rates = self.autoscaler.type_specs.iter().map(MachineTypeSpec::rate);
         let fetch_s = job.spec.image_gb / rates.fold(f64::MAX, f64::min);
         let most = self.settings.deployment.workers.gang_wait_s + FETCHES_LAST * fetch_s;
         job.whole_gang() && self.now.since(job.settled) < Millis::from_secs(most)
@@ -436,7 +441,7 @@
             return Vec::new();
         };
         let gathering = |job: &Job| self.gathering(job);
-        let outcome = reconcile(machine, token, &self.jobs, &self.stops, gathering);
+        let outcome = reconcile(machine, token, &self.jobs, &self.scheduler.stops, gathering);
         let refused_until = self.now + AFTER_REFUSAL;
         if let Some(machine) = self.machines.get_mut(machine_id) {
             if outcome.successes > 0 {
@@ -456,7 +461,7 @@
             if *cause == ExitCause::Error {
                 failed.insert(job.clone());
             } else {
-                self.failed_jobs.insert(job.clone());
+                self.scheduler.failed_jobs.insert(job.clone());
             }
         }
         self.tasks_failed(failed, machine_id);
@@ -511,7 +516,7 @@
                 tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "fetched");
             }
             if machine.note_image(image, gb, cache_gb, self.now) {
-                self.pool.touched.push(machine_id.clone());
+                self.scheduler.candidates.touched.push(machine_id.clone());
             }
         }
     }
@@ -519,14 +524,14 @@
     /// Stops replicas on machines that are being emptied, if another machine has room for them and
     /// their image, so that they run again at once.
     fn move_replicas(&mut self) {
-        if self.now.since(self.moved_replica) < MOVE_EVERY {
+        if self.now.since(self.scheduler.replica_moved_at) < MOVE_EVERY {
             return;
         }
         let mut moved = Vec::new();
         let draining = self
             .machines
             .values()
-            .filter(|m| self.drains.contains(&m.machine_id));
+            .filter(|m| self.autoscaler.drains.contains(&m.machine_id));
         for machine in draining.filter(|m| self.token_for(&m.shard).is_some()) {
             let replica = self
                 .jobs
@@ -542,7 +547,7 @@
                         && job.active()
                         && self.now.since(job.settled) > LONG_ENOUGH;
                     let owner = service
-                        && !self.stops.contains_key(&task)
+                        && !self.scheduler.stops.contains_key(&task)
                         && self.machines.values().any(|m| {
                             (self.ours(m) || self.others(m))
                             && m.images.contains_key(&job.spec.image)
@@ -558,19 +563,19 @@
         for (task, attempt, machine_id) in moved {
             tracing::info!(?task, %machine_id, "moving a replica");
             let save = false;
-            self.stops.insert(task, Stop { attempt, save });
+            self.scheduler.stops.insert(task, Stop { attempt, save });
             self.push_commands(&machine_id);
-            self.moved_replica = self.now;
+            self.scheduler.replica_moved_at = self.now;
         }
     }
 
     /// Once in a while: leases of workers that ran out by our own clock, stops that are over, and
     /// machines that are no more.
     pub(super) fn detect_silent_machines(&mut self) {
-        if self.now.since(self.swept) < Millis(1_000) {
+        if self.now.since(self.contact.last_sweep) < Millis(1_000) {
             return;
         }
-        self.swept = self.now;
+        self.contact.last_sweep = self.now;
         self.note_quiet();
         self.fence();
         self.ask_silent();
@@ -583,7 +588,7 @@
                 continue;
             };
             // While we keep machines alive anybody may renew their leases.
-            if self.partition_mode.on() || !machine.lease_over(token, lease, self.now) {
+            if self.partition.mode.on() || !machine.lease_over(token, lease, self.now) {
                 continue;
             }
             for (id, index) in self.jobs.on_machine(&machine.machine_id) {
@@ -606,10 +611,13 @@
         self.note_changes(changes);
         let now = self.now;
         for machine in self.machines.values_mut().filter(|m| !m.coming.is_empty()) {
-            machine.forget_fetches(fetch_rate(&self.type_specs, &machine.machine_type), now);
+            machine.forget_fetches(
+                fetch_rate(&self.autoscaler.type_specs, &machine.machine_type),
+                now,
+            );
         }
         let jobs = &self.jobs;
-        self.stops.retain(|task, stop| {
+        self.scheduler.stops.retain(|task, stop| {
             jobs.get(&task.job)
                 .and_then(|job| job.task(task.index).placement())
                 .is_some_and(|placement| placement.attempt == stop.attempt)
@@ -621,6 +629,7 @@
                 .is_some_and(|job| job.active() && job.waiting() > 0)
         };
         let over: Vec<JobId> = self
+            .scheduler
             .nominations
             .jobs
             .iter()
@@ -628,14 +637,17 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in over {
-            self.nominations.remove(&id);
+            self.scheduler.nominations.remove(&id);
         }
-        self.to_preempt.retain(|id, _| jobs.get(id).is_some());
-        self.crash_loops.retain(|id| {
+        self.scheduler
+            .preemption_requests
+            .retain(|id, _| jobs.get(id).is_some());
+        self.scheduler.crash_loops.retain(|id| {
             jobs.get(id)
                 .is_some_and(|job| job.active() && job.done == 0)
         });
-        self.forwarded_early
+        self.scheduler
+            .forwarded_early
             .retain(|_, since| now.since(*since) < FORWARDED_EARLY_TTL);
         self.machines.retain(|machine_id, machine| {
             now.since(machine.heard) < FORGET || jobs.busy(machine_id)
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -155,16 +155,16 @@
         let (mut controller, _) = controller(spec, vec![Task::FRESH]);
         controller.now = Millis(100_000);
         (
-            controller.receives_heartbeats,
-            controller.shard_release_streak,
+            controller.contact.receives_heartbeats,
+            controller.contact.shard_release_streak,
         ) = (true, before);
-        controller.last_heartbeat = controller.now - Millis(controller.silence().0 + 2_001);
+        controller.contact.last_heartbeat = controller.now - Millis(controller.silence().0 + 2_001);
         for machine in controller.machines.values_mut() {
             machine.answered = Some((FencingToken(5), Millis(1)));
             (machine.heard, machine.address) =
-                (controller.last_heartbeat, "10.0.0.9:1".parse().ok());
+                (controller.contact.last_heartbeat, "10.0.0.9:1".parse().ok());
         }
-        controller.moved.clear();
+        controller.membership.shard_moved_at.clear();
         for member in controller.settings.members.clone() {
             let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerStatus {
                 heard: controller.now,
@@ -174,11 +174,16 @@
             });
             controller
                 .peers
+                .statuses
                 .extend(said.map(|said| (member.label, said)));
         }
         controller.check_worker_contact();
         let case = format!("{peer_receives_heartbeats:?}, {before}");
-        assert_eq!(controller.receives_heartbeats, expected.is_none(), "{case}");
+        assert_eq!(
+            controller.contact.receives_heartbeats,
+            expected.is_none(),
+            "{case}"
+        );
         let Some(expected) = expected else { continue };
         let from = controller.now;
         for (after, asks) in [(expected - 1, false), (expected, true)] {
--- a/src/controller/hierarchical_quota.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -5,7 +5,7 @@
 
 use hierarchical_quota::Wanted;
 
-use super::{Controller, Effect, Purpose};
+use super::{CallPurpose, Controller, Effect};
 use crate::jobs::cache::{Job, TaskChange};
 use crate::jobs::{JobKind, PriorityClass};
 use crate::peers::Message;
@@ -45,30 +45,36 @@
     /// Sees to the tree: offers the file, drops what was replaced, and looks over demand.
     pub(super) fn refresh_quota_tree(&mut self) {
         let jobs = &self.jobs;
-        let raised = self.nested.refresh(self.now, REFRESH, || jobs.demands());
+        let raised = self
+            .quota
+            .hierarchy
+            .refresh(self.now, REFRESH, || jobs.demands());
         if let Some(raised) = raised {
-            let mut queue = std::mem::take(&mut self.queue);
+            let mut queue = std::mem::take(&mut self.scheduler.queue);
             queue.reorder(|id| Some(self.order(self.jobs.get(id)?)));
             // Work within its share that nobody makes room for, any more or yet, asks again.
             queue.wake(self.now, |id, check| {
-                let waits =
-                    check == Check::Resources && self.nominations.of(id, self.now).is_none();
+                let waits = check == Check::Resources
+                    && self.scheduler.nominations.of(id, self.now).is_none();
                 waits && self.jobs.get(id).is_some_and(|job| self.guaranteed(job))
             });
-            self.queue = queue;
-            self.head_of_line_jobs = self.find_head_of_line_jobs();
+            self.scheduler.queue = queue;
+            self.quota.head_of_line_jobs = self.find_head_of_line_jobs();
             for team in raised {
                 self.wake(ClusterEvent::Entitled(team));
             }
         }
         self.drain_excess();
-        if self.now.since(self.tree_offered) < OFFER || !self.synced || !self.may_place() {
+        if self.now.since(self.quota.tree_offered_at) < OFFER
+            || !self.store_sync.synced
+            || !self.may_place()
+        {
             return;
         }
-        self.tree_offered = self.now;
-        let standing = self.nested.standing();
-        if standing != self.tree_standing {
-            self.tree_standing = standing;
+        self.quota.tree_offered_at = self.now;
+        let standing = self.quota.hierarchy.standing();
+        if standing != self.quota.tree_status {
+            self.quota.tree_status = standing;
             match standing {
                 TreeStatus::Differs => tracing::error!(
                     "our file's tree differs from the one in force under the same revision: it is \
@@ -79,15 +85,15 @@
                 TreeStatus::None | TreeStatus::InForce => {}
             }
         }
-        if self.writing_tree {
+        if self.quota.tree_write_in_flight {
             return;
         }
         let ops = self.settings.deployment.state.txn_ops;
         let mut txn = Transaction::default();
-        match self.nested.owed(ops.min(MOST_PAGES)) {
+        match self.quota.hierarchy.owed(ops.min(MOST_PAGES)) {
             PendingTreeWrite::Pages(pages) => {
                 for (key, text) in pages {
-                    txn.require(key.clone(), self.nested.page_version(&key));
+                    txn.require(key.clone(), self.quota.hierarchy.page_version(&key));
                     txn.put_text(key, text, None);
                 }
             }
@@ -96,32 +102,32 @@
                 txn.put_text(HEAD.into(), text, None);
             }
             PendingTreeWrite::Nothing if self.leading().is_some() => {
-                for key in self.nested.leftovers().take(ops) {
-                    txn.require(key.clone(), self.nested.page_version(key));
+                for key in self.quota.hierarchy.leftovers().take(ops) {
+                    txn.require(key.clone(), self.quota.hierarchy.page_version(key));
                     txn.drop_key(key.clone());
                 }
             }
             PendingTreeWrite::Nothing => {}
         }
         if !txn.changes.is_empty() {
-            self.writing_tree = true;
-            self.transact(CallClass::Rest, txn, Purpose::Tree);
+            self.quota.tree_write_in_flight = true;
+            self.transact(CallClass::Rest, txn, CallPurpose::Tree);
         }
     }
 
     pub(super) fn on_tree(&mut self, answer: &StoreResponse) {
-        self.writing_tree = false;
+        self.quota.tree_write_in_flight = false;
         // There is more to come: at once, while it goes well.
         if matches!(answer, StoreResponse::Committed(_)) {
-            self.tree_offered = Millis(0);
+            self.quota.tree_offered_at = Millis(0);
         }
     }
 
     pub(super) fn apply_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
-        if self.nested.apply(key, data, version) {
-            self.jobs.regroup(self.nested.groups());
-            self.head_of_line_jobs.clear();
-            self.gathered.clear();
+        if self.quota.hierarchy.apply(key, data, version) {
+            self.jobs.regroup(self.quota.hierarchy.groups());
+            self.quota.head_of_line_jobs.clear();
+            self.quota.reclaim_not_before.clear();
             self.wake(ClusterEvent::NewTree);
         }
     }
@@ -141,7 +147,7 @@
                 force.shares.within(leaf, used, amounts(wanted, job))
             })
         };
-        flat || self.nested.force().is_some_and(nested)
+        flat || self.quota.hierarchy.force().is_some_and(nested)
     }
 
     /// What is to be placed at once.
@@ -155,9 +161,9 @@
 
     /// What a job may reclaim by the tree; none: there is no tree, or its team is not in it.
     pub(super) fn ledger<'a>(&'a self, job: &Job) -> Option<Ledger<'a>> {
-        let force = self.nested.force()?;
+        let force = self.quota.hierarchy.force()?;
         let mut coming = Vec::new();
-        for (id, nomination) in &self.nominations.jobs {
+        for (id, nomination) in &self.scheduler.nominations.jobs {
             let other = self.jobs.get(id).filter(|_| *id != job.id);
             if let Some(other) = other.filter(|_| nomination.until > self.now) {
                 let resources = nomination
@@ -166,7 +172,7 @@
                 coming.push((other.spec.team.clone(), resources));
             }
         }
-        let leaving = self.stops.keys().filter_map(|task| {
+        let leaving = self.scheduler.stops.keys().filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
             Some((job.spec.team.clone(), job.spec.resources))
         });
@@ -191,7 +197,11 @@
         sites: &[Site],
     ) -> Option<(MachineId, Vec<TaskId>)> {
         let job = self.jobs.get(id).filter(|_| self.several(id))?;
-        let whole = self.type_specs.iter().map(|type_spec| type_spec.resources);
+        let whole = self
+            .autoscaler
+            .type_specs
+            .iter()
+            .map(|type_spec| type_spec.resources);
         let large = whole.into_iter().any(|whole| {
             let part = job.spec.resources.share_of(whole);
             (LARGE..=1.0).contains(&part)
@@ -224,10 +234,12 @@
     /// while, and not again soon.
     pub(super) fn may_gather(&mut self, id: &JobId) -> bool {
         let now = self.now;
-        let known = self.gathered.get(id).copied();
+        let known = self.quota.reclaim_not_before.get(id).copied();
         let known = known.filter(|next| now.since(*next) < FORGOTTEN);
         if known.is_none() {
-            self.gathered.insert(id.clone(), now + PATIENCE);
+            self.quota
+                .reclaim_not_before
+                .insert(id.clone(), now + PATIENCE);
         }
         known.is_some_and(|next| next <= now)
     }
@@ -243,9 +255,14 @@
         };
         tracing::info!(job = %id, %machine_id, ?victims, "gathering room");
         let (now, pause) = (self.now, GATHERED.0 * GATHER_PAUSE);
-        self.gathered.retain(|_, next| now.since(*next) < FORGOTTEN);
-        self.gathered.insert(id.clone(), now + Millis(pause));
-        self.nominations
+        self.quota
+            .reclaim_not_before
+            .retain(|_, next| now.since(*next) < FORGOTTEN);
+        self.quota
+            .reclaim_not_before
+            .insert(id.clone(), now + Millis(pause));
+        self.scheduler
+            .nominations
             .add(id, &machine_id, resources, now + GATHERED);
         match self.machines.get(&machine_id) {
             Some(machine) if !self.ours(machine) => {
@@ -270,7 +287,7 @@
     /// Whether room may be made for several tasks of a job that are placed one by one.
     pub(super) fn several(&self, id: &JobId) -> bool {
         let gang = self.jobs.get(id).is_none_or(Job::whole_gang);
-        self.nested.force().is_some() && !gang
+        self.quota.hierarchy.force().is_some() && !gang
     }
 
     /// Each team's first job that waits.
@@ -292,7 +309,7 @@
     /// within its share: other controllers learn of the room seconds later, and by then work beyond
     /// its share would have it.
     pub(super) fn activate_due(&mut self, machine_id: &MachineId) {
-        if self.head_of_line_jobs.is_empty() {
+        if self.quota.head_of_line_jobs.is_empty() {
             return;
         }
         let Some(machine) = self.machines.get(machine_id).filter(|m| self.ours(m)) else {
@@ -300,6 +317,7 @@
         };
         let mut available = self.available(machine);
         let jobs = self
+            .quota
             .head_of_line_jobs
             .iter()
             .filter_map(|id| self.jobs.get(id));
@@ -321,8 +339,8 @@
             }
         }
         for (order, id) in taken {
-            self.forwarded.insert(id.clone());
-            self.queue.activate(&id, order);
+            self.scheduler.forwarded.insert(id.clone());
+            self.scheduler.queue.activate(&id, order);
         }
     }
 
@@ -341,8 +359,8 @@
         };
         if job.active() && job.waiting() > 0 {
             let order = self.order(job);
-            self.forwarded.insert(id.clone());
-            self.queue.expect_room(id, 0, order, self.now);
+            self.scheduler.forwarded.insert(id.clone());
+            self.scheduler.queue.expect_room(id, 0, order, self.now);
         }
     }
 
@@ -350,7 +368,7 @@
     /// others keep theirs.
     pub(super) fn room_taken(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|_| self.several(id)) else {
-            return self.nominations.remove(id);
+            return self.scheduler.nominations.remove(id);
         };
         let machine_ids: Vec<MachineId> = job
             .changes
@@ -361,34 +379,34 @@
             })
             .collect();
         for machine_id in machine_ids {
-            self.nominations.taken(id, &machine_id);
+            self.scheduler.nominations.taken(id, &machine_id);
         }
     }
 
     /// Another controller placed tasks of a job.
     pub(super) fn placed_elsewhere(&mut self, id: &JobId, machine_ids: &[MachineId]) {
-        if self.nested.force().is_some() {
+        if self.quota.hierarchy.force().is_some() {
             for machine_id in machine_ids {
-                self.nominations.taken(id, machine_id);
+                self.scheduler.nominations.taken(id, machine_id);
             }
         }
     }
 
     /// Whether a team is in the tree in force.
     pub(super) fn in_tree(&self, team: &Team) -> bool {
-        let force = self.nested.force();
+        let force = self.quota.hierarchy.force();
         force.is_some_and(|force| force.leaf(team).is_some())
     }
 
     /// A tree that lowers a limit below what runs: each holder stops its part of what is too much,
     /// the least valuable first. What was accepted waits until there is room for it again.
     fn drain_excess(&mut self) {
-        let due = self.now.since(self.excess_looked) >= DRAIN;
-        if !due || self.nested.force().is_none() || !self.may_place() {
+        let due = self.now.since(self.quota.excess_checked_at) >= DRAIN;
+        if !due || self.quota.hierarchy.force().is_none() || !self.may_place() {
             return;
         }
-        self.excess_looked = self.now;
-        for team in self.nested.limited() {
+        self.quota.excess_checked_at = self.now;
+        for team in self.quota.hierarchy.limited() {
             let used = self.jobs.usage(&team.name);
             if !quota::within(used, &team) {
                 self.drain(&team, used);
@@ -412,7 +430,7 @@
         let ours: Vec<_> = self
             .jobs
             .shards_of(&team.name)
-            .filter(|shard| self.leases.holds(shard, &self.me).is_some())
+            .filter(|shard| self.membership.leases.holds(shard, &self.me).is_some())
             .cloned()
             .collect();
         for shard in ours {
@@ -425,7 +443,8 @@
             let mut tasks: Vec<(bool, i64, PriorityClass, f64, TaskId)> = Vec::new();
             for job in self.jobs.iter().filter(|job| job.active()) {
                 if !self
-                    .nested
+                    .quota
+                    .hierarchy
                     .limits(&job.spec.team)
                     .iter()
                     .any(|l| l.name == team.name)
@@ -438,7 +457,7 @@
                         job: job.id.clone(),
                         index,
                     };
-                    if self.stops.contains_key(&task) {
+                    if self.scheduler.stops.contains_key(&task) {
                         excess = excess.minus(job.spec.resources);
                     } else if !job.whole_gang() && !job.changes.contains_key(&index) {
                         let service = job.spec.kind == JobKind::Service;
@@ -469,7 +488,7 @@
                 excess = excess.minus(job.spec.resources);
                 machine_ids.insert(placement.machine_id.clone());
                 let (attempt, save) = (placement.attempt, !job.spec.cheap_to_kill());
-                self.stops.insert(task, Stop { attempt, save });
+                self.scheduler.stops.insert(task, Stop { attempt, save });
             }
             if !machine_ids.is_empty() {
                 tracing::info!(team = %team.name, %shard, ?machine_ids, "over a limit that was lowered");
@@ -481,7 +500,7 @@
     }
 
     fn overuse_steps(&self, team: &Team) -> i64 {
-        let Some(force) = self.nested.force() else {
+        let Some(force) = self.quota.hierarchy.force() else {
             return 0;
         };
         let leaf = force.leaf(team);
@@ -493,13 +512,13 @@
 
     /// What every placement rests on besides its shard: the tree in force.
     pub(super) fn require_tree(&self, txn: &mut Transaction) {
-        txn.require(HEAD.into(), self.nested.version());
+        txn.require(HEAD.into(), self.quota.hierarchy.version());
     }
 
     /// Whether a parked job may get on because another team uses less.
     pub(super) fn team_helps(&self, freed: &Team, id: &JobId) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| self.nested.related(freed, &job.spec.team))
+        job.is_some_and(|job| self.quota.hierarchy.related(freed, &job.spec.team))
     }
 }
 
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -28,11 +28,12 @@
         most + 1
     );
     let file = TreeSpec::parse("f", &text).unwrap();
-    controller.nested = HierarchicalQuota::new(std::slice::from_ref(&team), Some(&file), 8.0);
+    controller.quota.hierarchy =
+        HierarchicalQuota::new(std::slice::from_ref(&team), Some(&file), 8.0);
     controller.apply(LEADER, Some(r#"{"leader":"n0","permit":1}"#), Revision(9));
     let mut revision = 9;
     loop {
-        let changes = match controller.nested.owed(1) {
+        let changes = match controller.quota.hierarchy.owed(1) {
             PendingTreeWrite::Pages(pages) => pages,
             PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
             PendingTreeWrite::Nothing => break,
@@ -42,8 +43,8 @@
             controller.apply(&key, Some(&text), Revision(revision));
         }
     }
-    assert_eq!(controller.nested.version(), Revision(11));
-    controller.applied = Revision(applied);
+    assert_eq!(controller.quota.hierarchy.version(), Revision(11));
+    controller.store_sync.applied = Revision(applied);
     controller.effects.clear();
     (controller, id)
 }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,15 +1,20 @@
 //! This controller's lease, leadership, the shards, and the watch that feeds the cache.
 
+use crate::lease::Leases;
+use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 use std::collections::BTreeSet;
 
-use super::{Controller, PendingRead, Pool, Purpose};
+use super::candidates::Candidates;
+use super::scheduler::new_queue;
+use super::store_sync::PendingRead;
+use super::{CallPurpose, Controller};
 use crate::admission::shared::PLAN;
 use crate::fleet::MACHINE_TYPES_KEY;
 use crate::jobs::cache::{JobCache, RecordChange, Writing};
 use crate::lease::{
     self, ControllerRecord, LEADER, LeaderRecord, LeaseChange, OwnLease, ShardRecord,
 };
-use crate::queue::{self, Queue};
+use crate::queue;
 use crate::quota;
 use crate::store::{CallClass, StoreCall, StoreResponse, Transaction, Update};
 use crate::types::{FencingToken, JobId, MachineId, Millis, Revision, ShardId};
@@ -27,55 +32,80 @@
 /// it tells nothing: others may have told them what is newer meanwhile.
 const PROOF_HOLDS: Millis = Millis(2_000);
 
+/// What this controller knows of the leases: its own, the leader's and the shards'.
+#[derive(Debug, Default)]
+pub(super) struct Membership {
+    pub(super) leases: Leases,
+    /// The lease of the process that had our label before is over.
+    pub(super) old_lease_ended: bool,
+    /// Steps of membership whose call to the store is in flight.
+    pub(super) in_flight: HashSet<&'static str>,
+    pub(super) leading_since: Millis,
+    /// When each shard last changed hands, as far as we saw.
+    pub(super) shard_moved_at: HashMap<ShardId, Millis>,
+}
+
 impl Controller {
     pub(super) fn renew_membership(&mut self) {
-        if !self.synced {
-            if !self.listing && self.now >= self.watch_after {
-                self.listing = true;
-                self.list_revision = None;
+        if !self.store_sync.synced {
+            if !self.store_sync.list_open && self.now >= self.store_sync.watch_not_before {
+                self.store_sync.list_open = true;
+                self.store_sync.snapshot_start = None;
                 self.call_store(
                     CallClass::Leases,
                     StoreCall::List { after: None },
-                    Purpose::List,
+                    CallPurpose::List,
                 );
             }
             return;
         }
-        if !self.ended_old {
+        if !self.membership.old_lease_ended {
             // Our record from before a restart: the process that held its lease is no more, so
             // the lease can end now. Its tokens are not used again: a command of the old process
             // may still be on its way.
             match self
+                .membership
                 .leases
                 .controllers
                 .get(&self.me)
                 .map(|(record, _)| record.lease_id)
             {
-                Some(lease_id) if self.busy_membership.insert("end") => {
-                    self.call_store(CallClass::Leases, StoreCall::End(lease_id), Purpose::EndOld);
+                Some(lease_id) if self.membership.in_flight.insert("end") => {
+                    self.call_store(
+                        CallClass::Leases,
+                        StoreCall::End(lease_id),
+                        CallPurpose::EndOld,
+                    );
                 }
                 Some(_) => {}
-                None => self.ended_old = true,
+                None => self.membership.old_lease_ended = true,
             }
             return;
         }
-        match self.leases.own {
+        match self.membership.leases.own {
             OwnLease::None => {
-                self.leases.own = OwnLease::Asked;
+                self.membership.leases.own = OwnLease::Asked;
                 let life_ms = self.settings.operator.lease.0;
-                let purpose = Purpose::Grant { sent: self.now };
+                let purpose = CallPurpose::Grant { sent: self.now };
                 self.call_store(CallClass::Leases, StoreCall::Grant { life_ms }, purpose);
             }
             OwnLease::Asked => {}
             OwnLease::Held { lease_id, .. } => {
-                let due = self.leases.renewed + Millis(self.settings.operator.lease.0 / 4);
-                if self.now >= due && self.busy_membership.insert("renew") {
-                    let purpose = Purpose::Renew { sent: self.now };
+                let due =
+                    self.membership.leases.renewed + Millis(self.settings.operator.lease.0 / 4);
+                if self.now >= due && self.membership.in_flight.insert("renew") {
+                    let purpose = CallPurpose::Renew { sent: self.now };
                     self.call_store(CallClass::Leases, StoreCall::Renew(lease_id), purpose);
                 }
-                let registered = self.leases.controllers.get(&self.me).is_some_and(|(r, _)| {
-                    r.lease_id == lease_id && r.receives_heartbeats == self.receives_heartbeats
-                });
+                let registered = self
+                    .membership
+                    .leases
+                    .controllers
+                    .get(&self.me)
+                    .is_some_and(|(r, _)| {
+                        r.lease_id == lease_id
+                            && r.receives_heartbeats == self.contact.receives_heartbeats
+                    });
                 if registered {
                     self.maintain_leadership();
                 } else {
@@ -86,14 +116,15 @@
     }
 
     fn register(&mut self) {
-        let Some(lease_id) = self.leases.lease_id() else {
+        let Some(lease_id) = self.membership.leases.lease_id() else {
             return;
         };
-        if !self.busy_membership.insert("register") {
+        if !self.membership.in_flight.insert("register") {
             return;
         }
         let key = lease::controller_key(&self.me);
         let version = self
+            .membership
             .leases
             .controllers
             .get(&self.me)
@@ -101,19 +132,19 @@
         let record = ControllerRecord {
             lease_id,
             zone: self.settings.zone.clone(),
-            receives_heartbeats: self.receives_heartbeats,
+            receives_heartbeats: self.contact.receives_heartbeats,
         };
         let mut txn = Transaction::default();
         txn.require(key.clone(), version);
         txn.put_leased(key, &record, lease_id);
-        self.transact(CallClass::Leases, txn, Purpose::Register);
+        self.transact(CallClass::Leases, txn, CallPurpose::Register);
     }
 
     fn maintain_leadership(&mut self) {
-        let Some(lease_id) = self.leases.lease_id() else {
+        let Some(lease_id) = self.membership.leases.lease_id() else {
             return;
         };
-        if self.leases.leader.is_none() && self.busy_membership.insert("lead") {
+        if self.membership.leases.leader.is_none() && self.membership.in_flight.insert("lead") {
             let record = LeaderRecord {
                 leader: self.me.clone(),
                 lease_id,
@@ -121,7 +152,7 @@
             let mut txn = Transaction::default();
             txn.require(LEADER.into(), Revision(0));
             txn.put_leased(LEADER.into(), &record, lease_id);
-            self.transact(CallClass::Leases, txn, Purpose::Lead);
+            self.transact(CallClass::Leases, txn, CallPurpose::Lead);
         }
         if let Some(version) = self.leading() {
             self.assign_shards(version);
@@ -129,22 +160,25 @@
     }
 
     fn assign_shards(&mut self, lead: Revision) {
-        if self.busy_membership.contains("assign") {
+        if self.membership.in_flight.contains("assign") {
             return;
         }
         let zones = &self.settings.deployment.zones;
         let parts = self.settings.operator.blocks_per_zone;
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
-        for (shard, controller) in lease::rightful(zones, parts, &self.leases.controllers) {
-            let present = self.leases.shards.get(&shard);
+        for (shard, controller) in
+            lease::rightful(zones, parts, &self.membership.leases.controllers)
+        {
+            let present = self.membership.leases.shards.get(&shard);
             if present.is_some_and(|(holder, _)| *holder == controller) {
                 continue;
             }
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            let Some((record, version)) = self.leases.controllers.get(&controller) else {
+            let Some((record, version)) = self.membership.leases.controllers.get(&controller)
+            else {
                 continue;
             };
             let known = present.map_or(Revision(0), |(_, token)| Revision(token.0));
@@ -156,59 +190,59 @@
             txn.put_leased(key, &ShardRecord { holder, lease_id }, lease_id);
         }
         if !txn.changes.is_empty() {
-            self.busy_membership.insert("assign");
-            self.transact(CallClass::Leases, txn, Purpose::Assign);
+            self.membership.in_flight.insert("assign");
+            self.transact(CallClass::Leases, txn, CallPurpose::Assign);
         }
     }
 
-    pub(super) fn on_membership(&mut self, purpose: Purpose, answer: StoreResponse) {
+    pub(super) fn on_membership(&mut self, purpose: CallPurpose, answer: StoreResponse) {
         match purpose {
-            Purpose::Grant { sent } => {
-                self.leases.own = match answer {
+            CallPurpose::Grant { sent } => {
+                self.membership.leases.own = match answer {
                     StoreResponse::Granted(lease_id) => {
-                        self.leases.renewed = sent;
+                        self.membership.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
                         OwnLease::Held { lease_id, until }
                     }
                     _ => OwnLease::None,
                 };
             }
-            Purpose::Renew { sent } => {
-                self.busy_membership.remove("renew");
-                match (answer, self.leases.own) {
+            CallPurpose::Renew { sent } => {
+                self.membership.in_flight.remove("renew");
+                match (answer, self.membership.leases.own) {
                     (StoreResponse::Renewed, OwnLease::Held { lease_id, .. }) => {
-                        self.leases.renewed = sent;
+                        self.membership.leases.renewed = sent;
                         let until = sent + self.settings.operator.lease;
-                        self.leases.own = OwnLease::Held { lease_id, until };
+                        self.membership.leases.own = OwnLease::Held { lease_id, until };
                     }
                     (StoreResponse::NoLease, _) => {
                         tracing::info!("our lease is over");
-                        self.leases.lose(&self.me);
+                        self.membership.leases.lose(&self.me);
                     }
                     // Perhaps an outage: the lease may well be there when it ends.
-                    _ => self.leases.renewed = self.now.max(RETRY) - RETRY,
+                    _ => self.membership.leases.renewed = self.now.max(RETRY) - RETRY,
                 }
             }
-            Purpose::EndOld => {
-                self.busy_membership.remove("end");
+            CallPurpose::EndOld => {
+                self.membership.in_flight.remove("end");
                 if matches!(answer, StoreResponse::Ended) {
-                    self.ended_old = true;
+                    self.membership.old_lease_ended = true;
                 }
             }
-            Purpose::Register => {
-                self.busy_membership.remove("register");
+            CallPurpose::Register => {
+                self.membership.in_flight.remove("register");
                 if matches!(answer, StoreResponse::NoLease) {
-                    self.leases.lose(&self.me);
+                    self.membership.leases.lose(&self.me);
                 }
             }
-            Purpose::Lead => {
-                self.busy_membership.remove("lead");
+            CallPurpose::Lead => {
+                self.membership.in_flight.remove("lead");
                 if matches!(answer, StoreResponse::NoLease) {
-                    self.leases.lose(&self.me);
+                    self.membership.leases.lose(&self.me);
                 }
             }
             _ => {
-                self.busy_membership.remove("assign");
+                self.membership.in_flight.remove("assign");
             }
         }
     }
@@ -216,11 +250,12 @@
     /// Whether this controller may place tasks in its shards now.
     pub(super) fn may_place(&self) -> bool {
         let stop_before = self.settings.operator.stop_before;
-        match self.leases.own {
+        match self.membership.leases.own {
             OwnLease::Held { until, .. } => {
                 // A list of several pages is no picture of one moment: quotas are known only
                 // once the watch has passed its last page.
-                let complete = self.synced && self.applied >= self.list_end;
+                let complete = self.store_sync.synced
+                    && self.store_sync.applied >= self.store_sync.snapshot_end;
                 complete && self.now + stop_before < until
             }
             _ => false,
@@ -236,51 +271,54 @@
             } => {
                 // Later pages may show newer records; the watch starts at the first page's
                 // revision and brings what changed meanwhile, newest last.
-                let start = *self.list_revision.get_or_insert(revision);
-                self.list_end = revision;
+                let start = *self.store_sync.snapshot_start.get_or_insert(revision);
+                self.store_sync.snapshot_end = revision;
                 let last = entries.last().map(|entry| entry.key.clone());
                 for entry in entries {
                     self.apply(&entry.key, Some(entry.data.get()), entry.version);
                 }
                 if more && last.is_some() {
                     let call = StoreCall::List { after: last };
-                    self.call_store(CallClass::Leases, call, Purpose::List);
+                    self.call_store(CallClass::Leases, call, CallPurpose::List);
                 } else {
-                    self.listing = false;
-                    self.synced = true;
-                    self.applied = self.applied.max(start);
+                    self.store_sync.list_open = false;
+                    self.store_sync.synced = true;
+                    self.store_sync.applied = self.store_sync.applied.max(start);
                     tracing::info!(revision = start.0, "read all records");
-                    self.arrivals_until = self.now;
-                    self.arrivals_since = self.now;
-                    self.arrivals.clear();
+                    self.autoscaler.arrivals_until = self.now;
+                    self.autoscaler.arrivals_since = self.now;
+                    self.autoscaler.arrivals.clear();
                     self.reconsider_all();
                     self.renew_membership();
                     self.poll_watch();
                 }
             }
             _ => {
-                self.listing = false;
-                self.watch_after = self.now + RETRY;
+                self.store_sync.list_open = false;
+                self.store_sync.watch_not_before = self.now + RETRY;
             }
         }
     }
 
     pub(super) fn poll_watch(&mut self) {
-        if self.synced && !self.watch_open && self.now >= self.watch_after {
-            self.watch_open = true;
+        if self.store_sync.synced
+            && !self.store_sync.watch_open
+            && self.now >= self.store_sync.watch_not_before
+        {
+            self.store_sync.watch_open = true;
             // Its answer shows all that was there when it was asked.
-            let asked = std::mem::take(&mut self.read_barrier.next);
-            self.read_barrier.watched.extend(asked);
+            let asked = std::mem::take(&mut self.store_sync.read_barrier.next);
+            self.store_sync.read_barrier.watched.extend(asked);
             let call = StoreCall::Watch {
-                from: self.applied,
+                from: self.store_sync.applied,
                 wait_ms: WATCH_MS,
             };
-            self.call_store(CallClass::Leases, call, Purpose::Watch);
+            self.call_store(CallClass::Leases, call, CallPurpose::Watch);
         }
     }
 
     pub(super) fn on_watch(&mut self, answer: StoreResponse) {
-        self.watch_open = false;
+        self.store_sync.watch_open = false;
         match answer {
             StoreResponse::Updates { updates, revision } => {
                 let busy = !updates.is_empty();
@@ -292,13 +330,13 @@
                         Update::Dropped { key, version } => self.apply(&key, None, version),
                     }
                 }
-                self.applied = self.applied.max(revision);
-                self.watch_after = if busy {
+                self.store_sync.applied = self.store_sync.applied.max(revision);
+                self.store_sync.watch_not_before = if busy {
                     self.now + self.watch_pause()
                 } else {
                     self.now
                 };
-                for (asked, after) in std::mem::take(&mut self.read_barrier.watched) {
+                for (asked, after) in std::mem::take(&mut self.store_sync.read_barrier.watched) {
                     self.once_applied(revision, asked, after);
                 }
                 self.proved();
@@ -309,7 +347,7 @@
                 tracing::info!("the watch fell behind: reading all records again");
                 self.resync();
             }
-            _ => self.watch_after = self.now + RETRY,
+            _ => self.store_sync.watch_not_before = self.now + RETRY,
         }
     }
 
@@ -322,35 +360,30 @@
 
     /// Forgets all records, to read them again.
     fn resync(&mut self) {
-        self.synced = false;
-        self.listing = false;
+        self.store_sync.synced = false;
+        self.store_sync.list_open = false;
         // What is reserved is forgotten too, so what is under way must come to nothing: with the
         // lease go the shards' tokens that it rests on.
-        self.ended_old = false;
-        self.leases.lose(&self.me);
+        self.membership.old_lease_ended = false;
+        self.membership.leases.lose(&self.me);
         self.jobs = JobCache::default();
-        self.pool = Pool::default();
-        self.leases.controllers.clear();
-        self.leases.shards.clear();
-        self.leases.leader = None;
-        self.shares = quota::QuotaAllocations::default();
-        self.nested.resync();
-        self.jobs.regroup(self.nested.groups());
-        self.forwarded.clear();
-        self.stops.clear();
-        let operator = &self.settings.operator;
-        self.queue = Queue::new(
-            operator.backoff_first,
-            operator.backoff_most,
-            operator.flush,
-        );
-        self.watch_after = self.now;
+        self.scheduler.candidates = Candidates::default();
+        self.membership.leases.controllers.clear();
+        self.membership.leases.shards.clear();
+        self.membership.leases.leader = None;
+        self.quota.allocations = quota::QuotaAllocations::default();
+        self.quota.hierarchy.resync();
+        self.jobs.regroup(self.quota.hierarchy.groups());
+        self.scheduler.forwarded.clear();
+        self.scheduler.stops.clear();
+        self.scheduler.queue = new_queue(&self.settings.operator);
+        self.store_sync.watch_not_before = self.now;
     }
 
     pub(super) fn apply(&mut self, key: &str, data: Option<&str>, version: Revision) {
         if let Some(shard) = key.strip_prefix(quota::SHARES) {
             if let Some(shard) = ShardId::parse(shard)
-                && self.shares.apply(shard, data, version)
+                && self.quota.allocations.apply(shard, data, version)
             {
                 self.wake(queue::ClusterEvent::QuotaReallocated);
             }
@@ -360,18 +393,20 @@
             return self.apply_tree(key, data, version);
         }
         if key == PLAN {
-            return self.shared.apply(data, version);
+            return self.commits.admission.apply(data, version);
         }
         if key == MACHINE_TYPES_KEY {
-            self.stored_type_specs = data
+            self.autoscaler.stored_type_specs = data
                 .and_then(|d| serde_json::from_str(d).ok())
                 .unwrap_or_default();
-            if self.type_specs.is_empty() {
-                self.type_specs.clone_from(&self.stored_type_specs);
+            if self.autoscaler.type_specs.is_empty() {
+                self.autoscaler
+                    .type_specs
+                    .clone_from(&self.autoscaler.stored_type_specs);
             }
             return;
         }
-        if let Some(moved) = self.leases.apply(&self.me, key, data, version) {
+        if let Some(moved) = self.membership.leases.apply(&self.me, key, data, version) {
             self.on_moved(moved);
             return;
         }
@@ -384,26 +419,28 @@
             LeaseChange::Leader => {
                 if let Some(version) = self.leading() {
                     tracing::info!(revision = version.0, "leading");
-                    self.led_since = self.now;
+                    self.membership.leading_since = self.now;
                     self.start_leading();
                 } else if let Some(leader) = self.leader() {
                     tracing::info!(%leader, "following");
                 }
-                self.forwarded.clear();
+                self.scheduler.forwarded.clear();
                 // Whoever waited for the old leader tries again.
-                self.queue.wake(self.now, |_, _| true);
-                if self.synced {
+                self.scheduler.queue.wake(self.now, |_, _| true);
+                if self.store_sync.synced {
                     self.reconsider_all();
                 }
             }
             LeaseChange::Controller(_) => {
-                if self.synced && self.leading().is_some() {
+                if self.store_sync.synced && self.leading().is_some() {
                     self.reconsider_all();
                 }
             }
             LeaseChange::Shard(shard) => {
-                self.moved.insert(shard.clone(), self.now);
-                let holder = self.leases.shards.get(&shard);
+                self.membership
+                    .shard_moved_at
+                    .insert(shard.clone(), self.now);
+                let holder = self.membership.leases.shards.get(&shard);
                 if let Some((_, token)) = holder.filter(|(holder, _)| *holder == self.me) {
                     tracing::info!(%shard, token = token.0, "holding");
                 }
@@ -415,9 +452,9 @@
         let Some(id) = touched.job else { return };
         self.drop_overtaken(&id);
         self.placed_elsewhere(&id, &touched.allocated);
-        if self.synced {
+        if self.store_sync.synced {
             self.consider(&id);
-            if self.forwarded_early.remove(&id).is_some() {
+            if self.scheduler.forwarded_early.remove(&id).is_some() {
                 self.accept_forwarded(&id);
             }
         }
@@ -473,13 +510,13 @@
     /// Asks for a proof that the cache is as new as this moment: the next watch brings it, or a
     /// read of the revision if nothing changes.
     pub(super) fn once_fresh(&mut self, after: PendingRead) {
-        self.read_barrier.next.push((self.now, after));
+        self.store_sync.read_barrier.next.push((self.now, after));
         self.poll_watch();
         self.read_revision();
     }
 
     pub(super) fn read_revision(&mut self) {
-        let read_barrier = &mut self.read_barrier;
+        let read_barrier = &mut self.store_sync.read_barrier;
         let oldest = read_barrier.watched.first().or(read_barrier.next.first());
         let due = oldest.is_some_and(|(asked, _)| self.now.since(*asked) >= WATCH_PROVES);
         if read_barrier.reading || !due {
@@ -491,13 +528,13 @@
         self.call_store(
             CallClass::Proofs,
             StoreCall::ReadRevision,
-            Purpose::Revision,
+            CallPurpose::Revision,
         );
     }
 
     pub(super) fn on_revision(&mut self, answer: StoreResponse) {
-        self.read_barrier.reading = false;
-        let asked = std::mem::take(&mut self.read_barrier.current);
+        self.store_sync.read_barrier.reading = false;
+        let asked = std::mem::take(&mut self.store_sync.read_barrier.current);
         match answer {
             StoreResponse::Revision(revision) => {
                 for (asked, after) in asked {
@@ -516,15 +553,15 @@
 
     /// Goes on with all that the cache is new enough for.
     pub(super) fn proved(&mut self) {
-        if !self.synced {
+        if !self.store_sync.synced {
             return;
         }
-        let applied = self.applied;
-        let waiting = std::mem::take(&mut self.read_barrier.waiting);
+        let applied = self.store_sync.applied;
+        let waiting = std::mem::take(&mut self.store_sync.read_barrier.waiting);
         let (ready, waiting) = waiting
             .into_iter()
             .partition(|(needed, ..)| *needed <= applied);
-        self.read_barrier.waiting = waiting;
+        self.store_sync.read_barrier.waiting = waiting;
         for (_, asked, after) in ready {
             if self.came_too_late(asked, &after) {
                 self.not_proved(after);
@@ -536,7 +573,10 @@
 
     /// Goes on once the cache is this new.
     pub(super) fn once_applied(&mut self, revision: Revision, asked: Millis, after: PendingRead) {
-        self.read_barrier.waiting.push((revision, asked, after));
+        self.store_sync
+            .read_barrier
+            .waiting
+            .push((revision, asked, after));
     }
 
     /// Whether a user's question was asked so long ago that its proof tells of the past.
@@ -550,7 +590,7 @@
 
     /// What a user asked was proved to be known at a revision that the cache has not reached since.
     pub(super) fn expire_pending_reads(&mut self) {
-        let waiting = std::mem::take(&mut self.read_barrier.waiting);
+        let waiting = std::mem::take(&mut self.store_sync.read_barrier.waiting);
         for (revision, asked, after) in waiting {
             if self.came_too_late(asked, &after) {
                 self.not_proved(after);
@@ -564,7 +604,7 @@
     pub(super) fn outage_is_common(&self) -> bool {
         let alone = self.without_store();
         self.settings.members.iter().all(|member| {
-            self.peers.get(&member.label).is_some_and(|peer| {
+            self.peers.statuses.get(&member.label).is_some_and(|peer| {
                 let age = self.now.since(peer.heard);
                 age.0 <= 3_000 && peer.without_store.0 + age.0 + 2_500 >= alone.0
             })
@@ -573,7 +613,9 @@
 
     pub(super) fn ready(&self) -> bool {
         let lost = self.without_store().0 > 3_500;
-        self.synced && !self.type_specs.is_empty() && (!lost || self.outage_is_common())
+        self.store_sync.synced
+            && !self.autoscaler.type_specs.is_empty()
+            && (!lost || self.outage_is_common())
     }
 
     /// Whether reports may be answered. A controller that lost the state service goes on: nothing
@@ -586,7 +628,7 @@
 
     /// The token under which a machine's worker is answered.
     pub(super) fn token_for(&self, shard: &crate::types::ShardId) -> Option<FencingToken> {
-        self.leases.holds(shard, &self.me)
+        self.membership.leases.holds(shard, &self.me)
     }
 }
 
--- a/src/controller/membership/tests.rs
+++ b/src/controller/membership/tests.rs
@@ -20,7 +20,7 @@
     for (after_ms, ticks, answered) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, job) = controller(spec, vec![Task::FRESH; 8]);
-        (controller.now, controller.applied) = (Millis(5_000), Revision(20));
+        (controller.now, controller.store_sync.applied) = (Millis(5_000), Revision(20));
         let reply = ReplyId(1);
         let asked = controller.now;
         let state = PendingRead::State { reply, job };
@@ -31,7 +31,7 @@
         if ticks {
             controller.expire_pending_reads();
         }
-        controller.applied = Revision(22);
+        controller.store_sync.applied = Revision(22);
         controller.proved();
         let told = controller.effects.iter().filter_map(|effect| match effect {
             Effect::User { response, .. } => Some(matches!(response, Response::State(_))),
@@ -72,13 +72,14 @@
         let text = serde_json::to_string(&record).unwrap();
         controller.apply(&job_key(&second), Some(&text), Revision(20));
         let order = controller.order(controller.jobs.get(&second).unwrap());
-        controller.queue.remove(&second);
+        controller.scheduler.queue.remove(&second);
         let (checks, now) = ([check].into(), controller.now);
         controller
+            .scheduler
             .queue
             .fail(&second, 1, checks, order, now, &mut controller.rng);
         let rejected = |c: &Controller| {
-            let cause = c.queue.waits_for(&second);
+            let cause = c.scheduler.queue.waits_for(&second);
             matches!(cause, Some(crate::queue::WaitReason::Rejected { .. }))
         };
         assert!(rejected(&controller), "{check:?}");
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,5 +1,6 @@
 //! What controllers tell each other: statuses once a second, jobs that are handed over, room to be made.
 
+use rustc_hash::FxHashMap as HashMap;
 use std::hash::BuildHasher;
 
 use rustc_hash::FxBuildHasher;
@@ -24,6 +25,26 @@
 /// What the leader wants emptied is kept so for this long after it was last heard.
 const DRAIN_HOLDS: Millis = Millis(15_000);
 
+/// What another controller said last.
+#[derive(Debug)]
+pub(super) struct PeerStatus {
+    pub(super) heard: Millis,
+    pub(super) revision: Revision,
+    /// How long it had been without the state service.
+    pub(super) without_store: Millis,
+    /// Whether workers reach it.
+    pub(super) receives_heartbeats: bool,
+}
+
+/// The other controllers, as far as their messages tell.
+#[derive(Debug, Default)]
+pub(super) struct Peers {
+    pub(super) statuses: HashMap<ControllerId, PeerStatus>,
+    pub(super) status_sent_at: Millis,
+    /// What the others were told of each machine, as a hash.
+    pub(super) announced: HashMap<MachineId, u64>,
+}
+
 impl Controller {
     pub(super) fn on_peer(&mut self, from: ControllerId, message: Message) {
         match message {
@@ -32,14 +53,16 @@
                 // One that is queued here already keeps its place: it must not come round faster
                 // than its back-off lets it.
                 let job = JobId::from(job);
-                if self.leading().is_some() && !self.queue.contains(&job) {
+                if self.leading().is_some() && !self.scheduler.queue.contains(&job) {
                     self.accept_forwarded(&job);
                 }
             }
             Message::Place { job, preempt } => {
                 let job = JobId::from(job);
                 if let Some(machine_id) = preempt {
-                    self.to_preempt.insert(job.clone(), machine_id.into());
+                    self.scheduler
+                        .preemption_requests
+                        .insert(job.clone(), machine_id.into());
                 }
                 self.accept_forwarded(&job);
             }
@@ -61,39 +84,40 @@
     /// than the watch.
     pub(super) fn accept_forwarded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
-            self.forwarded_early.insert(id.clone(), self.now);
+            self.scheduler.forwarded_early.insert(id.clone(), self.now);
             return;
         };
         if job.active() && job.waiting() > 0 {
             let order = self.order(job);
-            self.forwarded.insert(id.clone());
-            self.queue.activate(id, order);
+            self.scheduler.forwarded.insert(id.clone());
+            self.scheduler.queue.activate(id, order);
         }
     }
 
     pub(super) fn on_status(&mut self, from: ControllerId, status: Status) {
         // One that lost the state service has lost its lease too, and goes on; one that did not is
         // no more, and says so late.
-        let over = |lease_id| self.leases.is_over(LeaseId(lease_id));
+        let over = |lease_id| self.membership.leases.is_over(LeaseId(lease_id));
         let went_on = Millis(status.without_store_ms) > self.settings.operator.lease;
         if status.lease_id.is_some_and(over) && !went_on {
             tracing::debug!(%from, "a message of a process that is no more");
             return;
         }
         let (now, parts) = (self.now, self.settings.operator.blocks_per_zone);
-        let state = super::PeerStatus {
+        let state = PeerStatus {
             heard: now,
             revision: Revision(status.revision),
             without_store: Millis(status.without_store_ms),
             receives_heartbeats: status.receives_heartbeats,
         };
-        self.peers.insert(from.clone(), state);
+        self.peers.statuses.insert(from.clone(), state);
         let demand = Demand {
             used: status.used_milli as f64 / 1e3,
             waiting: status.waiting as f64,
         };
         let obeys = Revision(status.plan);
-        self.shared
+        self.commits
+            .admission
             .said
             .insert(from.clone(), AdmissionReport { obeys, demand });
         for (shard, token) in status.shards {
@@ -101,9 +125,9 @@
                 continue;
             };
             let token = FencingToken(token);
-            if self.leases.supersede(&shard, &from, token) {
+            if self.membership.leases.supersede(&shard, &from, token) {
                 tracing::info!(%shard, holder = %from, token = token.0, "superseded");
-                self.moved.insert(shard, now);
+                self.membership.shard_moved_at.insert(shard, now);
             }
         }
         let silence = self.silence();
@@ -121,7 +145,12 @@
                     self.machines.entry(machine_id).or_insert(new)
                 }
             };
-            if self.leases.holds(&machine.shard, &self.me).is_some() {
+            if self
+                .membership
+                .leases
+                .holds(&machine.shard, &self.me)
+                .is_some()
+            {
                 continue;
             }
             machine.address = view.address.parse().ok().or(machine.address);
@@ -130,18 +159,27 @@
                 (image.into(), Cached { used: now, gb })
             };
             machine.images = view.images.into_iter().map(cached).collect();
-            self.pool.touched.push(machine.machine_id.clone());
+            self.scheduler
+                .candidates
+                .touched
+                .push(machine.machine_id.clone());
         }
         for pulse in status.machines {
             let machine_id = MachineId::from(pulse.machine_id);
             // One that we know nothing of yet is described soon. Until then it must not be taken
             // for one that its holder never heard.
             let Some(machine) = self.machines.get_mut(&machine_id) else {
-                self.relayed_heartbeats
+                self.contact
+                    .relayed_heartbeats
                     .insert(machine_id, now - Millis(pulse.silent_ms));
                 continue;
             };
-            if self.leases.holds(&machine.shard, &self.me).is_some() {
+            if self
+                .membership
+                .leases
+                .holds(&machine.shard, &self.me)
+                .is_some()
+            {
                 continue;
             }
             let was_fit = machine.fit(now, silence);
@@ -156,10 +194,12 @@
             machine.warned = pulse.warned;
             if machine.quarantined && !pulse.quarantined {
                 // It was the jobs, not the machine.
-                self.drains.remove(&machine.machine_id);
+                self.autoscaler.drains.remove(&machine.machine_id);
             }
             if pulse.quarantined && !machine.quarantined {
-                self.crash_loops.quarantined(&machine.machine_id, now);
+                self.scheduler
+                    .crash_loops
+                    .quarantined(&machine.machine_id, now);
             }
             machine.quarantined = pulse.quarantined;
             machine.draining = pulse.draining;
@@ -168,8 +208,8 @@
             }
         }
         if self.leader() == Some(&from) {
-            self.drains = status.draining.into_iter().map(MachineId::from).collect();
-            self.drains_heard = now;
+            self.autoscaler.drains = status.draining.into_iter().map(MachineId::from).collect();
+            self.autoscaler.drains_heard_at = now;
         }
         for machine_id in fit {
             self.wake(ClusterEvent::Machine(machine_id));
@@ -179,19 +219,19 @@
     /// Tells the others what we see, once a second.
     pub(super) fn broadcast_status(&mut self) {
         if self.leading().is_none()
-            && !self.drains.is_empty()
-            && self.now.since(self.drains_heard) > DRAIN_HOLDS
+            && !self.autoscaler.drains.is_empty()
+            && self.now.since(self.autoscaler.drains_heard_at) > DRAIN_HOLDS
         {
-            self.drains.clear();
+            self.autoscaler.drains.clear();
         }
-        if self.now.since(self.status_sent) < STATUS_EVERY {
+        if self.now.since(self.peers.status_sent_at) < STATUS_EVERY {
             return;
         }
-        self.status_sent = self.now;
+        self.peers.status_sent_at = self.now;
         let round = self.now.0 / STATUS_EVERY.0 % TOLD_AGAIN;
         let (mut machines, mut views) = (Vec::new(), Vec::new());
         for machine in self.machines.values() {
-            let token = self.leases.holds(&machine.shard, &self.me);
+            let token = self.membership.leases.holds(&machine.shard, &self.me);
             if token != Some(machine.worker_token.token()) {
                 continue;
             }
@@ -202,7 +242,7 @@
                 doubtful: !machine.reachability.proved(),
                 warned: machine.warned,
                 quarantined: machine.quarantined,
-                draining: self.drains.contains(&machine.machine_id),
+                draining: self.autoscaler.drains.contains(&machine.machine_id),
             });
             // The same images in any order give the same sum.
             let images = machine
@@ -211,7 +251,11 @@
                 .map(|image| FxBuildHasher.hash_one(image));
             let images = images.fold(0u64, u64::wrapping_add);
             let state = FxBuildHasher.hash_one((machine.address, images));
-            let changed = self.told.insert(machine.machine_id.clone(), state) != Some(state);
+            let changed = self
+                .peers
+                .announced
+                .insert(machine.machine_id.clone(), state)
+                != Some(state);
             let turn = FxBuildHasher.hash_one(&machine.machine_id) % TOLD_AGAIN;
             if changed || turn == round {
                 views.push(MachineView {
@@ -229,32 +273,45 @@
             }
         }
         let (known, now) = (&self.machines, self.now);
-        self.relayed_heartbeats.retain(|machine_id, heard| {
+        self.contact.relayed_heartbeats.retain(|machine_id, heard| {
             !known.contains_key(machine_id) && now.since(*heard) < HEARD_OF
         });
-        self.told
+        self.peers
+            .announced
             .retain(|machine_id, _| known.contains_key(machine_id));
         let draining = if self.leading().is_some() {
             // What is placed on a machine that is being deleted dies at once: its holder places nothing there
             // either.
-            let gone = self.fleet.gone.iter();
+            let gone = self.autoscaler.fleet.gone.iter();
             let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
-            let leaving = self.fleet.deleting.union(&self.drains).chain(gone);
+            let leaving = self
+                .autoscaler
+                .fleet
+                .deleting
+                .union(&self.autoscaler.drains)
+                .chain(gone);
             leaving.map(|machine_id| machine_id.to_string()).collect()
         } else {
             Vec::new()
         };
-        let said = self.shared.said.get(&self.me).copied().unwrap_or_default();
+        let said = self
+            .commits
+            .admission
+            .said
+            .get(&self.me)
+            .copied()
+            .unwrap_or_default();
         let status = Status {
-            lease_id: self.leases.lease_id().map(|lease_id| lease_id.0),
+            lease_id: self.membership.leases.lease_id().map(|lease_id| lease_id.0),
             plan: said.obeys.0,
             used_milli: (said.demand.used * 1e3) as u64,
             waiting: said.demand.waiting as u64,
-            revision: self.applied.0,
+            revision: self.store_sync.applied.0,
             without_store_ms: self.without_store().0,
-            receives_heartbeats: self.receives_heartbeats
-                && self.now.since(self.last_heartbeat) <= self.silence(),
+            receives_heartbeats: self.contact.receives_heartbeats
+                && self.now.since(self.contact.last_heartbeat) <= self.silence(),
             shards: self
+                .membership
                 .leases
                 .shards
                 .iter()
--- a/src/controller/placement.rs
+++ b/src/controller/placement.rs
@@ -33,13 +33,13 @@
     /// to begin at all.
     pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
         job.spec.priority == PriorityClass::BestEffort
-            && !self.pool.spare
+            && !self.scheduler.candidates.spare
             && (job.placed > 0 || self.now.since(job.born) < BEGINS_BY)
     }
 
     /// Runs cycles until nothing is active.
     pub(super) fn schedule(&mut self) {
-        if !self.may_place() || self.type_specs.is_empty() {
+        if !self.may_place() || self.autoscaler.type_specs.is_empty() {
             return;
         }
         // What can't be written soon is better decided later: by then more is known, and what is
@@ -49,55 +49,58 @@
         let most = (state.write_rps / controllers * RESERVED_S).ceil().max(4.0) as usize;
         let mut cycles = 0..MOST_CYCLES;
         while cycles.next().is_some() {
-            let waiting = self.unwritten.overdue_in(Lane::Places, self.now) + self.to_commit.len();
+            let waiting = self.commits.backlog.overdue_in(Lane::Places, self.now)
+                + self.commits.noted_jobs.len();
             if waiting >= most {
-                if self.queue.first().is_some() {
-                    self.short_until = self.now + SHORT_HOLDS;
+                if self.scheduler.queue.first().is_some() {
+                    self.commits.writes_short_until = self.now + SHORT_HOLDS;
                 }
                 break;
             }
             // Priority decides who has room. Where changes are what is short, floors do.
             let short = self.short();
             let next = if short {
-                self.queue.pop_fair()
+                self.scheduler.queue.pop_fair()
             } else {
-                self.queue.pop()
+                self.scheduler.queue.pop()
             };
             let Some((id, fails)) = next else { break };
             // Another task of the job that was placed last goes into the same change.
-            let new = self.to_commit.last() != Some(&id);
+            let new = self.commits.noted_jobs.last() != Some(&id);
             let placed = self.cycle(&id, fails);
             if short
                 && new
                 && placed
                 && let Some(job) = self.jobs.get(&id)
             {
-                self.queue.served(self.flows.of(&job.spec));
+                self.scheduler
+                    .queue
+                    .served(self.commits.flows.of(&job.spec));
             }
         }
         // More tasks of jobs that are to be written anyway cost no change. They take room, though, so
         // none that is before them in that may wait.
-        let first = self.queue.first().map(|order| order.class());
-        for id in self.unwritten.placing() {
+        let first = self.scheduler.queue.first().map(|order| order.class());
+        for id in self.commits.backlog.placing() {
             let class = self.jobs.get(&id).map(|job| self.order(job).class());
             if class > first {
                 continue;
             }
             while cycles.next().is_some()
-                && let Some((id, fails)) = self.queue.pop_job(&id)
+                && let Some((id, fails)) = self.scheduler.queue.pop_job(&id)
             {
                 self.cycle(&id, fails);
             }
         }
         // Tasks of one job that were placed together are committed together.
-        for id in std::mem::take(&mut self.to_commit) {
+        for id in std::mem::take(&mut self.commits.noted_jobs) {
             self.commit(&id);
         }
     }
 
     /// Whether changes are what is short: cycles were stopped by it a moment ago.
     pub(super) fn short(&self) -> bool {
-        self.now < self.short_until
+        self.now < self.commits.writes_short_until
     }
 
     /// Whether a task, or a gang, was placed.
@@ -110,7 +113,7 @@
             return false;
         }
         let order = self.order(job);
-        self.work.cycles.add(1);
+        self.work_counters.cycles.add(1);
         if self.hold_suspect(id, order) {
             return false;
         }
@@ -124,16 +127,16 @@
                 self.room_taken(id);
                 if self.jobs.get(id).is_some_and(Job::whole_gang) {
                     self.commit(id);
-                } else if self.to_commit.last() != Some(id) {
-                    self.to_commit.push(id.clone());
+                } else if self.commits.noted_jobs.last() != Some(id) {
+                    self.commits.noted_jobs.push(id.clone());
                 }
                 if let Some(job) = self.jobs.get(id)
                     && job.waiting() > 0
                     && !self.hold_suspect(id, order)
                 {
-                    self.queue.push(id, order);
+                    self.scheduler.queue.push(id, order);
                 } else {
-                    self.forwarded.remove(id);
+                    self.scheduler.forwarded.remove(id);
                 }
             }
             Err(checks) => self.not_placed(id, fails, checks, order),
@@ -153,12 +156,12 @@
             return false;
         }
         let asked = if urgent {
-            self.to_preempt.remove(id)
+            self.scheduler.preemption_requests.remove(id)
         } else {
             None
         };
         if asked.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id))) {
-            self.queue.expect_room(id, 0, order, self.now);
+            self.scheduler.queue.expect_room(id, 0, order, self.now);
             return true;
         }
         let elsewhere = !gang && self.cached(id, Scope::Others);
@@ -169,16 +172,18 @@
                 return true;
             }
             if urgent && self.preempt(id, PreemptionScope::Quickest) {
-                self.queue.expect_room(id, 0, order, self.now);
+                self.scheduler.queue.expect_room(id, 0, order, self.now);
                 return true;
             }
             return false;
         }
-        let asks = !self.forwarded.contains(id) && (elsewhere || urgent);
+        let asks = !self.scheduler.forwarded.contains(id) && (elsewhere || urgent);
         if asks && self.return_to_leader(id) {
             // Tried here all the same if that leads to nothing.
             let none = BTreeSet::new();
-            self.queue.fail(id, 0, none, order, self.now, &mut self.rng);
+            self.scheduler
+                .queue
+                .fail(id, 0, none, order, self.now, &mut self.rng);
             return true;
         }
         false
@@ -200,16 +205,16 @@
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
         tracing::debug!(job = %id, fails, ?checks, "does not fit our blocks");
         let mut parked = checks;
-        let nominated = self.nominations.of(id, self.now).is_some();
+        let nominated = self.scheduler.nominations.of(id, self.now).is_some();
         let gang = self.jobs.get(id).is_some_and(Job::whole_gang);
         if !blocked && !nominated {
-            let asked = self.to_preempt.remove(id);
+            let asked = self.scheduler.preemption_requests.remove(id);
             if asked.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id))) {
-                return self.queue.expect_room(id, fails, order, self.now);
+                return self.scheduler.queue.expect_room(id, fails, order, self.now);
             } else if self.leading().is_some() && gang {
                 // Tried over the whole fleet already.
                 if self.make_room_for_gang(id) {
-                    return self.queue.expect_room(id, fails, order, self.now);
+                    return self.scheduler.queue.expect_room(id, fails, order, self.now);
                 }
             } else if self.leading().is_some() {
                 match self.choose(id, Scope::Others, None, None) {
@@ -230,26 +235,27 @@
                         if !parked.contains(&Check::ShardQuota)
                             && self.preempt(id, PreemptionScope::Anywhere)
                         {
-                            return self.queue.expect_room(id, fails, order, self.now);
+                            return self.scheduler.queue.expect_room(id, fails, order, self.now);
                         }
                     }
                 }
             } else if self.return_to_leader(id) {
                 let owner = self.jobs.get(id).map(|job| &job.record.owner);
                 if owner != Some(&self.me) {
-                    self.forwarded.remove(id);
+                    self.scheduler.forwarded.remove(id);
                     return;
                 }
             }
         }
         if nominated && self.several(id) {
             // Room for it is on its way on some machine: that is no failure.
-            return self.queue.expect_room(id, fails, order, self.now);
+            return self.scheduler.queue.expect_room(id, fails, order, self.now);
         }
         // Work within its share of the tree asks again soon: others hold what is its own.
         let due = !order.beyond_guarantee && self.several(id);
         let fails = if due { 0 } else { fails };
-        self.queue
+        self.scheduler
+            .queue
             .fail(id, fails, parked, order, self.now, &mut self.rng);
     }
 
@@ -310,15 +316,18 @@
         };
         if count > 1 && scope == Scope::All {
             self.refresh_pool();
-            let machine_ids: Option<Vec<MachineId>> = match self.nominations.of(id, self.now) {
-                Some(machine_ids) => Some(machine_ids.to_vec()),
-                None => match self.gang_offers(id) {
-                    Some(offers) if offers.iter().any(|offer| !offer.victims.is_empty()) => {
-                        return Err(BTreeSet::from([Check::Resources]));
-                    }
-                    offers => offers.map(|o| o.into_iter().map(|offer| offer.machine_id).collect()),
-                },
-            };
+            let machine_ids: Option<Vec<MachineId>> =
+                match self.scheduler.nominations.of(id, self.now) {
+                    Some(machine_ids) => Some(machine_ids.to_vec()),
+                    None => match self.gang_offers(id) {
+                        Some(offers) if offers.iter().any(|offer| !offer.victims.is_empty()) => {
+                            return Err(BTreeSet::from([Check::Resources]));
+                        }
+                        offers => {
+                            offers.map(|o| o.into_iter().map(|offer| offer.machine_id).collect())
+                        }
+                    },
+                };
             if machine_ids.is_some_and(|machine_ids| self.reserve_on(id, attempt, &machine_ids)) {
                 return Ok(());
             }
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -22,7 +22,7 @@
         let job = "job-9".to_string();
         let id = JobId::from(job.clone());
         controller.on_peer("n1".into(), Message::Unplaced { job });
-        assert!(!controller.queue.contains(&id));
+        assert!(!controller.scheduler.queue.contains(&id));
         controller.now = Millis(known_after);
         controller.detect_silent_machines();
         let record = record.unwrap().replace("\"n0\"", "\"n1\"");
@@ -31,7 +31,7 @@
         controller.apply("jt/node/n1", Some(node), Revision(9));
         controller.apply(&job_key(&id), Some(&record), Revision(10));
         assert_eq!(
-            controller.queue.contains(&id),
+            controller.scheduler.queue.contains(&id),
             queued,
             "after {known_after}"
         );
@@ -93,7 +93,7 @@
         (
             "emptied",
             |c| {
-                c.drains.insert("vm-a".into());
+                c.autoscaler.drains.insert("vm-a".into());
             },
             true,
             true,
@@ -101,7 +101,7 @@
         (
             "on its way",
             |c| {
-                c.fleet.deleting.insert("vm-a".into());
+                c.autoscaler.fleet.deleting.insert("vm-a".into());
             },
             true,
             true,
@@ -109,7 +109,7 @@
         (
             "deleted",
             |c| {
-                c.fleet.gone.insert("vm-a".into());
+                c.autoscaler.fleet.gone.insert("vm-a".into());
             },
             true,
             true,
@@ -117,7 +117,7 @@
         (
             "deleted",
             |c| {
-                c.fleet.gone.insert("vm-a".into());
+                c.autoscaler.fleet.gone.insert("vm-a".into());
             },
             false,
             false,
@@ -155,7 +155,7 @@
         status.shards.clear();
         holder.on_peer("n1".into(), Message::Status(status));
         assert_eq!(
-            holder.drains.contains(&MachineId::from("vm-a")),
+            holder.autoscaler.drains.contains(&MachineId::from("vm-a")),
             told,
             "{name}, {leads}"
         );
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -75,7 +75,7 @@
     /// Seconds that stopping a task wastes: saving, or its work so far, and starting it again.
     pub(super) fn waste(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
-        let capacity = self.type_specs.first().map(|f| f.resources);
+        let capacity = self.autoscaler.type_specs.first().map(|f| f.resources);
         let share = victim
             .spec
             .resources
@@ -142,7 +142,9 @@
         } in offers
         {
             tracing::info!(job = %id, %machine_id, ?victims, "making room");
-            self.nominations.add(id, &machine_id, resources, until);
+            self.scheduler
+                .nominations
+                .add(id, &machine_id, resources, until);
             match self.machines.get(&machine_id) {
                 Some(machine) if !self.ours(machine) => {
                     let to = machine.heard_by.clone();
@@ -173,7 +175,7 @@
                 .get(&task.job)
                 .is_some_and(|j| j.spec.cheap_to_kill());
             if let Some(attempt) = attempt {
-                self.stops.insert(task, Stop { attempt, save });
+                self.scheduler.stops.insert(task, Stop { attempt, save });
             }
         }
         self.push_commands(machine_id);
@@ -220,7 +222,8 @@
             "making room for a gang");
         let until = self.now + NOMINATED;
         for offer in offers {
-            self.nominations
+            self.scheduler
+                .nominations
                 .add(id, &offer.machine_id, resources, until);
             match self.machines.get(&offer.machine_id) {
                 Some(machine) if !self.ours(machine) => {
@@ -283,7 +286,11 @@
         let resources = job.spec.resources;
         let mut found: HashMap<&MachineId, Site> = HashMap::default();
         for having in [ImageFilter::Image(&job.spec.image), ImageFilter::Any] {
-            let available = self.pool.resources.fitting(having, group, resources);
+            let available = self
+                .scheduler
+                .candidates
+                .index
+                .fitting(having, group, resources);
             for machine_id in available
                 .flat_map(|class| class.machine_ids)
                 .take(search.sites)
@@ -296,12 +303,12 @@
             }
         }
         let mut offered = 0;
-        let full = self.pool.resources.too_full(group, resources);
+        let full = self.scheduler.candidates.index.too_full(group, resources);
         for machine_id in full.flat_map(|class| class.machine_ids).take(search.looked) {
             if offered >= search.sites {
                 break;
             }
-            self.work.candidates.add(1);
+            self.work_counters.candidates.add(1);
             let Some(machine) = self.machines.get(machine_id) else {
                 continue;
             };
@@ -324,14 +331,14 @@
 
     /// What could be stopped on a machine for the job.
     fn site(&self, job: &Job, guaranteed: bool, machine: &Machine) -> Site {
-        self.work.sites.add(1);
+        self.work_counters.sites.add(1);
         let victim = |(id, index): &(JobId, u32)| {
             let task = TaskId {
                 job: id.clone(),
                 index: *index,
             };
             let victim = self.jobs.get(id)?;
-            let leaving = self.stops.contains_key(&task) || !victim.active();
+            let leaving = self.scheduler.stops.contains_key(&task) || !victim.active();
             let (lower, borrowed) = if leaving || victim.whole_gang() {
                 (false, false)
             } else {
@@ -353,7 +360,7 @@
         let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
         let on_it = self.jobs.on_machine(&machine.machine_id).filter(|_| !fits);
         let victims = on_it.filter_map(victim).collect();
-        let rate = fetch_rate(&self.type_specs, &machine.machine_type);
+        let rate = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         Site {
             machine_id: machine.machine_id.clone(),
@@ -368,7 +375,7 @@
     pub(super) fn free_for(&self, machine: &Machine, id: &JobId) -> Resources {
         let mut available = self.available(machine);
         let mut priority = None;
-        for (other, resources) in self.nominations.on(&machine.machine_id, self.now) {
+        for (other, resources) in self.scheduler.nominations.on(&machine.machine_id, self.now) {
             let priority =
                 priority.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
             let above = |job: &Job| *priority <= Some(job.spec.priority);
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -11,8 +11,8 @@
     pub(super) fn responsible(&self, job: &Job) -> bool {
         let owner = &job.record.owner;
         *owner == self.me
-            || self.forwarded.contains(&job.id)
-            || (self.leading().is_some() && !self.leases.controllers.contains_key(owner))
+            || self.scheduler.forwarded.contains(&job.id)
+            || (self.leading().is_some() && !self.membership.leases.controllers.contains_key(owner))
     }
 
     pub(super) fn order(&self, job: &Job) -> QueueKey {
@@ -20,7 +20,7 @@
             beyond_guarantee: !self.guaranteed(job),
             priority: std::cmp::Reverse(job.spec.priority),
             born: job.born,
-            flow: self.flows.of(&job.spec),
+            flow: self.commits.flows.of(&job.spec),
         }
     }
 
@@ -28,31 +28,33 @@
     /// that is over.
     pub(super) fn consider(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
-            self.queue.remove(id);
-            self.forwarded.remove(id);
-            self.failed_jobs.remove(id);
+            self.scheduler.queue.remove(id);
+            self.scheduler.forwarded.remove(id);
+            self.scheduler.failed_jobs.remove(id);
             return;
         };
         if !job.active() {
             let ours = self.responsible(job);
-            self.queue.remove(id);
-            if ours || self.cancelling.waits_for(id) {
+            self.scheduler.queue.remove(id);
+            if ours || self.requests.cancellations.waits_for(id) {
                 self.clear(id);
             }
             return;
         }
-        if job.waiting() > 0 && self.responsible(job) && !self.queue.contains(id) {
+        if job.waiting() > 0 && self.responsible(job) && !self.scheduler.queue.contains(id) {
             let order = self.order(job);
-            let failed = self.failed_jobs.remove(id);
+            let failed = self.scheduler.failed_jobs.remove(id);
             if self.hold_suspect(id, order) {
                 return;
             }
             if failed {
                 // Its last task failed: no machine may be right for it.
                 let none = BTreeSet::new();
-                self.queue.fail(id, 1, none, order, self.now, &mut self.rng);
+                self.scheduler
+                    .queue
+                    .fail(id, 1, none, order, self.now, &mut self.rng);
             } else {
-                self.queue.push(id, order);
+                self.scheduler.queue.push(id, order);
             }
         }
     }
@@ -62,7 +64,8 @@
         let Some(job) = self.jobs.get(id) else { return };
         if job.active() && job.waiting() > 0 && self.responsible(job) {
             let order = self.order(job);
-            self.queue
+            self.scheduler
+                .queue
                 .fail(id, 0, BTreeSet::new(), order, self.now, &mut self.rng);
         }
     }
@@ -80,16 +83,16 @@
         };
         let resources = machine.map(|m| (m, self.available(m)));
         if let ClusterEvent::Machine(machine_id) = &event {
-            self.pool.touched.push(machine_id.clone());
+            self.scheduler.candidates.touched.push(machine_id.clone());
         }
         let jobs = &self.jobs;
-        let mut queue = std::mem::take(&mut self.queue);
+        let mut queue = std::mem::take(&mut self.scheduler.queue);
         queue.wake(self.now, |id, check| {
-            self.work.parked.add(1);
+            self.work_counters.parked.add(1);
             let Some(job) = jobs.get(id) else { return true };
             // A gang waits until all of its machines are free; of other jobs any task may start.
-            let all = job.whole_gang() || self.nested.force().is_none();
-            let machine_ids = self.nominations.of(id, self.now).filter(|_| all);
+            let all = job.whole_gang() || self.quota.hierarchy.force().is_none();
+            let machine_ids = self.scheduler.nominations.of(id, self.now).filter(|_| all);
             let machine_ids = machine_ids.unwrap_or_default();
             let fits = |machine_id: &MachineId| {
                 let machine = self.machines.get(machine_id);
@@ -120,6 +123,6 @@
                 _ => false,
             }
         });
-        self.queue = queue;
+        self.scheduler.queue = queue;
     }
 }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -23,7 +23,7 @@
     let (mut controller, id) = controller_with(&settings, spec, tasks);
     let lead = r#"{"leader":"n0","permit":1}"#;
     controller.apply(LEADER, Some(lead), Revision(9));
-    controller.applied = Revision(50);
+    controller.store_sync.applied = Revision(50);
     controller.effects.clear();
     (controller, id)
 }
@@ -69,7 +69,7 @@
     ];
     for (answer, unsure) in cases {
         let (mut controller, _) = leading(vec![Task::FRESH]);
-        let rests_on = (shard.clone(), controller.shares.version(&shard));
+        let rests_on = (shard.clone(), controller.quota.allocations.version(&shard));
         assert!(controller.may_raise());
         let name = format!("{answer:?}");
         controller.on_allocated(rests_on, answer);
@@ -78,7 +78,7 @@
         controller.resolve_unknown_transactions();
         let rewritten = written(&controller).contains(&share_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
-        controller.allocations_in_flight = 0;
+        controller.quota.allocations_in_flight = 0;
         // The watch shows that the share has changed: the deal was carried out before, or never is.
         controller.apply(&share_key(&shard), Some("{}"), Revision(31));
         controller.resolve_unknown_transactions();
@@ -100,7 +100,7 @@
     controller.jobs.want(&id, 1, sent.clone());
     let later = TaskChange::Place(placement("vm-a", "a.0"));
     controller.jobs.want(&id, 0, later);
-    controller.unwritten.under_way = 1;
+    controller.commits.backlog.under_way = 1;
     controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
     controller.resolve_unknown_transactions();
@@ -118,7 +118,10 @@
         let shard = ShardId::parse("b.0").unwrap();
         let key = crate::lease::shard_key(&shard);
         controller.apply(&key, Some(&record), Revision(40));
-        assert_eq!(controller.leases.shards[&shard].1, FencingToken(40));
+        assert_eq!(
+            controller.membership.leases.shards[&shard].1,
+            FencingToken(40)
+        );
         controller.effects.clear();
         let change = TaskChange::Place(placement("vm-b", "b.0"));
         controller.jobs.want(&id, 0, change);
--- a/src/controller/reachability/mod.rs
+++ b/src/controller/reachability/mod.rs
@@ -7,6 +7,7 @@
 use crate::types::{FencingToken, MachineId, Millis, TaskId};
 use crate::workers::reconcile::Stop;
 use crate::workers::wire::{TaskStage, WorkerCommand};
+use rustc_hash::FxHashMap as HashMap;
 
 /// A machine in doubt is asked this often.
 const ASK_EVERY: Millis = Millis(2_500);
@@ -21,6 +22,38 @@
 /// What a stop needs to reach a machine and its answer us, beyond the saving itself.
 const TO_STOP: Millis = Millis(7_000);
 
+/// Whether heartbeats arrive, and from whom.
+#[derive(Debug)]
+pub(super) struct WorkerContact {
+    /// Whether workers' heartbeats reach us; without that we can hold no shards.
+    pub(super) receives_heartbeats: bool,
+    pub(super) last_heartbeat: Millis,
+    /// When a worker was last asked for its state because no heartbeats arrived.
+    pub(super) last_inspection: Millis,
+    /// How often in a row we gave our shards up because no worker reached us.
+    pub(super) shard_release_streak: u32,
+    /// Most of our machines have sent no heartbeat for a while.
+    pub(super) most_machines_quiet: bool,
+    /// When peers received heartbeats of machines that we know nothing else of yet.
+    pub(super) relayed_heartbeats: HashMap<MachineId, Millis>,
+    /// When all machines were last looked over for silence.
+    pub(super) last_sweep: Millis,
+}
+
+impl WorkerContact {
+    pub(super) fn new() -> Self {
+        Self {
+            receives_heartbeats: true,
+            last_heartbeat: Millis(0),
+            last_inspection: Millis(0),
+            shard_release_streak: 0,
+            most_machines_quiet: false,
+            relayed_heartbeats: HashMap::default(),
+            last_sweep: Millis(0),
+        }
+    }
+}
+
 impl Controller {
     /// Whether most of our machines have not reported for a while. Then there is nowhere better to go, and most
     /// spells are over before a lease is, or before one that begins meanwhile: what answers directly is used
@@ -37,17 +70,22 @@
                 quiet += usize::from(since > often);
             }
         }
-        self.most_are_quiet = quiet >= FEW && quiet * 2 >= all;
+        self.contact.most_machines_quiet = quiet >= FEW && quiet * 2 >= all;
     }
 
     /// Whether a machine of ours has not reported for so long that its worker must be unable to. What it
     /// says to direct commands renews no lease.
     pub(super) fn is_unable_to_report(&self, machine_id: &MachineId) -> bool {
-        if self.most_are_quiet {
+        if self.contact.most_machines_quiet {
             return false;
         }
         self.machines.get(machine_id).is_some_and(|machine| {
-            let took = self.moved.get(&machine.shard).copied().unwrap_or_default();
+            let took = self
+                .membership
+                .shard_moved_at
+                .get(&machine.shard)
+                .copied()
+                .unwrap_or_default();
             let silent = self.now.since(machine.reported) > self.silence();
             // Taken from a holder that knew it as mute already, it stays so until it reports.
             silent && (self.now.since(took) > FOUND || !machine.reachability.proved())
@@ -124,7 +162,8 @@
             .collect();
         for (index, attempt) in stopped {
             let job = task.job.clone();
-            self.stops
+            self.scheduler
+                .stops
                 .insert(TaskId { job, index }, Stop { attempt, save });
         }
     }
@@ -197,7 +236,7 @@
         commands: Vec<WorkerCommand>,
     ) {
         let worker_token = self.worker_token(token);
-        let gone = self.fleet.gone.contains(machine_id);
+        let gone = self.autoscaler.fleet.gone.contains(machine_id);
         let machine = self.machines.get_mut(machine_id);
         let Some(machine) = machine.filter(|m| !m.direct.busy && !gone) else {
             return;
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -50,7 +50,7 @@
     machine.reachability.prove();
     controller.machines.insert(machine_id, machine);
     controller.now = Millis(REPORTED);
-    controller.last_heartbeat = controller.now;
+    controller.contact.last_heartbeat = controller.now;
     controller.answer_heartbeat(heartbeat(&id, 1, &["running"]));
     let machine = controller.machines.get_mut(&MachineId::from(HOST)).unwrap();
     machine.reachability.prove();
@@ -101,7 +101,10 @@
                 .unable_to_report(controller.now);
         }
         let shard = ShardId::parse("a.0").unwrap();
-        controller.moved.insert(shard, Millis(shard_taken));
+        controller
+            .membership
+            .shard_moved_at
+            .insert(shard, Millis(shard_taken));
         answers(
             &mut controller,
             heartbeat(&id, 2, &["running"]),
@@ -133,7 +136,7 @@
     ];
     for (cancelled, after, stops, given_up) in cases {
         let (mut controller, id) = reported();
-        controller.moved.clear();
+        controller.membership.shard_moved_at.clear();
         if cancelled {
             let record = JobRecord {
                 phase: Phase::Aborting,
@@ -185,7 +188,7 @@
     let quiet = (heartbeat_interval_s * 1_600.0) as u64;
     for (machines, quiet_ones, used) in [(1, 1, false), (3, 3, true), (9, 4, false), (9, 5, true)] {
         let (mut controller, id) = reported();
-        controller.moved.clear();
+        controller.membership.shard_moved_at.clear();
         controller
             .machines
             .retain(|machine_id, _| machine_id.as_str() == HOST);
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,8 +1,11 @@
 //! What users ask: submissions, polls and cancellations.
 
+use crate::jobs::cancel::Cancelling;
 use rand::Rng;
+use rustc_hash::FxHashMap as HashMap;
 
-use super::{Controller, Effect, PendingRead, Purpose};
+use super::store_sync::PendingRead;
+use super::{CallPurpose, Controller, Effect};
 use crate::jobs::api::{self, Refusal, Refused, Response, is_final};
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
@@ -12,6 +15,14 @@
 /// Without an answer of the state service for this long, users are told to come back.
 const STORE_LOST: Millis = Millis(2_500);
 
+/// Requests of users that wait for the store or for tasks to end.
+#[derive(Debug, Default)]
+pub(super) struct UserRequests {
+    /// Submissions in flight, with everyone who asked.
+    pub(super) submitting: HashMap<JobId, Vec<ReplyId>>,
+    pub(super) cancellations: Cancelling,
+}
+
 impl Controller {
     pub(super) fn tell(&mut self, reply: ReplyId, response: Response) {
         self.effects.push(Effect::User { reply, response });
@@ -30,24 +41,30 @@
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
         }
-        if !self.synced || self.type_specs.is_empty() || self.without_store() > STORE_LOST {
+        if !self.store_sync.synced
+            || self.autoscaler.type_specs.is_empty()
+            || self.without_store() > STORE_LOST
+        {
             return self.tell(reply, Response::Later(2));
         }
-        if let Some(waiting) = self.submitting.get_mut(&id) {
+        if let Some(waiting) = self.requests.submitting.get_mut(&id) {
             waiting.push(reply);
             return;
         }
-        let spec = match api::admit(spec, &self.settings, &self.type_specs) {
+        let spec = match api::admit(spec, &self.settings, &self.autoscaler.type_specs) {
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
         let (class, urgent) = (
-            self.flows.of(&spec).class,
+            self.commits.flows.of(&spec).class,
             spec.priority >= PriorityClass::Urgent,
         );
-        let (pending, luck) = (self.submitting.len(), self.rng.random());
-        let (allowed, now) = (self.shared.allowed, self.now.secs());
-        let asked = self.gate.ask(class, urgent, pending, allowed, now, luck);
+        let (pending, luck) = (self.requests.submitting.len(), self.rng.random());
+        let (allowed, now) = (self.commits.admission.allowed, self.now.secs());
+        let asked = self
+            .commits
+            .gate
+            .ask(class, urgent, pending, allowed, now, luck);
         if let Err(pause) = asked {
             tracing::debug!(job = %id, pending, pause, "too many submissions wait");
             return self.tell(reply, Response::Later(pause));
@@ -69,8 +86,8 @@
         let mut txn = Transaction::default();
         txn.require(job_key(&id), Revision(0));
         txn.put(job_key(&id), &record);
-        self.submitting.insert(id.clone(), vec![reply]);
-        self.transact(CallClass::Submissions, txn, Purpose::Submit { job: id });
+        self.requests.submitting.insert(id.clone(), vec![reply]);
+        self.transact(CallClass::Submissions, txn, CallPurpose::Submit { job: id });
     }
 
     /// A job that was accepted once is never refused, whatever has changed since in its body or the settings:
@@ -83,7 +100,7 @@
     }
 
     pub(super) fn on_submitted(&mut self, id: JobId, answer: StoreResponse) {
-        let replies = self.submitting.remove(&id).unwrap_or_default();
+        let replies = self.requests.submitting.remove(&id).unwrap_or_default();
         for reply in replies {
             match answer {
                 StoreResponse::Committed(_) => self.tell(reply, Response::Accepted(id.clone())),
@@ -104,7 +121,7 @@
 
     /// Asks for a proof unless the state service is away anyway.
     pub(super) fn ask_fresh(&mut self, after: PendingRead) {
-        if self.without_store() > STORE_LOST || !self.synced {
+        if self.without_store() > STORE_LOST || !self.store_sync.synced {
             self.not_proved(after);
         } else {
             self.once_fresh(after);
@@ -152,7 +169,9 @@
             }
             PendingRead::Clear { job } => self.clear(&job),
             // A transaction's fate must become known, however long it takes.
-            settle @ PendingRead::Settle { .. } => self.read_barrier.next.push((self.now, settle)),
+            settle @ PendingRead::Settle { .. } => {
+                self.store_sync.read_barrier.next.push((self.now, settle))
+            }
         }
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -18,7 +18,7 @@
     };
     let text = serde_json::to_string(&record).unwrap();
     controller.apply(&job_key(&id), Some(&text), Revision(20));
-    (controller.now, controller.store_heard) = (Millis(1_000), Millis(1_000));
+    (controller.now, controller.store_sync.last_response) = (Millis(1_000), Millis(1_000));
     controller.effects.clear();
     controller
 }
@@ -39,13 +39,13 @@
 
 /// The cache is proved to be as new as all that was asked.
 fn prove(controller: &mut Controller) {
-    for (_, after) in std::mem::take(&mut controller.read_barrier.next) {
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.next) {
         controller.go_on(after);
     }
-    for (_, after) in std::mem::take(&mut controller.read_barrier.watched) {
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.watched) {
         controller.go_on(after);
     }
-    for (_, after) in std::mem::take(&mut controller.read_barrier.current) {
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.current) {
         controller.go_on(after);
     }
 }
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -15,7 +15,7 @@
         if job.writing != Writing::Idle || !job.changes.is_empty() {
             return Some(WaitReason::Writing);
         }
-        let queued = self.queue.waits_for(id);
+        let queued = self.scheduler.queue.waits_for(id);
         queued.or_else(|| (job.placed > 0).then_some(WaitReason::Leaving))
     }
 }
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -1,5 +1,7 @@
 //! Zones in trouble, as the controller meets them.
 
+use crate::zones::partition_mode::PartitionMode;
+use crate::zones::zone_health::ZoneHealthTracker;
 use std::collections::BTreeMap;
 
 use super::Controller;
@@ -10,10 +12,17 @@
 use crate::zones::partition_mode::{Circumstances, may_renew};
 use crate::zones::zone_health::{EvictionCost, SuspectedMachine, ZoneObservation};
 
+/// This controller's own partition mode, and the health of all zones as the leader sees it.
+#[derive(Debug, Default)]
+pub(super) struct Partition {
+    pub(super) mode: PartitionMode,
+    pub(super) zone_health: ZoneHealthTracker,
+}
+
 impl Controller {
     /// What workers are told of a token that we hold.
     pub(super) fn worker_token(&self, token: FencingToken) -> WorkerToken {
-        if self.partition_mode.on() {
+        if self.partition.mode.on() {
             WorkerToken::partitioned(token)
         } else {
             WorkerToken::of(token)
@@ -22,13 +31,19 @@
 
     /// Keeps our machines at work once we are cut off with them.
     pub(super) fn check_partition_mode(&mut self) {
-        let over = matches!(self.leases.own, OwnLease::Held { until, .. } if until < self.now);
+        let over =
+            matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
         let seen = Circumstances {
-            lease_over: over && self.synced,
+            lease_over: over && self.store_sync.synced,
             outage: over && self.outage_is_common(),
-            holds: self.leases.shards.values().any(|(h, _)| *h == self.me),
+            holds: self
+                .membership
+                .leases
+                .shards
+                .values()
+                .any(|(h, _)| *h == self.me),
         };
-        if self.partition_mode.begins(seen, self.now) {
+        if self.partition.mode.begins(seen, self.now) {
             tracing::info!("cut off: keeping our machines at work");
             // Before we might crash: only marked machines may be renewed by others then.
             self.fence();
@@ -38,10 +53,10 @@
     /// The state service is there again. Our tokens are marked as keeping, under which silence
     /// proves nothing, so they are given up.
     pub(super) fn leave_partition_mode(&mut self) {
-        if let Some(kept) = self.partition_mode.end(self.now) {
+        if let Some(kept) = self.partition.mode.end(self.now) {
             tracing::info!(kept_s = kept.secs(), "the state service is there again");
-            self.ended_old = false;
-            self.leases.lose(&self.me);
+            self.membership.old_lease_ended = false;
+            self.membership.leases.lose(&self.me);
         }
     }
 
@@ -51,8 +66,13 @@
         shard: &ShardId,
         worker_token: WorkerToken,
     ) -> Option<HeartbeatResponse> {
-        let cut_off = !self.synced || self.partition_mode.on();
-        let holder = self.leases.shards.get(shard).map(|(holder, _)| holder);
+        let cut_off = !self.store_sync.synced || self.partition.mode.on();
+        let holder = self
+            .membership
+            .leases
+            .shards
+            .get(shard)
+            .map(|(holder, _)| holder);
         let speaks = holder.is_some_and(|holder| self.recent_status(holder).is_some());
         let renews = self.may_answer() && may_renew(worker_token, cut_off, speaks);
         renews.then(|| HeartbeatResponse::Commands {
@@ -68,8 +88,8 @@
             let all = members.chain([(&self.me, &self.settings.zone)]);
             let mut inside = all.filter(|(_, its)| **its == zone).peekable();
             seen.controllers_silent = inside.peek().is_some()
-                && inside.all(|(label, _)| !self.leases.controllers.contains_key(label));
-            if let Some(health) = self.zones.observe(&zone, seen, self.now) {
+                && inside.all(|(label, _)| !self.membership.leases.controllers.contains_key(label));
+            if let Some(health) = self.partition.zone_health.observe(&zone, seen, self.now) {
                 let (machines, silent) = (seen.machines, seen.silent);
                 tracing::info!(%zone, ?health, machines, silent, "a zone stands otherwise");
             }
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -33,7 +33,7 @@
         controller.apply(&page_key(&id, 0), Some(&encode_page(&[here])), Revision(8));
         let holder = r#"{"holder":"n0","permit":1}"#;
         controller.apply(&crate::lease::shard_key(&shard), Some(holder), Revision(30));
-        controller.applied = Revision(applied);
+        controller.store_sync.applied = Revision(applied);
         let answer = controller.answer_heartbeat(heartbeat(WorkerToken::of(FencingToken(30))));
         let HeartbeatResponse::Commands {
             worker_token,
@@ -52,7 +52,14 @@
 fn shards_are_given_up_after_machines_were_kept() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::FRESH]);
-    let held = |c: &Controller| c.leases.shards.values().filter(|(h, _)| *h == c.me).count();
+    let held = |c: &Controller| {
+        c.membership
+            .leases
+            .shards
+            .values()
+            .filter(|(h, _)| *h == c.me)
+            .count()
+    };
     assert_eq!(
         controller.worker_token(FencingToken(5)),
         WorkerToken::of(FencingToken(5))
@@ -60,7 +67,7 @@
     for (at, keeps) in [(59_000, false), (60_100, false), (61_700, true)] {
         controller.now = Millis(at);
         controller.check_partition_mode();
-        assert_eq!(controller.partition_mode.on(), keeps, "at {at}");
+        assert_eq!(controller.partition.mode.on(), keeps, "at {at}");
     }
     assert_eq!(
         controller.worker_token(FencingToken(5)),
@@ -69,8 +76,8 @@
     assert_eq!(held(&controller), 2);
     controller.leave_partition_mode();
     assert_eq!(
-        (held(&controller), controller.partition_mode.on()),
+        (held(&controller), controller.partition.mode.on()),
         (0, false)
     );
-    assert!(!controller.ended_old);
+    assert!(!controller.membership.old_lease_ended);
 }
