--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -50,7 +50,7 @@
                 self.plan = plan.unwrap_or_default();
                 self.version = version;
             }
-            Err(error) => tracing::error!(%error, "the plan of changes makes no sense"),
+            Err(error) => tracing::error!(%error, "admission plan record is invalid"),
         }
     }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -98,7 +98,7 @@
         .map_err(anyhow::Error::from)
         .and_then(|runtime| runtime.block_on(daemon::run(settings)));
     if let Err(error) = ended {
-        tracing::error!(%error, "can't serve");
+        tracing::error!(%error, "HTTP server failed");
         eprintln!("jaspertiller: {error:#}");
     }
     ExitCode::FAILURE
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -65,7 +65,7 @@
             .admission
             .next(limit, all.iter().cloned(), present, self.now);
         let Some(plan) = next else { return };
-        tracing::debug!(shares = ?plan.shares, "dividing changes");
+        tracing::debug!(shares = ?plan.shares, "admission plan updated");
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
         txn.require(PLAN.into(), self.commits.admission.version);
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -342,7 +342,7 @@
             .collect();
         machine_ids.truncate(MOST_DELETED);
         if !machine_ids.is_empty() {
-            tracing::info!(?machine_ids, "deleting machines");
+            tracing::info!(?machine_ids, "machine deletion requested");
             self.autoscaler
                 .fleet
                 .deleting
@@ -617,7 +617,7 @@
                 .filter(|(other, _, _)| ready(other) && !broken.contains(other))
                 .count();
             if fits && (still_ready >= wanted || !ready(machine_id)) {
-                tracing::info!(%machine_id, "emptying the machine");
+                tracing::info!(%machine_id, "drain started");
                 self.autoscaler.drains.insert(machine_id.clone());
                 return;
             }
@@ -659,7 +659,7 @@
             waiting,
             headroom = ?self.headroom().iter().map(|h| h.machines).collect::<Vec<_>>(),
             used = format!("{:.2}", used.share_of(capacity)),
-            "fleet"
+            "fleet usage"
         );
     }
 
@@ -744,7 +744,7 @@
             "{}-{}-{}",
             self.me, lead.0, self.autoscaler.fleet.rental_requests
         );
-        tracing::info!(request_id, ?offer, count, "renting");
+        tracing::info!(request_id, ?offer, count, "scale out requested");
         let call = CloudCall::Rent {
             request_id,
             offer: offer.clone(),
@@ -761,7 +761,7 @@
         match (call, answer) {
             (CloudCall::MachineTypes, CloudResponse::MachineTypes(type_specs)) => {
                 if self.autoscaler.type_specs.is_empty() {
-                    tracing::info!(types = type_specs.len(), "know the machine types");
+                    tracing::info!(types = type_specs.len(), "machine types loaded");
                 }
                 self.store_machine_types(&type_specs);
                 self.autoscaler.type_specs = type_specs;
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -421,7 +421,7 @@
         match answer {
             StoreResponse::Committed(_) => {
                 for (index, change) in &changes {
-                    tracing::debug!(job = %id, index, ?change, "committed");
+                    tracing::debug!(job = %id, index, ?change, "transaction committed");
                 }
                 self.jobs.discard(&id, &indices);
                 if let Some(job) = self.jobs.get_mut(&id) {
@@ -441,7 +441,7 @@
                 }
             }
             StoreResponse::Conflict(revision) => {
-                tracing::debug!(job = %id, "changes were overtaken");
+                tracing::debug!(job = %id, "transaction conflict");
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.writing = Writing::Settling(Some(revision));
                 }
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -53,12 +53,12 @@
             machine.note_failure(id, self.now);
             machine.judge(|id| suspect(&self.scheduler.crash_loops, id));
             if machine.quarantined {
-                tracing::info!(%machine_id, "the machine is sick");
+                tracing::info!(%machine_id, "machine quarantined");
                 self.scheduler.crash_loops.quarantined(machine_id, self.now);
             }
         }
         if newly {
-            tracing::info!(job = %id, "fails wherever it is tried: tried seldom from now on");
+            tracing::info!(job = %id, "job crash-looping");
             // What it did to machines before that was not their fault.
             for (machine_id, machine) in self.machines.iter_mut() {
                 if machine.failed.contains_key(id) && ours(&machine) {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -119,7 +119,7 @@
             && self.now.since(self.contact.last_heartbeat) > one_way
             && !self.no_controller_receives_heartbeats()
         {
-            tracing::info!(expected, "no worker reaches us: giving up our blocks");
+            tracing::info!(expected, "no heartbeats received, releasing shards");
             self.contact.receives_heartbeats = false;
             self.contact.last_inspection = self.now + pause_of(self.contact.shard_release_streak);
             self.contact.shard_release_streak += 1;
@@ -139,7 +139,7 @@
 
     pub(super) fn on_inspected(&mut self, answered: bool) {
         if answered && !self.contact.receives_heartbeats {
-            tracing::info!("workers can be reached again");
+            tracing::info!("workers reachable again");
             self.contact.receives_heartbeats = true;
             self.contact.last_heartbeat = self.now;
         }
@@ -457,7 +457,7 @@
         }
         let mut failed = BTreeSet::new();
         for (job, cause) in &outcome.failures {
-            tracing::debug!(%job, %machine_id, ?cause, "a task failed");
+            tracing::debug!(%job, %machine_id, ?cause, "task failed");
             if *cause == ExitCause::Error {
                 failed.insert(job.clone());
             } else {
@@ -513,7 +513,7 @@
             if let Some(coming) = machine.coming.get(image) {
                 let took_s = self.now.since(coming.used).secs();
                 let others = machine.coming.len() - 1;
-                tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "fetched");
+                tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "image fetched");
             }
             if machine.note_image(image, gb, cache_gb, self.now) {
                 self.scheduler.candidates.touched.push(machine_id.clone());
@@ -561,7 +561,7 @@
             moved.extend(replica);
         }
         for (task, attempt, machine_id) in moved {
-            tracing::info!(?task, %machine_id, "moving a replica");
+            tracing::info!(?task, %machine_id, "replica migration started");
             let save = false;
             self.scheduler.stops.insert(task, Stop { attempt, save });
             self.push_commands(&machine_id);
--- a/src/controller/hierarchical_quota.rs
+++ b/src/controller/hierarchical_quota.rs
@@ -77,11 +77,10 @@
             self.quota.tree_status = standing;
             match standing {
                 TreeStatus::Differs => tracing::error!(
-                    "our file's tree differs from the one in force under the same revision: it is \
-                     not used before its revision is raised"
+                    "quota tree file conflicts with the active tree of the same revision: raise its revision"
                 ),
-                TreeStatus::Old => tracing::info!("a newer tree than our file's is in force"),
-                TreeStatus::New => tracing::info!("offering our file's tree"),
+                TreeStatus::Old => tracing::info!("quota tree file is older than the active one"),
+                TreeStatus::New => tracing::info!("quota tree offered"),
                 TreeStatus::None | TreeStatus::InForce => {}
             }
         }
@@ -253,7 +252,7 @@
         let Some(resources) = self.jobs.get(id).map(|job| job.spec.resources) else {
             return false;
         };
-        tracing::info!(job = %id, %machine_id, ?victims, "gathering room");
+        tracing::info!(job = %id, %machine_id, ?victims, "reclaiming capacity");
         let (now, pause) = (self.now, GATHERED.0 * GATHER_PAUSE);
         self.quota
             .reclaim_not_before
@@ -491,7 +490,7 @@
                 self.scheduler.stops.insert(task, Stop { attempt, save });
             }
             if !machine_ids.is_empty() {
-                tracing::info!(team = %team.name, %shard, ?machine_ids, "over a limit that was lowered");
+                tracing::info!(team = %team.name, %shard, ?machine_ids, "stopping tasks over lowered limit");
             }
             for machine_id in machine_ids {
                 self.push_commands(&machine_id);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -216,7 +216,7 @@
                         self.membership.leases.own = OwnLease::Held { lease_id, until };
                     }
                     (StoreResponse::NoLease, _) => {
-                        tracing::info!("our lease is over");
+                        tracing::info!("lease expired");
                         self.membership.leases.lose(&self.me);
                     }
                     // Perhaps an outage: the lease may well be there when it ends.
@@ -284,7 +284,7 @@
                     self.store_sync.list_open = false;
                     self.store_sync.synced = true;
                     self.store_sync.applied = self.store_sync.applied.max(start);
-                    tracing::info!(revision = start.0, "read all records");
+                    tracing::info!(revision = start.0, "cache synchronized");
                     self.autoscaler.arrivals_until = self.now;
                     self.autoscaler.arrivals_since = self.now;
                     self.autoscaler.arrivals.clear();
@@ -344,7 +344,7 @@
                 self.poll_watch();
             }
             StoreResponse::TooOld => {
-                tracing::info!("the watch fell behind: reading all records again");
+                tracing::info!("watch compacted, resyncing");
                 self.resync();
             }
             _ => self.store_sync.watch_not_before = self.now + RETRY,
@@ -418,11 +418,11 @@
         match moved {
             LeaseChange::Leader => {
                 if let Some(version) = self.leading() {
-                    tracing::info!(revision = version.0, "leading");
+                    tracing::info!(revision = version.0, "leadership acquired");
                     self.membership.leading_since = self.now;
                     self.start_leading();
                 } else if let Some(leader) = self.leader() {
-                    tracing::info!(%leader, "following");
+                    tracing::info!(%leader, "leader elected");
                 }
                 self.scheduler.forwarded.clear();
                 // Whoever waited for the old leader tries again.
@@ -442,7 +442,7 @@
                     .insert(shard.clone(), self.now);
                 let holder = self.membership.leases.shards.get(&shard);
                 if let Some((_, token)) = holder.filter(|(holder, _)| *holder == self.me) {
-                    tracing::info!(%shard, token = token.0, "holding");
+                    tracing::info!(%shard, token = token.0, "shard acquired");
                 }
             }
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -174,7 +174,7 @@
             self.quota.allocations_in_flight += 1;
         }
         self.commits.admission.wrote(written.len());
-        tracing::debug!(?purpose, changes = written.len(), "writing");
+        tracing::debug!(?purpose, changes = written.len(), "transaction sent");
         self.calls.store.insert(tag, (purpose, written));
         let call = StoreCall::Transaction(txn);
         self.effects.push(Effect::Store { tag, class, call });
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -100,7 +100,7 @@
         let over = |lease_id| self.membership.leases.is_over(LeaseId(lease_id));
         let went_on = Millis(status.without_store_ms) > self.settings.operator.lease;
         if status.lease_id.is_some_and(over) && !went_on {
-            tracing::debug!(%from, "a message of a process that is no more");
+            tracing::debug!(%from, "message from ended process dropped");
             return;
         }
         let (now, parts) = (self.now, self.settings.operator.blocks_per_zone);
@@ -126,7 +126,7 @@
             };
             let token = FencingToken(token);
             if self.membership.leases.supersede(&shard, &from, token) {
-                tracing::info!(%shard, holder = %from, token = token.0, "superseded");
+                tracing::info!(%shard, holder = %from, token = token.0, "fenced by higher token");
                 self.membership.shard_moved_at.insert(shard, now);
             }
         }
--- a/src/controller/placement.rs
+++ b/src/controller/placement.rs
@@ -203,7 +203,7 @@
     /// No machine of ours will do.
     fn not_placed(&mut self, id: &JobId, fails: u32, checks: BTreeSet<Check>, order: QueueKey) {
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
-        tracing::debug!(job = %id, fails, ?checks, "does not fit our blocks");
+        tracing::debug!(job = %id, fails, ?checks, "job does not fit own shards");
         let mut parked = checks;
         let nominated = self.scheduler.nominations.of(id, self.now).is_some();
         let gang = self.jobs.get(id).is_some_and(Job::whole_gang);
@@ -443,7 +443,7 @@
             let cached = machine.images.contains_key(&job.spec.image);
             let (class, age) = (&job.spec.class, self.now.since(job.born).secs());
             let image = job.spec.image.as_str();
-            tracing::debug!(job = %id, class, index, %machine_id, image, cached, age, "reserved");
+            tracing::debug!(job = %id, class, index, %machine_id, image, cached, age, "task reserved");
             let placement = Placement {
                 machine_id: machine_id.clone(),
                 shard: machine.shard.clone(),
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -141,7 +141,7 @@
             ..
         } in offers
         {
-            tracing::info!(job = %id, %machine_id, ?victims, "making room");
+            tracing::info!(job = %id, %machine_id, ?victims, "preempting");
             self.scheduler
                 .nominations
                 .add(id, &machine_id, resources, until);
@@ -219,7 +219,7 @@
             return false;
         };
         tracing::info!(job = %id, machine_ids = ?offers.iter().map(|o| &o.machine_id).collect::<Vec<_>>(),
-            "making room for a gang");
+            "preempting for gang");
         let until = self.now + NOMINATED;
         for offer in offers {
             self.scheduler
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -66,7 +66,7 @@
             .gate
             .ask(class, urgent, pending, allowed, now, luck);
         if let Err(pause) = asked {
-            tracing::debug!(job = %id, pending, pause, "too many submissions wait");
+            tracing::debug!(job = %id, pending, pause, "submission rejected by admission control");
             return self.tell(reply, Response::Later(pause));
         }
         let deployment = &self.settings.deployment;
@@ -112,7 +112,7 @@
                     self.proved();
                 }
                 _ => {
-                    tracing::debug!(job = %id, ?answer, "not accepted");
+                    tracing::debug!(job = %id, ?answer, "submission not accepted");
                     self.tell(reply, Response::later());
                 }
             }
@@ -164,7 +164,7 @@
             PendingRead::State { reply, job }
             | PendingRead::Refuse { reply, job, .. }
             | PendingRead::Abort { reply, job } => {
-                tracing::debug!(%job, "can't tell how new the cache is");
+                tracing::debug!(%job, "read barrier expired");
                 self.tell(reply, Response::later());
             }
             PendingRead::Clear { job } => self.clear(&job),
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -44,7 +44,7 @@
                 .any(|(h, _)| *h == self.me),
         };
         if self.partition.mode.begins(seen, self.now) {
-            tracing::info!("cut off: keeping our machines at work");
+            tracing::info!("partition mode entered");
             // Before we might crash: only marked machines may be renewed by others then.
             self.fence();
         }
@@ -54,7 +54,7 @@
     /// proves nothing, so they are given up.
     pub(super) fn leave_partition_mode(&mut self) {
         if let Some(kept) = self.partition.mode.end(self.now) {
-            tracing::info!(kept_s = kept.secs(), "the state service is there again");
+            tracing::info!(kept_s = kept.secs(), "partition mode left");
             self.membership.old_lease_ended = false;
             self.membership.leases.lose(&self.me);
         }
@@ -91,7 +91,7 @@
                 && inside.all(|(label, _)| !self.membership.leases.controllers.contains_key(label));
             if let Some(health) = self.partition.zone_health.observe(&zone, seen, self.now) {
                 let (machines, silent) = (seen.machines, seen.silent);
-                tracing::info!(%zone, ?health, machines, silent, "a zone stands otherwise");
+                tracing::info!(%zone, ?health, machines, silent, "zone health changed");
             }
         }
     }
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -122,12 +122,12 @@
         }
         (CloudCall::Delete(_), 200) => Ok(CloudResponse::Deleted),
         (_, status) => {
-            tracing::debug!(status, path, "the cloud refused");
+            tracing::debug!(status, path, "cloud request refused");
             Ok(CloudResponse::Failed)
         }
     };
     parsed.unwrap_or_else(|error| {
-        tracing::error!(%error, path, "the cloud's answer makes no sense");
+        tracing::error!(%error, path, "cloud response is invalid");
         CloudResponse::Failed
     })
 }
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -123,7 +123,7 @@
     let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
-            tracing::error!(%error, "a report makes no sense");
+            tracing::error!(%error, "heartbeat rejected");
             return Ok(reason(StatusCode::BAD_REQUEST, &error.to_string()));
         }
     };
@@ -241,7 +241,7 @@
         .or(ready)
         .unify();
     let listener = tokio::net::TcpListener::bind(address).await?;
-    tracing::info!(%address, "serving");
+    tracing::info!(%address, "HTTP server listening");
     let service = TowerToHyperService::new(warp::service(routes.recover(rejected)));
     connection_acceptor::serve(listener, service, || later(1), most, idle_timeouts, clock).await;
     Ok(())
--- a/src/jobs/cache.rs
+++ b/src/jobs/cache.rs
@@ -570,7 +570,7 @@
         let record: JobRecord = match serde_json::from_str(text) {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(job = %id, %error, "a job record makes no sense");
+                tracing::error!(job = %id, %error, "job record is invalid");
                 return RecordChange::default();
             }
         };
@@ -667,7 +667,7 @@
         match decode_page(text, job.record.page_len(page)) {
             Some(tasks) => self.set_page(id, page, Some(Page::new(version, tasks))),
             None => {
-                tracing::error!(job = %id, page, "a page of tasks makes no sense");
+                tracing::error!(job = %id, page, "task page is invalid");
                 RecordChange::default()
             }
         }
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -152,7 +152,7 @@
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(error) => {
-                tracing::error!(%address, %error, "can't listen for other controllers");
+                tracing::error!(%address, %error, "peer listener failed");
                 tokio::time::sleep(RECONNECT).await;
             }
         }
@@ -170,7 +170,7 @@
                 });
             }
             Err(error) => {
-                tracing::error!(%error, "can't accept another controller");
+                tracing::error!(%error, "peer connection accept failed");
                 tokio::time::sleep(RECONNECT).await;
             }
         }
@@ -182,15 +182,15 @@
     let from = match hello.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
         Ok(Message::Hello { version, label }) if version == VERSION => ControllerId::from(label),
         Ok(Message::Hello { version, label }) => {
-            tracing::error!(version, label, "another controller speaks another version");
+            tracing::error!(version, label, "peer protocol version mismatch");
             return;
         }
         Ok(_) => {
-            tracing::error!("another controller did not say who it is");
+            tracing::error!("peer sent no hello");
             return;
         }
         Err(error) => {
-            tracing::debug!(%error, "no greeting from another controller");
+            tracing::debug!(%error, "peer hello failed");
             return;
         }
     };
@@ -207,7 +207,7 @@
                 }
             }
             Err(error) => {
-                tracing::debug!(%from, %error, "lost another controller's connection");
+                tracing::debug!(%from, %error, "peer connection lost");
                 return;
             }
         }
--- a/src/quota/hierarchical.rs
+++ b/src/quota/hierarchical.rs
@@ -327,12 +327,12 @@
         let force = match force(&head, &texts, &self.platform) {
             Ok(force) => force,
             Err(error) => {
-                tracing::error!(%error, "the tree of quotas in force makes no sense");
+                tracing::error!(%error, "quota tree record is invalid");
                 return false;
             }
         };
         let nodes = force.as_ref().map_or(0, |f| f.shares.tree().nodes.len());
-        tracing::info!(revision = head.revision, nodes, "tree of quotas in force");
+        tracing::info!(revision = head.revision, nodes, "quota tree activated");
         self.force = force;
         self.version = self.head_version;
         true
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -97,7 +97,7 @@
                 // Whoever it is finds another controller sooner than we find room.
                 Ok(_) => door.turned_away += 1,
                 Err(error) => {
-                    tracing::error!(%error, "can't accept a connection");
+                    tracing::error!(%error, "connection accept failed");
                     tokio::time::sleep(REFUSED).await;
                 }
             },
@@ -147,7 +147,7 @@
             tracing::info!(
                 open,
                 turned_away = self.turned_away,
-                "connections are turned away"
+                "connections rejected"
             );
             self.turned_away = 0;
         }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -105,7 +105,7 @@
                 },
                 Some(call) = over_limit.recv() => {
                     let call: Waiting<(u64, StoreCall)> = call;
-                    tracing::debug!(call.writes, ?call.class, "over the state service's limit");
+                    tracing::debug!(call.writes, ?call.class, "store rate limit exceeded");
                     self.lanes.over_limit(call, self.clock.now());
                 }
                 () = pause => {}
@@ -130,7 +130,7 @@
             let waited = now.since(call.asked).0;
             if waited > 500 {
                 let class = call.class;
-                tracing::debug!(?class, waited, "the budget kept a call waiting");
+                tracing::debug!(?class, waited, "store call delayed by rate limit");
             }
             let (client, answers) = (self.client.clone(), self.answers.clone());
             let refused = refused.clone();
@@ -155,7 +155,7 @@
     match serde_json::from_slice(body) {
         Ok(value) => then(value),
         Err(error) => {
-            tracing::error!(%error, "the state service's answer makes no sense");
+            tracing::error!(%error, "store response is invalid");
             StoreResponse::Unknown
         }
     }
@@ -182,7 +182,7 @@
         StoreCall::Transaction(txn) => match txn_body(txn) {
             Ok(body) => (Method::POST, "/txn".into(), body, CALL_LIMIT),
             Err(error) => {
-                tracing::error!(%error, "a transaction can't be written as JSON");
+                tracing::error!(%error, "transaction serialization failed");
                 return (StoreResponse::Refused, false);
             }
         },
@@ -244,7 +244,7 @@
         }),
         (StoreCall::Watch { .. }, 410) => StoreResponse::TooOld,
         (_, status) => {
-            tracing::error!(status, path, "the state service gave an unexpected status");
+            tracing::error!(status, path, "unexpected store response status");
             StoreResponse::Unknown
         }
     };
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -177,7 +177,7 @@
             given_up.push(suspect.machine_id);
         }
         if held > 0 {
-            tracing::debug!(held, "silent machines are left alone");
+            tracing::debug!(held, "silent machines retained");
         }
         given_up
     }
