--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -1,5 +1,5 @@
 //! Meetings of troubles: each brought about, and seen to have taken place. What could go wrong in each
-//! and what prevents it: docs/meetings.md.
+//! and what prevents it: docs/combined-faults.md.
 
 mod holders;
 mod machines;
--- a/tests/models/late_writes.rs
+++ b/tests/models/late_writes.rs
@@ -1,7 +1,7 @@
 //! Every order in which two holders of one machine, the second in place of the first, write of one task by
 //! transactions that may be carried out late, after newer ones, while its user cancels. The task is never
 //! on two machines, and on none once its user was told. Each of four conditions, left out, breaks it; the
-//! job's version does not, as starts look at its phase too. The argument is in docs/meetings.md.
+//! job's version does not, as starts look at its phase too. The argument is in docs/combined-faults.md.
 
 /// So many attempts, and changes of the task's page, are looked at.
 const MOST_ATTEMPTS: u8 = 2;
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -1,7 +1,7 @@
 //! Every order of events around one worker whose controllers are cut off, crash and come back, up
 //! to a bound: no task is placed twice, and none is left when its user hears that the job is
 //! cancelled. Each condition that this rests on, left out, breaks it. The argument is in
-//! docs/zones.md.
+//! docs/network-partitions.md.
 
 use jaspertiller::types::{FencingToken, WorkerToken};
 use jaspertiller::zones::partition_mode::may_renew;
