--- /dev/null
+++ b/tests/wire_format/cloud.rs
@@ -0,0 +1,118 @@
+//! The cloud: requests as written, answers as read.
+
+use jaspertiller::clock::Clock;
+use jaspertiller::fleet::client::Cloud;
+use jaspertiller::fleet::{CloudAnswer, CloudCall, Flavor, Stage};
+use tokio::sync::mpsc;
+
+use crate::Fixtures;
+use crate::loopback::service;
+use crate::settings::settings;
+
+fn show_flavor(flavor: &Flavor) -> String {
+    let (room, zones) = (flavor.room, &flavor.zones);
+    format!(
+        "{} {}/{}/{} cache {} fetch {} price {} spot {} boot {} in {zones:?}",
+        flavor.sku,
+        room.cpus,
+        room.gpus,
+        room.memory_gb,
+        flavor.cache_gb,
+        flavor.fetch_gb_per_s,
+        flavor.price,
+        flavor.spot_price,
+        flavor.boot_s,
+    )
+}
+
+fn stage(stage: Stage) -> &'static str {
+    match stage {
+        Stage::Booting => "booting",
+        Stage::Running => "running",
+        Stage::Failed => "failed",
+    }
+}
+
+/// An answer in words of this test.
+fn show(answer: &CloudAnswer) -> String {
+    match answer {
+        CloudAnswer::Flavors(flavors) => {
+            let shown: Vec<String> = flavors.iter().map(show_flavor).collect();
+            format!("types: {}", shown.join("; "))
+        }
+        CloudAnswer::Page { hosts, more } => {
+            let hosts = hosts.iter().map(|h| {
+                let (stage, age) = (stage(h.stage), h.age.0);
+                format!(
+                    "{} {} {} {} {stage} {age} ms",
+                    h.host, h.rig, h.zone, h.spot
+                )
+            });
+            let shown: Vec<String> = hosts.collect();
+            format!("page: {}; more {more}", shown.join("; "))
+        }
+        CloudAnswer::Rented(hosts) => format!("rented {hosts:?}"),
+        CloudAnswer::NoCapacity => "no capacity".into(),
+        CloudAnswer::Deleted => "deleted".into(),
+        CloudAnswer::Failed => "failed".into(),
+    }
+}
+
+/// Each call: what is asked, and what is understood of the answer in the file beside.
+#[tokio::test]
+async fn calls() {
+    let requests = include_str!("fixtures/cloud-requests.txt");
+    let mut requests = Fixtures::new("cloud-requests.txt", requests);
+    let answers = include_str!("fixtures/cloud-answers.txt");
+    let mut answers = Fixtures::new("cloud-answers.txt", answers);
+    let list = |after: Option<&str>| CloudCall::List {
+        after: after.map(Into::into),
+    };
+    let rent = |spot| CloudCall::Rent {
+        hire: "n1-41-7".into(),
+        offer: ("g8".into(), "a".into(), spot),
+        count: 5,
+    };
+    let delete = || CloudCall::Delete(vec!["vm-000231".into(), "vm-000232".into()]);
+    let cases = [
+        (
+            "types",
+            CloudCall::Flavors,
+            "types: g8 96/8/768.5 cache 200 fetch 0.25 price 9.75 spot 3.125 boot 45.5 in [a, b]; \
+             c16 16/0/64 cache 0 fetch 0 price 0.5 spot 0 boot 0 in []",
+        ),
+        ("types-nonsense", CloudCall::Flavors, "failed"),
+        (
+            "list",
+            list(None),
+            "page: vm-1 g8 a true booting 1500 ms; vm-2 c16 b false running 0 ms; \
+             vm-3 c16 b false failed 90000 ms; more true",
+        ),
+        ("list-on", list(Some("vm-3")), "page: ; more false"),
+        ("rent-spot", rent(true), "rented [vm-000231, vm-000232]"),
+        ("rent", rent(false), "rented []"),
+        ("rent-no-capacity", rent(false), "no capacity"),
+        ("rent-not-now", rent(false), "failed"),
+        ("delete", delete(), "deleted"),
+        ("delete-failed", delete(), "failed"),
+        ("over-the-limit", list(None), "failed"),
+    ];
+    let given = cases.iter().map(|(name, ..)| answers.text(name).into());
+    let (address, mut asked) = service(given.collect()).await;
+    let mut settings = settings();
+    settings.outside.cloud = address;
+    // So much that no call waits.
+    settings.deployment.cloud.rps = 1e6;
+    let (tell, mut told) = mpsc::unbounded_channel();
+    let cloud = Cloud::start(&settings, Clock::start(), tell);
+    for (tag, (name, call, expected)) in (0..).zip(cases) {
+        cloud.send(tag, call);
+        requests.writes(name, &asked.recv().await.unwrap());
+        let answer = told.recv().await.unwrap();
+        answers.check(name, "tag", answer.tag, tag);
+        let shown = show(&answer.answer);
+        answers.check(name, "is read differently", shown.as_str(), expected);
+    }
+    requests.finish();
+    answers.finish();
+}
--- /dev/null
+++ b/tests/wire_format/main.rs
@@ -0,0 +1,99 @@
+//! Wire and storage formats, byte for byte.
+//!
+//! The files under `fixtures/` hold what commit 1d0d99e wrote and what its peers send it: records
+//! of the state service, frames between controllers, and HTTP bodies. They stand for data that is
+//! already stored and for processes that already run, so they are never written anew: a format that
+//! changes on purpose gets cases of its own, and these stay for as long as they must be read.
+//!
+//! Identifiers of the library may be renamed freely; a name in a fixture may not.
+
+mod cloud;
+mod loopback;
+mod peers;
+mod records;
+mod settings;
+mod store;
+mod users;
+mod workers;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// The cases of one fixture file: a line each, `name: text`. Every case must be used, and all that
+/// fail are named together.
+struct Fixtures {
+    file: &'static str,
+    texts: BTreeMap<&'static str, &'static str>,
+    used: BTreeSet<String>,
+    failures: Vec<String>,
+}
+
+impl Fixtures {
+    fn new(file: &'static str, content: &'static str) -> Self {
+        let mut texts = BTreeMap::new();
+        for line in content.lines() {
+            let (name, text) = line.split_once(": ").expect("a line is `name: text`");
+            assert!(texts.insert(name, text).is_none(), "{file}: {name} twice");
+        }
+        Self {
+            file,
+            texts,
+            used: BTreeSet::new(),
+            failures: Vec::new(),
+        }
+    }
+
+    /// The text of a case; empty, and a failure, if there is none.
+    fn text(&mut self, name: &str) -> &'static str {
+        self.used.insert(name.into());
+        let text = self.texts.get(name).copied();
+        if text.is_none() {
+            self.fail(name, "has no fixture".into());
+        }
+        text.unwrap_or_default()
+    }
+
+    fn fail(&mut self, name: &str, why: String) {
+        self.failures.push(format!("{}: {name}: {why}", self.file));
+    }
+
+    /// What was found must be what is expected.
+    fn check<T: PartialEq + Debug>(&mut self, name: &str, what: &str, found: T, expected: T) {
+        if found != expected {
+            let why = format!("{what}\n     found: {found:?}\n  expected: {expected:?}");
+            self.fail(name, why);
+        }
+    }
+
+    /// The code must write exactly the fixture.
+    fn writes(&mut self, name: &str, written: &str) {
+        let text = self.text(name);
+        self.check(name, "is written differently", written, text);
+    }
+
+    /// A JSON record must be read from its fixture, and written as it is there.
+    fn round_trips<T>(&mut self, name: &str, record: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        let written = serde_json::to_string(record).expect("a record can be written");
+        self.writes(name, &written);
+        let text = self.texts.get(name).copied().unwrap_or_default();
+        match serde_json::from_str::<T>(text) {
+            Ok(read) => self.check(name, "is read differently", &read, record),
+            Err(error) => self.fail(name, format!("can't be read: {error}")),
+        }
+    }
+
+    fn finish(mut self) {
+        for name in std::mem::take(&mut self.texts).into_keys() {
+            if !self.used.contains(name) {
+                self.fail(name, "no case uses this fixture".into());
+            }
+        }
+        assert!(self.failures.is_empty(), "\n{}\n", self.failures.join("\n"));
+    }
+}
--- /dev/null
+++ b/tests/wire_format/store.rs
@@ -0,0 +1,126 @@
+//! The state service: requests as written, answers as read.
+
+use jaspertiller::clock::Clock;
+use jaspertiller::store::{Answer, Call, Class, Store, Txn, Update};
+use jaspertiller::types::{Permit, Revision};
+use tokio::sync::mpsc;
+
+use crate::Fixtures;
+use crate::loopback::service;
+use crate::settings::settings;
+
+/// An answer in words of this test.
+fn show(answer: &Answer) -> String {
+    match answer {
+        Answer::Granted(permit) => format!("lease {}", permit.0),
+        Answer::Renewed => "renewed".into(),
+        Answer::Ended => "ended".into(),
+        Answer::NoLease => "no lease".into(),
+        Answer::Committed(revision) => format!("committed at {}", revision.0),
+        Answer::Conflict(revision) => format!("conflict at {}", revision.0),
+        Answer::Revision(revision) => format!("revision {}", revision.0),
+        Answer::Page {
+            entries,
+            more,
+            revision,
+        } => {
+            let entries = entries.iter();
+            let entries = entries.map(|e| format!("{}={}@{}", e.key, e.data.get(), e.version.0));
+            let entries: Vec<String> = entries.collect();
+            format!("page {entries:?} more {more} at {}", revision.0)
+        }
+        Answer::Updates { updates, revision } => {
+            let updates = updates.iter().map(|update| match update {
+                Update::Put(e) => format!("{}={}@{}", e.key, e.data.get(), e.version.0),
+                Update::Dropped { key, version } => format!("-{key}@{}", version.0),
+            });
+            let updates: Vec<String> = updates.collect();
+            format!("updates {updates:?} at {}", revision.0)
+        }
+        Answer::TooOld => "too old".into(),
+        Answer::Refused => "refused".into(),
+        Answer::Unknown => "unknown".into(),
+    }
+}
+
+/// A compare-and-swap with each kind of condition and change.
+fn txn() -> Call {
+    let mut txn = Txn::default();
+    txn.require("jt/job/job-000412".into(), Revision(0));
+    txn.require("jt/block/a.1".into(), Revision(501));
+    txn.put_text("jt/job/job-000412".into(), r#"{"a":[1,null]}"#.into(), None);
+    txn.put_leased("jt/block/a.1".into(), &["n1"], Permit(7001));
+    txn.put("jt/flavors".into(), &0.5);
+    txn.drop_key("jt/task/job-000412/17".into());
+    Call::Txn(txn)
+}
+
+/// Each call: what is asked, and what is understood of the answer in the file beside.
+#[tokio::test]
+async fn calls() {
+    let requests = include_str!("fixtures/store-requests.txt");
+    let mut requests = Fixtures::new("store-requests.txt", requests);
+    let answers = include_str!("fixtures/store-answers.txt");
+    let mut answers = Fixtures::new("store-answers.txt", answers);
+    let list = |after: Option<&str>| Call::List {
+        after: after.map(String::from),
+    };
+    let follow = || Call::Follow {
+        from: Revision(431),
+        wait_ms: 2_500,
+    };
+    let renew = || Call::Renew(Permit(7001));
+    let end = || Call::End(Permit(7001));
+    let grant = || Call::Grant { life_ms: 5_000 };
+    let cases = [
+        ("grant", grant(), "lease 7001"),
+        ("grant-nonsense", grant(), "unknown"),
+        ("renew", renew(), "renewed"),
+        ("renew-too-late", renew(), "no lease"),
+        ("end", end(), "ended"),
+        ("end-empty", end(), "ended"),
+        ("end-too-late", end(), "ended"),
+        ("txn", txn(), "committed at 433"),
+        ("txn-conflict", txn(), "conflict at 434"),
+        ("txn-without-lease", txn(), "no lease"),
+        ("txn-empty", Call::Txn(Txn::default()), "committed at 435"),
+        ("revision", Call::ReadRevision, "revision 436"),
+        (
+            "list",
+            list(None),
+            r#"page ["jt/lead={\"a\": [1, 2]}@431", "jt/tree=null@432"] more true at 433"#,
+        ),
+        (
+            "list-on",
+            list(Some("jt/task/job-000412/17")),
+            "page [] more false at 433",
+        ),
+        (
+            "follow",
+            follow(),
+            r#"updates ["jt/lead={\"a\":1}@432", "-jt/block/a.1@433"] at 434"#,
+        ),
+        ("follow-nothing", follow(), "updates [] at 431"),
+        ("follow-too-old", follow(), "too old"),
+        ("over-the-limit", renew(), "refused"),
+        ("not-now", txn(), "refused"),
+        ("unexpected", renew(), "unknown"),
+    ];
+    let given = cases.iter().map(|(name, ..)| answers.text(name).into());
+    let (address, mut asked) = service(given.collect()).await;
+    let mut settings = settings();
+    settings.outside.state = address;
+    let (tell, mut told) = mpsc::unbounded_channel();
+    let store = Store::start(&settings, Clock::start(), tell);
+    for (tag, (name, call, expected)) in (0..).zip(cases) {
+        // Leases do not wait for the budget.
+        store.send(tag, Class::Leases, call);
+        requests.writes(name, &asked.recv().await.unwrap());
+        let answer = told.recv().await.unwrap();
+        answers.check(name, "tag", answer.tag, tag);
+        let shown = show(&answer.answer);
+        answers.check(name, "is read differently", shown.as_str(), expected);
+    }
+    requests.finish();
+    answers.finish();
+}
--- /dev/null
+++ b/tests/wire_format/users.rs
@@ -0,0 +1,205 @@
+//! The users' interface: submissions as read, refusals, and responses as written.
+
+use jaspertiller::fleet::Flavor;
+use jaspertiller::jobs::api::{self, JobState, Refusal, Response, Stage};
+use jaspertiller::jobs::{Rank, Shape, Spec};
+use jaspertiller::types::Room;
+
+use crate::Fixtures;
+use crate::loopback::{Reply, ask, server};
+use crate::records::{bare_spec, full_spec, spec_of};
+use crate::settings::settings;
+
+/// `status reason`, after the job that it is about.
+fn show(job: Option<&str>, why: &Refusal) -> String {
+    let job = job.unwrap_or("unknown job");
+    match why {
+        Refusal::Malformed(reason) => format!("{job} 400 {reason}"),
+        Refusal::NeverRuns(reason) => format!("{job} 422 {reason}"),
+    }
+}
+
+#[test]
+fn submissions() {
+    let mut fixtures = Fixtures::new("submissions.txt", include_str!("fixtures/submissions.txt"));
+    let cases = [
+        ("every-field", full_spec()),
+        ("optional-fields-absent", bare_spec()),
+        ("optional-fields-null", bare_spec()),
+        ("unknown-field", bare_spec()),
+        ("array-best-effort", spec_of(Shape::Array, Rank::BestEffort)),
+        ("gang-urgent", spec_of(Shape::Gang, Rank::Urgent)),
+        ("service-critical", spec_of(Shape::Service, Rank::Critical)),
+    ];
+    for (name, spec) in cases {
+        match api::parse(fixtures.text(name).as_bytes()) {
+            Ok((job, read)) => {
+                fixtures.check(name, "job", job.as_str(), "job-000412");
+                fixtures.check(name, "is read differently", read, spec);
+            }
+            Err(refused) => fixtures.fail(name, format!("is refused: {:?}", refused.why)),
+        }
+    }
+    fixtures.finish();
+}
+
+/// What makes no sense, and the answer to each in the file beside.
+#[test]
+fn malformed_submissions() {
+    let bodies = include_str!("fixtures/malformed-submissions.txt");
+    let mut bodies = Fixtures::new("malformed-submissions.txt", bodies);
+    let answers = include_str!("fixtures/malformed-submissions-answers.txt");
+    let mut answers = Fixtures::new("malformed-submissions-answers.txt", answers);
+    let names: Vec<&str> = bodies.texts.keys().copied().collect();
+    for name in names {
+        match api::parse(bodies.text(name).as_bytes()) {
+            Ok(_) => bodies.fail(name, "is accepted".into()),
+            Err(refused) => {
+                let job = refused.id.as_ref().map(|id| id.as_str());
+                answers.writes(name, &show(job, &refused.why));
+            }
+        }
+    }
+    let large = " ".repeat(api::LARGEST_BODY + 1);
+    let refused = api::parse(large.as_bytes()).unwrap_err();
+    answers.writes("too-large", &show(None, &refused.why));
+    bodies.finish();
+    answers.finish();
+}
+
+fn flavor() -> Flavor {
+    Flavor {
+        sku: "g8".into(),
+        room: Room {
+            cpus: 96.0,
+            gpus: 8.0,
+            memory_gb: 768.0,
+        },
+        cache_gb: 200.0,
+        fetch_gb_per_s: 0.25,
+        price: 9.0,
+        spot_price: 3.0,
+        boot_s: 45.0,
+        zones: vec!["a".into()],
+    }
+}
+
+/// Jobs that can never run.
+#[test]
+fn impossible_submissions() {
+    let answers = include_str!("fixtures/impossible-submissions-answers.txt");
+    let mut fixtures = Fixtures::new("impossible-submissions-answers.txt", answers);
+    let gang = |tasks| Spec {
+        tasks,
+        ..spec_of(Shape::Gang, Rank::Normal)
+    };
+    let cases = [
+        (
+            "no-such-team",
+            Spec {
+                team: "nobody".into(),
+                ..bare_spec()
+            },
+        ),
+        (
+            "fits-no-machine",
+            Spec {
+                yard: Some("z".into()),
+                ..bare_spec()
+            },
+        ),
+        (
+            "spread-in-one-zone",
+            Spec {
+                spread: true,
+                ..gang(3)
+            },
+        ),
+        ("over-the-limit", gang(21)),
+    ];
+    for (name, spec) in cases {
+        match api::admit(spec, &settings(), &[flavor()]) {
+            Ok(_) => fixtures.fail(name, "is admitted".into()),
+            Err(why) => fixtures.writes(name, &show(Some("job-1"), &why)),
+        }
+    }
+    // Types that don't exist are dropped from the list, and doubles.
+    let listed = Spec {
+        rigs: Some(vec!["g8".into(), "g8".into(), "x1".into()]),
+        ..bare_spec()
+    };
+    let admitted = api::admit(listed, &settings(), &[flavor()]).map(|spec| spec.rigs);
+    assert_eq!(admitted, Ok(Some(vec!["g8".into()])));
+    fixtures.finish();
+}
+
+fn state(stage: Stage) -> Response {
+    Response::State(JobState {
+        id: "job-000412".into(),
+        stage,
+        done: 12,
+        running: 7,
+    })
+}
+
+#[tokio::test]
+async fn responses() {
+    let file = include_str!("fixtures/responses.txt");
+    let mut fixtures = Fixtures::new("responses.txt", file);
+    let (submit, poll) = ("POST /api/jobs", "GET /api/jobs/job-000412");
+    let abort = "POST /api/jobs/job-000412/abort";
+    let malformed = || Response::Malformed("picks: a \"quoted\" reason".into());
+    let never = || Response::NeverRuns("crew: no team is called x".into());
+    let cases = [
+        ("accepted", submit, Response::Accepted("job-000412".into())),
+        ("known", submit, state(Stage::Running)),
+        ("malformed", submit, malformed()),
+        ("never-runs", submit, never()),
+        ("not-now", submit, Response::later()),
+        ("queued", poll, state(Stage::Queued)),
+        ("running", poll, state(Stage::Running)),
+        ("done", poll, state(Stage::Done)),
+        ("aborted", poll, state(Stage::Aborted)),
+        ("unknown", poll, Response::Unknown),
+        ("poll-not-now", poll, Response::Later(7)),
+        ("abort-done", abort, state(Stage::Aborted)),
+        ("abort-unknown", abort, Response::Unknown),
+    ];
+    let replies = cases.iter().map(|(_, _, r)| Reply::User(r.clone()));
+    let (address, mut told) = server(replies.collect()).await;
+    let body = include_str!("fixtures/submissions.txt");
+    let (_, body) = body.lines().next().unwrap().split_once(": ").unwrap();
+    for (name, asked, _) in &cases {
+        let sent = if *asked == submit { body } else { "" };
+        fixtures.writes(name, &ask(address, asked, sent).await);
+        let expected = match *asked {
+            asked if asked == submit => "submit job-000412",
+            asked if asked == poll => "poll job-000412",
+            _ => "abort job-000412",
+        };
+        let understood = told.recv().await;
+        fixtures.check(name, "is understood", understood.as_deref(), Some(expected));
+    }
+    // What the controller is not asked about.
+    for (name, asked) in [
+        ("no-such-path", "GET /api/job/job-1"),
+        ("no-such-method", "DELETE /api/jobs/job-1"),
+    ] {
+        fixtures.writes(name, &ask(address, asked, "").await);
+    }
+    let large = " ".repeat(api::LARGEST_BODY + 1);
+    let answer = ask(address, submit, &large).await;
+    fixtures.writes("too-large", &answer);
+    fixtures.finish();
+}
+
+#[tokio::test]
+async fn readiness() {
+    let file = include_str!("fixtures/readiness.txt");
+    let mut fixtures = Fixtures::new("readiness.txt", file);
+    let (address, _told) = server(vec![Reply::Ready(true), Reply::Ready(false)]).await;
+    for name in ["ready", "not-ready"] {
+        fixtures.writes(name, &ask(address, "GET /ready", "").await);
+    }
+    fixtures.finish();
+}
