--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -331,8 +331,8 @@
             let (key_of, page_of) = (format!("{name}-key-{at}"), format!("{name}-page-{at}"));
             fixtures.writes(&key_of, key);
             fixtures.writes(&page_of, text);
-            let (key, text) = (fixtures.text(&key_of), fixtures.text(&page_of));
             writer.feed(key, Some(text), Revision(5));
+            let (key, text) = (fixtures.text(&key_of), fixtures.text(&page_of));
             reader.feed(key, Some(text), Revision(5));
         }
         let Owed::Head(head, version) = writer.owed(10) else {
