--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,79 +1,218 @@
-//! Calls of this controller to the key-value store and the cloud that have not been answered yet.
+//! Calls of this controller to the key-value store and the cloud: sends them, remembers what each is for,
+//! and dispatches the store's answers to the steps that wait for them.
 
 use rustc_hash::FxHashMap as HashMap;
 
+use super::{Controller, Effect};
 use crate::fleet::CloudCall;
 use crate::jobs::cache::TaskChange;
+use crate::quota::SHARES;
+use crate::store::{CallClass, Mutation, StoreCall, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision, ShardId};
 
-/// What an answer of the state service is for.
+/// What a call to the key-value store is for.
 #[derive(Debug)]
 pub(super) enum CallPurpose {
+    /// Obtains a lease.
     Grant {
+        /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
+    /// Renews our lease.
     Renew {
+        /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
+    /// Ends the lease of the process that had our label before.
     EndOld,
+    /// Writes our controller record.
     Register,
+    /// Takes the leadership.
     Lead,
+    /// Assigns shards to controllers, as the leader.
     Assign,
+    /// Reads a page of the snapshot of all records.
     List,
+    /// Waits for changes of records.
     Watch,
+    /// Reads the store's revision, for read barriers.
     Revision,
+    /// Writes a job that a user submitted.
     Submit {
+        /// The new job.
         job: JobId,
     },
+    /// Writes the cancellation of a job.
     Abort {
+        /// The user's request.
         reply: ReplyId,
+        /// The job to cancel.
         job: JobId,
     },
+    /// Writes placements and ends of a job's tasks.
     Changes {
+        /// The job whose tasks change.
         job: JobId,
+        /// The changes, by the index of their task.
         changes: Vec<(u32, TaskChange)>,
     },
+    /// Deletes the description of a job that is over.
     Clear {
+        /// The job that is over.
         job: JobId,
     },
-    /// Pages of jobs that are over.
+    /// Deletes pages of jobs that are over.
     Dropped,
-    /// New shares of the teams' limits.
+    /// Writes new allocations of the teams' quotas to shards.
     Deal {
-        /// A shard whose share it is conditioned on, and the version of that.
+        /// A shard whose allocation the transaction is conditioned on, and the version of that.
         rests_on: (ShardId, Revision),
     },
-    /// The tree of quotas, page by page.
+    /// Writes a page of the quota tree.
     Tree,
-    /// Makes sure that a transaction of unknown fate is not applied from now on.
+    /// Fences off a transaction of unknown outcome: if it has not been applied, it never will be.
     FenceOff {
+        /// The jobs whose transactions are resolved with it.
         jobs: Vec<JobId>,
+        /// The shard whose allocation is written for it.
         shard: ShardId,
     },
-    /// Who may write how much.
+    /// Writes the plan of which controller may write how much.
     Plan,
-    /// Nobody waits for it.
+    /// A write whose outcome no step waits for.
     Note,
 }
 
-/// The records that a transaction writes, or drops.
-pub(super) type WrittenRecords = Vec<(String, Option<String>)>;
+/// A record that a transaction writes.
+#[derive(Debug)]
+pub(super) struct WrittenRecord {
+    /// The record's key.
+    pub(super) key: String,
+    /// Its new contents; none if the record is deleted.
+    pub(super) data: Option<String>,
+}
+
+/// The records that a transaction writes or deletes; none for calls that only read.
+pub(super) type WrittenRecords = Vec<WrittenRecord>;
+
+impl From<&Mutation> for WrittenRecord {
+    fn from(mutation: &Mutation) -> Self {
+        match mutation {
+            Mutation::Put { key, data, .. } => Self {
+                key: key.clone(),
+                data: Some(data.clone()),
+            },
+            Mutation::Drop { key } => Self {
+                key: key.clone(),
+                data: None,
+            },
+        }
+    }
+}
+
+/// Whether one of the records is an allocation of quota to a shard.
+fn writes_quota_allocation(written: &[WrittenRecord]) -> bool {
+    written.iter().any(|record| record.key.starts_with(SHARES))
+}
 
 /// Calls in flight, by the tag that their response carries.
 #[derive(Debug)]
 pub(super) struct Calls {
-    pub(super) next_tag: u64,
-    /// What each call to the key-value store is for, and the records that a transaction writes.
+    /// The tag of the latest call; each call has its own.
+    last_tag: u64,
+    /// What each call to the key-value store is for, and the records that it writes.
     pub(super) store: HashMap<u64, (CallPurpose, WrittenRecords)>,
+    /// Calls to the cloud.
     pub(super) cloud: HashMap<u64, CloudCall>,
 }
 
 impl Calls {
+    /// No calls in flight.
     pub(super) fn new() -> Self {
         Self {
-            next_tag: 1,
+            last_tag: 1,
             store: HashMap::default(),
             cloud: HashMap::default(),
         }
     }
+
+    fn next_tag(&mut self) -> u64 {
+        self.last_tag += 1;
+        self.last_tag
+    }
+}
+
+impl Controller {
+    /// A tag for a new call.
+    pub(super) fn tag(&mut self) -> u64 {
+        self.calls.next_tag()
+    }
+
+    /// Sends a call that writes no records. Its answer comes back to the step that `purpose` names.
+    pub(super) fn call_store(&mut self, class: CallClass, call: StoreCall, purpose: CallPurpose) {
+        let tag = self.tag();
+        self.calls.store.insert(tag, (purpose, Vec::new()));
+        self.effects.push(Effect::Store { tag, class, call });
+    }
+
+    /// Sends a transaction. Its records are applied to the cache as soon as it is known to be committed.
+    pub(super) fn transact(&mut self, class: CallClass, txn: Transaction, purpose: CallPurpose) {
+        let tag = self.tag();
+        let written: WrittenRecords = txn.changes.iter().map(WrittenRecord::from).collect();
+        if writes_quota_allocation(&written) {
+            self.quota.allocations_in_flight += 1;
+        }
+        self.commits.admission.wrote(written.len());
+        tracing::debug!(?purpose, changes = written.len(), "transaction sent");
+        self.calls.store.insert(tag, (purpose, written));
+        let call = StoreCall::Transaction(txn);
+        self.effects.push(Effect::Store { tag, class, call });
+    }
+
+    /// Takes in an answer of the store: first what it tells about the store and the records, whatever the
+    /// call was for, then the step that waits for it.
+    pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
+        let Some((purpose, written)) = self.calls.store.remove(&tag) else {
+            return;
+        };
+        if writes_quota_allocation(&written) {
+            self.quota.allocations_in_flight -= 1;
+        }
+        if !matches!(answer, StoreResponse::Refused | StoreResponse::Unknown) {
+            self.store_sync.last_response = self.now;
+            self.leave_partition_mode();
+        }
+        if let StoreResponse::Committed(revision) = answer {
+            // The watch brings these records again later, when they are no longer newer.
+            for record in written {
+                self.apply(&record.key, record.data.as_deref(), revision);
+            }
+        }
+        self.dispatch_store_response(purpose, answer);
+        self.tell_cancelled();
+    }
+
+    fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
+        match purpose {
+            CallPurpose::Grant { sent } => self.on_lease_granted(sent, answer),
+            CallPurpose::Renew { sent } => self.on_lease_renewed(sent, answer),
+            CallPurpose::EndOld => self.on_old_lease_ended(&answer),
+            CallPurpose::Register => self.on_registered(&answer),
+            CallPurpose::Lead => self.on_leadership_written(&answer),
+            CallPurpose::Assign => self.on_shards_assigned(),
+            CallPurpose::List => self.on_list(answer),
+            CallPurpose::Watch => self.on_watch(answer),
+            CallPurpose::Revision => self.on_revision(answer),
+            CallPurpose::Submit { job } => self.on_submitted(job, answer),
+            CallPurpose::Abort { reply, job } => self.on_aborted(reply, job, answer),
+            CallPurpose::Changes { job, changes } => self.on_changes(job, changes, answer),
+            CallPurpose::Clear { job } => self.on_cleared(job),
+            CallPurpose::Dropped => self.commits.deleting_pages = false,
+            CallPurpose::Deal { rests_on } => self.on_allocated(rests_on, answer),
+            CallPurpose::Tree => self.on_tree(&answer),
+            CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
+            CallPurpose::Plan => self.commits.admission.writing = false,
+            CallPurpose::Note => {}
+        }
+    }
 }
--- /dev/null
+++ b/src/controller/membership/shard_assignment.rs
@@ -0,0 +1,81 @@
+//! The leader's assignment of shards to controllers, written record by record with the conditions that
+//! make a stale decision fail.
+
+use super::super::{CallPurpose, Controller};
+use super::MembershipStep;
+use crate::lease::{self, LEADER, ShardRecord};
+use crate::store::{CallClass, Transaction};
+use crate::types::{ControllerId, LeaseId, Revision, ShardId};
+
+/// A shard record to write: conditions and contents.
+struct Assignment {
+    shard: ShardId,
+    /// The version of the shard's record, zero if it has none.
+    shard_version: Revision,
+    holder: ControllerId,
+    /// The version of the new holder's own record.
+    holder_version: Revision,
+    /// The new holder's lease, with which the record ends.
+    lease_id: LeaseId,
+}
+
+impl Assignment {
+    fn write_to(self, txn: &mut Transaction) {
+        let key = lease::shard_key(&self.shard);
+        txn.require(key.clone(), self.shard_version);
+        txn.require(lease::controller_key(&self.holder), self.holder_version);
+        let record = ShardRecord {
+            holder: self.holder,
+            lease_id: self.lease_id,
+        };
+        txn.put_leased(key, &record, self.lease_id);
+    }
+}
+
+impl Controller {
+    /// Writes the shards whose holder differs from the desired one, as the leader since `lead`. What does
+    /// not fit into one transaction is written with the next.
+    pub(super) fn assign_shards(&mut self, lead: Revision) {
+        if self
+            .membership
+            .in_flight
+            .contains(&MembershipStep::AssignShards)
+        {
+            return;
+        }
+        let zones = &self.settings.deployment.zones;
+        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let controllers = &self.membership.leases.controllers;
+        let mut txn = Transaction::default();
+        txn.require(LEADER.into(), lead);
+        for (shard, holder) in lease::desired_assignment(zones, shards_per_zone, controllers) {
+            let present = self.membership.leases.shards.get(&shard);
+            if present.is_some_and(|(current, _)| *current == holder) {
+                continue;
+            }
+            if txn.changes.len() >= self.settings.deployment.state.txn_ops {
+                break;
+            }
+            let Some((record, holder_version)) = controllers.get(&holder) else {
+                continue;
+            };
+            let assignment = Assignment {
+                shard_version: present.map_or(Revision(0), |(_, token)| Revision(token.0)),
+                shard,
+                holder,
+                holder_version: *holder_version,
+                lease_id: record.lease_id,
+            };
+            assignment.write_to(&mut txn);
+        }
+        if !txn.changes.is_empty() {
+            self.membership.begin(MembershipStep::AssignShards);
+            self.transact(CallClass::Leases, txn, CallPurpose::Assign);
+        }
+    }
+
+    /// The transaction that assigns shards was answered; its records came with it or with the watch.
+    pub(in crate::controller) fn on_shards_assigned(&mut self) {
+        self.membership.finish(MembershipStep::AssignShards);
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -37,13 +37,11 @@
 use rustc_hash::FxHashMap as HashMap;
 
 use crate::jobs::cache::JobCache;
-use crate::quota::SHARES;
 use crate::settings::Settings;
-use crate::store::{CallClass, StoreCall, StoreResponse, Transaction};
-use crate::types::{ControllerId, MachineId, Millis, Revision};
+use crate::types::{ControllerId, MachineId, Millis};
 use crate::workers::Machine;
 use autoscaling::Autoscaler;
-use calls::{CallPurpose, Calls, WrittenRecords};
+use calls::{CallPurpose, Calls};
 use commits::Commits;
 pub use event::{CommandReply, Effect, Event};
 use membership::Membership;
@@ -149,87 +147,6 @@
         self.reconcile_fleet();
     }
 
-    fn tag(&mut self) -> u64 {
-        self.calls.next_tag += 1;
-        self.calls.next_tag
-    }
-
-    fn call_store(&mut self, class: CallClass, call: StoreCall, purpose: CallPurpose) {
-        let tag = self.tag();
-        self.calls.store.insert(tag, (purpose, Vec::new()));
-        self.effects.push(Effect::Store { tag, class, call });
-    }
-
-    fn transact(&mut self, class: CallClass, txn: Transaction, purpose: CallPurpose) {
-        let tag = self.tag();
-        let written: WrittenRecords = txn
-            .changes
-            .iter()
-            .map(|change| match change {
-                crate::store::Mutation::Put { key, data, .. } => (key.clone(), Some(data.clone())),
-                crate::store::Mutation::Drop { key } => (key.clone(), None),
-            })
-            .collect();
-        if written.iter().any(|(key, _)| key.starts_with(SHARES)) {
-            self.quota.allocations_in_flight += 1;
-        }
-        self.commits.admission.wrote(written.len());
-        tracing::debug!(?purpose, changes = written.len(), "transaction sent");
-        self.calls.store.insert(tag, (purpose, written));
-        let call = StoreCall::Transaction(txn);
-        self.effects.push(Effect::Store { tag, class, call });
-    }
-
-    fn on_store(&mut self, tag: u64, answer: StoreResponse) {
-        let Some((purpose, written)) = self.calls.store.remove(&tag) else {
-            return;
-        };
-        if written.iter().any(|(key, _)| key.starts_with(SHARES)) {
-            self.quota.allocations_in_flight -= 1;
-        }
-        if !matches!(answer, StoreResponse::Refused | StoreResponse::Unknown) {
-            self.store_sync.last_response = self.now;
-            self.leave_partition_mode();
-        }
-        if let StoreResponse::Committed(revision) = answer {
-            // What we wrote is known at once; the watch brings it again, as old news.
-            for (key, data) in written {
-                self.apply(&key, data.as_deref(), revision);
-            }
-        }
-        match purpose {
-            CallPurpose::Grant { .. }
-            | CallPurpose::Renew { .. }
-            | CallPurpose::EndOld
-            | CallPurpose::Register
-            | CallPurpose::Lead
-            | CallPurpose::Assign => self.on_membership(purpose, answer),
-            CallPurpose::List => self.on_list(answer),
-            CallPurpose::Watch => self.on_watch(answer),
-            CallPurpose::Revision => self.on_revision(answer),
-            CallPurpose::Submit { job } => self.on_submitted(job, answer),
-            CallPurpose::Abort { reply, job } => self.on_aborted(reply, job, answer),
-            CallPurpose::Changes { job, changes } => self.on_changes(job, changes, answer),
-            CallPurpose::Clear { job } => self.on_cleared(job),
-            CallPurpose::Dropped => self.commits.deleting_pages = false,
-            CallPurpose::Deal { rests_on } => self.on_allocated(rests_on, answer),
-            CallPurpose::Tree => self.on_tree(&answer),
-            CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
-            CallPurpose::Plan => self.commits.admission.writing = false,
-            CallPurpose::Note => {}
-        }
-        self.tell_cancelled();
-    }
-
-    /// How long the state service has not answered.
-    fn without_store(&self) -> Millis {
-        self.now.since(self.store_sync.last_response)
-    }
-
-    fn leading(&self) -> Option<Revision> {
-        self.membership.leases.leads(&self.me)
-    }
-
     /// Whether this controller leads, as far as it knows.
     pub fn is_leading(&self) -> bool {
         self.leading().is_some()
@@ -245,12 +162,4 @@
         let held = |machine: &&Machine| self.token_for(&machine.shard).is_some();
         self.machines.values().filter(held).count()
     }
-
-    fn leader(&self) -> Option<&ControllerId> {
-        self.membership
-            .leases
-            .leader
-            .as_ref()
-            .map(|(leader, _)| leader)
-    }
 }
--- /dev/null
+++ b/src/controller/store_sync/apply.rs
@@ -0,0 +1,137 @@
+//! Dispatches each record that a snapshot read, a watch or a transaction of ours brings to the component
+//! that caches it, and then does what follows from a change of a job's records: jobs are queued, machines
+//! get commands, parked jobs wake up.
+
+use std::collections::BTreeSet;
+
+use super::super::Controller;
+use crate::admission::shared::PLAN;
+use crate::fleet::MACHINE_TYPES_KEY;
+use crate::jobs::cache::{RecordChange, Writing};
+use crate::queue::ClusterEvent;
+use crate::quota;
+use crate::types::{JobId, MachineId, Revision, ShardId};
+
+impl Controller {
+    /// Takes in the record at `key`, or its deletion if there is no `data`. A record that is not newer than
+    /// the cached one changes nothing, so the order in which transactions and watches bring it is free.
+    pub(in crate::controller) fn apply(
+        &mut self,
+        key: &str,
+        data: Option<&str>,
+        version: Revision,
+    ) {
+        if let Some(shard) = key.strip_prefix(quota::SHARES) {
+            return self.apply_quota_allocation(shard, data, version);
+        }
+        if key.starts_with(quota::hierarchical::HEAD) {
+            return self.apply_tree(key, data, version);
+        }
+        if key == PLAN {
+            return self.commits.admission.apply(data, version);
+        }
+        if key == MACHINE_TYPES_KEY {
+            return self.apply_machine_types(data);
+        }
+        if let Some(change) = self.membership.leases.apply(&self.me, key, data, version) {
+            return self.on_lease_change(change);
+        }
+        let change = self.jobs.apply(key, data, version, self.now);
+        self.on_job_change(change);
+    }
+
+    fn apply_quota_allocation(&mut self, shard: &str, data: Option<&str>, version: Revision) {
+        if let Some(shard) = ShardId::parse(shard)
+            && self.quota.allocations.apply(shard, data, version)
+        {
+            self.wake(ClusterEvent::QuotaReallocated);
+        }
+    }
+
+    fn apply_machine_types(&mut self, data: Option<&str>) {
+        self.autoscaler.stored_type_specs = data
+            .and_then(|text| serde_json::from_str(text).ok())
+            .unwrap_or_default();
+        if self.autoscaler.type_specs.is_empty() {
+            self.autoscaler
+                .type_specs
+                .clone_from(&self.autoscaler.stored_type_specs);
+        }
+    }
+
+    fn on_job_change(&mut self, change: RecordChange) {
+        let Some(id) = change.job else { return };
+        self.drop_overtaken(&id);
+        self.placed_elsewhere(&id, &change.allocated);
+        if self.store_sync.synced {
+            self.consider(&id);
+            if self.scheduler.forwarded_early.remove(&id).is_some() {
+                self.accept_forwarded(&id);
+            }
+        }
+        self.expect_image_on(&id, &change.allocated);
+        self.stop_finished_job(&id);
+        self.push_foreign_placements(&id, change.allocated);
+        if !change.freed.is_empty() {
+            self.wake(ClusterEvent::TaskLeft(id));
+            if let Some(team) = change.team {
+                self.wake(ClusterEvent::TeamFreed(team));
+            }
+        }
+        for machine_id in change.freed {
+            self.wake(ClusterEvent::Freed(machine_id));
+        }
+    }
+
+    /// Machines that gained a task of a job will fetch its image.
+    fn expect_image_on(&mut self, id: &JobId, allocated: &[MachineId]) {
+        let Some(job) = self.jobs.get(id) else { return };
+        for machine_id in allocated {
+            if let Some(machine) = self.machines.get_mut(machine_id) {
+                machine.expect_image(&job.spec.image, job.spec.image_gb, self.now);
+            }
+        }
+    }
+
+    /// Sends the machines of a job that is no longer active the commands to stop its tasks.
+    fn stop_finished_job(&mut self, id: &JobId) {
+        let machine_ids: BTreeSet<MachineId> = self
+            .jobs
+            .get(id)
+            .filter(|job| !job.active())
+            .map(|job| {
+                job.placements()
+                    .map(|(_, placement)| placement.machine_id.clone())
+                    .collect()
+            })
+            .unwrap_or_default();
+        for machine_id in machine_ids {
+            self.push_commands(&machine_id);
+        }
+    }
+
+    /// Sends machines of ours the starts of tasks that another controller placed there, as for a gang
+    /// over the shards of several holders. Our own transactions send theirs when they are committed.
+    fn push_foreign_placements(&mut self, id: &JobId, allocated: Vec<MachineId>) {
+        let foreign = self
+            .jobs
+            .get(id)
+            .is_some_and(|job| job.writing == Writing::Idle);
+        if foreign {
+            for machine_id in allocated {
+                self.push_commands(&machine_id);
+            }
+        }
+    }
+
+    /// Queues every job that this controller is responsible for.
+    pub(in crate::controller) fn reconsider_all(&mut self) {
+        let ids: Vec<JobId> = self.jobs.iter().map(|job| job.id.clone()).collect();
+        for id in ids {
+            self.consider(&id);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/store_sync/availability.rs
@@ -0,0 +1,47 @@
+//! Whether the key-value store can be reached, and what a controller may still do without it.
+
+use super::super::Controller;
+use crate::types::Millis;
+
+/// A peer's status counts for this long: three status intervals, so that one lost message is no outage.
+const MAX_STATUS_AGE: Millis = Millis(3_000);
+/// A peer may have noticed the loss of the store this much later than we did and still count as having
+/// lost it with us.
+const MAX_OUTAGE_SKEW: Millis = Millis(2_500);
+/// A controller whose store has not answered for this long is not ready, unless it is an outage.
+const READINESS_TIMEOUT: Millis = Millis(3_500);
+
+impl Controller {
+    /// For how long the key-value store has not answered.
+    pub(in crate::controller) fn without_store(&self) -> Millis {
+        self.now.since(self.store_sync.last_response)
+    }
+
+    /// Whether all peers report that they have lost the key-value store too, as in an outage of the
+    /// store, rather than that we are cut off from it.
+    pub(in crate::controller) fn outage_is_common(&self) -> bool {
+        let alone = self.without_store();
+        self.settings.members.iter().all(|member| {
+            self.peers.statuses.get(&member.label).is_some_and(|peer| {
+                let age = self.now.since(peer.heard);
+                age <= MAX_STATUS_AGE && peer.without_store + age + MAX_OUTAGE_SKEW >= alone
+            })
+        })
+    }
+
+    /// Whether this controller can take users' requests.
+    pub(in crate::controller) fn ready(&self) -> bool {
+        let lost = self.without_store() > READINESS_TIMEOUT;
+        self.store_sync.synced
+            && !self.autoscaler.type_specs.is_empty()
+            && (!lost || self.outage_is_common())
+    }
+
+    /// Whether heartbeats may be answered. A controller that lost the store goes on answering: it
+    /// reports nothing of its machines' tasks before the store has it, and a new holder of its shards
+    /// shows the machines a higher fencing token.
+    pub(in crate::controller) fn may_answer(&self) -> bool {
+        let keep = self.settings.operator.keep;
+        self.without_store() < keep || self.outage_is_common()
+    }
+}
--- /dev/null
+++ b/src/controller/store_sync/mod.rs
@@ -0,0 +1,66 @@
+//! Keeps this controller's cache of the key-value store up to date: a snapshot read of all records,
+//! then a watch that brings every later change, and read barriers for answers that must not be older
+//! than their question.
+//!
+//! [`StoreSync`] owns how far the cache is and which read of the store is in flight. The records
+//! themselves are cached by the components that they belong to; [`apply`] dispatches them.
+
+mod apply;
+mod availability;
+mod read_barrier;
+mod snapshot;
+mod watch;
+
+use crate::types::{Millis, Revision};
+pub(super) use read_barrier::{PendingRead, ReadBarrier};
+
+/// Pause after a snapshot read or a watch that failed, so that a store in trouble is not flooded.
+const READ_RETRY_DELAY: Millis = Millis(300);
+
+/// How far the cache of the key-value store is, and the reads that keep it up to date.
+#[derive(Default)]
+pub(super) struct StoreSync {
+    /// All records have been read once since the start or the last resync.
+    pub(super) synced: bool,
+    /// Every change up to this revision is in the cache.
+    pub(super) applied: Revision,
+    /// The revision of the last page of the snapshot read. Its pages are of different revisions, so
+    /// the cache is consistent only once the watch has passed the last of them.
+    pub(super) snapshot_end: Revision,
+    /// When the store last answered any call, by this controller's clock.
+    pub(super) last_response: Millis,
+    /// Reads that wait until the cache is new enough.
+    pub(super) read_barrier: ReadBarrier,
+    /// The read that is in flight. A snapshot read precedes the watch, so there is one at most.
+    in_flight: Option<CacheRead>,
+    /// The revision of the first page of the snapshot read, from which the watch continues.
+    snapshot_start: Option<Revision>,
+    /// No snapshot read or watch starts before this time.
+    next_read_at: Millis,
+}
+
+/// A call to the store that fills the cache.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CacheRead {
+    /// All records, page by page.
+    Snapshot,
+    /// Changes after the revision that is applied; the store answers when there are some.
+    Watch,
+}
+
+impl StoreSync {
+    /// Whether the cache shows all records as they were at one revision.
+    pub(super) fn is_consistent(&self) -> bool {
+        self.synced && self.applied >= self.snapshot_end
+    }
+
+    /// Whether a new snapshot read or watch may start at `now`.
+    fn may_start_read(&self, now: Millis) -> bool {
+        self.in_flight.is_none() && now >= self.next_read_at
+    }
+
+    /// Marks every change up to `revision` as being in the cache.
+    fn advance_to(&mut self, revision: Revision) {
+        self.applied = self.applied.max(revision);
+    }
+}
--- /dev/null
+++ b/src/controller/store_sync/snapshot.rs
@@ -0,0 +1,94 @@
+//! The snapshot read: all records of the key-value store, page by page, before the watch starts and
+//! again after the store has compacted what the watch would have continued from.
+
+use super::super::candidates::Candidates;
+use super::super::scheduler::new_queue;
+use super::super::{CallPurpose, Controller};
+use super::{CacheRead, READ_RETRY_DELAY};
+use crate::jobs::cache::JobCache;
+use crate::quota::QuotaAllocations;
+use crate::store::{CallClass, Entry, StoreCall, StoreResponse};
+use crate::types::Revision;
+
+impl Controller {
+    /// Starts a snapshot read, unless one is in flight or the last one failed a moment ago.
+    pub(in crate::controller) fn start_snapshot_read(&mut self) {
+        if !self.store_sync.may_start_read(self.now) {
+            return;
+        }
+        self.store_sync.in_flight = Some(CacheRead::Snapshot);
+        self.store_sync.snapshot_start = None;
+        self.call_store(
+            CallClass::Leases,
+            StoreCall::List { after: None },
+            CallPurpose::List,
+        );
+    }
+
+    /// Takes in the answer to a page of the snapshot read.
+    pub(in crate::controller) fn on_list(&mut self, answer: StoreResponse) {
+        match answer {
+            StoreResponse::Page {
+                entries,
+                more,
+                revision,
+            } => self.on_snapshot_page(entries, more, revision),
+            _ => {
+                self.store_sync.in_flight = None;
+                self.store_sync.next_read_at = self.now + READ_RETRY_DELAY;
+            }
+        }
+    }
+
+    fn on_snapshot_page(&mut self, entries: Vec<Entry>, more: bool, revision: Revision) {
+        // Later pages may show newer records; the watch starts at the first page's revision and
+        // brings what changed meanwhile, newest last.
+        let start = *self.store_sync.snapshot_start.get_or_insert(revision);
+        self.store_sync.snapshot_end = revision;
+        let last = entries.last().map(|entry| entry.key.clone());
+        for entry in entries {
+            self.apply(&entry.key, Some(entry.data.get()), entry.version);
+        }
+        if more && last.is_some() {
+            let call = StoreCall::List { after: last };
+            self.call_store(CallClass::Leases, call, CallPurpose::List);
+        } else {
+            self.finish_snapshot_read(start);
+        }
+    }
+
+    fn finish_snapshot_read(&mut self, start: Revision) {
+        self.store_sync.in_flight = None;
+        self.store_sync.synced = true;
+        self.store_sync.advance_to(start);
+        tracing::info!(revision = start.0, "cache synchronized");
+        self.autoscaler.arrivals_until = self.now;
+        self.autoscaler.arrivals_since = self.now;
+        self.autoscaler.arrivals.clear();
+        self.reconsider_all();
+        self.renew_membership();
+        self.poll_watch();
+    }
+
+    /// Drops all cached records, to read them again.
+    pub(super) fn resync(&mut self) {
+        self.store_sync.synced = false;
+        self.store_sync.in_flight = None;
+        // Reservations are dropped too, so transactions in flight must fail: they are conditioned
+        // on the shards' fencing tokens, which end with the lease.
+        self.membership.old_lease_ended = false;
+        self.membership.leases.lose(&self.me);
+        self.jobs = JobCache::default();
+        self.scheduler.candidates = Candidates::default();
+        self.membership.leases.controllers.clear();
+        self.membership.leases.shards.clear();
+        self.membership.leases.leader = None;
+        self.quota.allocations = QuotaAllocations::default();
+        self.quota.hierarchy.resync();
+        self.jobs.regroup(self.quota.hierarchy.groups());
+        self.scheduler.forwarded.clear();
+        self.scheduler.stops.clear();
+        self.scheduler.queue = new_queue(&self.settings.operator);
+        self.store_sync.next_read_at = self.now;
+    }
+}
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnLease {
     None,
-    Asked,
+    Requested,
     /// Held at least until `until` by our clock.
     Held {
         lease_id: LeaseId,
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Leases {
     pub own: OwnLease,
-    pub renewed: Millis,
+    pub renewal_base: Millis,
     pub controllers: BTreeMap<ControllerId, (ControllerRecord, Revision)>,
     pub leader: Option<(ControllerId, Revision)>,
     pub shards: BTreeMap<ShardId, (ControllerId, FencingToken)>,
@@ -78,7 +78,7 @@
     fn default() -> Self {
         Self {
             own: OwnLease::None,
-            renewed: Millis(0),
+            renewal_base: Millis(0),
             controllers: BTreeMap::new(),
             leader: None,
             shards: BTreeMap::new(),
@@ -219,7 +219,7 @@
 /// Who should hold each shard: controllers of its zone, in turn; shards of a zone without any go
 /// to those who hold least. The same for all who know the same controllers, so nothing moves
 /// without need.
-pub fn rightful(
+pub fn desired_assignment(
     zones: &[Zone],
     parts: u32,
     controllers: &BTreeMap<ControllerId, (ControllerRecord, Revision)>,
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -39,7 +39,7 @@
     ];
     for (zones, list, expected) in cases {
         let zones: Vec<Zone> = zones.iter().map(|z| (*z).into()).collect();
-        let shown: Vec<String> = rightful(&zones, 2, &controllers(list))
+        let shown: Vec<String> = desired_assignment(&zones, 2, &controllers(list))
             .iter()
             .map(|(shard, controller)| format!("{shard}={controller}"))
             .collect();
