--- /dev/null
+++ b/src/jobs/cache/changes.rs
@@ -0,0 +1,57 @@
+//! Notes changes of tasks on top of the records, and keeps the index of usage in step.
+
+use super::JobCache;
+use super::change::TaskChange;
+use super::machine_usage::Allocation;
+use crate::types::{JobId, Resources};
+
+impl JobCache {
+    /// Notes a change to be committed. A placement reserves its resources at once; those of a task
+    /// that has left are available at once.
+    pub fn want(&mut self, id: &JobId, index: u32, change: TaskChange) {
+        self.discard(id, &[index]);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if let TaskChange::Place(placement) = &change {
+            self.usage.reserve(&job.spec, placement);
+        } else if let Some(machine_id) = job.task(index).placement().map(|p| p.machine_id.clone()) {
+            self.usage
+                .machines
+                .vacate(&machine_id, &job.spec, Allocation::Committed);
+            self.usage.teams.add_departed(&job.spec, job.spec.resources);
+            job.departed.insert(index, machine_id);
+        }
+        job.changes.insert(index, change);
+    }
+
+    /// Forgets noted changes, whether committed by now or not.
+    pub fn discard(&mut self, id: &JobId, indices: &[u32]) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        for index in indices {
+            let change = job.changes.remove(index);
+            // Still placed by the records.
+            if let Some(machine_id) = job.departed.remove(index) {
+                self.usage
+                    .machines
+                    .occupy(&machine_id, &job.spec, Allocation::Committed);
+                let difference = Resources::default().minus(job.spec.resources);
+                self.usage.teams.add_departed(&job.spec, difference);
+            }
+            if let Some(TaskChange::Place(placement)) = change {
+                self.usage.unreserve(&job.spec, &placement);
+            }
+        }
+    }
+
+    /// Forgets all noted changes of a job.
+    pub fn discard_changes(&mut self, id: &JobId) {
+        let indices: Vec<u32> = self
+            .get(id)
+            .map(|job| job.changes.keys().copied().collect())
+            .unwrap_or_default();
+        self.discard(id, &indices);
+    }
+}
--- /dev/null
+++ b/src/jobs/cache/job.rs
@@ -0,0 +1,260 @@
+//! One unfinished job as the cache holds it: its records, and the changes noted on top of them.
+
+use std::collections::BTreeMap;
+
+use super::change::{TaskChange, Writing};
+use crate::jobs::api::{JobStage, JobState};
+use crate::jobs::record::JobRecord;
+use crate::jobs::{JobKind, JobSpec, Phase, Placement, Task};
+use crate::types::{Attempt, JobId, MachineId, Millis, Revision, Zone};
+
+/// A page of tasks as last read.
+#[derive(Debug)]
+pub(super) struct Page {
+    pub(super) version: Revision,
+    pub(super) tasks: Vec<Task>,
+    /// How many of the tasks wait.
+    waiting: usize,
+}
+
+impl Page {
+    pub(super) fn new(version: Revision, tasks: Vec<Task>) -> Self {
+        let is_waiting = |task: &&Task| matches!(task, Task::Waiting { .. });
+        let waiting = tasks.iter().filter(is_waiting).count();
+        Self {
+            version,
+            tasks,
+            waiting,
+        }
+    }
+}
+
+/// A job that is not finished, or of which tasks may still be on machines.
+#[derive(Debug)]
+pub struct Job {
+    /// The job's id.
+    pub id: JobId,
+    /// The version of its record.
+    pub version: Revision,
+    /// Its record.
+    pub record: JobRecord,
+    /// What its user asked for.
+    pub spec: JobSpec,
+    /// When this controller first saw its record.
+    pub born: Millis,
+    /// When a task of it was last placed or taken off its machine.
+    pub settled: Millis,
+    /// Pages that exist, by number. A task of a page that does not exist was never placed.
+    pub(super) pages: BTreeMap<u32, Page>,
+    /// How many tasks its records place on machines.
+    pub placed: u32,
+    /// How many tasks its records say are done.
+    pub done: u32,
+    /// Changes of tasks that are not in the records yet, by task.
+    pub changes: BTreeMap<u32, TaskChange>,
+    /// Tasks that are known to have left their machines, though that is not written yet, with the
+    /// machine. Its resources are available, but the tasks count for the team and for zones.
+    pub(super) departed: BTreeMap<u32, MachineId>,
+    /// Whether a transaction with its changes is in flight.
+    pub writing: Writing,
+}
+
+impl Job {
+    /// A job of which only the record is known. `now`: when that came.
+    pub(super) fn new(
+        id: JobId,
+        version: Revision,
+        record: JobRecord,
+        spec: JobSpec,
+        now: Millis,
+    ) -> Self {
+        Self {
+            id,
+            version,
+            record,
+            spec,
+            born: now,
+            settled: now,
+            pages: BTreeMap::new(),
+            placed: 0,
+            done: 0,
+            changes: BTreeMap::new(),
+            departed: BTreeMap::new(),
+            writing: Writing::Idle,
+        }
+    }
+
+    /// Whether its tasks may be placed: neither done nor cancelled.
+    pub fn active(&self) -> bool {
+        self.record.phase == Phase::Active
+    }
+
+    /// What the records say of a task.
+    pub fn task(&self, index: u32) -> &Task {
+        self.pages
+            .get(&(index / self.record.page))
+            .and_then(|page| page.tasks.get((index % self.record.page) as usize))
+            .unwrap_or(&Task::FRESH)
+    }
+
+    /// The version of a page; zero if it does not exist.
+    pub fn page_version(&self, page: u32) -> Revision {
+        self.pages.get(&page).map(|p| p.version).unwrap_or_default()
+    }
+
+    /// The tasks of a page, whether it exists or not.
+    pub fn page_tasks(&self, page: u32) -> Vec<Task> {
+        match self.pages.get(&page) {
+            Some(page) => page.tasks.clone(),
+            None => vec![Task::FRESH; self.record.page_len(page) as usize],
+        }
+    }
+
+    /// Tasks that are on no machine, not done, and not about to be placed.
+    pub fn waiting(&self) -> u32 {
+        let placing = self.noted_placements().count() as u32;
+        self.record
+            .tasks
+            .saturating_sub(self.placed + self.done + placing)
+    }
+
+    /// The first `max` tasks that could be placed now, each with its last attempt. Pages without any
+    /// are passed over as a whole: a job may have 100,000 tasks, and each cycle asks for the next one.
+    pub fn next_waiting(&self, max: usize) -> Vec<(u32, Attempt)> {
+        let mut found = Vec::new();
+        for page in 0..self.record.pages() {
+            let first = page * self.record.page;
+            let content = self.pages.get(&page);
+            if content.is_some_and(|content| content.waiting == 0) {
+                continue;
+            }
+            for offset in 0..self.record.page_len(page) {
+                if found.len() >= max {
+                    return found;
+                }
+                let task = content.and_then(|content| content.tasks.get(offset as usize));
+                if let Task::Waiting { tried } = task.unwrap_or(&Task::FRESH)
+                    && !self.changes.contains_key(&(first + offset))
+                {
+                    found.push((first + offset, *tried));
+                }
+            }
+        }
+        found
+    }
+
+    /// The highest attempt that any task of the job had.
+    pub fn highest_attempt(&self) -> Attempt {
+        self.pages
+            .values()
+            .flat_map(|page| &page.tasks)
+            .map(|task| match task {
+                Task::Waiting { tried } => *tried,
+                Task::Placed(placement) => placement.attempt,
+                Task::Done => Attempt(0),
+            })
+            .max()
+            .unwrap_or_default()
+    }
+
+    /// Where the records place tasks of the job, by task.
+    pub fn placements(&self) -> impl Iterator<Item = (u32, &Placement)> {
+        self.pages.iter().flat_map(move |(page, content)| {
+            let first = page * self.record.page;
+            content
+                .tasks
+                .iter()
+                .enumerate()
+                .filter_map(move |(i, task)| Some((first + i as u32, task.placement()?)))
+        })
+    }
+
+    /// Placements that are not in the records yet.
+    pub(super) fn noted_placements(&self) -> impl Iterator<Item = &Placement> {
+        self.changes.values().filter_map(|change| match change {
+            TaskChange::Place(placement) => Some(placement),
+            _ => None,
+        })
+    }
+
+    /// Tasks per zone, those about to be placed included.
+    pub fn zones(&self) -> BTreeMap<Zone, u32> {
+        let mut zones = BTreeMap::new();
+        let written = self.placements().map(|(_, placement)| placement);
+        for placement in written.chain(self.noted_placements()) {
+            *zones.entry(placement.shard.zone.clone()).or_insert(0) += 1;
+        }
+        zones
+    }
+
+    /// Whether the job's tasks, those about to be placed included, are in zones that it allows.
+    pub fn zones_allowed(&self) -> bool {
+        let spec = &self.spec;
+        if !spec.one_zone && !spec.spread {
+            return true;
+        }
+        let zones = self.zones();
+        (!spec.one_zone || zones.len() <= 1)
+            && (!spec.spread || zones.values().all(|tasks| *tasks <= spec.zone_share()))
+    }
+
+    /// Whether this is a gang of several tasks, which are placed and complete together.
+    pub fn whole_gang(&self) -> bool {
+        self.spec.kind == JobKind::Gang && self.record.tasks > 1
+    }
+
+    /// Whether this is a gang of which some tasks are placed and others are not. It can't go on: what is
+    /// left of the attempt has to be released first.
+    pub fn broken_gang(&self) -> bool {
+        self.spec.kind == JobKind::Gang
+            && self.placed > 0
+            && self.placed + self.done < self.record.tasks
+    }
+
+    /// What users are told of the job.
+    pub fn state(&self) -> JobState {
+        let stage = match self.record.phase {
+            Phase::Done => JobStage::Done,
+            Phase::Aborted => JobStage::Aborted,
+            Phase::Active | Phase::Aborting if self.placed > 0 => JobStage::Running,
+            Phase::Active | Phase::Aborting => JobStage::Queued,
+        };
+        JobState {
+            id: self.id.clone(),
+            stage,
+            done: self.done,
+            running: self.placed,
+        }
+    }
+}
+
+/// A job that is over and of which no task is on any machine: only how it ended is remembered.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FinishedJob {
+    /// How the job ended.
+    pub(super) phase: Phase,
+    /// How many tasks it had.
+    pub(super) tasks: u32,
+    /// The version of its record.
+    pub(super) version: Revision,
+}
+
+impl FinishedJob {
+    pub(super) fn state(&self, id: &JobId) -> JobState {
+        let stage = match self.phase {
+            Phase::Aborted => JobStage::Aborted,
+            _ => JobStage::Done,
+        };
+        let done = if self.phase == Phase::Done {
+            self.tasks
+        } else {
+            0
+        };
+        JobState {
+            id: id.clone(),
+            stage,
+            done,
+            running: 0,
+        }
+    }
+}
--- /dev/null
+++ b/src/jobs/cache/mod.rs
@@ -0,0 +1,154 @@
+//! The cache of all job records, applied from the watch and from this controller's own commits.
+//!
+//! [`JobCache`] stores the jobs ([`job`]), the changes that are noted on top of their records
+//! ([`changes`]), and an index of usage by machine, team and shard ([`usage_index`]) that [`apply`]
+//! keeps in step with the records.
+
+mod apply;
+mod change;
+mod changes;
+mod job;
+mod machine_usage;
+mod team_usage;
+mod usage_index;
+
+use std::collections::BTreeMap;
+
+use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
+
+use super::api::JobState;
+use crate::types::{JobId, MachineId, Resources, Revision, ShardId, Team};
+pub use apply::RecordChange;
+pub use change::{Evidence, TaskChange, Writing};
+use job::FinishedJob;
+pub use job::Job;
+pub use machine_usage::MachineUsage;
+pub use team_usage::Groups;
+use usage_index::UsageIndex;
+
+/// All jobs, and what they use.
+#[derive(Default)]
+pub struct JobCache {
+    /// Jobs that are not over, or of which tasks may still be on machines.
+    jobs: HashMap<JobId, Job>,
+    /// How the other jobs ended.
+    finished: HashMap<JobId, FinishedJob>,
+    usage: UsageIndex,
+    /// Pages that came before their job's record, as they were read.
+    early_pages: HashMap<JobId, BTreeMap<u32, (Revision, String)>>,
+    /// Pages of finished jobs that the store still has.
+    leftovers: HashSet<(JobId, u32)>,
+}
+
+impl JobCache {
+    /// A job that is not finished.
+    pub fn get(&self, id: &JobId) -> Option<&Job> {
+        self.jobs.get(id)
+    }
+
+    /// A job that is not finished.
+    pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
+        self.jobs.get_mut(id)
+    }
+
+    /// All jobs that are not finished, in no particular order.
+    pub fn iter(&self) -> impl Iterator<Item = &Job> {
+        self.jobs.values()
+    }
+
+    /// What users are told of a job, finished or not.
+    pub fn state(&self, id: &JobId) -> Option<JobState> {
+        self.get(id).map(Job::state).or_else(|| {
+            let finished = self.finished.get(id)?;
+            Some(finished.state(id))
+        })
+    }
+
+    /// Pages of finished jobs that the store still has.
+    pub fn leftovers(&self) -> impl Iterator<Item = &(JobId, u32)> {
+        self.leftovers.iter()
+    }
+
+    /// The tasks that the records place on a machine.
+    pub fn on_machine(&self, machine_id: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+        self.usage.tasks_on(machine_id)
+    }
+
+    /// The machines that the records place tasks on.
+    pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
+        self.usage.machine_ids()
+    }
+
+    /// Whether anything is allocated on a machine.
+    pub fn busy(&self, machine_id: &MachineId) -> bool {
+        self.usage.machines.is_occupied(machine_id)
+    }
+
+    /// What is allocated on a machine.
+    pub fn machine_usage(&self, machine_id: &MachineId) -> MachineUsage {
+        self.usage.machines.get(machine_id)
+    }
+
+    /// The machines whose allocation has changed since the last call.
+    pub fn take_changed_machines(&mut self) -> HashSet<MachineId> {
+        self.usage.machines.take_changed()
+    }
+
+    /// Resources allocated on a machine, by the records and by reservations.
+    pub fn allocated(&self, machine_id: &MachineId) -> Resources {
+        self.machine_usage(machine_id).allocated
+    }
+
+    /// Whether all committed tasks on a machine can be preempted without much loss.
+    pub fn yielding(&self, machine_id: &MachineId) -> bool {
+        self.machine_usage(machine_id).yielding()
+    }
+
+    /// What a team's tasks use, by the records and by reservations.
+    pub fn usage(&self, team: &Team) -> Resources {
+        self.usage.teams.total(team)
+    }
+
+    /// What a team's tasks use, without those that are known to have left. Limits rest on the
+    /// records; shares follow what is seen.
+    pub fn standing(&self, team: &Team) -> Resources {
+        self.usage.teams.observed(team)
+    }
+
+    /// What a team's tasks use in one shard, reservations included.
+    pub fn used_in(&self, team: &Team, shard: &ShardId) -> Resources {
+        self.usage.teams.in_shard(team, shard)
+    }
+
+    /// What is reserved for a team's tasks in one shard, and not yet in the records.
+    pub fn reserved_in(&self, team: &Team, shard: &ShardId) -> Resources {
+        self.usage.teams.reserved_in_shard(team, shard)
+    }
+
+    /// The shards that a team has tasks in.
+    pub fn shards_of(&self, team: &Team) -> impl Iterator<Item = &ShardId> {
+        self.usage.teams.shards(team)
+    }
+
+    /// Counts usage by other groups of teams from now on.
+    pub fn regroup(&mut self, groups: Groups) {
+        self.usage.teams.reset(groups);
+        for job in self.jobs.values() {
+            self.usage.teams.count(job);
+        }
+    }
+
+    /// What the active jobs of each team could use at once.
+    pub fn demands(&self) -> HashMap<&Team, Resources> {
+        let mut demands: HashMap<&Team, Resources> = HashMap::default();
+        for job in self.jobs.values().filter(|job| job.active()) {
+            let undone = job.record.tasks.saturating_sub(job.done);
+            let demand = demands.entry(&job.spec.team).or_default();
+            *demand = demand.plus(job.spec.resources.times(f64::from(undone)));
+        }
+        demands
+    }
+}
+
+#[cfg(test)]
+pub(crate) mod tests;
--- /dev/null
+++ b/src/jobs/cache/team_usage.rs
@@ -0,0 +1,181 @@
+//! Resources that each team and each group of teams uses, in total and by shard.
+
+use rustc_hash::FxHashMap as HashMap;
+
+use super::job::Job;
+use crate::jobs::{JobSpec, Placement};
+use crate::types::{Resources, ShardId, Team};
+
+/// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
+pub type Groups = HashMap<Team, Vec<Team>>;
+
+/// A team and its groups.
+fn with_groups<'a>(groups: &'a Groups, team: &'a Team) -> impl Iterator<Item = &'a Team> {
+    std::iter::once(team).chain(groups.get(team).into_iter().flatten())
+}
+
+/// Adds to the sums of a team and its groups.
+fn add_to(sums: &mut HashMap<Team, Resources>, groups: &Groups, team: &Team, resources: Resources) {
+    for team in with_groups(groups, team) {
+        let sum = sums.entry(team.clone()).or_default();
+        *sum = sum.plus(resources);
+    }
+}
+
+/// What each team's tasks use in each shard, and how many tasks these are.
+#[derive(Default)]
+struct UsageByShard(HashMap<Team, HashMap<ShardId, (Resources, u32)>>);
+
+impl UsageByShard {
+    fn add(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+        for team in with_groups(groups, &spec.team) {
+            let shards = self.0.entry(team.clone()).or_default();
+            let (resources, tasks) = shards.entry(shard.clone()).or_default();
+            *resources = resources.plus(spec.resources);
+            *tasks += 1;
+        }
+    }
+
+    /// Removes a task. A shard without tasks is forgotten, and with it the rounding error of its sum.
+    fn remove(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+        for team in with_groups(groups, &spec.team) {
+            let Some(shards) = self.0.get_mut(team) else {
+                continue;
+            };
+            if let Some((resources, tasks)) = shards.get_mut(shard) {
+                *resources = resources.minus(spec.resources);
+                *tasks -= 1;
+                if *tasks == 0 {
+                    shards.remove(shard);
+                }
+            }
+        }
+    }
+
+    fn get(&self, team: &Team, shard: &ShardId) -> Resources {
+        let shards = self.0.get(team);
+        shards
+            .and_then(|shards| shards.get(shard))
+            .map(|(resources, _)| *resources)
+            .unwrap_or_default()
+    }
+
+    fn shards(&self, team: &Team) -> impl Iterator<Item = &ShardId> {
+        self.0
+            .get(team)
+            .into_iter()
+            .flat_map(|shards| shards.keys())
+    }
+}
+
+/// The usage of all teams. Groups are counted as teams are, under names of their own.
+#[derive(Default)]
+pub(super) struct TeamUsage {
+    groups: Groups,
+    /// What placed tasks use, by the records.
+    committed: HashMap<Team, Resources>,
+    /// Of that, what tasks use that are known to have left, though that is not written yet.
+    departed: HashMap<Team, Resources>,
+    /// What tasks use whose placements are noted, but not in the records yet.
+    reserved: HashMap<Team, Resources>,
+    /// Committed and reserved usage by shard.
+    by_shard: UsageByShard,
+    /// Reserved usage by shard.
+    reserved_by_shard: UsageByShard,
+}
+
+impl TeamUsage {
+    /// Counts by other groups from now on, from nothing.
+    pub(super) fn reset(&mut self, groups: Groups) {
+        self.groups = groups;
+        self.committed.clear();
+        self.departed.clear();
+        self.reserved.clear();
+        self.reserved_by_shard.0.clear();
+        self.by_shard.0.clear();
+    }
+
+    /// Counts all tasks of a job.
+    pub(super) fn count(&mut self, job: &Job) {
+        for (_, placement) in job.placements() {
+            self.add_committed(&job.spec, job.spec.resources);
+            self.enter_shard(&job.spec, &placement.shard);
+        }
+        for _ in &job.departed {
+            let (groups, spec) = (&self.groups, &job.spec);
+            add_to(&mut self.departed, groups, &spec.team, spec.resources);
+        }
+        for placement in job.noted_placements() {
+            self.reserve(&job.spec, placement);
+        }
+    }
+
+    /// Adds to what a team's placed tasks use. The difference may be negative.
+    pub(super) fn add_committed(&mut self, spec: &JobSpec, difference: Resources) {
+        add_to(&mut self.committed, &self.groups, &spec.team, difference);
+    }
+
+    /// Adds to what departed tasks use, which may be negative. Only a tree of quotas asks for it, so
+    /// without groups it is not counted.
+    pub(super) fn add_departed(&mut self, spec: &JobSpec, difference: Resources) {
+        if !self.groups.is_empty() {
+            add_to(&mut self.departed, &self.groups, &spec.team, difference);
+        }
+    }
+
+    /// Counts a task in a shard.
+    pub(super) fn enter_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+        self.by_shard.add(&self.groups, shard, spec);
+    }
+
+    /// Counts a task in a shard no longer.
+    pub(super) fn leave_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+        self.by_shard.remove(&self.groups, shard, spec);
+    }
+
+    /// Counts a noted placement.
+    pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
+        let groups = &self.groups;
+        self.by_shard.add(groups, &placement.shard, spec);
+        self.reserved_by_shard.add(groups, &placement.shard, spec);
+        add_to(&mut self.reserved, groups, &spec.team, spec.resources);
+    }
+
+    /// Counts a noted placement no longer.
+    pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
+        let groups = &self.groups;
+        self.by_shard.remove(groups, &placement.shard, spec);
+        self.reserved_by_shard
+            .remove(groups, &placement.shard, spec);
+        let difference = Resources::default().minus(spec.resources);
+        add_to(&mut self.reserved, groups, &spec.team, difference);
+    }
+
+    /// Committed and reserved usage of a team.
+    pub(super) fn total(&self, team: &Team) -> Resources {
+        let committed = self.committed.get(team).copied().unwrap_or_default();
+        let reserved = self.reserved.get(team).copied().unwrap_or_default();
+        committed.plus(reserved)
+    }
+
+    /// The same without tasks that are known to have left.
+    pub(super) fn observed(&self, team: &Team) -> Resources {
+        let departed = self.departed.get(team).copied().unwrap_or_default();
+        self.total(team).minus(departed)
+    }
+
+    /// Committed and reserved usage of a team in one shard.
+    pub(super) fn in_shard(&self, team: &Team, shard: &ShardId) -> Resources {
+        self.by_shard.get(team, shard)
+    }
+
+    /// Reserved usage of a team in one shard.
+    pub(super) fn reserved_in_shard(&self, team: &Team, shard: &ShardId) -> Resources {
+        self.reserved_by_shard.get(team, shard)
+    }
+
+    /// The shards that a team has tasks in.
+    pub(super) fn shards(&self, team: &Team) -> impl Iterator<Item = &ShardId> {
+        self.by_shard.shards(team)
+    }
+}
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
-use crate::jobs::api::{parse, tests::body};
-use crate::jobs::record::{encode_page, job_key, page_key};
-use crate::types::{AgentEpoch, ShardId};
+use crate::jobs::api::{JobStage, parse, tests::body};
+use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
+use crate::jobs::{JobKind, Phase, Placement, Task};
+use crate::types::{AgentEpoch, Attempt, Millis, ShardId};
 
 fn placed(machine_id: &str) -> Task {
     Task::Placed(Placement {
--- /dev/null
+++ b/src/jobs/cache/usage_index.rs
@@ -0,0 +1,79 @@
+//! The sums over all jobs, kept in step with their tasks: by machine, by team and by shard.
+
+use std::collections::BTreeSet;
+
+use rustc_hash::FxHashMap as HashMap;
+
+use super::machine_usage::{Allocation, MachineUsages};
+use super::team_usage::TeamUsage;
+use crate::jobs::{JobSpec, Placement};
+use crate::types::{JobId, MachineId};
+
+/// Index of usage, and of which tasks the records place on each machine.
+#[derive(Default)]
+pub(super) struct UsageIndex {
+    /// What is allocated on each machine.
+    pub(super) machines: MachineUsages,
+    /// What each team uses.
+    pub(super) teams: TeamUsage,
+    /// The tasks that the records place on each machine.
+    tasks_by_machine: HashMap<MachineId, BTreeSet<(JobId, u32)>>,
+}
+
+impl UsageIndex {
+    /// The tasks that the records place on a machine.
+    pub(super) fn tasks_on(&self, machine_id: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+        self.tasks_by_machine.get(machine_id).into_iter().flatten()
+    }
+
+    /// The machines that the records place tasks on.
+    pub(super) fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
+        self.tasks_by_machine.keys()
+    }
+
+    /// Counts a task that the records place now; the team's sum is the caller's.
+    pub(super) fn add_placement(
+        &mut self,
+        spec: &JobSpec,
+        placement: &Placement,
+        task: (JobId, u32),
+    ) {
+        let machine_id = &placement.machine_id;
+        self.machines
+            .occupy(machine_id, spec, Allocation::Committed);
+        self.teams.enter_shard(spec, &placement.shard);
+        let tasks = self.tasks_by_machine.entry(machine_id.clone()).or_default();
+        tasks.insert(task);
+    }
+
+    /// Counts a task no longer that the records placed; the team's sum and the machine's allocation
+    /// are the caller's.
+    pub(super) fn remove_placement(
+        &mut self,
+        spec: &JobSpec,
+        placement: &Placement,
+        task: &(JobId, u32),
+    ) {
+        self.teams.leave_shard(spec, &placement.shard);
+        if let Some(tasks) = self.tasks_by_machine.get_mut(&placement.machine_id) {
+            tasks.remove(task);
+            if tasks.is_empty() {
+                self.tasks_by_machine.remove(&placement.machine_id);
+            }
+        }
+    }
+
+    /// Reserves the resources of a noted placement.
+    pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
+        self.machines
+            .occupy(&placement.machine_id, spec, Allocation::Reserved);
+        self.teams.reserve(spec, placement);
+    }
+
+    /// Frees what `reserve` took.
+    pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
+        self.machines
+            .vacate(&placement.machine_id, spec, Allocation::Reserved);
+        self.teams.unreserve(spec, placement);
+    }
+}
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -48,6 +48,16 @@
     pub fn page_len(&self, page: u32) -> u32 {
         self.tasks.saturating_sub(page * self.page).min(self.page)
     }
+
+    /// The final record of a job that ends in `phase`. It needs no spec.
+    #[must_use]
+    pub fn finished(&self, phase: Phase) -> Self {
+        Self {
+            phase,
+            spec: None,
+            ..self.clone()
+        }
+    }
 }
 
 /// The most bytes that one placed task can take in a page, besides its names.
