--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
     /// The last end of a job: its user waits to hear that it is over.
-    CompletionForwarder,
+    Completions,
     /// Starts, and what has to be written before a task can start again.
     Places,
     /// Ends of some of a job's tasks. Their room is free already, so these wait best.
     Gathered,
 }
 
-const LANES: [Lane; 3] = [Lane::CompletionForwarder, Lane::Places, Lane::Gathered];
+const LANES: [Lane; 3] = [Lane::Completions, Lane::Places, Lane::Gathered];
 
 /// Of what is written, the part that goes by the lanes' floors.
 const LANE_FLOORS: f64 = 0.9;
@@ -31,7 +31,7 @@
 
 fn lane_weight(lane: &Lane) -> f64 {
     match lane {
-        Lane::CompletionForwarder => 0.35,
+        Lane::Completions => 0.35,
         Lane::Places => 0.5,
         Lane::Gathered => 0.15,
     }
--- a/src/admission/backlog/tests.rs
+++ b/src/admission/backlog/tests.rs
@@ -10,7 +10,7 @@
 fn ends_that_wait_leave_starts_their_part() {
     let mut backlog = Backlog::default();
     for n in 0..100 {
-        backlog.add(&id(n), Lane::CompletionForwarder, 0, Millis(0));
+        backlog.add(&id(n), Lane::Completions, 0, Millis(0));
         backlog.add(&id(100 + n), Lane::Gathered, 0, Millis(0));
         backlog.add(&id(200 + n), Lane::Places, 0, Millis(50));
     }
@@ -27,9 +27,9 @@
     backlog.add(&id(1), Lane::Gathered, 0, Millis(5_000));
     backlog.add(&id(1), Lane::Gathered, 0, Millis(9_000));
     assert_eq!(backlog.next(Millis(4_999)), None);
-    backlog.add(&id(1), Lane::CompletionForwarder, 0, Millis(5_000));
+    backlog.add(&id(1), Lane::Completions, 0, Millis(5_000));
     backlog.add(&id(1), Lane::Gathered, 0, Millis(1_000));
-    assert_eq!(backlog.waiting(Lane::CompletionForwarder), 1);
+    assert_eq!(backlog.waiting(Lane::Completions), 1);
     assert_eq!(backlog.overdue(Millis(5_000)), 1);
     assert_eq!(backlog.next(Millis(5_000)), Some(id(1)));
     assert!(backlog.next(Millis(9_000)).is_none() && backlog.is_empty());
--- /dev/null
+++ b/src/controller/commits/forwarding.rs
@@ -0,0 +1,106 @@
+//! Departures of tasks that the job's owner writes for all holders.
+//!
+//! The holder of a shard sees a task leave its machine; the owner of the job writes that for all
+//! holders in one transaction. Both sides check the departure against the records.
+
+use super::Controller;
+use crate::controller::Effect;
+use crate::jobs::Task;
+use crate::jobs::cache::{TaskChange, Writing};
+use crate::peers::{Message, TaskDeparture};
+use crate::types::{Attempt, FencingToken, JobId};
+
+impl Controller {
+    /// Forwards a job's noted changes to its owner, if that controller can be reached and may write
+    /// all of them. Whether that is so.
+    pub(super) fn forwarded_to_owner(&mut self, id: &JobId) -> bool {
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        let owner = &job.record.owner;
+        let reachable = self.membership.leases.controllers.contains_key(owner)
+            && self.recent_status(owner).is_some();
+        if *owner == self.me || !reachable {
+            return false;
+        }
+        let held_token = |index| {
+            let shard = &job.task(index).placement()?.shard;
+            self.membership.leases.holds(shard, &self.me)
+        };
+        self.commits
+            .completions
+            .tell(owner, job, held_token, self.now)
+    }
+
+    /// Sends the departures that wait for their owners, and schedules commits of those that an owner
+    /// has not written yet.
+    pub(in crate::controller) fn forward_completions(&mut self) {
+        let jobs = &self.jobs;
+        let unwritten = |id: &JobId| {
+            jobs.get(id)
+                .is_some_and(|job| job.writing == Writing::Idle && !job.changes.is_empty())
+        };
+        let mut due = self.commits.completions.pending(unwritten);
+        due.extend(self.commits.completions.due(self.now));
+        for id in due {
+            self.commit(&id);
+        }
+        for (to, departures) in self.commits.completions.take() {
+            let message = Message::TasksDeparted(departures);
+            self.effects.push(Effect::Peer { to, message });
+        }
+    }
+
+    /// Notes departures that other holders forwarded. They are checked once more when they are
+    /// written.
+    pub(in crate::controller) fn on_completions(&mut self, departures: Vec<TaskDeparture>) {
+        let mut changes = Vec::new();
+        for departure in departures {
+            let id = JobId::from(departure.job.as_str());
+            if self.confirms(&id, &departure) {
+                changes.push((id, departure.index, departure.change()));
+            }
+        }
+        self.note_changes(changes);
+    }
+
+    /// Whether the records still have the task on the machine that it left, under the token of the
+    /// holder who saw it, and no change of it is noted.
+    fn confirms(&self, id: &JobId, departure: &TaskDeparture) -> bool {
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        if departure.index >= job.record.tasks || job.changes.contains_key(&departure.index) {
+            return false;
+        }
+        let Task::Placed(placement) = job.task(departure.index) else {
+            return false;
+        };
+        placement.attempt == Attempt(departure.attempt)
+            && self.known_token(&placement.shard) == Some(FencingToken(departure.token))
+    }
+
+    /// Forgets noted departures of tasks that another controller has written meanwhile.
+    pub(in crate::controller) fn drop_overtaken(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.writing != Writing::Idle {
+            return;
+        }
+        let is_overtaken = |index: u32, attempt: Attempt| {
+            let placement = job.task(index).placement();
+            placement.is_none_or(|placement| placement.attempt != attempt)
+        };
+        let stale: Vec<u32> = job
+            .changes
+            .iter()
+            .filter(|(index, change)| match change {
+                TaskChange::Place(_) => false,
+                TaskChange::Finish { attempt } | TaskChange::Release { attempt, .. } => {
+                    is_overtaken(**index, *attempt)
+                }
+            })
+            .map(|(index, _)| *index)
+            .collect();
+        self.jobs.discard(id, &stale);
+    }
+}
--- /dev/null
+++ b/src/controller/commits/planned_write.rs
@@ -0,0 +1,243 @@
+//! What one transaction for a job writes: its noted changes, as far as the records still allow them.
+//!
+//! Changes wait in the backlog while the records move on, so each is checked again just before it is
+//! written. One that has been overtaken is stale, and dropped.
+
+use std::collections::BTreeMap;
+
+use super::Controller;
+use crate::jobs::cache::{Evidence, Job, TaskChange};
+use crate::jobs::{Phase, Placement, Task};
+use crate::types::{Attempt, FencingToken, Resources, ShardId};
+
+/// Pages of one transaction, at most: with 8 KiB each they stay below 64 KiB.
+const MAX_PAGES: usize = 6;
+/// Operations of a transaction that are not pages: the job's record, the leader, the quota tree and
+/// the allocation of a shard.
+const RESERVED_OPS: usize = 4;
+
+/// The changes of one transaction, and what it has to require.
+#[derive(Debug, Default)]
+pub(super) struct PlannedWrite {
+    /// Shards whose token must be unchanged, in the order of the changes; a shard may repeat.
+    pub(super) shard_tokens: Vec<(ShardId, FencingToken)>,
+    /// Pages as they will be, by number.
+    pub(super) pages: BTreeMap<u32, Vec<Task>>,
+    /// The changes that are written, by task.
+    pub(super) changes: Vec<(u32, TaskChange)>,
+    /// Tasks whose noted change no longer fits the records.
+    pub(super) stale: Vec<u32>,
+    /// How many placements were noted, by what became of them.
+    pub(super) placements: PlacementCounts,
+}
+
+/// Counts of the placements among a job's noted changes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct PlacementCounts {
+    /// Placements that the transaction writes.
+    pub(super) planned: u32,
+    /// Of these, placements in shards that another controller holds. Only the leader makes them.
+    pub(super) in_other_shards: u32,
+    /// Placements that no longer fit the records.
+    pub(super) stale: u32,
+}
+
+/// A change that the records allow.
+struct AllowedChange {
+    /// What the record of the task will say.
+    next: Task,
+    /// The shard and its token that the change rests on, if it rests on one.
+    shard_token: Option<(ShardId, FencingToken)>,
+}
+
+impl PlannedWrite {
+    /// Whether a page is part of this transaction, or can become one. `max_ops`: the operations that
+    /// the store takes in a transaction.
+    fn has_room_for(&self, page: u32, max_ops: usize) -> bool {
+        let max_pages = MAX_PAGES.min(max_ops.saturating_sub(RESERVED_OPS));
+        self.pages.contains_key(&page) || self.pages.len() < max_pages
+    }
+
+    fn add(&mut self, job: &Job, index: u32, change: &TaskChange, allowed: AllowedChange) {
+        self.shard_tokens.extend(allowed.shard_token);
+        let page = index / job.record.page;
+        let tasks = self
+            .pages
+            .entry(page)
+            .or_insert_with(|| job.page_tasks(page));
+        if let Some(slot) = tasks.get_mut((index % job.record.page) as usize) {
+            *slot = allowed.next;
+        }
+        self.changes.push((index, change.clone()));
+    }
+
+    /// Completes all tasks of a gang's attempt once one of them is done. The tasks of a gang complete
+    /// together: one that is done shows that all of its attempt are, also those that left their
+    /// machines unseen.
+    pub(super) fn complete_gang(&mut self, job: &Job) {
+        let small = job.record.pages() as usize <= MAX_PAGES;
+        if !job.whole_gang() || !job.active() || !small {
+            return;
+        }
+        let Some(finished) = self.finished_attempt() else {
+            return;
+        };
+        for page in 0..job.record.pages() {
+            let tasks = self
+                .pages
+                .entry(page)
+                .or_insert_with(|| job.page_tasks(page));
+            for (index, task) in (page * job.record.page..).zip(tasks) {
+                let attempt = match task {
+                    Task::Placed(placement) => placement.attempt,
+                    Task::Waiting { tried } => *tried,
+                    Task::Done => continue,
+                };
+                if attempt == finished {
+                    *task = Task::Done;
+                    self.changes.retain(|(other, _)| *other != index);
+                    self.changes.push((index, TaskChange::Finish { attempt }));
+                }
+            }
+        }
+    }
+
+    /// The attempt of the first planned completion.
+    fn finished_attempt(&self) -> Option<Attempt> {
+        self.changes.iter().find_map(|(_, change)| match change {
+            TaskChange::Finish { attempt } => Some(*attempt),
+            _ => None,
+        })
+    }
+
+    /// Makes placements of a job that is bound to zones rewrite its first page: with many pages, that
+    /// is the record on which controllers agree about the zones.
+    pub(super) fn require_zone_page(&mut self, job: &Job) {
+        let bound = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
+        if self.placements.planned > 0 && bound && !self.pages.contains_key(&0) {
+            self.pages.insert(0, job.page_tasks(0));
+        }
+    }
+
+    /// How many tasks the transaction places in each shard, in the order of the changes.
+    pub(super) fn placements_by_shard(&self) -> Vec<(ShardId, u32)> {
+        let mut shards: Vec<(ShardId, u32)> = Vec::new();
+        for (_, change) in &self.changes {
+            let TaskChange::Place(placement) = change else {
+                continue;
+            };
+            match shards.iter_mut().find(|(s, _)| *s == placement.shard) {
+                Some((_, tasks)) => *tasks += 1,
+                None => shards.push((placement.shard.clone(), 1)),
+            }
+        }
+        shards
+    }
+
+    /// The phase that the job ends in by this transaction, if nothing of it is left afterwards.
+    /// `all_placements_known`: whether the cache shows all that was placed of a job that is over.
+    pub(super) fn final_phase(&self, job: &Job, all_placements_known: bool) -> Option<Phase> {
+        let finished = self.changes.iter().filter(|(_, c)| c.finishes()).count() as u32;
+        if job.active() {
+            return (job.done + finished == job.record.tasks).then_some(Phase::Done);
+        }
+        let none_left = job.placed as usize == self.changes.len();
+        (none_left && all_placements_known).then_some(Phase::Aborted)
+    }
+}
+
+impl Controller {
+    /// Checks a job's noted changes against the records, in order of their tasks, until a
+    /// transaction is full.
+    pub(super) fn plan_write(&self, job: &Job) -> PlannedWrite {
+        let max_ops = self.settings.deployment.state.txn_ops;
+        let mut planned = PlannedWrite::default();
+        for (index, change) in &job.changes {
+            if !planned.has_room_for(index / job.record.page, max_ops) {
+                break;
+            }
+            let is_placement = matches!(change, TaskChange::Place(_));
+            let Some(allowed) = self.check_change(job, *index, change) else {
+                planned.stale.push(*index);
+                planned.placements.stale += u32::from(is_placement);
+                continue;
+            };
+            if let Some((shard, _)) = allowed.shard_token.as_ref().filter(|_| is_placement) {
+                let held = self.membership.leases.holds(shard, &self.me).is_some();
+                planned.placements.in_other_shards += u32::from(!held);
+            }
+            planned.placements.planned += u32::from(is_placement);
+            planned.add(job, *index, change, allowed);
+        }
+        planned
+    }
+
+    fn check_change(&self, job: &Job, index: u32, change: &TaskChange) -> Option<AllowedChange> {
+        match (change, job.task(index)) {
+            (TaskChange::Place(placement), Task::Waiting { tried })
+                if job.active() && *tried < placement.attempt =>
+            {
+                self.check_placement(placement)
+            }
+            (TaskChange::Release { attempt, evidence }, Task::Placed(placement))
+                if placement.attempt == *attempt =>
+            {
+                self.check_release(placement, *evidence)
+            }
+            (TaskChange::Finish { attempt }, Task::Placed(placement))
+                if placement.attempt == *attempt =>
+            {
+                let token = self.known_token(&placement.shard)?;
+                Some(AllowedChange {
+                    next: Task::Done,
+                    shard_token: Some((placement.shard.clone(), token)),
+                })
+            }
+            _ => None,
+        }
+    }
+
+    /// A placement needs a machine that still has the resources: another task may have been placed
+    /// there since this one was reserved. It also needs a shard of which no higher token may exist
+    /// when it is written; the leader places in shards of other holders, too, who then start the
+    /// task.
+    fn check_placement(&self, placement: &Placement) -> Option<AllowedChange> {
+        let machine = self.machines.get(&placement.machine_id)?;
+        let has_room = machine.agent_epoch == placement.agent_epoch
+            && Resources::default().fits_in(self.available(machine));
+        if !has_room {
+            return None;
+        }
+        let held = self.membership.leases.holds(&placement.shard, &self.me);
+        let token = held.or_else(|| {
+            self.leading()?;
+            self.known_token(&placement.shard)
+        })?;
+        Some(AllowedChange {
+            next: Task::Placed(placement.clone()),
+            shard_token: Some((placement.shard.clone(), token)),
+        })
+    }
+
+    /// A holder's evidence holds as long as its token does; that a machine is deleted holds for good.
+    fn check_release(&self, placement: &Placement, evidence: Evidence) -> Option<AllowedChange> {
+        let shard_token = match evidence {
+            Evidence::Deleted => None,
+            Evidence::Holder(token) if self.known_token(&placement.shard) == Some(token) => {
+                Some((placement.shard.clone(), token))
+            }
+            Evidence::Holder(_) => return None,
+        };
+        let tried = placement.attempt;
+        Some(AllowedChange {
+            next: Task::Waiting { tried },
+            shard_token,
+        })
+    }
+
+    /// The token under which a shard is held, by whoever holds it.
+    pub(super) fn known_token(&self, shard: &ShardId) -> Option<FencingToken> {
+        let shards = &self.membership.leases.shards;
+        shards.get(shard).map(|(_, token)| *token)
+    }
+}
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -1,12 +1,16 @@
 use std::sync::Arc;
 
 use super::*;
+use crate::controller::Effect;
 use crate::jobs::api::{parse, tests::body};
+use crate::jobs::cache::{Evidence, TaskChange};
+use crate::jobs::record::JobRecord;
+use crate::jobs::{JobKind, Phase, PriorityClass};
 use crate::jobs::{JobSpec, Placement};
 use crate::lease::OwnLease;
 use crate::settings::{Settings, tests::settings};
 use crate::store::StoreCall;
-use crate::types::{AgentEpoch, FencingToken, LeaseId};
+use crate::types::{AgentEpoch, Attempt, FencingToken, LeaseId, MachineId, ShardId};
 use crate::workers::Machine;
 
 fn placed(machine_id: &str, shard: &str, attempt: u64) -> Task {
--- /dev/null
+++ b/src/controller/commits/turn.rs
@@ -0,0 +1,132 @@
+//! When a job's noted changes are due, and in which lane of the backlog they wait.
+//!
+//! A transaction costs the same whatever it holds, so changes that nobody waits for are gathered,
+//! longer while writes are scarce. The decision is a pure function of the job and the write pressure.
+
+use crate::admission::backlog::Lane;
+use crate::jobs::cache::{Job, TaskChange};
+use crate::jobs::{JobKind, PriorityClass};
+use crate::types::Millis;
+
+/// How long completions of some of a job's tasks are gathered. Their resources are available
+/// meanwhile, and changes are what the store's limit counts.
+const GATHER_INTERVAL: Millis = Millis(3_000);
+/// The same while writes are scarce.
+const GATHER_INTERVAL_SCARCE: Millis = Millis(45_000);
+/// While writes are scarce, the first placements of an array wait this long for more of them.
+const MORE_PLACEMENTS_TIMEOUT: Millis = Millis(2_500);
+/// How long the last tasks of a job that is being stopped are waited for: other holders are about to
+/// report that their tasks of it have left, too.
+const LAST_TASKS_TIMEOUT: Millis = Millis(400);
+/// Urgent changes go before others that have waited up to this long.
+const URGENT_HEAD_START: Millis = Millis(2_000);
+
+/// How a job's changes wait in the backlog.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct CommitTurn {
+    /// The lane of the backlog.
+    pub(super) lane: Lane,
+    /// When the changes may be written; a time in the past goes before others that are due.
+    pub(super) due: Millis,
+}
+
+/// Whether the write limit is what holds up placements.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WritePressure {
+    /// Changes are written about as fast as they come.
+    Normal,
+    /// Scheduling cycles were stopped a moment ago because placements could not be written soon.
+    Scarce,
+}
+
+/// What a job's noted changes are, as far as their urgency depends on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ChangeKind {
+    /// The job is over; these are tasks that leave their machines.
+    Stop,
+    /// Completions of the last tasks, or of a gang.
+    FinalCompletions,
+    /// Completions of some of the tasks.
+    PartialCompletions,
+    /// Tasks of a gang leave that can only start again as a whole.
+    BrokenGang,
+    /// The first placements of a gang.
+    GangPlacement,
+    /// Placements of an array of which more tasks wait.
+    ArrayPlacements,
+    /// Other placements, or tasks that leave their machines without being done.
+    Other,
+}
+
+/// The lane and the due time of a job's noted changes. `near_limit`: whether the team is so close to
+/// a limit that its next tasks may wait for a completion; evaluated only if that matters.
+pub(super) fn choose(
+    job: &Job,
+    pressure: WritePressure,
+    near_limit: impl Fn() -> bool,
+    now: Millis,
+) -> CommitTurn {
+    let urgent = Millis(now.0.saturating_sub(URGENT_HEAD_START.0));
+    let scarce = pressure == WritePressure::Scarce;
+    let more_will_leave = more_will_leave(job);
+    let (lane, due) = match kind_of(job) {
+        // A user waits to hear that the tasks of a cancelled job are gone.
+        ChangeKind::Stop if more_will_leave => (Lane::Completions, now + LAST_TASKS_TIMEOUT),
+        ChangeKind::Stop => (Lane::Completions, urgent),
+        ChangeKind::FinalCompletions => (Lane::Completions, now),
+        ChangeKind::PartialCompletions => {
+            let due = now + gather_interval(scarce, near_limit());
+            (Lane::Gathered, due)
+        }
+        ChangeKind::BrokenGang => (Lane::Places, now + LAST_TASKS_TIMEOUT),
+        // Its resources are on machines of several holders, who may allocate them meanwhile.
+        ChangeKind::GangPlacement => (Lane::Completions, urgent),
+        _ if job.spec.priority >= PriorityClass::Urgent => (Lane::Places, urgent),
+        // While writes are scarce, waiting for more placements costs less than a transaction.
+        ChangeKind::ArrayPlacements if scarce => (Lane::Places, now + MORE_PLACEMENTS_TIMEOUT),
+        _ => (Lane::Places, now),
+    };
+    CommitTurn { lane, due }
+}
+
+fn kind_of(job: &Job) -> ChangeKind {
+    let completions = job.changes.values().all(TaskChange::finishes);
+    let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
+    if !job.active() {
+        ChangeKind::Stop
+    } else if completions && (complete || job.whole_gang()) {
+        ChangeKind::FinalCompletions
+    } else if completions {
+        ChangeKind::PartialCompletions
+    } else if more_will_leave(job) && job.broken_gang() {
+        ChangeKind::BrokenGang
+    } else if job.whole_gang() && job.placed == 0 {
+        ChangeKind::GangPlacement
+    } else if job.spec.kind == JobKind::Array && job.waiting() > 0 && only_placements(job) {
+        ChangeKind::ArrayPlacements
+    } else {
+        ChangeKind::Other
+    }
+}
+
+/// Whether tasks of the job are placed that no noted change concerns yet.
+fn more_will_leave(job: &Job) -> bool {
+    job.placed as usize > job.changes.len()
+}
+
+/// Whether all noted changes are placements. Others free resources that a gang may wait for on
+/// another controller's word.
+fn only_placements(job: &Job) -> bool {
+    let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
+    job.changes.values().all(is_placement)
+}
+
+/// How long completions of some of a job's tasks are gathered. Near its team's limit the next tasks
+/// wait for every completion.
+fn gather_interval(scarce: bool, near_limit: bool) -> Millis {
+    match (near_limit, scarce) {
+        (true, false) => Millis(0),
+        (true, true) | (false, false) => GATHER_INTERVAL,
+        (false, true) => GATHER_INTERVAL_SCARCE,
+    }
+}
