--- /dev/null
+++ b/src/controller/candidates/choose.rs
@@ -0,0 +1,254 @@
+//! Chooses the machine for a task: the index gives a shortlist, and the cycle filters and scores it.
+//!
+//! The work of a cycle is bounded. Machines of one class (group and capacity level) differ in little
+//! that a score sees, so a few of each class stand for all of it.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{MachineQuery, MachineScope};
+use crate::controller::Controller;
+use crate::cycle::index::{Group, ImageFilter, MachineClass};
+use crate::cycle::{self, Candidate, Choice, PlacementRequest};
+use crate::fleet::fetch_rate;
+use crate::jobs::cache::Job;
+use crate::queue::Check;
+use crate::types::{JobId, MachineId, Zone};
+use crate::workers::Machine;
+
+/// Feasible machines of a class that a cycle looks at.
+const MAX_FEASIBLE_OF_CLASS: usize = 8;
+/// Machines of a class that a cycle looks at, feasible or not. A machine of a class with enough
+/// capacity is not feasible if it is kept for other jobs, for example.
+const MAX_VISITED_OF_CLASS: usize = 128;
+/// Feasible machines after which a cycle looks no further, first of those with the job's image and
+/// then again of all. They are divided evenly among the groups of machines.
+const MAX_FEASIBLE: usize = 256;
+/// Feasible machines that a cycle looks at of each group at least, however many groups there are.
+const MIN_FEASIBLE_OF_GROUP: usize = 16;
+
+impl Controller {
+    /// Filters and scores machines for the next task of a job, and returns the best one. Fails with
+    /// the checks that rejected all of them.
+    pub(in crate::controller) fn choose_machine(
+        &mut self,
+        id: &JobId,
+        query: MachineQuery,
+    ) -> Result<MachineId, BTreeSet<Check>> {
+        loop {
+            self.refresh_candidates();
+            let Some(job) = self.jobs.get(id) else {
+                return Err(BTreeSet::new());
+            };
+            let full_shards = self.full_shards(job, query.raise_for);
+            let mut request = PlacementRequest::new(job, full_shards);
+            request.avoids_empty_machines = self.avoids_empty_machines(job);
+            let machine_id = self.best_machine(&request, query)?;
+            let machine = self.machines.get(&machine_id);
+            if machine.is_some_and(|machine| self.is_schedulable(machine)) {
+                return Ok(machine_id);
+            }
+            // It stopped being schedulable since the last sweep.
+            self.scheduler.candidates.index.remove(&machine_id);
+        }
+    }
+
+    /// The best machine by score, of those with the job's image and of a few of each class.
+    fn best_machine(
+        &self,
+        request: &PlacementRequest,
+        query: MachineQuery,
+    ) -> Result<MachineId, BTreeSet<Check>> {
+        let job = request.job;
+        let mut choice = Choice::default();
+        let open = self.open_groups(request, query, &mut choice);
+        let max_of_group = (MAX_FEASIBLE / open.len().max(1)).max(MIN_FEASIBLE_OF_GROUP);
+        for image_filter in [ImageFilter::Image(&job.spec.image), ImageFilter::Any] {
+            for group in &open {
+                self.visit(image_filter, group, job, max_of_group, |candidate| {
+                    choice.consider(request, &candidate)
+                });
+            }
+        }
+        choice.into_result()
+    }
+
+    /// The groups whose shards are open to the job. Notes in `choice` which checks rejected machines
+    /// that are not visited: those of closed shards, and those without enough capacity.
+    fn open_groups(
+        &self,
+        request: &PlacementRequest,
+        query: MachineQuery,
+        choice: &mut Choice,
+    ) -> Vec<&Group> {
+        let (spec, resources) = (&request.job.spec, request.job.spec.resources);
+        let candidates = &self.scheduler.candidates;
+        let mut open = Vec::new();
+        for group in candidates.groups(spec, query.scope, query.zone) {
+            let fits_when_empty = resources.fits_in(self.capacity_of_type(&group.machine_type));
+            if fits_when_empty && candidates.index.any_too_full(group, resources) {
+                choice.reject(Check::Resources);
+            }
+            let Some(check) = request.shard_rejection(&group.shard) else {
+                open.push(group);
+                continue;
+            };
+            let mut fitting = candidates.index.fitting(ImageFilter::Any, group, resources);
+            if fitting.next().is_some() {
+                choice.reject(check);
+            }
+        }
+        open
+    }
+
+    /// Visits machines of a group that have enough capacity by the index: a few of each class, from the
+    /// fullest and the emptiest classes in turn, until `max_feasible` passed. Returns how many did.
+    fn visit<'a>(
+        &'a self,
+        image_filter: ImageFilter,
+        group: &'a Group,
+        job: &Job,
+        max_feasible: usize,
+        mut is_feasible: impl FnMut(Candidate<'a>) -> bool,
+    ) -> usize {
+        let index = &self.scheduler.candidates.index;
+        let classes: Vec<MachineClass> = index
+            .fitting(image_filter, group, job.spec.resources)
+            .collect();
+        let mut feasible = 0;
+        for class in from_both_ends(&classes) {
+            let mut feasible_of_class = 0;
+            for machine_id in class.machine_ids.iter().take(MAX_VISITED_OF_CLASS) {
+                if feasible_of_class == MAX_FEASIBLE_OF_CLASS || feasible == max_feasible {
+                    break;
+                }
+                let Some(machine) = self.machines.get(machine_id) else {
+                    continue;
+                };
+                self.work_counters.candidates.add(1);
+                if is_feasible(self.candidate(job, machine)) {
+                    feasible_of_class += 1;
+                    feasible += 1;
+                }
+            }
+        }
+        feasible
+    }
+
+    /// A machine as a cycle for the job sees it.
+    pub(in crate::controller) fn candidate<'a>(
+        &self,
+        job: &Job,
+        machine: &'a Machine,
+    ) -> Candidate<'a> {
+        let capacity = self.capacity(machine);
+        let usage = self.jobs.machine_usage(&machine.machine_id);
+        let rate_gb_per_s = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
+        let (image, image_gb) = (&job.spec.image, job.spec.image_gb);
+        Candidate {
+            machine,
+            capacity,
+            available: self.available_for(machine, &job.id),
+            only_preemptible: usage.yielding(),
+            image_s: machine.image_s(image, image_gb, rate_gb_per_s, self.now),
+            fetch_s: image_gb / rate_gb_per_s,
+            non_preemptible_share: usage.allocated.minus(usage.soft).share_of(capacity),
+        }
+    }
+
+    /// Whether a machine that has the job's image has room for its next task; for a gang, whether
+    /// such machines have room for all of its tasks.
+    pub(in crate::controller) fn has_cached_capacity(
+        &mut self,
+        id: &JobId,
+        scope: MachineScope,
+    ) -> bool {
+        self.refresh_candidates();
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        let request = PlacementRequest::new(job, self.full_shards(job, None));
+        let mut groups = self.scheduler.candidates.groups(&job.spec, scope, None);
+        groups.retain(|group| request.shard_rejection(&group.shard).is_none());
+        if job.whole_gang() {
+            return self.has_cached_gang_capacity(&request, &groups);
+        }
+        let image_filter = ImageFilter::Image(&job.spec.image);
+        let is_feasible = |candidate: Candidate| cycle::filter(&request, &candidate).is_none();
+        groups
+            .into_iter()
+            .any(|group| self.visit(image_filter, group, job, 1, is_feasible) > 0)
+    }
+
+    fn has_cached_gang_capacity(&self, request: &PlacementRequest, groups: &[&Group]) -> bool {
+        let job = request.job;
+        let image_filter = ImageFilter::Image(&job.spec.image);
+        let index = &self.scheduler.candidates.index;
+        // Tasks for which there is room, by zone if the gang has to be in one.
+        let mut room: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
+        for group in groups {
+            let zone = job.spec.one_zone.then_some(group.zone());
+            let tasks = room.entry(zone).or_default();
+            let classes = index.fitting(image_filter, group, job.spec.resources);
+            for machine_id in classes.flat_map(|class| class.machine_ids) {
+                if *tasks >= job.record.tasks {
+                    return true;
+                }
+                let Some(machine) = self.machines.get(machine_id) else {
+                    continue;
+                };
+                self.work_counters.candidates.add(1);
+                let candidate = self.candidate(job, machine);
+                if cycle::filter(request, &candidate).is_none() {
+                    *tasks += candidate.available.holds(job.spec.resources);
+                }
+            }
+        }
+        room.values().any(|tasks| *tasks >= job.record.tasks)
+    }
+
+    /// Zones in which all tasks of a gang find room by the index, those with most room first.
+    pub(in crate::controller) fn zones_by_capacity(
+        &mut self,
+        id: &JobId,
+        scope: MachineScope,
+    ) -> Vec<Zone> {
+        self.refresh_candidates();
+        let Some(job) = self.jobs.get(id) else {
+            return Vec::new();
+        };
+        let request = PlacementRequest::new(job, Vec::new());
+        let candidates = &self.scheduler.candidates;
+        let resources = job.spec.resources;
+        let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
+        for group in candidates.groups(&job.spec, scope, None) {
+            if request.shard_rejection(&group.shard).is_some() {
+                continue;
+            }
+            for class in candidates.index.fitting(ImageFilter::Any, group, resources) {
+                let tasks_each = class.level.available().holds(resources);
+                let tasks = tasks_each.saturating_mul(class.machine_ids.len() as u32);
+                let zone_tasks = room.entry(group.zone()).or_default();
+                *zone_tasks = zone_tasks.saturating_add(tasks);
+            }
+        }
+        room.retain(|_, tasks| *tasks >= job.record.tasks);
+        let mut zones: Vec<(u32, &Zone)> = room
+            .into_iter()
+            .map(|(zone, tasks)| (tasks, zone))
+            .collect();
+        zones.sort_by(|left, right| right.cmp(left));
+        zones.into_iter().map(|(_, zone)| zone.clone()).collect()
+    }
+}
+
+/// The first, the last, the second, the last but one, and so on.
+fn from_both_ends<'a, 'b>(
+    classes: &'b [MachineClass<'a>],
+) -> impl Iterator<Item = &'b MachineClass<'a>> {
+    let last = classes.len().saturating_sub(1);
+    (0..classes.len()).map(move |turn| {
+        let step = turn / 2;
+        let index = if turn % 2 == 0 { step } else { last - step };
+        &classes[index]
+    })
+}
--- /dev/null
+++ b/src/controller/candidates/eligibility.rs
@@ -0,0 +1,83 @@
+//! Which machines may be used for tasks, and how much of each is available.
+
+use crate::controller::Controller;
+use crate::fleet::MachineTypeSpec;
+use crate::types::{JobId, MachineTypeId, Resources};
+use crate::workers::Machine;
+
+impl Controller {
+    /// The specification of a machine type; `None` if it is unknown.
+    pub(in crate::controller) fn type_spec(
+        &self,
+        machine_type: &MachineTypeId,
+    ) -> Option<&MachineTypeSpec> {
+        self.autoscaler
+            .type_specs
+            .iter()
+            .find(|type_spec| type_spec.id == *machine_type)
+    }
+
+    /// What a machine of this type offers when it is empty; nothing if its type is unknown.
+    pub(super) fn capacity_of_type(&self, machine_type: &MachineTypeId) -> Resources {
+        let type_spec = self.type_spec(machine_type);
+        type_spec.map(|spec| spec.resources).unwrap_or_default()
+    }
+
+    /// What a machine offers when it is empty.
+    pub(super) fn capacity(&self, machine: &Machine) -> Resources {
+        self.capacity_of_type(&machine.machine_type)
+    }
+
+    /// What is not allocated on a machine. This includes what is kept for nominated jobs.
+    pub(in crate::controller) fn available(&self, machine: &Machine) -> Resources {
+        self.capacity(machine)
+            .minus(self.jobs.allocated(&machine.machine_id))
+    }
+
+    /// What a job may use of a machine: what is not allocated, without what is kept for nominated
+    /// jobs of the same or a higher priority.
+    pub(in crate::controller) fn available_for(&self, machine: &Machine, id: &JobId) -> Resources {
+        let mut available = self.available(machine);
+        let mut priority = None;
+        for (other, resources) in self.scheduler.nominations.on(&machine.machine_id, self.now) {
+            let priority =
+                *priority.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
+            let nominee = self.jobs.get(other).filter(|_| other != id);
+            if nominee.is_some_and(|nominee| priority <= Some(nominee.spec.priority)) {
+                available = available.minus(resources);
+            }
+        }
+        available
+    }
+
+    /// Whether any controller may place tasks on a machine.
+    pub(in crate::controller) fn is_schedulable(&self, machine: &Machine) -> bool {
+        self.ours(machine) || self.others(machine)
+    }
+
+    /// Whether this controller may place tasks on a machine itself: it holds the machine's shard, the
+    /// worker has accepted the shard's fencing token, and the machine is fit.
+    pub(in crate::controller) fn ours(&self, machine: &Machine) -> bool {
+        self.token_for(&machine.shard).is_some_and(|token| {
+            machine.worker_token.token() == token
+                && machine.answered.is_some_and(|(under, _)| under == token)
+                && self.is_fit(machine)
+        })
+    }
+
+    /// Whether another controller may place tasks on a machine, as far as its holder reports.
+    pub(in crate::controller) fn others(&self, machine: &Machine) -> bool {
+        let leases = &self.membership.leases;
+        let holder = leases.shards.get(&machine.shard).map(|(holder, _)| holder);
+        self.token_for(&machine.shard).is_none()
+            && holder == Some(&machine.heard_by)
+            && self.is_fit(machine)
+    }
+
+    /// Whether a machine is healthy, and is neither drained nor deleted.
+    fn is_fit(&self, machine: &Machine) -> bool {
+        machine.fit(self.now, self.silence())
+            && !self.autoscaler.drains.contains(&machine.machine_id)
+            && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+    }
+}
--- /dev/null
+++ b/src/controller/candidates/mod.rs
@@ -0,0 +1,88 @@
+//! The machines that cycles choose from.
+//!
+//! [`Candidates`] owns the index of available capacity. The controller keeps it up to date
+//! (`refresh`), judges which machines may be used and what they offer (`eligibility`), and chooses
+//! the machine for a task (`choose`).
+
+mod choose;
+mod eligibility;
+mod refresh;
+
+use crate::cycle::index::{CapacityIndex, Group};
+use crate::jobs::JobSpec;
+use crate::types::{MachineId, Millis, Zone};
+
+/// Whose machines a cycle looks at.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MachineScope {
+    /// Those in shards that this controller holds.
+    Own,
+    /// Those in shards that other controllers hold.
+    Others,
+    /// The whole fleet.
+    All,
+}
+
+/// Which machines may be chosen for a task.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MachineQuery<'a> {
+    /// Whose machines.
+    pub(super) scope: MachineScope,
+    /// Only those of this zone, if there is one.
+    pub(super) zone: Option<&'a Zone>,
+    /// The leader may raise shards' quota allocations as long as the team's limit has room for so
+    /// many tasks; `None`: tasks have to fit the allocations as they are.
+    pub(super) raise_for: Option<u32>,
+}
+
+impl MachineQuery<'_> {
+    /// Machines of a scope, in any zone, as far as shards' quota allocations go.
+    pub(super) fn within(scope: MachineScope) -> Self {
+        Self {
+            scope,
+            zone: None,
+            raise_for: None,
+        }
+    }
+}
+
+/// Machines that can take tasks, by what is available on them.
+#[derive(Debug, Default)]
+pub(super) struct Candidates {
+    /// When all machines were last compared with the index.
+    swept_at: Millis,
+    /// More machines are empty than the headroom for urgent work needs.
+    pub(super) spare_empty_machines: bool,
+    /// The index of available capacity.
+    pub(super) index: CapacityIndex,
+    /// Machines of which something other than their allocation changed since the last refresh.
+    pub(super) touched: Vec<MachineId>,
+}
+
+impl Candidates {
+    /// Groups of machines that a job allows, within a scope and a zone.
+    pub(super) fn groups(
+        &self,
+        spec: &JobSpec,
+        scope: MachineScope,
+        zone: Option<&Zone>,
+    ) -> Vec<&Group> {
+        let in_scope = |group: &&Group| match scope {
+            MachineScope::Own => group.own,
+            MachineScope::Others => !group.own,
+            MachineScope::All => true,
+        };
+        let allowed = |group: &&Group| {
+            zone.is_none_or(|zone| group.zone() == zone)
+                && spec.allows(&group.machine_type, group.zone(), group.spot)
+        };
+        self.index
+            .groups()
+            .filter(in_scope)
+            .filter(allowed)
+            .collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/candidates/refresh.rs
@@ -0,0 +1,175 @@
+//! Keeps the index of available capacity up to date with the machines.
+//!
+//! Changes are entered when a cycle needs the index. Now and then a sweep compares all machines with
+//! it, since some become schedulable, or stop being so, as time passes.
+
+use crate::controller::Controller;
+use crate::cycle::index::{CapacityLevel, Entry, Group};
+use crate::types::{Image, MachineId, Millis};
+use crate::workers::Machine;
+
+/// Time between two sweeps. A sweep looks at each machine, so it may not run with each cycle; what it
+/// finds (machines that went silent) changes within seconds.
+const SWEEP_INTERVAL: Millis = Millis(200);
+
+/// What a comparison of the machines with the index found.
+struct SweepFindings {
+    /// How many machines are schedulable.
+    schedulable: usize,
+    /// Those of them that the index does not show as they are.
+    stale: Vec<MachineId>,
+}
+
+impl Controller {
+    /// Brings the index up to date: with the machines that changed and, when the interval is over,
+    /// with all of them.
+    pub(in crate::controller) fn refresh_candidates(&mut self) {
+        let mut changed = self.jobs.take_changed_machines();
+        changed.extend(std::mem::take(&mut self.scheduler.candidates.touched));
+        // A sweep only counts images, so machines whose images changed have to be entered by name.
+        self.update_index(changed);
+        if self.now.since(self.scheduler.candidates.swept_at) >= SWEEP_INTERVAL {
+            self.sweep_index();
+        }
+    }
+
+    /// Enters these machines as they are now, and removes those that are not schedulable.
+    fn update_index(&mut self, machine_ids: impl IntoIterator<Item = MachineId>) {
+        for machine_id in machine_ids {
+            let entry = self
+                .machines
+                .get(&machine_id)
+                .and_then(|machine| self.index_entry(machine));
+            let index = &mut self.scheduler.candidates.index;
+            match entry {
+                Some(entry) => index.update(&machine_id, entry),
+                None => index.remove(&machine_id),
+            }
+        }
+    }
+
+    /// A machine's entry in the index; `None` if it is not schedulable.
+    fn index_entry(&self, machine: &Machine) -> Option<Entry> {
+        let own = self.ours(machine);
+        if !own && !self.others(machine) {
+            return None;
+        }
+        let mut images: Vec<Image> = machine.images.keys().cloned().collect();
+        images.sort();
+        Some(Entry {
+            group: Group {
+                own,
+                shard: machine.shard.clone(),
+                machine_type: machine.machine_type.clone(),
+                spot: machine.spot,
+            },
+            level: self.capacity_level(machine),
+            images,
+        })
+    }
+
+    fn capacity_level(&self, machine: &Machine) -> CapacityLevel {
+        let usage = self.jobs.machine_usage(&machine.machine_id);
+        let available = self.capacity(machine).minus(usage.allocated);
+        CapacityLevel::new(available, usage.soft, machine.coming.len())
+    }
+
+    /// Compares all machines with the index and corrects it.
+    fn sweep_index(&mut self) {
+        let SweepFindings { schedulable, stale } = self.compare_with_index();
+        self.work_counters.swept.add(self.machines.len());
+        let entered = stale.len();
+        self.update_index(stale);
+        if self.scheduler.candidates.index.len() > schedulable {
+            self.remove_unschedulable();
+        }
+        self.scheduler.candidates.spare_empty_machines = self.has_spare_empty_machines();
+        self.scheduler.candidates.swept_at = self.now;
+        tracing::trace!(usable = schedulable, entered, "looked over the fleet");
+    }
+
+    fn compare_with_index(&self) -> SweepFindings {
+        let mut findings = SweepFindings {
+            schedulable: 0,
+            stale: Vec::new(),
+        };
+        for (machine_id, machine) in &self.machines {
+            let own = self.ours(machine);
+            if !own && !self.others(machine) {
+                continue;
+            }
+            findings.schedulable += 1;
+            let level = self.capacity_level(machine);
+            let (shard, images) = (&machine.shard, machine.images.len());
+            let index = &self.scheduler.candidates.index;
+            if !index.is_current(machine_id, own, shard, level, images) {
+                findings.stale.push(machine_id.clone());
+            }
+        }
+        findings
+    }
+
+    fn remove_unschedulable(&mut self) {
+        let unschedulable = |machine_id: &&MachineId| {
+            let machine = self.machines.get(*machine_id);
+            machine.is_none_or(|machine| !self.is_schedulable(machine))
+        };
+        let index = &self.scheduler.candidates.index;
+        let removed: Vec<MachineId> = index.machine_ids().filter(unschedulable).cloned().collect();
+        for machine_id in removed {
+            self.scheduler.candidates.index.remove(&machine_id);
+        }
+    }
+
+    /// Whether more machines are empty than the headroom for urgent work needs.
+    fn has_spare_empty_machines(&self) -> bool {
+        let headroom = self.headroom();
+        let needed: u32 = headroom.iter().map(|headroom| headroom.machines).sum();
+        let index = &self.scheduler.candidates.index;
+        let empty = index
+            .machine_ids()
+            .filter(|machine_id| !self.jobs.busy(machine_id));
+        empty.count() > needed as usize
+    }
+
+    /// Compares the index with a recount, for tests: returns a line for each difference. Between two
+    /// sweeps a machine's schedulability, or an image that it gave up fetching, may be out of date; all else has to
+    /// be right at any moment.
+    pub fn recount_pool(&mut self) -> Vec<String> {
+        self.refresh_candidates();
+        let candidates = &self.scheduler.candidates;
+        let swept = candidates.swept_at == self.now;
+        let mut differences: Vec<String> = candidates
+            .index
+            .entries()
+            .filter_map(|(machine_id, entered)| self.entry_difference(machine_id, entered, swept))
+            .collect();
+        let machines = self.machines.values();
+        let schedulable = machines.filter(|machine| self.index_entry(machine).is_some());
+        let (schedulable, entered) = (schedulable.count(), candidates.index.len());
+        if swept && schedulable != entered {
+            differences.push(format!("{entered} machines entered, {schedulable} usable"));
+        }
+        differences
+    }
+
+    /// How a machine's entry differs from what it should be, if it does.
+    fn entry_difference(
+        &self,
+        machine_id: &MachineId,
+        entered: &Entry,
+        swept: bool,
+    ) -> Option<String> {
+        let machine = self.machines.get(machine_id);
+        let expected = machine.and_then(|machine| self.index_entry(machine));
+        let right = match &expected {
+            Some(expected) if swept => expected == entered,
+            Some(expected) => {
+                expected.level.available() == entered.level.available()
+                    && expected.images == entered.images
+            }
+            None => !swept,
+        };
+        (!right).then(|| format!("{machine_id}: {entered:?}, should be {expected:?}"))
+    }
+}
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -1,9 +1,13 @@
 use super::*;
+use crate::controller::Controller;
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{JobKind, JobSpec, Phase, Placement, PriorityClass, Task};
-use crate::types::{AgentEpoch, Attempt, FencingToken, Revision, ShardId, WorkerToken};
+use crate::types::{
+    AgentEpoch, Attempt, FencingToken, JobId, Resources, Revision, ShardId, WorkerToken,
+};
+use crate::workers::Machine;
 
 const NOW: Millis = Millis(10_000);
 
@@ -61,7 +65,7 @@
     if !tasks.is_empty() {
         occupy(&mut controller, tasks);
     }
-    controller.refresh_pool();
+    controller.refresh_candidates();
     (controller, id)
 }
 
@@ -94,10 +98,10 @@
         step: fn(&mut Controller, &JobId),
     }
     let choose: fn(&mut Controller, &JobId) = |controller, id| {
-        let _ = controller.choose(id, Scope::All, None, None);
+        let _ = controller.choose_machine(id, MachineQuery::within(MachineScope::All));
     };
     let cached: fn(&mut Controller, &JobId) = |controller, id| {
-        controller.cached(id, Scope::All);
+        controller.has_cached_capacity(id, MachineScope::All);
     };
     let cases = [
         Case {
@@ -113,8 +117,8 @@
             step: |controller, id| {
                 let job = controller.jobs.get_mut(id).unwrap();
                 (job.spec.priority, job.born) = (PriorityClass::BestEffort, NOW);
-                controller.scheduler.candidates.spare = false;
-                let _ = controller.choose(id, Scope::All, None, None);
+                controller.scheduler.candidates.spare_empty_machines = false;
+                let _ = controller.choose_machine(id, MachineQuery::within(MachineScope::All));
             },
         },
         Case {
--- /dev/null
+++ b/src/controller/placement/cycle.rs
@@ -0,0 +1,116 @@
+//! One scheduling cycle: it takes the next task of a job, or a whole gang, and ends with a placement,
+//! with the job handed to another controller, or with the job back in the queue.
+
+use std::collections::BTreeSet;
+
+use crate::controller::Controller;
+use crate::controller::candidates::MachineScope;
+use crate::controller::preemption::PreemptionScope;
+use crate::jobs::PriorityClass;
+use crate::jobs::cache::{Job, Writing};
+use crate::queue::{Check, PoppedJob, QueueKey};
+use crate::types::JobId;
+
+impl Controller {
+    /// Runs one cycle for a job. Returns whether a task, or a gang, was placed.
+    pub(super) fn run_cycle(&mut self, popped: &PoppedJob) -> bool {
+        let id = &popped.id;
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        if !job.active() || job.waiting() == 0 || job.writing != Writing::Idle {
+            // A job that is being written is queued again when the store answers.
+            return false;
+        }
+        let key = self.order(job);
+        self.work_counters.cycles.add(1);
+        if self.hold_back_crash_looping(id, key) {
+            return false;
+        }
+        if popped.failures == 0 && self.try_faster_start(id, key) {
+            return false;
+        }
+        match self.place(id) {
+            Ok(()) => {
+                self.after_placement(id, key);
+                true
+            }
+            Err(checks) => {
+                self.handle_unplaced(popped, checks, key);
+                false
+            }
+        }
+    }
+
+    /// Notes the placement for a commit, and queues the job again if more of its tasks wait.
+    fn after_placement(&mut self, id: &JobId, key: QueueKey) {
+        self.room_taken(id);
+        if self.jobs.get(id).is_some_and(Job::whole_gang) {
+            self.commit(id);
+        } else if self.commits.noted_jobs.last() != Some(id) {
+            self.commits.noted_jobs.push(id.clone());
+        }
+        if let Some(job) = self.jobs.get(id)
+            && job.waiting() > 0
+            && !self.hold_back_crash_looping(id, key)
+        {
+            self.scheduler.queue.push(id, key);
+        } else {
+            self.scheduler.forwarded.remove(id);
+        }
+    }
+
+    /// Looks for a start that is faster than fetching the image to our machines. A fetch takes far
+    /// longer than the way over the leader, or than preempting: where our shards lack the image, the
+    /// job is placed where the image is, and for an urgent job tasks are preempted there.
+    ///
+    /// Returns whether that ends the cycle.
+    fn try_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        let urgent = job.spec.priority >= PriorityClass::Urgent;
+        let gang = job.whole_gang();
+        if gang && self.leading().is_some() || self.has_cached_capacity(id, MachineScope::Own) {
+            return false;
+        }
+        if urgent && self.serve_preemption_request(id) {
+            self.scheduler.queue.expect_room(id, 0, key, self.now);
+            return true;
+        }
+        let cached_elsewhere = !gang && self.has_cached_capacity(id, MachineScope::Others);
+        if self.leading().is_none() {
+            return (cached_elsewhere || urgent) && self.ask_leader_for_faster_start(id, key);
+        }
+        if cached_elsewhere {
+            self.forward_for_faster_start(id, key);
+            return true;
+        }
+        if urgent && self.preempt(id, PreemptionScope::Quickest) {
+            self.scheduler.queue.expect_room(id, 0, key, self.now);
+            return true;
+        }
+        false
+    }
+
+    /// As the leader, treats a job as one that does not fit our shards: another controller's
+    /// machines have its image.
+    fn forward_for_faster_start(&mut self, id: &JobId, key: QueueKey) {
+        let checks = BTreeSet::from([Check::Resources]);
+        let job = PoppedJob {
+            id: id.clone(),
+            failures: 0,
+        };
+        self.handle_unplaced(&job, checks, key);
+    }
+
+    /// Has the leader look over the whole fleet, unless the leader has forwarded the job to us. The
+    /// job backs off meanwhile; if nothing comes of it, the job is tried here after all.
+    fn ask_leader_for_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
+        if self.scheduler.forwarded.contains(id) || !self.return_to_leader(id) {
+            return false;
+        }
+        self.requeue(id, 0, BTreeSet::new(), key);
+        true
+    }
+}
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
+use crate::controller::Effect;
 use crate::controller::commits::tests::controller;
 use crate::jobs::Task;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::job_key;
-use crate::peers::{MachineHeartbeat, Status};
-use crate::types::{AgentEpoch, Revision};
+use crate::peers::{MachineHeartbeat, Message, Status};
+use crate::types::{AgentEpoch, MachineId, Revision};
 
 /// A message between controllers takes a millisecond, the watch up to a pause of its own: jobs
 /// that were handed to the leader at once were unknown there, and waited a second.
--- /dev/null
+++ b/src/controller/preemption/sites.rs
@@ -0,0 +1,208 @@
+//! The machines on which room could be made for a job, and whom to stop there.
+//!
+//! The search is bounded: full machines are many, and each has to be asked for its tasks.
+
+use rustc_hash::FxHashMap as HashMap;
+
+use super::cost::{Preemptibility, Preemptor};
+use crate::controller::Controller;
+use crate::controller::candidates::MachineScope;
+use crate::cycle::PlacementRequest;
+use crate::cycle::index::{Group, ImageFilter};
+use crate::fleet::fetch_rate;
+use crate::jobs::cache::Job;
+use crate::preempt::{self, Site, Victim};
+use crate::types::{JobId, MachineId, TaskId};
+use crate::workers::Machine;
+
+/// Machines of a group that are weighed against each other, unless a gang has more tasks.
+const MAX_SITES_OF_GROUP: usize = 64;
+/// Full machines of all groups together that are asked whether stopping tasks there makes room.
+const MAX_FULL_MACHINES: usize = 2_048;
+/// Full machines of each group that are asked at least, however many groups there are.
+const MIN_FULL_MACHINES_OF_GROUP: usize = 64;
+
+/// Sites by machine.
+type SitesByMachine<'a> = HashMap<&'a MachineId, Site>;
+
+/// How far a search for sites goes.
+pub(super) struct SiteSearch<'a> {
+    preemptor: Preemptor<'a>,
+    /// Work of any priority may be stopped, since teams use more than their guarantees.
+    reclaims_borrowed: bool,
+    /// Sites of a group that are enough.
+    max_sites_of_group: usize,
+    /// Full machines of a group that are looked at.
+    max_full_of_group: usize,
+}
+
+impl Controller {
+    /// A machine of ours as a site, if the job may run there.
+    pub(super) fn site_on(&self, preemptor: Preemptor, machine_id: &MachineId) -> Option<Site> {
+        let spec = &preemptor.job.spec;
+        let request = PlacementRequest::new(preemptor.job, Vec::new());
+        let machine = self.machines.get(machine_id).filter(|machine| {
+            self.ours(machine)
+                && spec.allows(&machine.machine_type, &machine.zone, machine.spot)
+                && request.zone_allowed(&machine.zone)
+        })?;
+        Some(self.site(preemptor, machine))
+    }
+
+    /// Sites in the whole fleet for one task of a job.
+    pub(super) fn sites(&self, preemptor: Preemptor) -> Vec<Site> {
+        let job = preemptor.job;
+        let request = PlacementRequest::new(job, Vec::new());
+        let candidates = &self.scheduler.candidates;
+        let mut groups = candidates.groups(&job.spec, MachineScope::All, None);
+        groups.retain(|group| request.zone_allowed(group.zone()));
+        let search = self.site_search(preemptor, groups.len(), 1);
+        let sites = groups
+            .into_iter()
+            .flat_map(|group| self.sites_of_group(&search, group));
+        sites.collect()
+    }
+
+    /// The bounds of a search for room for so many tasks in so many groups of machines. With a quota
+    /// tree all machines count, since its ledger weighs them against each other.
+    pub(super) fn site_search<'a>(
+        &self,
+        preemptor: Preemptor<'a>,
+        groups: usize,
+        tasks: usize,
+    ) -> SiteSearch<'a> {
+        if self.ledger(preemptor.job).is_some() {
+            return SiteSearch {
+                preemptor,
+                reclaims_borrowed: true,
+                max_sites_of_group: usize::MAX,
+                max_full_of_group: usize::MAX,
+            };
+        }
+        let full_of_group = MAX_FULL_MACHINES / groups.max(1);
+        SiteSearch {
+            preemptor,
+            reclaims_borrowed: preemptor.within_guarantee && self.any_team_borrows(),
+            max_sites_of_group: tasks.max(MAX_SITES_OF_GROUP),
+            max_full_of_group: full_of_group.max(MIN_FULL_MACHINES_OF_GROUP),
+        }
+    }
+
+    /// Sites of one group: machines with the job's image that have room, other machines that have room,
+    /// and full ones where enough can be stopped.
+    pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<Site> {
+        let mut found = SitesByMachine::default();
+        self.add_sites_with_room(search, group, &mut found);
+        self.add_full_sites(search, group, &mut found);
+        found.into_values().collect()
+    }
+
+    fn add_sites_with_room<'a>(
+        &'a self,
+        search: &SiteSearch,
+        group: &'a Group,
+        found: &mut SitesByMachine<'a>,
+    ) {
+        let spec = &search.preemptor.job.spec;
+        let index = &self.scheduler.candidates.index;
+        for image_filter in [ImageFilter::Image(&spec.image), ImageFilter::Any] {
+            let machine_ids = index
+                .fitting(image_filter, group, spec.resources)
+                .flat_map(|class| class.machine_ids)
+                .take(search.max_sites_of_group);
+            for machine_id in machine_ids {
+                if let Some(machine) = self.machines.get(machine_id)
+                    && !found.contains_key(machine_id)
+                {
+                    found.insert(machine_id, self.site(search.preemptor, machine));
+                }
+            }
+        }
+    }
+
+    fn add_full_sites<'a>(
+        &'a self,
+        search: &SiteSearch,
+        group: &'a Group,
+        found: &mut SitesByMachine<'a>,
+    ) {
+        let spec = &search.preemptor.job.spec;
+        let index = &self.scheduler.candidates.index;
+        let machine_ids = index
+            .too_full(group, spec.resources)
+            .flat_map(|class| class.machine_ids)
+            .take(search.max_full_of_group);
+        let mut with_offer = 0;
+        for machine_id in machine_ids {
+            if with_offer >= search.max_sites_of_group {
+                break;
+            }
+            self.work_counters.candidates.add(1);
+            let Some(machine) = self.machines.get(machine_id) else {
+                continue;
+            };
+            let usage = self.jobs.machine_usage(machine_id);
+            let lower_priority = usage.below(spec.priority);
+            let with_lower_stopped = self.available(machine).plus(lower_priority);
+            if !search.reclaims_borrowed && !spec.resources.fits_in(with_lower_stopped) {
+                continue;
+            }
+            let site = self.site(search.preemptor, machine);
+            with_offer += usize::from(preempt::offer(spec.resources, &site).is_some());
+            found.insert(machine_id, site);
+        }
+    }
+
+    /// A machine as a site: what is available there for the job, and who could be stopped.
+    fn site(&self, preemptor: Preemptor, machine: &Machine) -> Site {
+        self.work_counters.sites.add(1);
+        let job = preemptor.job;
+        let available = self.available_for(machine, &job.id);
+        // Where the task fits as it is, nobody has to be stopped, except by shares of a quota tree.
+        let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
+        let victims = self
+            .jobs
+            .on_machine(&machine.machine_id)
+            .filter(|_| !fits)
+            .filter_map(|(id, index)| self.victim(preemptor, id, *index))
+            .collect();
+        let rate_gb_per_s = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
+        let (image, image_gb) = (&job.spec.image, job.spec.image_gb);
+        Site {
+            machine_id: machine.machine_id.clone(),
+            available,
+            victims,
+            delay_s: machine.image_s(image, image_gb, rate_gb_per_s, self.now),
+            nested: false,
+        }
+    }
+
+    /// A task as one that may be stopped for a job; `None` if it may not. Gangs are never stopped in
+    /// part.
+    fn victim(&self, preemptor: Preemptor, id: &JobId, index: u32) -> Option<Victim> {
+        let task = TaskId {
+            job: id.clone(),
+            index,
+        };
+        let victim: &Job = self.jobs.get(id)?;
+        let leaving = self.scheduler.stops.contains_key(&task) || !victim.active();
+        let grounds = if leaving || victim.whole_gang() {
+            Preemptibility::default()
+        } else {
+            self.preemptibility(preemptor, victim)
+        };
+        if !leaving && !grounds.unconditional && !grounds.by_quota_tree {
+            return None;
+        }
+        Some(Victim {
+            task,
+            resources: victim.spec.resources,
+            priority: victim.spec.priority,
+            waste_s: self.waste(victim),
+            leaving,
+            lower: grounds.unconditional,
+            team: grounds.by_quota_tree.then(|| victim.spec.team.clone()),
+            over: None,
+        })
+    }
+}
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -1,13 +1,24 @@
 //! Which jobs this controller queues, in which order, and which events wake those that are parked.
 
+use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
 use super::Controller;
 use crate::jobs::cache::Job;
 use crate::queue::{Check, ClusterEvent, QueueKey};
-use crate::types::{JobId, MachineId};
+use crate::types::{JobId, MachineId, Resources};
+use crate::workers::Machine;
+
+/// The machine that an event is about.
+#[derive(Clone, Copy)]
+struct EventMachine<'a> {
+    machine: &'a Machine,
+    available: Resources,
+}
 
 impl Controller {
+    /// Whether this controller places a job's tasks: as its owner, because the job was forwarded to it,
+    /// or as the leader while the owner is gone.
     pub(super) fn responsible(&self, job: &Job) -> bool {
         let owner = &job.record.owner;
         *owner == self.me
@@ -15,114 +26,150 @@
             || (self.leading().is_some() && !self.membership.leases.controllers.contains_key(owner))
     }
 
+    /// A job's sort key in the queue.
     pub(super) fn order(&self, job: &Job) -> QueueKey {
         QueueKey {
             beyond_guarantee: !self.guaranteed(job),
-            priority: std::cmp::Reverse(job.spec.priority),
+            priority: Reverse(job.spec.priority),
             born: job.born,
             flow: self.commits.flows.of(&job.spec),
         }
     }
 
-    /// Queues a job if it has tasks to place and that is ours to do; sees to the rest of one
-    /// that is over.
+    /// Queues a job if it has tasks to place and this controller is responsible for it. Clears up
+    /// after a job that has ended.
     pub(super) fn consider(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
-            self.scheduler.queue.remove(id);
-            self.scheduler.forwarded.remove(id);
-            self.scheduler.failed_jobs.remove(id);
+            self.scheduler.forget_job(id);
             return;
         };
         if !job.active() {
-            let ours = self.responsible(job);
+            let responsible = self.responsible(job);
             self.scheduler.queue.remove(id);
-            if ours || self.requests.cancellations.waits_for(id) {
+            if responsible || self.requests.cancellations.waits_for(id) {
                 self.clear(id);
             }
             return;
         }
         if job.waiting() > 0 && self.responsible(job) && !self.scheduler.queue.contains(id) {
-            let order = self.order(job);
-            let failed = self.scheduler.failed_jobs.remove(id);
-            if self.hold_suspect(id, order) {
-                return;
-            }
-            if failed {
-                // Its last task failed: no machine may be right for it.
-                let none = BTreeSet::new();
-                self.scheduler
-                    .queue
-                    .fail(id, 1, none, order, self.now, &mut self.rng);
-            } else {
-                self.scheduler.queue.push(id, order);
-            }
+            let key = self.order(job);
+            self.enqueue(id, key);
         }
     }
 
-    /// A temporary error: the job waits, whatever the cluster does.
+    fn enqueue(&mut self, id: &JobId, key: QueueKey) {
+        let last_task_failed = self.scheduler.failed_jobs.remove(id);
+        if self.hold_back_crash_looping(id, key) {
+            return;
+        }
+        if last_task_failed {
+            // Perhaps it fails on any machine: it backs off twice as long as after a failed cycle.
+            self.requeue(id, 1, BTreeSet::new(), key);
+        } else {
+            self.scheduler.queue.push(id, key);
+        }
+    }
+
+    /// Backs a job off after a temporary error, whatever happens in the cluster meanwhile.
     pub(super) fn fail_later(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.active() && job.waiting() > 0 && self.responsible(job) {
-            let order = self.order(job);
-            self.scheduler
-                .queue
-                .fail(id, 0, BTreeSet::new(), order, self.now, &mut self.rng);
+            let key = self.order(job);
+            self.requeue(id, 0, BTreeSet::new(), key);
         }
     }
 
-    /// Tells the parked jobs of a change in the cluster.
+    /// Brings a job back to the queue after so many failed cycles and one more, see
+    /// [`Queue::fail`](crate::queue::Queue::fail).
+    pub(super) fn requeue(
+        &mut self,
+        id: &JobId,
+        failures: u32,
+        checks: BTreeSet<Check>,
+        key: QueueKey,
+    ) {
+        let (now, rng) = (self.now, &mut self.rng);
+        self.scheduler
+            .queue
+            .fail(id, failures, checks, key, now, rng);
+    }
+
+    /// Wakes the parked jobs that a change in the cluster may help.
     pub(super) fn wake(&mut self, event: ClusterEvent) {
         if let ClusterEvent::Freed(machine_id) = &event {
             self.activate_due(machine_id);
         }
-        let machine = match &event {
-            ClusterEvent::Machine(machine_id) | ClusterEvent::Freed(machine_id) => {
-                self.machines.get(machine_id)
-            }
-            _ => None,
-        };
-        let resources = machine.map(|m| (m, self.available(m)));
         if let ClusterEvent::Machine(machine_id) = &event {
             self.scheduler.candidates.touched.push(machine_id.clone());
         }
-        let jobs = &self.jobs;
+        // The queue is taken out while the controller judges its jobs.
         let mut queue = std::mem::take(&mut self.scheduler.queue);
+        let event_machine = self.event_machine(&event);
         queue.wake(self.now, |id, check| {
             self.work_counters.parked.add(1);
-            let Some(job) = jobs.get(id) else { return true };
-            // A gang waits until all of its machines are free; of other jobs any task may start.
-            let all = job.whole_gang() || self.quota.hierarchy.force().is_none();
-            let machine_ids = self.scheduler.nominations.of(id, self.now).filter(|_| all);
-            let machine_ids = machine_ids.unwrap_or_default();
-            let fits = |machine_id: &MachineId| {
-                let machine = self.machines.get(machine_id);
-                machine.is_some_and(|m| job.spec.resources.fits_in(self.available(m)))
-            };
-            if machine_ids.len() > 1 && check == Check::Resources && !machine_ids.iter().all(fits) {
-                return false;
-            }
-            match (check, &event) {
-                (
-                    Check::Resources | Check::Machine,
-                    ClusterEvent::Machine(_) | ClusterEvent::Freed(_),
-                ) => resources.as_ref().is_some_and(|(machine, available)| {
-                    job.spec
-                        .allows(&machine.machine_type, &machine.zone, machine.spot)
-                        && job.spec.resources.fits_in(*available)
-                }),
-                (Check::Zones, ClusterEvent::Machine(_)) => true,
-                (Check::Zones | Check::Attempt, ClusterEvent::TaskLeft(left)) => left == id,
-                (Check::Team | Check::ShardQuota, ClusterEvent::TeamFreed(team)) => {
-                    self.team_helps(team, id)
-                }
-                (Check::ShardQuota, ClusterEvent::QuotaReallocated) => true,
-                (Check::Team | Check::ShardQuota | Check::Resources, ClusterEvent::NewTree) => true,
-                (Check::Resources | Check::Machine, ClusterEvent::Entitled(team)) => {
-                    *team == job.spec.team
-                }
-                _ => false,
-            }
+            self.jobs.get(id).is_none_or(|job| {
+                !self.awaits_preemption(job, check)
+                    && self.event_helps(job, check, &event, event_machine)
+            })
         });
         self.scheduler.queue = queue;
     }
+
+    fn event_machine(&self, event: &ClusterEvent) -> Option<EventMachine<'_>> {
+        let (ClusterEvent::Machine(machine_id) | ClusterEvent::Freed(machine_id)) = event else {
+            return None;
+        };
+        let machine = self.machines.get(machine_id)?;
+        let available = self.available(machine);
+        Some(EventMachine { machine, available })
+    }
+
+    /// Whether a job that was rejected for resources waits until all machines that it is nominated for
+    /// have room. A gang does; of other jobs any task may start, unless their room was made without a
+    /// quota tree.
+    fn awaits_preemption(&self, job: &Job, check: Check) -> bool {
+        let needs_all = job.whole_gang() || self.quota.hierarchy.force().is_none();
+        if check != Check::Resources || !needs_all {
+            return false;
+        }
+        let Some(machine_ids) = self.scheduler.nominations.of(&job.id, self.now) else {
+            return false;
+        };
+        let fits = |machine_id: &MachineId| {
+            let machine = self.machines.get(machine_id);
+            machine.is_some_and(|machine| job.spec.resources.fits_in(self.available(machine)))
+        };
+        machine_ids.len() > 1 && !machine_ids.iter().all(fits)
+    }
+
+    /// Whether an event may change the outcome of a check that rejected a job.
+    fn event_helps(
+        &self,
+        job: &Job,
+        check: Check,
+        event: &ClusterEvent,
+        event_machine: Option<EventMachine>,
+    ) -> bool {
+        match (check, event) {
+            (
+                Check::Resources | Check::Machine,
+                ClusterEvent::Machine(_) | ClusterEvent::Freed(_),
+            ) => event_machine.is_some_and(|EventMachine { machine, available }| {
+                job.spec
+                    .allows(&machine.machine_type, &machine.zone, machine.spot)
+                    && job.spec.resources.fits_in(available)
+            }),
+            (Check::Zones, ClusterEvent::Machine(_)) => true,
+            (Check::Zones | Check::Attempt, ClusterEvent::TaskLeft(left)) => *left == job.id,
+            (Check::Team | Check::ShardQuota, ClusterEvent::TeamFreed(team)) => {
+                self.team_helps(team, &job.id)
+            }
+            (Check::ShardQuota, ClusterEvent::QuotaReallocated) => true,
+            (Check::Team | Check::ShardQuota | Check::Resources, ClusterEvent::NewTree) => true,
+            (Check::Resources | Check::Machine, ClusterEvent::Entitled(team)) => {
+                *team == job.spec.team
+            }
+            _ => false,
+        }
+    }
 }
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -1,4 +1,7 @@
-//! The state of the scheduling path: the queue, the candidates, and what is reserved for whom.
+//! The state of the scheduling path: the queue, the candidate machines, nominations, and what failed.
+//!
+//! The steps that work on it are in `queueing`, `placement`, `candidates`, `preemption` and
+//! `failure_attribution`.
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
@@ -12,24 +15,30 @@
 
 /// Everything that decides which task is placed next, and where.
 pub(super) struct Scheduler {
+    /// Jobs that have tasks which this controller has to place.
     pub(super) queue: Queue,
     /// Jobs of other owners that were forwarded to us.
     pub(super) forwarded: HashSet<JobId>,
-    /// Forwarded before the watch brought them, and since when.
+    /// Jobs that were forwarded to us before the watch brought their record, and when.
     pub(super) forwarded_early: HashMap<JobId, Millis>,
+    /// Room that is kept for jobs.
     pub(super) nominations: Nominations,
+    /// Machines that can take tasks.
     pub(super) candidates: Candidates,
-    /// Jobs whose last task failed.
+    /// Jobs whose last task failed, until they are queued again.
     pub(super) failed_jobs: HashSet<JobId>,
+    /// Which jobs fail wherever they are tried, and when they may be tried next.
     pub(super) crash_loops: CrashLoopTracker,
-    /// Jobs for which the leader wants a machine of ours preempted.
+    /// Jobs for which the leader wants tasks preempted on a machine of ours.
     pub(super) preemption_requests: HashMap<JobId, MachineId>,
     /// Tasks that are to be stopped.
     pub(super) stops: Stops,
+    /// When a service replica was last moved to a better machine.
     pub(super) replica_moved_at: Millis,
 }
 
 impl Scheduler {
+    /// The state of a controller that knows no jobs yet.
     pub(super) fn new(operator: &Operator) -> Self {
         Self {
             queue: new_queue(operator),
@@ -44,9 +53,16 @@
             replica_moved_at: Millis(0),
         }
     }
+
+    /// Drops a job that does not exist any more.
+    pub(super) fn forget_job(&mut self, id: &JobId) {
+        self.queue.remove(id);
+        self.forwarded.remove(id);
+        self.failed_jobs.remove(id);
+    }
 }
 
-/// An empty queue with the operator's waits.
+/// An empty queue with the operator's backoff settings.
 pub(super) fn new_queue(operator: &Operator) -> Queue {
     Queue::new(
         operator.backoff_first,
--- a/src/cycle/index.rs
+++ b/src/cycle/index/mod.rs
@@ -1,8 +1,10 @@
-//! The index of free room: machines that can take tasks, by shard, type and kind, by what is free on each, and
-//! by image. Kept as things change, so that a cycle visits machines that fit instead of the whole fleet.
+//! The index of available capacity: machines that can take tasks, by group (shard, type, spot or not) and,
+//! within a group, by capacity level (what is available), and by the images in their caches. It is
+//! updated as machines change, so that a cycle visits machines that fit instead of the whole fleet.
 //!
-//! Machines of one class look alike to a cycle, but for the images in their caches: those that have a job's
-//! image are found by a second index. What the index says is a shortlist; whoever uses it asks the machine.
+//! Machines of one class (group and level) look alike to a cycle, except for their images: those with
+//! a job's image are found by a second index. The index gives a shortlist only; who uses it looks at
+//! the machine itself.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,38 +14,44 @@
 
 use crate::types::{Image, MachineId, MachineTypeId, Resources, ShardId, Zone};
 
-/// Machines that are allowed, or not, to a job as a whole.
+/// Machines that a job allows, or does not allow, as a whole. The order of the fields is the order in
+/// which groups are visited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
-    /// Of a shard that this controller holds.
+    /// This controller holds the shard.
     pub own: bool,
+    /// The shard of the machines.
     pub shard: ShardId,
+    /// Their type.
     pub machine_type: MachineTypeId,
+    /// Whether they are spot machines.
     pub spot: bool,
 }
 
 impl Group {
+    /// The zone of the machines.
     pub fn zone(&self) -> &Zone {
         &self.shard.zone
     }
 }
 
-/// What a cycle sees of a machine, but for its images.
+/// What a cycle sees of a machine, except for its images.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLevel {
     available: Resources,
-    /// Taken by work that gives way.
-    soft: Resources,
-    /// Images that are being fetched.
+    /// Allocated to tasks that urgent work can preempt at little loss.
+    preemptible: Resources,
+    /// Images that are being fetched: a further fetch has to share the rate.
     fetches: usize,
 }
 
-/// Amounts are rounded to this part of one: sums that differ in their last bits are one level.
-const STEPS: f64 = 1e4;
+/// Steps in one unit of a resource (core, GPU, GB). Amounts are rounded to steps, so that sums which
+/// differ in their last bits are one level.
+const STEPS_PER_UNIT: f64 = 1e4;
 
 fn rounded(resources: Resources) -> Resources {
     // Adding zero makes a negative zero a positive one.
-    let round = |amount: f64| (amount * STEPS).round() / STEPS + 0.0;
+    let round = |amount: f64| (amount * STEPS_PER_UNIT).round() / STEPS_PER_UNIT + 0.0;
     Resources {
         cpus: round(resources.cpus),
         gpus: round(resources.gpus),
@@ -52,51 +60,55 @@
 }
 
 impl CapacityLevel {
-    pub fn new(available: Resources, soft: Resources, fetches: usize) -> Self {
+    /// The level of a machine with so much available, so much of the rest preemptible at little loss,
+    /// and so many fetches under way.
+    pub fn new(available: Resources, preemptible: Resources, fetches: usize) -> Self {
         Self {
             available: rounded(available),
-            soft: rounded(soft),
+            preemptible: rounded(preemptible),
             fetches,
         }
     }
 
+    /// What is available on machines of this level, rounded.
     pub fn available(self) -> Resources {
         self.available
     }
 
-    /// The least level at which this room may be free.
-    fn least(resources: Resources) -> Self {
+    /// The least level at which these resources may be available, in the order by GPUs first.
+    fn least_fitting(resources: Resources) -> Self {
         Self {
             available: Resources {
                 cpus: f64::NEG_INFINITY,
-                gpus: resources.gpus - 1.0 / STEPS,
+                gpus: resources.gpus - 1.0 / STEPS_PER_UNIT,
                 memory_gb: f64::NEG_INFINITY,
             },
-            soft: Resources::default(),
+            preemptible: Resources::default(),
             fetches: 0,
         }
     }
 
-    fn numbers(&self) -> [f64; 6] {
-        let (available, soft) = (self.available, self.soft);
+    /// The amounts in the order in which levels are compared.
+    fn amounts(&self) -> [f64; 6] {
+        let (available, preemptible) = (self.available, self.preemptible);
         [
             available.gpus,
             available.cpus,
             available.memory_gb,
-            soft.gpus,
-            soft.cpus,
-            soft.memory_gb,
+            preemptible.gpus,
+            preemptible.cpus,
+            preemptible.memory_gb,
         ]
     }
 }
 
-/// By accelerators first: what has too few of them is passed over as a whole.
+/// GPUs are compared first: levels with too few of them are skipped as a range.
 impl Ord for CapacityLevel {
     fn cmp(&self, other: &Self) -> Ordering {
-        let pairs = self.numbers().into_iter().zip(other.numbers());
-        let mut orders = pairs.map(|(a, b)| a.total_cmp(&b));
-        let differs = orders.find(|order| order.is_ne());
-        differs.unwrap_or_else(|| self.fetches.cmp(&other.fetches))
+        let pairs = self.amounts().into_iter().zip(other.amounts());
+        let mut orders = pairs.map(|(own, others)| own.total_cmp(&others));
+        let first_difference = orders.find(|order| order.is_ne());
+        first_difference.unwrap_or_else(|| self.fetches.cmp(&other.fetches))
     }
 }
 
@@ -114,29 +126,41 @@
 
 impl Eq for CapacityLevel {}
 
-/// A machine as it is entered.
+/// A machine's entry in the index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
+    /// The group that the machine belongs to.
     pub group: Group,
+    /// What was available when it was entered.
     pub level: CapacityLevel,
-    /// In its cache, sorted.
+    /// The images in its cache, sorted.
     pub images: Vec<Image>,
 }
 
 /// Machines by group and level.
-type Shelf = BTreeMap<Group, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
-
-fn put(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: CapacityLevel) {
-    if !shelf.contains_key(group) {
-        shelf.insert(group.clone(), BTreeMap::new());
+type MachinesByClass = BTreeMap<Group, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
+
+fn insert_machine(
+    by_class: &mut MachinesByClass,
+    machine_id: &MachineId,
+    group: &Group,
+    level: CapacityLevel,
+) {
+    if !by_class.contains_key(group) {
+        by_class.insert(group.clone(), BTreeMap::new());
     }
-    if let Some(levels) = shelf.get_mut(group) {
+    if let Some(levels) = by_class.get_mut(group) {
         levels.entry(level).or_default().insert(machine_id.clone());
     }
 }
 
-fn take(shelf: &mut Shelf, machine_id: &MachineId, group: &Group, level: CapacityLevel) {
-    let Some(levels) = shelf.get_mut(group) else {
+fn remove_machine(
+    by_class: &mut MachinesByClass,
+    machine_id: &MachineId,
+    group: &Group,
+    level: CapacityLevel,
+) {
+    let Some(levels) = by_class.get_mut(group) else {
         return;
     };
     if let Some(machine_ids) = levels.get_mut(&level) {
@@ -146,55 +170,62 @@
         }
     }
     if levels.is_empty() {
-        shelf.remove(group);
+        by_class.remove(group);
     }
 }
 
 /// Machines of one group and one level.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineClass<'a> {
+    /// The group of the machines.
     pub group: &'a Group,
+    /// Their level.
     pub level: CapacityLevel,
+    /// The machines, by id.
     pub machine_ids: &'a BTreeSet<MachineId>,
 }
 
-/// Which machines a look-up is about.
+/// Whether a look-up asks for an image in the machines' caches.
 #[derive(Clone, Copy, Debug)]
 pub enum ImageFilter<'a> {
-    /// Those with this image in their cache.
+    /// Machines with this image in their cache.
     Image(&'a Image),
+    /// All machines.
     Any,
 }
 
-/// Machines that can take tasks.
+/// The index of available capacity.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     entries: HashMap<MachineId, Entry>,
-    all: Shelf,
-    with_image: HashMap<Image, Shelf>,
+    all: MachinesByClass,
+    by_image: HashMap<Image, MachinesByClass>,
 }
 
 impl CapacityIndex {
+    /// How many machines are entered.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no machine is entered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All machines, in no order.
+    /// All machines that are entered, in no particular order.
     pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
         self.entries.keys()
     }
 
-    /// All that is entered.
+    /// All entries, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &Entry)> {
         self.entries.iter()
     }
 
-    /// Whether a machine is entered at this level, with so many images, in such a shard.
-    pub fn stands(
+    /// Whether a machine's entry shows this level, this shard and so many images. It is cheaper than
+    /// making a new entry and comparing it.
+    pub fn is_current(
         &self,
         machine_id: &MachineId,
         own: bool,
@@ -211,59 +242,60 @@
         })
     }
 
-    /// Enters a machine, or what has changed of it.
+    /// Enters a machine, or replaces its entry.
     pub fn update(&mut self, machine_id: &MachineId, entry: Entry) {
         if self.entries.get(machine_id) == Some(&entry) {
             return;
         }
         self.remove(machine_id);
         let (group, level) = (&entry.group, entry.level);
-        put(&mut self.all, machine_id, group, level);
+        insert_machine(&mut self.all, machine_id, group, level);
         for image in &entry.images {
-            let shelf = self.with_image.entry(image.clone()).or_default();
-            put(shelf, machine_id, group, level);
+            let by_class = self.by_image.entry(image.clone()).or_default();
+            insert_machine(by_class, machine_id, group, level);
         }
         self.entries.insert(machine_id.clone(), entry);
     }
 
-    /// A machine can take no tasks any more.
+    /// Removes a machine that can take no tasks any more.
     pub fn remove(&mut self, machine_id: &MachineId) {
         let Some(entry) = self.entries.remove(machine_id) else {
             return;
         };
-        take(&mut self.all, machine_id, &entry.group, entry.level);
+        remove_machine(&mut self.all, machine_id, &entry.group, entry.level);
         for image in &entry.images {
-            if let Some(shelf) = self.with_image.get_mut(image) {
-                take(shelf, machine_id, &entry.group, entry.level);
-                if shelf.is_empty() {
-                    self.with_image.remove(image);
+            if let Some(by_class) = self.by_image.get_mut(image) {
+                remove_machine(by_class, machine_id, &entry.group, entry.level);
+                if by_class.is_empty() {
+                    self.by_image.remove(image);
                 }
             }
         }
     }
 
-    fn shelf(&self, having: ImageFilter) -> Option<&Shelf> {
-        match having {
-            ImageFilter::Image(image) => self.with_image.get(image),
+    fn machines_by_class(&self, image_filter: ImageFilter) -> Option<&MachinesByClass> {
+        match image_filter {
+            ImageFilter::Image(image) => self.by_image.get(image),
             ImageFilter::Any => Some(&self.all),
         }
     }
 
-    /// The groups that have machines.
+    /// The groups that have machines, in their order.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.all.keys()
     }
 
-    /// Classes of a group in which this room is free, the fullest first.
+    /// Classes of a group in which these resources are available, the fullest first.
     pub fn fitting<'a>(
         &'a self,
-        having: ImageFilter,
+        image_filter: ImageFilter,
         group: &'a Group,
         resources: Resources,
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
-        let levels = self.shelf(having).and_then(|shelf| shelf.get(group));
+        let by_class = self.machines_by_class(image_filter);
+        let levels = by_class.and_then(|by_class| by_class.get(group));
         let from = (
-            Bound::Included(CapacityLevel::least(resources)),
+            Bound::Included(CapacityLevel::least_fitting(resources)),
             Bound::Unbounded,
         );
         let levels = levels
@@ -277,14 +309,14 @@
         })
     }
 
-    /// Whether a group has a machine on which this room is not free.
+    /// Whether a group has a machine on which these resources are not available.
     pub fn any_too_full(&self, group: &Group, resources: Resources) -> bool {
         let levels = self.all.get(group);
         let mut levels = levels.into_iter().flat_map(|levels| levels.keys());
         levels.any(|level| !resources.fits_in(level.available))
     }
 
-    /// Classes of a group in which this room is not free, those with most free first.
+    /// Classes of a group in which these resources are not available, those with most available first.
     pub fn too_full<'a>(
         &'a self,
         group: &'a Group,
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -39,10 +39,10 @@
             machine: &machine,
             capacity: resources(4.0),
             available: resources(4.0 - taken),
-            yielding: true,
+            only_preemptible: true,
             image_s: if cached { 0.0 } else { fetch_s },
             fetch_s,
-            firm: 0.0,
+            non_preemptible_share: 0.0,
         };
         let (beside, alone) = (score(&spec, &at(2.0), false), score(&spec, &at(0.0), false));
         assert_eq!(beside > alone, fills, "{rate} GB/s: {beside}, {alone}");
@@ -63,20 +63,20 @@
         (true, 0.0, Some(Check::Resources)),
         (true, 1.0, None),
     ] {
-        let mut asking = PlacementRequest::new(job, Vec::new());
-        asking.avoids_empty_machines = keeps_off;
+        let mut request = PlacementRequest::new(job, Vec::new());
+        request.avoids_empty_machines = keeps_off;
         let capacity = resources(64.0);
         let candidate = Candidate {
             machine,
             capacity,
             available: capacity.minus(resources(taken)),
-            yielding: true,
+            only_preemptible: true,
             image_s: 0.0,
             fetch_s: 1.0,
-            firm: 0.0,
+            non_preemptible_share: 0.0,
         };
         assert_eq!(
-            filter(&asking, &candidate),
+            filter(&request, &candidate),
             rejected,
             "{keeps_off}, {taken}"
         );
@@ -110,10 +110,10 @@
             machine,
             capacity: resources(4.0),
             available: resources(4.0 - taken),
-            yielding: taken == 0.0,
+            only_preemptible: taken == 0.0,
             image_s: fetch_s,
             fetch_s,
-            firm: taken / 4.0,
+            non_preemptible_share: taken / 4.0,
         };
         let beside = score(&spec, &at(&used, 1.0), false);
         let alone = score(&spec, &at(&empty, 0.0), false);
--- /dev/null
+++ b/src/queue/reason.rs
@@ -0,0 +1,63 @@
+//! Why a job is not placed yet, and which changes in the cluster may alter that.
+
+use std::collections::BTreeSet;
+
+use crate::types::{JobId, MachineId, Millis, Team};
+
+/// A check that can reject a task. The queue keeps the checks that rejected a job, so that only
+/// these judge whether an event helps it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Check {
+    /// The job does not allow the machine's type, its zone, or spot machines.
+    Machine,
+    /// Too little of the machine's capacity is available.
+    Resources,
+    /// The job wants one zone, or a spread over zones.
+    Zones,
+    /// The team's quota limit is used up.
+    Team,
+    /// The shard's allocation of the team's quota is used up.
+    ShardQuota,
+    /// Tasks of an earlier attempt are not proven gone yet.
+    Attempt,
+}
+
+/// What a job waits for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum WaitReason {
+    /// Its turn: it is active, and other jobs go first.
+    Turn,
+    /// The end of its backoff.
+    Backoff {
+        /// When the job becomes active again.
+        until: Millis,
+    },
+    /// A change in the cluster: each machine was rejected by one of these checks.
+    Rejected {
+        /// The checks that rejected the job in its last cycle.
+        checks: BTreeSet<Check>,
+    },
+    /// The store: a decision about the job is being written, or its outcome is unknown.
+    Writing,
+    /// Tasks of an earlier attempt that have to leave their machines first.
+    Leaving,
+}
+
+/// A change in the cluster that may help a parked job.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ClusterEvent {
+    /// A machine joined, or became schedulable.
+    Machine(MachineId),
+    /// Resources were released on a machine.
+    Freed(MachineId),
+    /// A task of this job left its machine.
+    TaskLeft(JobId),
+    /// The team uses less of its quota.
+    TeamFreed(Team),
+    /// The teams' quotas were allocated to shards anew.
+    QuotaReallocated,
+    /// Another quota tree became active.
+    NewTree,
+    /// The quota tree entitles the team to more than before.
+    Entitled(Team),
+}
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
+use crate::jobs::PriorityClass;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::cmp::Reverse;
 
-fn order(priority: PriorityClass, born: u64) -> QueueKey {
+fn key(priority: PriorityClass, born: u64) -> QueueKey {
     QueueKey {
         beyond_guarantee: true,
         priority: Reverse(priority),
@@ -22,20 +23,20 @@
     let (mut queue, _) = queue();
     let guaranteed = QueueKey {
         beyond_guarantee: false,
-        ..order(PriorityClass::BestEffort, 9)
+        ..key(PriorityClass::BestEffort, 9)
     };
     let jobs = [
-        ("job-1", order(PriorityClass::Normal, 1)),
-        ("job-2", order(PriorityClass::Critical, 5)),
-        ("job-3", order(PriorityClass::Critical, 4)),
+        ("job-1", key(PriorityClass::Normal, 1)),
+        ("job-2", key(PriorityClass::Critical, 5)),
+        ("job-3", key(PriorityClass::Critical, 4)),
         ("job-4", guaranteed),
-        ("job-5", order(PriorityClass::Normal, 0)),
+        ("job-5", key(PriorityClass::Normal, 0)),
     ];
-    for (job, order) in jobs {
-        queue.push(&job.into(), order);
+    for (job, key) in jobs {
+        queue.push(&job.into(), key);
     }
     let popped: Vec<String> = std::iter::from_fn(|| queue.pop())
-        .map(|(job, _)| job.to_string())
+        .map(|popped| popped.id.to_string())
         .collect();
     assert_eq!(popped, ["job-4", "job-3", "job-2", "job-5", "job-1"]);
 }
@@ -52,16 +53,16 @@
     ];
     for (priority, flow, ids) in jobs {
         for n in ids {
-            let order = QueueKey {
+            let key = QueueKey {
                 flow,
-                ..order(priority, n)
+                ..key(priority, n)
             };
-            queue.push(&format!("job-{n}").as_str().into(), order);
+            queue.push(&format!("job-{n}").as_str().into(), key);
         }
     }
     let mut served = [0; 3];
     for _ in 0..100 {
-        let (job, _) = queue.pop_fair().unwrap();
+        let job = queue.pop_by_floors().unwrap().id;
         let n: u64 = job.as_str()[4..].parse().unwrap();
         let (index, flow) = match n {
             0..900 => (0, flow(0, 0)),
@@ -69,24 +70,28 @@
             _ => (2, flow(1, 0)),
         };
         served[index] += 1;
-        queue.served(flow);
+        queue.record_served(flow);
     }
     assert!(served[1] >= 15 && served[2] >= 22, "{served:?}");
     // Not short: priority and age alone.
-    assert!(queue.pop().unwrap().0.as_str() < "job-900");
+    assert!(queue.pop().unwrap().id.as_str() < "job-900");
 }
 
 #[test]
 fn backoff_doubles_up_to_its_most() {
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
-    for (fails, least, most) in [(0, 1_000, 1_100), (1, 2_000, 2_200), (9, 10_000, 11_000)] {
-        let order = order(PriorityClass::Normal, 0);
-        queue.fail(&job, fails, BTreeSet::new(), order, Millis(0), &mut rng);
+    for (failures, least, most) in [(0, 1_000, 1_100), (1, 2_000, 2_200), (9, 10_000, 11_000)] {
+        let key = key(PriorityClass::Normal, 0);
+        queue.fail(&job, failures, BTreeSet::new(), key, Millis(0), &mut rng);
         queue.tick(Millis(least - 1));
-        assert!(queue.pop().is_none(), "too early after {fails}");
+        assert!(queue.pop().is_none(), "too early after {failures}");
         queue.tick(Millis(most));
-        assert_eq!(queue.pop(), Some((job.clone(), fails + 1)));
+        let popped = PoppedJob {
+            id: job.clone(),
+            failures: failures + 1,
+        };
+        assert_eq!(queue.pop(), Some(popped));
     }
 }
 
@@ -102,12 +107,12 @@
     for (rejected, satisfied, at, active) in cases {
         let (mut queue, mut rng) = queue();
         let job = JobId::from("job-1");
-        let order = order(PriorityClass::Normal, 0);
+        let key = key(PriorityClass::Normal, 0);
         queue.fail(
             &job,
             0,
             BTreeSet::from([rejected]),
-            order,
+            key,
             Millis(0),
             &mut rng,
         );
@@ -126,12 +131,12 @@
 fn the_flush_frees_what_no_event_woke() {
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
-    let order = order(PriorityClass::Normal, 0);
+    let key = key(PriorityClass::Normal, 0);
     queue.fail(
         &job,
         0,
         BTreeSet::from([Check::Resources]),
-        order,
+        key,
         Millis(0),
         &mut rng,
     );
