--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod settings;
 pub mod sockets;
 pub mod store;
+pub mod task;
 pub mod types;
 pub mod workers;
 pub mod zones;
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -144,11 +144,7 @@
         }
         if self.turned_away > 0 {
             let open = self.ledger.len();
-            tracing::info!(
-                open,
-                turned_away = self.turned_away,
-                "connections rejected"
-            );
+            tracing::info!(open, turned_away = self.turned_away, "connections rejected");
             self.turned_away = 0;
         }
     }
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -34,7 +34,7 @@
         // All want more than there is for 30 s, then one alone does.
         let busy = if ms < 30_000 { 5 } else { 1 };
         for share in &mut shares[..busy] {
-            share.grow(now);
+            share.increase(now);
             if share.bucket.wait(1.0, now) > Millis(0) {
                 continue;
             }
@@ -43,7 +43,7 @@
                 service.take(1.0);
                 passed += 1;
             } else {
-                share.objection(now);
+                share.on_rejection(now);
                 refused += 1;
             }
         }
@@ -61,7 +61,7 @@
         let (mut passed, mut refused) = (0, 0);
         for ms in (0..60_000).step_by(10) {
             let now = Millis(ms);
-            ours.grow(now);
+            ours.increase(now);
             if ours.bucket.wait(1.0, now) > Millis(0) {
                 continue;
             }
@@ -70,7 +70,7 @@
                 service.take(1.0);
                 passed += 1;
             } else {
-                ours.objection(now);
+                ours.on_rejection(now);
                 refused += 1;
             }
         }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,252 +1,189 @@
-//! The actor that speaks to the state service: waiting calls by class, the rest in flight.
+//! The actor that makes the calls to the store: it owns the priority lanes and the calls in flight.
 
 use std::time::Duration;
 
-use http::Method;
-use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
+use tokio::task::JoinSet;
 
+use super::exchange::{Outcome, perform};
 use super::lanes::{Lanes, Next, Waiting};
-use super::wire::{GrantBody, Granted, Ledger, Listing, News, NewsItem, txn_body};
 use super::{CallClass, StoreCall, StoreResponse};
 use crate::clock::Clock;
-use crate::http_client::{Failure, HttpClient};
+use crate::http_client::HttpClient;
 use crate::settings::Settings;
+use crate::task::OwnedTask;
 use crate::types::Millis;
 
-/// All that the service keeps lies under this prefix.
-pub const PREFIX: &str = "jt/";
-/// A key that never exists; reading it tells the present revision.
-const NOWHERE: &str = "jt/nowhere";
-/// Calls give up after this long.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
+/// Calls that the rate limits delayed for longer are logged, in milliseconds.
+const LOGGED_DELAY_MS: u64 = 500;
+/// The actor looks at its lanes at least this often, even if nothing is queued.
+const IDLE_PAUSE: Millis = Millis(60_000);
 
+/// The response to a call.
 pub struct StoreReply {
+    /// The tag under which the call was sent.
     pub tag: u64,
+    /// What became of the call.
     pub answer: StoreResponse,
 }
 
-enum Request {
-    StoreCall {
-        tag: u64,
+/// What the actor is asked to do.
+enum Command {
+    Call {
         class: CallClass,
-        call: StoreCall,
+        call: TaggedCall,
         asked: Millis,
     },
-    /// So many changes a second are ours.
-    Allow(f64),
+    /// Sets the write rate, in writes a second.
+    SetWriteRate(f64),
 }
 
-/// Address of the store actor.
-#[derive(Clone)]
+#[derive(Debug)]
+struct TaggedCall {
+    tag: u64,
+    call: StoreCall,
+}
+
+/// The owner of the store actor: the actor and its calls in flight end when it is dropped.
 pub struct Store {
-    inbox: mpsc::UnboundedSender<Request>,
+    commands: mpsc::UnboundedSender<Command>,
     clock: Clock,
+    _actor: OwnedTask<()>,
 }
 
 impl Store {
+    /// Starts the actor. Each call gets one reply through `answers`, in the order in which they complete.
+    #[must_use]
     pub fn start(
         settings: &Settings,
         clock: Clock,
         answers: mpsc::UnboundedSender<StoreReply>,
     ) -> Self {
-        // What the controller asks for is bounded: one call for a lease, watch, list or proof, three
-        // transactions of jobs, and one for each user who waits. Users' calls are refused after a while.
-        let (inbox, requests) = mpsc::unbounded_channel();
-        let now = clock.now();
-        let (state, count) = (&settings.deployment.state, settings.controllers());
+        // Unbounded, since the controller bounds what it asks for: one call each for a lease, watch, list or read
+        // barrier, three transactions of jobs, and one for each user who waits. Users' calls are refused after a while.
+        let (commands, received) = mpsc::unbounded_channel();
+        // Bounded by the calls in flight.
+        let (rate_limited, rejections) = mpsc::unbounded_channel();
         let actor = Actor {
             client: HttpClient::new(settings.outside.state),
-            lanes: Lanes::new(state, count, now),
+            lanes: Lanes::new(
+                &settings.deployment.state,
+                settings.controllers(),
+                clock.now(),
+            ),
             clock,
             answers,
+            rate_limited,
+            in_flight: JoinSet::new(),
         };
-        tokio::spawn(actor.run(requests));
-        Self { inbox, clock }
+        Self {
+            commands,
+            clock,
+            _actor: OwnedTask::spawn(actor.run(received, rejections)),
+        }
     }
 
+    /// Sets the write rate that the admission plan assigns to this controller, in writes a second.
     pub fn allow(&self, writes: f64) {
-        let _ = self.inbox.send(Request::Allow(writes));
+        self.send_command(Command::SetWriteRate(writes));
     }
 
+    /// Queues a call; its reply carries `tag`.
     pub fn send(&self, tag: u64, class: CallClass, call: StoreCall) {
-        // The actor ends only with the process.
+        let call = TaggedCall { tag, call };
         let asked = self.clock.now();
-        let _ = self.inbox.send(Request::StoreCall {
-            tag,
-            class,
-            call,
-            asked,
-        });
+        self.send_command(Command::Call { class, call, asked });
+    }
+
+    fn send_command(&self, command: Command) {
+        // Can't fail while this owner exists: the actor runs as long.
+        let _ = self.commands.send(command);
     }
 }
 
 struct Actor {
     client: HttpClient,
-    lanes: Lanes<(u64, StoreCall)>,
+    lanes: Lanes<TaggedCall>,
     clock: Clock,
     answers: mpsc::UnboundedSender<StoreReply>,
+    rate_limited: mpsc::UnboundedSender<Waiting<TaggedCall>>,
+    in_flight: JoinSet<()>,
 }
 
 impl Actor {
-    async fn run(mut self, mut requests: mpsc::UnboundedReceiver<Request>) {
-        let (refused, mut over_limit) = mpsc::unbounded_channel();
+    async fn run(
+        mut self,
+        mut commands: mpsc::UnboundedReceiver<Command>,
+        mut rejections: mpsc::UnboundedReceiver<Waiting<TaggedCall>>,
+    ) {
         loop {
-            let pause = self.dispatch(&refused);
-            let pause = tokio::time::sleep(Duration::from_millis(pause.0));
+            let pause = self.dispatch();
             tokio::select! {
-                request = requests.recv() => match request {
-                    Some(Request::StoreCall { tag, class, call, asked }) => {
-                        let writes = call.writes();
-                        self.lanes.push(class, writes, (tag, call), asked);
-                    }
-                    Some(Request::Allow(writes)) => self.lanes.allow(writes, self.clock.now()),
+                command = commands.recv() => match command {
+                    Some(command) => self.execute(command),
                     None => return,
                 },
-                Some(call) = over_limit.recv() => {
-                    let call: Waiting<(u64, StoreCall)> = call;
+                Some(call) = rejections.recv() => {
                     tracing::debug!(call.writes, ?call.class, "store rate limit exceeded");
                     self.lanes.over_limit(call, self.clock.now());
                 }
-                () = pause => {}
+                () = tokio::time::sleep(Duration::from_millis(pause.0)) => {}
             }
         }
     }
 
-    /// Starts every call the budget allows; returns how long until the next.
-    fn dispatch(&mut self, refused: &mpsc::UnboundedSender<Waiting<(u64, StoreCall)>>) -> Millis {
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Call { class, call, asked } => {
+                let writes = call.call.writes();
+                self.lanes.push(class, writes, call, asked);
+            }
+            Command::SetWriteRate(writes) => self.lanes.allow(writes, self.clock.now()),
+        }
+    }
+
+    /// Starts every call that the rate limits allow; returns how long until the next.
+    fn dispatch(&mut self) -> Millis {
+        // Calls that are done have sent their reply; this only frees what is left of their tasks.
+        while self.in_flight.try_join_next().is_some() {}
         loop {
             let now = self.clock.now();
-            let call = match self.lanes.next(now) {
-                Next::StoreCall(call) => call,
-                Next::Refuse((tag, _)) => {
-                    let answer = StoreResponse::Refused;
-                    let _ = self.answers.send(StoreReply { tag, answer });
-                    continue;
+            match self.lanes.next(now) {
+                Next::StoreCall(call) => self.start_call(call, now),
+                Next::Refuse(call) => {
+                    send_reply(&self.answers, call.tag, StoreResponse::Refused);
                 }
                 Next::Wait(wait) => return wait,
-                Next::Nothing => return Millis(60_000),
-            };
-            let waited = now.since(call.asked).0;
-            if waited > 500 {
-                let class = call.class;
-                tracing::debug!(?class, waited, "store call delayed by rate limit");
+                Next::Nothing => return IDLE_PAUSE,
             }
-            let (client, answers) = (self.client.clone(), self.answers.clone());
-            let refused = refused.clone();
-            tokio::spawn(async move {
-                let (answer, over) = perform(&client, &call.what.1).await;
-                // A lease can't wait; the rest of its class is asked again soon anyway.
-                if over && call.class != CallClass::Leases {
-                    let _ = refused.send(call);
-                    return;
-                }
-                let tag = call.what.0;
-                let _ = answers.send(StoreReply { tag, answer });
-            });
         }
     }
-}
 
-fn decode<T: DeserializeOwned>(
-    body: &[u8],
-    then: impl FnOnce(T) -> StoreResponse,
-) -> StoreResponse {
-    match serde_json::from_slice(body) {
-        Ok(value) => then(value),
-        Err(error) => {
-            tracing::error!(%error, "store response is invalid");
-            StoreResponse::Unknown
+    fn start_call(&mut self, call: Waiting<TaggedCall>, now: Millis) {
+        let waited = now.since(call.asked).0;
+        if waited > LOGGED_DELAY_MS {
+            let class = call.class;
+            tracing::debug!(?class, waited, "store call delayed by rate limit");
         }
+        let (client, answers) = (self.client.clone(), self.answers.clone());
+        let rate_limited = self.rate_limited.clone();
+        self.in_flight.spawn(async move {
+            let answer = match perform(&client, &call.what.call).await {
+                Outcome::Response(answer) => answer,
+                // A lease can't be queued again: its owner must know now, and asks again by itself.
+                Outcome::RateLimited if call.class == CallClass::Leases => StoreResponse::Refused,
+                Outcome::RateLimited => {
+                    // The actor owns this task, so it still receives.
+                    let _ = rate_limited.send(call);
+                    return;
+                }
+            };
+            send_reply(&answers, call.what.tag, answer);
+        });
     }
 }
 
-/// Makes one call. Also tells whether the service said that the budget is exceeded.
-async fn perform(client: &HttpClient, call: &StoreCall) -> (StoreResponse, bool) {
-    let json = |value: &GrantBody| serde_json::to_vec(value).unwrap_or_default();
-    let (method, path, body, limit) = match call {
-        StoreCall::Grant { life_ms } => {
-            let body = json(&GrantBody { life_ms: *life_ms });
-            (Method::POST, "/leases".into(), body, CALL_LIMIT)
-        }
-        StoreCall::Renew(lease_id) => {
-            let path = format!("/leases/{}/renew", lease_id.0);
-            (Method::POST, path, b"{}".to_vec(), CALL_LIMIT)
-        }
-        StoreCall::End(lease_id) => (
-            Method::DELETE,
-            format!("/leases/{}", lease_id.0),
-            Vec::new(),
-            CALL_LIMIT,
-        ),
-        StoreCall::Transaction(txn) => match txn_body(txn) {
-            Ok(body) => (Method::POST, "/txn".into(), body, CALL_LIMIT),
-            Err(error) => {
-                tracing::error!(%error, "transaction serialization failed");
-                return (StoreResponse::Refused, false);
-            }
-        },
-        StoreCall::ReadRevision => (
-            Method::GET,
-            format!("/store/{NOWHERE}"),
-            Vec::new(),
-            CALL_LIMIT,
-        ),
-        StoreCall::List { after } => {
-            let from = after
-                .as_ref()
-                .map(|a| format!("&from={a}"))
-                .unwrap_or_default();
-            let path = format!("/store?starts={PREFIX}{from}&most=500");
-            (Method::GET, path, Vec::new(), CALL_LIMIT)
-        }
-        StoreCall::Watch { from, wait_ms } => {
-            let path = format!("/follow?starts={PREFIX}&from={}&waitMs={wait_ms}", from.0);
-            let limit = Duration::from_millis(wait_ms + 3_000);
-            (Method::GET, path, Vec::new(), limit)
-        }
-    };
-    let (status, body) = match client.call(method, &path, body, limit).await {
-        Ok(response) => response,
-        Err(Failure::NotSent) => return (StoreResponse::Refused, false),
-        Err(Failure::Unknown) => return (StoreResponse::Unknown, false),
-    };
-    let answer = match (call, status) {
-        (_, 429) => return (StoreResponse::Refused, true),
-        (_, 503) => StoreResponse::Refused,
-        (StoreCall::Grant { .. }, 200) => {
-            decode(&body, |g: Granted| StoreResponse::Granted(g.lease_id))
-        }
-        (StoreCall::Renew(_), 200) => StoreResponse::Renewed,
-        (StoreCall::Renew(_), 404) => StoreResponse::NoLease,
-        (StoreCall::End(_), 200 | 204 | 404) => StoreResponse::Ended,
-        (StoreCall::Transaction(_), 200) => {
-            decode(&body, |l: Ledger| StoreResponse::Committed(l.ledger))
-        }
-        (StoreCall::Transaction(_), 409) => {
-            decode(&body, |l: Ledger| StoreResponse::Conflict(l.ledger))
-        }
-        (StoreCall::Transaction(_), 400) => {
-            tracing::info!(body = %String::from_utf8_lossy(&body), "transaction refused");
-            StoreResponse::NoLease
-        }
-        (StoreCall::ReadRevision, 404) => {
-            decode(&body, |l: Ledger| StoreResponse::Revision(l.ledger))
-        }
-        (StoreCall::List { .. }, 200) => decode(&body, |l: Listing| StoreResponse::Page {
-            entries: l.entries.into_iter().map(Into::into).collect(),
-            more: l.truncated,
-            revision: l.ledger,
-        }),
-        (StoreCall::Watch { .. }, 200) => decode(&body, |n: News| StoreResponse::Updates {
-            updates: n.news.into_iter().filter_map(NewsItem::update).collect(),
-            revision: n.ledger,
-        }),
-        (StoreCall::Watch { .. }, 410) => StoreResponse::TooOld,
-        (_, status) => {
-            tracing::error!(status, path, "unexpected store response status");
-            StoreResponse::Unknown
-        }
-    };
-    (answer, false)
+fn send_reply(answers: &mpsc::UnboundedSender<StoreReply>, tag: u64, answer: StoreResponse) {
+    // Fails only while the daemon shuts down, when nobody needs the reply.
+    let _ = answers.send(StoreReply { tag, answer });
 }
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -1,5 +1,5 @@
-//! Calls of the state service that wait for the budget, by class. Free of I/O: the actor that makes
-//! the calls and the simulated region of the tests both ask it what goes next.
+//! Priority lanes: the queues of calls that wait for the rate limits, one for each class. Free of I/O: the store
+//! actor and the simulator both ask [`Lanes::next`] which call goes next.
 
 use std::collections::VecDeque;
 
@@ -10,41 +10,48 @@
 use crate::settings::State;
 use crate::types::Millis;
 
-/// Of all changes, the part that goes by the floors of their classes.
-const FLOORS: f64 = 0.9;
-/// A user's call that the budget kept waiting for this long is refused: its user is told to come
-/// back.
-const USERS_WAIT: Millis = Millis(1_500);
+/// Part of the write rate that is guaranteed to the classes by their weights; the rest goes by urgency.
+const GUARANTEED_WRITES: f64 = 0.9;
+/// A user's call that has been queued for this long is refused: its user is asked to retry while the answer
+/// can still reach them.
+const MAX_USER_WAIT: Millis = Millis(1_500);
 
-/// A call that waits, or waited.
+/// A call that is queued, or was.
 #[derive(Debug)]
 pub struct Waiting<T> {
+    /// The call, as its owner gave it.
     pub what: T,
+    /// Its lane.
     pub class: CallClass,
     /// Puts and deletes.
     pub writes: f64,
+    /// When its owner asked for it; stays when the call is queued again.
     pub asked: Millis,
 }
 
-/// What is to be done next.
+/// What the owner of the lanes does next.
 #[derive(Debug)]
 pub enum Next<T> {
+    /// Make this call now.
     StoreCall(Waiting<T>),
-    /// It waited for too long.
+    /// Tell this call's owner that it is refused: it was queued for too long.
     Refuse(T),
-    /// Nothing before so long.
+    /// Make no call before this time has passed.
     Wait(Millis),
+    /// Nothing is queued.
     Nothing,
 }
 
+/// The queues of all classes, and the rate limits that they share.
 pub struct Lanes<T> {
     requests: Share,
     writes: Allowance,
-    waiting: [VecDeque<Waiting<T>>; CallClass::ALL.len()],
+    queues: [VecDeque<Waiting<T>>; CallClass::ALL.len()],
     floors: Floors<CallClass>,
 }
 
 impl<T> Lanes<T> {
+    /// Empty lanes within `limits`, which `controllers` share.
     pub fn new(limits: &State, controllers: usize, now: Millis) -> Self {
         Self {
             requests: Share::new(limits.rps, controllers, now),
@@ -52,95 +59,109 @@
                 admission_control::plan::base(limits.write_rps, controllers),
                 now,
             ),
-            waiting: Default::default(),
-            floors: Floors::weighted(FLOORS, CallClass::weight),
+            queues: Default::default(),
+            floors: Floors::weighted(GUARANTEED_WRITES, CallClass::weight),
         }
     }
 
+    /// Queues a call behind those of its class.
     pub fn push(&mut self, class: CallClass, writes: f64, what: T, asked: Millis) {
-        let waiting = Waiting {
+        self.queue(class).push_back(Waiting {
             what,
             class,
             writes,
             asked,
-        };
-        self.waiting[class as usize].push_back(waiting);
+        });
     }
 
-    /// The changes a second that the plan allows us.
+    /// Sets the write rate that the admission plan assigns to this controller, in writes a second.
     pub fn allow(&mut self, writes: f64, now: Millis) {
         self.writes.allow(writes, now);
     }
 
-    /// The state service said that its limit is exceeded: the call was not executed, and waits its
-    /// turn once more.
+    /// The store rejected the call because its limit is exceeded: it was not executed, and is queued again before
+    /// all others of its class.
     pub fn over_limit(&mut self, call: Waiting<T>, now: Millis) {
         if call.writes > 0.0 {
-            self.writes.objection(now);
+            self.writes.on_rejection(now);
         } else {
-            self.requests.objection(now);
+            self.requests.on_rejection(now);
         }
-        self.waiting[call.class as usize].push_front(call);
+        self.queue(call.class).push_front(call);
     }
 
+    /// What to do next; to be called until it says [`Next::Wait`] or [`Next::Nothing`].
     pub fn next(&mut self, now: Millis) -> Next<T> {
-        self.requests.grow(now);
-        self.writes.grow(now);
-        if let Some(late) = self.late(now) {
-            return Next::Refuse(late);
+        self.requests.increase(now);
+        self.writes.increase(now);
+        if let Some(expired) = self.pop_expired(now) {
+            return Next::Refuse(expired);
         }
         let Some(class) = self.next_class() else {
             return Next::Nothing;
         };
-        let Some(call) = self.waiting[class as usize].pop_front() else {
+        let Some(call) = self.queue(class).pop_front() else {
             return Next::Nothing;
         };
         let wait = self.requests.bucket.wait(1.0, now);
         let wait = wait.max(self.writes.bucket.wait(call.writes, now));
+        // A lease that is renewed too late costs more than a rejected call.
         if wait.0 > 0 && class != CallClass::Leases {
-            self.waiting[class as usize].push_front(call);
+            self.queue(class).push_front(call);
             return Next::Wait(wait);
         }
+        self.charge(&call);
+        Next::StoreCall(call)
+    }
+
+    fn queue(&mut self, class: CallClass) -> &mut VecDeque<Waiting<T>> {
+        &mut self.queues[class as usize]
+    }
+
+    /// Takes the call's tokens, and what it owes to the classes that wait.
+    fn charge(&mut self, call: &Waiting<T>) {
         self.requests.bucket.take(1.0);
         self.writes.bucket.take(call.writes);
-        if call.writes > 0.0 && class != CallClass::Leases {
-            let mut asking = self.asking();
-            if !asking.contains(&class) {
-                asking.push(class);
+        if call.writes > 0.0 && call.class != CallClass::Leases {
+            let mut waiting = self.waiting_writers();
+            if !waiting.contains(&call.class) {
+                waiting.push(call.class);
             }
-            self.floors.served(&class, call.writes, asking);
+            self.floors.served(&call.class, call.writes, waiting);
         }
-        Next::StoreCall(call)
     }
 
-    /// A user's call that the budget kept waiting for too long.
-    fn late(&mut self, now: Millis) -> Option<T> {
+    /// Takes a user's call that has been queued for too long.
+    fn pop_expired(&mut self, now: Millis) -> Option<T> {
         let users = CallClass::ALL.into_iter().filter(|class| class.of_users());
         for class in users {
-            let waiting = &mut self.waiting[class as usize];
-            if waiting
+            let queue = self.queue(class);
+            let expired = queue
                 .front()
-                .is_some_and(|first| now.since(first.asked) > USERS_WAIT)
-            {
-                return waiting.pop_front().map(|call| call.what);
+                .is_some_and(|first| now.since(first.asked) > MAX_USER_WAIT);
+            if expired {
+                return queue.pop_front().map(|call| call.what);
             }
         }
         None
     }
 
-    /// The classes that wait to write.
-    fn asking(&self) -> Vec<CallClass> {
+    /// The classes with calls that wait to write, the most urgent first.
+    fn waiting_writers(&self) -> Vec<CallClass> {
         let waits =
-            |class: &CallClass| class.weight() > 0.0 && !self.waiting[*class as usize].is_empty();
+            |class: &CallClass| class.weight() > 0.0 && !self.queues[*class as usize].is_empty();
         CallClass::ALL.into_iter().filter(waits).collect()
     }
 
-    /// Leases first, then proofs, then who writes, by floors.
+    /// Leases first, then read barriers, then the writers by their guaranteed parts.
     fn next_class(&self) -> Option<CallClass> {
         let first = [CallClass::Leases, CallClass::Proofs]
             .into_iter()
-            .find(|class| !self.waiting[*class as usize].is_empty());
-        first.or_else(|| self.floors.next(self.asking().into_iter().map(|c| (c, c))))
+            .find(|class| !self.queues[*class as usize].is_empty());
+        first.or_else(|| {
+            let waiting = self.waiting_writers().into_iter();
+            self.floors.next(waiting.map(|class| (class, class)))
+        })
     }
 }
 
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! What the state service's JSON looks like.
+//! The JSON bodies of the store's protocol, and their conversions from and to the types of this module.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -6,68 +6,88 @@
 use super::{Entry, Mutation, Transaction, Update};
 use crate::types::{LeaseId, Revision};
 
+/// Asks for a lease.
 #[derive(Serialize)]
-pub struct GrantBody {
+pub(super) struct GrantRequest {
+    /// Time to live without a renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub life_ms: u64,
 }
 
+/// A granted lease.
 #[derive(Deserialize)]
-pub struct Granted {
+pub(super) struct GrantResponse {
+    /// The lease, by which it is renewed and attached to keys.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
 }
 
+/// The part of a response that tells the store's revision; all that is read of some.
 #[derive(Deserialize)]
-pub struct Ledger {
-    pub ledger: Revision,
+pub(super) struct RevisionResponse {
+    /// The revision at which the call was executed.
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
+/// A page of entries.
 #[derive(Deserialize)]
-pub struct Listing {
+pub(super) struct ListResponse {
+    /// In the order of their keys.
     #[serde(default)]
-    pub entries: Vec<Item>,
+    pub entries: Vec<ListItem>,
+    /// Whether more pages follow.
     #[serde(default)]
     pub truncated: bool,
-    pub ledger: Revision,
+    /// The revision at which the page was read.
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
+/// A key with its value.
 #[derive(Deserialize)]
-pub struct Item {
-    pub key: String,
-    pub data: Box<RawValue>,
-    pub stamp: Revision,
+pub(super) struct ListItem {
+    key: String,
+    data: Box<RawValue>,
+    #[serde(rename = "stamp")]
+    version: Revision,
 }
 
+/// What a watch saw.
 #[derive(Deserialize)]
-pub struct News {
-    pub ledger: Revision,
-    #[serde(default)]
-    pub news: Vec<NewsItem>,
+pub(super) struct WatchResponse {
+    /// All changes up to this revision are included.
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
+    /// The changes, in the order in which they happened.
+    #[serde(default, rename = "news")]
+    pub items: Vec<WatchItem>,
 }
 
-/// Either `put` with `data`, or `drop`.
+/// A change: either `put` with `data`, or `drop`.
 #[derive(Deserialize)]
-pub struct NewsItem {
+pub(super) struct WatchItem {
     put: Option<String>,
     data: Option<Box<RawValue>>,
     drop: Option<String>,
-    stamp: Revision,
+    #[serde(rename = "stamp")]
+    version: Revision,
 }
 
-impl From<Item> for Entry {
-    fn from(item: Item) -> Self {
+impl From<ListItem> for Entry {
+    fn from(item: ListItem) -> Self {
         Self {
             key: item.key,
             data: item.data,
-            version: item.stamp,
+            version: item.version,
         }
     }
 }
 
-impl NewsItem {
-    pub fn update(self) -> Option<Update> {
-        let version = self.stamp;
+impl WatchItem {
+    /// The change, or none for a kind of change that this version does not know.
+    pub(super) fn into_update(self) -> Option<Update> {
+        let version = self.version;
         match (self.put, self.data, self.drop) {
             (Some(key), Some(data), _) => Some(Update::Put(Entry { key, data, version })),
             (_, _, Some(key)) => Some(Update::Dropped { key, version }),
@@ -77,14 +97,15 @@
 }
 
 #[derive(Serialize)]
-struct Condition<'a> {
+struct ConditionBody<'a> {
     key: &'a str,
-    stamp: Revision,
+    #[serde(rename = "stamp")]
+    version: Revision,
 }
 
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Op<'a> {
+enum ChangeBody<'a> {
     Put {
         put: &'a str,
         data: &'a RawValue,
@@ -97,38 +118,51 @@
     },
 }
 
+impl<'a> TryFrom<&'a Mutation> for ChangeBody<'a> {
+    type Error = serde_json::Error;
+
+    fn try_from(change: &'a Mutation) -> Result<Self, Self::Error> {
+        Ok(match change {
+            Mutation::Put {
+                key,
+                data,
+                lease_id,
+            } => ChangeBody::Put {
+                put: key,
+                data: serde_json::from_str(data)?,
+                lease_id: *lease_id,
+            },
+            Mutation::Drop { key } => ChangeBody::Drop { drop: key },
+        })
+    }
+}
+
 #[derive(Serialize)]
-struct TxnBody<'a> {
+struct TransactionBody<'a> {
     #[serde(rename = "if")]
-    conditions: Vec<Condition<'a>>,
-    then: Vec<Op<'a>>,
+    conditions: Vec<ConditionBody<'a>>,
+    then: Vec<ChangeBody<'a>>,
 }
 
-pub fn txn_body(txn: &Transaction) -> serde_json::Result<Vec<u8>> {
-    let conditions = txn
+/// The body of a transaction.
+///
+/// # Errors
+/// A value that is not JSON.
+pub(super) fn encode_transaction(transaction: &Transaction) -> serde_json::Result<Vec<u8>> {
+    let conditions = transaction
         .conditions
         .iter()
-        .map(|(key, stamp)| Condition { key, stamp: *stamp })
+        .map(|(key, version)| ConditionBody {
+            key,
+            version: *version,
+        })
         .collect();
-    let then = txn
+    let then = transaction
         .changes
         .iter()
-        .map(|change| {
-            Ok(match change {
-                Mutation::Put {
-                    key,
-                    data,
-                    lease_id,
-                } => Op::Put {
-                    put: key,
-                    data: serde_json::from_str(data)?,
-                    lease_id: *lease_id,
-                },
-                Mutation::Drop { key } => Op::Drop { drop: key },
-            })
-        })
+        .map(ChangeBody::try_from)
         .collect::<serde_json::Result<_>>()?;
-    serde_json::to_vec(&TxnBody { conditions, then })
+    serde_json::to_vec(&TransactionBody { conditions, then })
 }
 
 #[cfg(test)]
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -4,11 +4,11 @@
 fn watched_changes_are_read() {
     let text = r#"{"ledger":433,"news":[{"put":"c/9","data":{"a":[1]},"stamp":433},
         {"drop":"c/d","stamp":432},{"stamp":1}]}"#;
-    let news: News = serde_json::from_str(text).unwrap();
-    let shown: Vec<String> = news
-        .news
+    let response: WatchResponse = serde_json::from_str(text).unwrap();
+    let shown: Vec<String> = response
+        .items
         .into_iter()
-        .filter_map(NewsItem::update)
+        .filter_map(WatchItem::into_update)
         .map(|update| match update {
             Update::Put(e) => format!("{}={}@{}", e.key, e.data.get(), e.version.0),
             Update::Dropped { key, version } => format!("-{key}@{}", version.0),
@@ -23,7 +23,7 @@
     txn.require("a/b".into(), Revision(0));
     txn.put_text("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
     txn.drop_key("c/d".into());
-    let text = String::from_utf8(txn_body(&txn).unwrap()).unwrap();
+    let text = String::from_utf8(encode_transaction(&txn).unwrap()).unwrap();
     assert_eq!(
         text,
         r#"{"if":[{"key":"a/b","stamp":0}],"then":[{"put":"a/b","data":{"x":1},"permit":7},{"drop":"c/d"}]}"#
