--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -116,7 +116,11 @@
     fn rent(
         &mut self,
         request_id: String,
-        (machine_type, zone, spot): &Offer,
+        Offer {
+            machine_type,
+            zone,
+            spot,
+        }: &Offer,
         count: u32,
         machines: &mut Machines,
         now: Millis,
--- a/crates/simulator/src/live/services.rs
+++ b/crates/simulator/src/live/services.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage};
+use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage, Offer};
 use jaspertiller::store::{Entry, StoreResponse, Transaction, Update};
 use jaspertiller::types::{LeaseId, MachineId, MachineTypeId, Millis, Revision, Zone};
 use serde::Deserialize;
@@ -272,7 +272,11 @@
         (&Method::POST, "/rentals") => match serde_json::from_slice::<RentBody>(&request.body) {
             Ok(body) => CloudCall::Rent {
                 request_id: body.request_id,
-                offer: (body.machine_type, body.zone, body.spot),
+                offer: Offer {
+                    machine_type: body.machine_type,
+                    zone: body.zone,
+                    spot: body.spot,
+                },
                 count: body.count,
             },
             Err(_) => return error(400, "malformed"),
--- /dev/null
+++ b/src/controller/autoscaling/demand.rs
@@ -0,0 +1,242 @@
+//! Demand for machines: the tasks that wait now, and the headroom for the work that is expected
+//! while a machine boots.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+use super::{Autoscaler, Controller};
+use crate::fleet::MachineTypeSpec;
+use crate::fleet::plan::{Headroom, Need};
+use crate::jobs::cache::Job;
+use crate::jobs::{JobSpec, PriorityClass};
+use crate::settings::Objective;
+use crate::types::{JobId, Millis, Resources, Team};
+
+/// Machines are planned for at most this many tasks of a job at a time, which bounds the work of a
+/// plan; the rest follows with the next plans.
+const MAX_TASKS_PER_NEED: u32 = 2_000;
+/// Seconds that a quick image fetch and the first heartbeat take, about.
+const QUICK_FETCH_S: f64 = 8.0;
+/// The kind of objective that says how soon work should start.
+const START_OBJECTIVE: &str = "wait";
+/// The rate of arrivals is measured over this time.
+pub(super) const ARRIVAL_WINDOW: Millis = Millis(180_000);
+/// The rate of arrivals is measured over at least this time: fewer seconds say too little.
+const MIN_ARRIVAL_WINDOW: Millis = Millis(30_000);
+/// Headroom covers this many standard deviations of what arrives and ends while a machine boots.
+const HEADROOM_DEVIATIONS: f64 = 2.0;
+
+/// Work that arrived and should not have to wait for a machine to boot.
+#[derive(Debug)]
+pub(in crate::controller) struct Arrival {
+    /// When its job was submitted.
+    at: Millis,
+    /// How many machines it fills, in machines of the type that it fills least of.
+    machines: f64,
+    /// Size of its image, in GB.
+    image_gb: f64,
+    /// Whether it may run on spot machines.
+    spot: bool,
+    /// Whether it may preempt other work.
+    urgent: bool,
+}
+
+impl Arrival {
+    fn new(job: &Job, type_specs: &[MachineTypeSpec]) -> Self {
+        let machines_per_task = type_specs
+            .iter()
+            .filter(|type_spec| job.spec.resources.fits_in(type_spec.resources))
+            .map(|type_spec| job.spec.resources.share_of(type_spec.resources))
+            .fold(1.0, f64::min);
+        Self {
+            at: job.born,
+            machines: machines_per_task * f64::from(job.record.tasks),
+            image_gb: job.spec.image_gb,
+            spot: job.spec.spot,
+            urgent: is_urgent(&job.spec),
+        }
+    }
+}
+
+/// Whether tasks of the job may preempt others.
+fn is_urgent(spec: &JobSpec) -> bool {
+    spec.priority >= PriorityClass::Urgent
+}
+
+/// Moments of the arrivals of one kind, in machines.
+#[derive(Default)]
+struct ArrivalSums {
+    machines: f64,
+    squares: f64,
+}
+
+impl ArrivalSums {
+    fn of<'a>(arrivals: impl Iterator<Item = &'a Arrival>) -> Self {
+        arrivals.fold(Self::default(), |sums, arrival| Self {
+            machines: sums.machines + arrival.machines,
+            squares: sums.squares + arrival.machines * arrival.machines,
+        })
+    }
+
+    /// Machines to keep ready for what arrives in `fraction` of the observed time. In a large fleet
+    /// about as much ends meanwhile as arrives, so that only the fluctuation of both has to be
+    /// covered.
+    fn headroom(&self, fraction: f64) -> u32 {
+        let deviation: f64 = (2.0 * self.squares * fraction).sqrt();
+        (self.machines * fraction)
+            .min(HEADROOM_DEVIATIONS * deviation)
+            .round() as u32
+    }
+}
+
+impl Autoscaler {
+    /// For how long arrivals have been observed. A controller that has just started counts as
+    /// having observed for [`MIN_ARRIVAL_WINDOW`]: work went on arriving at the others.
+    fn arrivals_observed_for(&self, now: Millis) -> Millis {
+        let observed = now.since(self.arrivals_since);
+        Millis(observed.0.clamp(MIN_ARRIVAL_WINDOW.0, ARRIVAL_WINDOW.0))
+    }
+
+    /// Whole machines that should stand ready: what is expected to arrive while a machine boots.
+    pub(super) fn headroom(&self, now: Millis) -> Vec<Headroom> {
+        let cheapest = self
+            .type_specs
+            .iter()
+            .min_by(|a, b| a.price.total_cmp(&b.price));
+        let Some(type_spec) = cheapest else {
+            return Vec::new();
+        };
+        let fraction = self.lead_time_s(type_spec) / self.arrivals_observed_for(now).secs();
+        [false, true]
+            .map(|spot| Headroom {
+                spot,
+                machines: self.arrivals_on(spot).headroom(fraction),
+                empty: self.arrivals_without_preemption_on(spot).headroom(fraction),
+                resources: type_spec.resources,
+            })
+            .to_vec()
+    }
+
+    /// Seconds from a rental until the machine has booted and fetched an image of mean size.
+    fn lead_time_s(&self, type_spec: &MachineTypeSpec) -> f64 {
+        let images_gb: f64 = self.arrivals.iter().map(|arrival| arrival.image_gb).sum();
+        let mean_gb = images_gb / self.arrivals.len().max(1) as f64;
+        type_spec.boot_s + QUICK_FETCH_S + type_spec.slow_fetch_s(mean_gb)
+    }
+
+    fn arrivals_on(&self, spot: bool) -> ArrivalSums {
+        ArrivalSums::of(self.arrivals.iter().filter(|arrival| arrival.spot == spot))
+    }
+
+    fn arrivals_without_preemption_on(&self, spot: bool) -> ArrivalSums {
+        ArrivalSums::of(
+            self.arrivals
+                .iter()
+                .filter(|arrival| arrival.spot == spot && !arrival.urgent),
+        )
+    }
+}
+
+impl Controller {
+    /// Takes jobs that were submitted since the last call into the arrivals, and drops old ones.
+    pub(super) fn record_arrivals(&mut self) {
+        let now = self.now;
+        let observed_until = self.autoscaler.arrivals_until;
+        let arrived: Vec<Arrival> = self
+            .jobs
+            .iter()
+            .filter(|job| job.born > observed_until && job.born <= now)
+            .filter(|job| is_urgent(&job.spec) || self.has_start_objective(&job.spec))
+            .map(|job| Arrival::new(job, &self.autoscaler.type_specs))
+            .collect();
+        self.autoscaler.arrivals.extend(arrived);
+        self.autoscaler.arrivals_until = now;
+        self.autoscaler
+            .arrivals
+            .retain(|arrival| now.since(arrival.at) <= ARRIVAL_WINDOW);
+    }
+
+    /// Whether an objective says how soon work of the job's class should start.
+    fn has_start_objective(&self, spec: &JobSpec) -> bool {
+        let applies = |objective: &Objective| {
+            objective.kind == START_OBJECTIVE && objective.class.as_ref() == Some(&spec.class)
+        };
+        self.settings.deployment.objectives.iter().any(applies)
+    }
+
+    /// Tasks that need room, those of the highest priority first.
+    pub(super) fn needs(&self) -> Vec<Need<'_>> {
+        let mut waiting: Vec<&Job> = self
+            .jobs
+            .iter()
+            .filter(|job| job.active() && job.waiting() > 0)
+            .collect();
+        waiting.sort_by_key(|job| (Reverse(job.spec.priority), job.born));
+        let mut planned_usage = BTreeMap::new();
+        let mut needs = Vec::new();
+        for job in waiting {
+            if self.scheduler.nominations.of(&job.id, self.now).is_some() {
+                // Preemption is making room for it.
+                continue;
+            }
+            needs.push(Need {
+                spec: &job.spec,
+                count: self.tasks_within_quota(job, &mut planned_usage),
+                spot_only: false,
+            });
+        }
+        needs.extend(self.needs_to_move_to_spot());
+        needs
+    }
+
+    /// How many waiting tasks of a job its quotas leave room for. `planned_usage` has what each
+    /// team uses with all that is planned so far, and takes these tasks in.
+    fn tasks_within_quota<'a>(
+        &'a self,
+        job: &Job,
+        planned_usage: &mut BTreeMap<&'a Team, Resources>,
+    ) -> u32 {
+        let resources = job.spec.resources;
+        let mut count = job.waiting().min(MAX_TASKS_PER_NEED);
+        for team in self.limits(job) {
+            let used = planned_usage
+                .entry(&team.name)
+                .or_insert_with(|| self.jobs.usage(&team.name));
+            count = count.min(crate::quota::left(*used, team).holds(resources));
+        }
+        for team in self.limits(job) {
+            if let Some(used) = planned_usage.get_mut(&team.name) {
+                *used = used.plus(resources.times(f64::from(count)));
+            }
+        }
+        count
+    }
+
+    /// Tasks that may run on spot machines but occupy ordinary ones that would otherwise be ready.
+    fn needs_to_move_to_spot(&self) -> Vec<Need<'_>> {
+        let ordinary = self
+            .autoscaler
+            .fleet
+            .machines
+            .iter()
+            .filter(|(_, rented)| !rented.spot)
+            .map(|(machine_id, _)| machine_id);
+        let preemptible = ordinary.filter(|machine_id| {
+            !self.autoscaler.drains.contains(*machine_id) && self.jobs.yielding(machine_id)
+        });
+        let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
+        for (job_id, _) in preemptible.flat_map(|machine_id| self.jobs.on_machine(machine_id)) {
+            *counts.entry(job_id).or_default() += 1;
+        }
+        counts
+            .into_iter()
+            .filter_map(|(job_id, count)| Some((&self.jobs.get(job_id)?.spec, count)))
+            .filter(|(spec, _)| spec.spot)
+            .map(|(spec, count)| Need {
+                spec,
+                count,
+                spot_only: true,
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -0,0 +1,242 @@
+//! Detection of lost machines: those that failed, never booted, are quarantined and empty, or have
+//! been silent for longer than a lease. They are deleted; the cloud's confirmation is the evidence
+//! that their tasks have ended.
+
+use std::collections::BTreeMap;
+
+use super::scale_in::MAX_DELETIONS_PER_REQUEST;
+use super::{Autoscaler, Controller};
+use crate::controller::heartbeats::Silence;
+use crate::fleet::{MachineStage, RentedMachine};
+use crate::types::{MachineId, Millis, ShardId, Zone};
+use crate::workers::shard_of;
+use crate::zones::zone_health::{SuspectedMachine, ZoneObservation};
+
+/// Within this time a new holder of a shard has asked its machines for their state, and their
+/// workers, which give up on a silent controller after 4 s, have found it by way of at most two
+/// others.
+const HOLDER_DISCOVERY_TIME: Millis = Millis(10_000);
+/// A machine that takes this many times its usual boot time ...
+const MAX_BOOT_FACTOR: f64 = 3.0;
+/// ... and this many seconds never boots.
+const MAX_BOOT_MARGIN_S: f64 = 10.0;
+/// Lower bound of the usual boot time, in seconds.
+const MIN_BOOT_S: f64 = 5.0;
+/// Usual boot time of machines whose type the cloud does not list any more, in seconds.
+const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
+/// Seconds that are added to a worker's lease before its tasks count as stopped.
+const LEASE_MARGIN_S: f64 = 4.0;
+/// A machine whose zone is otherwise heard is lost after this many heartbeat intervals ...
+const EARLY_HEARTBEAT_INTERVALS: f64 = 3.2;
+/// ... and this many seconds of silence.
+const EARLY_MARGIN_S: f64 = 1.0;
+
+/// What one look at all machines shows.
+#[derive(Default)]
+struct FleetHealth {
+    /// Machines that are lost for certain, or empty and unfit.
+    lost: Vec<MachineId>,
+    /// Machines that are thought lost because they are silent.
+    suspected: Vec<SuspectedMachine>,
+    /// How each zone looks.
+    zones: BTreeMap<Zone, ZoneObservation>,
+}
+
+/// The state of a running machine's contact with the controllers.
+struct MachineContact {
+    /// How long it has been silent, by the holder of its shard; none: that holder cannot tell.
+    silence: Option<Silence>,
+    /// It sends heartbeats, and nothing proves that it receives commands.
+    unproved: bool,
+}
+
+impl Autoscaler {
+    /// Drops machines that are being deleted. What is given up counts against a bound, so it must be
+    /// what is sent now.
+    fn drop_deleting(&self, health: &mut FleetHealth) {
+        let deleting = &self.fleet.deleting;
+        health
+            .lost
+            .retain(|machine_id| !deleting.contains(machine_id));
+        health
+            .suspected
+            .retain(|suspect| !deleting.contains(&suspect.machine_id));
+    }
+}
+
+impl Controller {
+    /// Deletes lost machines, and updates the health of the zones by what machines are silent.
+    pub(super) fn delete_lost_machines(&mut self) {
+        let mut health = self.inspect_fleet();
+        health.suspected.extend(self.suspected_unlisted_machines());
+        self.autoscaler.drop_deleting(&mut health);
+        let FleetHealth {
+            mut lost,
+            suspected,
+            zones,
+        } = health;
+        self.observe_zones(zones);
+        let max_deletions = MAX_DELETIONS_PER_REQUEST.saturating_sub(lost.len());
+        let hold = self.settings.operator.hold;
+        lost.extend(
+            self.partition
+                .zone_health
+                .give_up(suspected, max_deletions, hold, self.now),
+        );
+        self.drain_quarantined_machines();
+        self.delete_machines(lost);
+    }
+
+    fn inspect_fleet(&self) -> FleetHealth {
+        let mut health = FleetHealth::default();
+        for (machine_id, rented) in &self.autoscaler.fleet.machines {
+            let running = rented.stage == MachineStage::Running;
+            let contact = running.then(|| self.contact_with(machine_id, &rented.zone));
+            if let Some(contact) = &contact {
+                let zone = health.zones.entry(rented.zone.clone()).or_default();
+                self.observe_machine(machine_id, contact, zone);
+            }
+            if self.has_not_booted(rented) || self.is_unfit_and_drained(machine_id) {
+                health.lost.push(machine_id.clone());
+            } else if contact.is_some_and(|contact| self.is_lost(machine_id, rented, &contact)) {
+                health
+                    .suspected
+                    .push(self.suspect(machine_id, &rented.zone));
+            }
+        }
+        health
+    }
+
+    fn contact_with(&self, machine_id: &MachineId, zone: &Zone) -> MachineContact {
+        let shard = shard_of(machine_id, zone, self.settings.operator.blocks_per_zone);
+        let early = self.early_loss_timeout();
+        let machine = self.machines.get(machine_id);
+        MachineContact {
+            silence: self.silent_for(machine_id, &shard),
+            unproved: machine.is_some_and(|machine| machine.reachability.doubtful(self.now, early)),
+        }
+    }
+
+    /// Counts a running machine in the observation of its zone.
+    fn observe_machine(
+        &self,
+        machine_id: &MachineId,
+        contact: &MachineContact,
+        zone: &mut ZoneObservation,
+    ) {
+        zone.machines += 1;
+        // A new holder that receives no heartbeats cannot tell; the machine counts by when any
+        // controller last heard it.
+        let (held, since_heard) = match &contact.silence {
+            Some(silence) => (silence.held, silence.since_heard),
+            None => {
+                let unheard = self.now.since(self.last_heard(machine_id));
+                (unheard.since(self.silence()), unheard)
+            }
+        };
+        let silent = held > HOLDER_DISCOVERY_TIME && since_heard > self.silence();
+        zone.silent += u32::from(silent);
+        let one_way = contact.silence.is_some()
+            && contact.unproved
+            && since_heard > self.early_loss_timeout();
+        zone.one_way += u32::from(one_way);
+    }
+
+    /// Whether a machine failed, or takes so long to boot that it never will.
+    fn has_not_booted(&self, rented: &RentedMachine) -> bool {
+        match rented.stage {
+            MachineStage::Failed => true,
+            MachineStage::Running => false,
+            MachineStage::Booting => {
+                let type_spec = self.autoscaler.type_spec(&rented.machine_type);
+                let boot_s = type_spec.map_or(UNKNOWN_TYPE_BOOT_S, |type_spec| {
+                    type_spec.boot_s.max(MIN_BOOT_S)
+                });
+                let timeout = Millis::from_secs(boot_s * MAX_BOOT_FACTOR + MAX_BOOT_MARGIN_S);
+                self.now.since(rented.rented_at) > timeout
+            }
+        }
+    }
+
+    /// Whether a machine that may take no new tasks is empty and stays so.
+    fn is_unfit_and_drained(&self, machine_id: &MachineId) -> bool {
+        self.machines.get(machine_id).is_some_and(|machine| {
+            machine.quarantined || machine.warned && machine.tasks.is_empty()
+        }) && self.is_drained(machine_id)
+    }
+
+    /// Whether a running machine has been silent for so long that its tasks must have stopped. If
+    /// the rest of its zone is heard, a few seconds suffice, since a new holder asks each machine
+    /// for its state. A machine that sends heartbeats and receives nothing may receive again, so
+    /// for it only the lease counts.
+    fn is_lost(
+        &self,
+        machine_id: &MachineId,
+        rented: &RentedMachine,
+        contact: &MachineContact,
+    ) -> bool {
+        let Some(silence) = &contact.silence else {
+            return false;
+        };
+        let early = !contact.unproved
+            && silence.since_heard > self.early_loss_timeout()
+            && silence.held > HOLDER_DISCOVERY_TIME;
+        silence.outlasts(self.lease_timeout())
+            || early && self.zone_speaks(machine_id, &rented.zone)
+    }
+
+    /// Silent machines that no list shows any more, though the records have tasks there: an earlier
+    /// leader may have had them deleted, and failed to write that their tasks had ended.
+    fn suspected_unlisted_machines(&self) -> Vec<SuspectedMachine> {
+        self.jobs
+            .machine_ids()
+            .filter(|machine_id| !self.autoscaler.fleet.machines.contains_key(*machine_id))
+            .filter_map(|machine_id| Some((machine_id, self.recorded_shard(machine_id)?)))
+            .filter(|(machine_id, shard)| self.is_unlisted_and_lost(machine_id, shard))
+            .map(|(machine_id, shard)| self.suspect(machine_id, &shard.zone))
+            .collect()
+    }
+
+    /// The shard in which the records have a task on the machine.
+    fn recorded_shard(&self, machine_id: &MachineId) -> Option<&ShardId> {
+        self.jobs
+            .on_machine(machine_id)
+            .find_map(|(job_id, index)| {
+                let placement = self.jobs.get(job_id)?.task(*index).placement()?;
+                Some(&placement.shard)
+            })
+    }
+
+    /// Whether a machine that no list shows is lost. The holder of its shard cannot tell that it is
+    /// silent if this was the holder's last machine. But a machine that existed when this term of
+    /// leadership began, and is on no list so long after, does not exist any more.
+    fn is_unlisted_and_lost(&self, machine_id: &MachineId, shard: &ShardId) -> bool {
+        let lease = self.lease_timeout();
+        let listed_for = (self.autoscaler.fleet.listed).since(self.membership.leading_since);
+        let off_all_lists =
+            listed_for > self.max_list_age() && self.last_heard(machine_id) + lease < self.now;
+        off_all_lists
+            || self
+                .silent_for(machine_id, shard)
+                .is_some_and(|silence| silence.outlasts(lease))
+    }
+
+    fn drain_quarantined_machines(&mut self) {
+        for (machine_id, machine) in &self.machines {
+            if machine.quarantined && !self.autoscaler.fleet.gone.contains(machine_id) {
+                self.autoscaler.drains.insert(machine_id.clone());
+            }
+        }
+    }
+
+    /// After this long without contact a worker's lease has expired and its tasks have stopped.
+    fn lease_timeout(&self) -> Millis {
+        Millis::from_secs(self.settings.deployment.workers.lease_s + LEASE_MARGIN_S)
+    }
+
+    /// After this long without contact a single machine is lost, if the rest of its zone is heard.
+    fn early_loss_timeout(&self) -> Millis {
+        let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
+        Millis::from_secs(EARLY_HEARTBEAT_INTERVALS * interval_s + EARLY_MARGIN_S)
+    }
+}
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -1,8 +1,9 @@
-use super::*;
 use crate::controller::commits::tests::controller;
+use crate::fleet::{MachineStage, RentedMachine};
 use crate::jobs::api::{parse, tests::body};
-use crate::jobs::{Placement, Task};
-use crate::types::{AgentEpoch, Attempt, ShardId};
+use crate::jobs::{JobKind, Placement, Task};
+use crate::types::{AgentEpoch, Attempt, MachineId, Millis, ShardId};
+use crate::workers::Machine;
 
 /// A holder that had not heard of a deletion placed a task on the machine after it: the task was
 /// on no machine, and in the records for ever.
@@ -21,7 +22,7 @@
         if gone {
             controller.autoscaler.fleet.gone.insert("vm-a".into());
         }
-        controller.leave_the_gone();
+        controller.release_tasks_on_deleted_machines();
         let job = controller.jobs.get(&id).unwrap();
         assert_eq!(!job.changes.is_empty(), released, "deleted: {gone}");
     }
@@ -76,22 +77,22 @@
             controller.machines.insert(machine_id.clone(), machine);
         }
         if listed {
-            let rented = Rented {
+            let rented = RentedMachine {
                 machine_type: "g8".into(),
                 zone: "a".into(),
                 spot: false,
                 stage: MachineStage::Running,
-                since: Millis(0),
-                seen: controller.now,
-                idle: None,
+                rented_at: Millis(0),
+                last_seen: controller.now,
+                idle_since: None,
             };
             controller
                 .autoscaler
                 .fleet
-                .machine_ids
+                .machines
                 .insert(machine_id.clone(), rented);
         }
-        controller.delete_lost();
+        controller.delete_lost_machines();
         let case = format!("{known}, {silent_s} s, {listed}, {receives_heartbeats}, {led_s} s");
         assert_eq!(
             controller.autoscaler.fleet.deleting.contains(&machine_id),
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -1,22 +1,28 @@
-//! The actor that speaks to the cloud within its budget.
+//! The actor that sends calls to the cloud within the budget of requests per second, and returns
+//! each response with the tag of its call.
 
 use std::time::Duration;
 
+use bytes::Bytes;
 use http::Method;
 use tokio::sync::mpsc;
 
-use super::wire::{ListBody, MachineTypesBody, Machines, RentBody};
+use super::wire::{ListBody, MachineIdsBody, MachineTypesBody, RentBody};
 use super::{CloudCall, CloudResponse};
 use crate::clock::Clock;
-use crate::http_client::HttpClient;
+use crate::http_client::{Failure, HttpClient};
 use crate::settings::Settings;
 use crate::store::budget::Bucket;
 
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// The most machines one list shows.
-const PAGE: u32 = 500;
-/// Part of the budget that is used; the other controllers read the machine types too.
-const SHARE: f64 = 0.8;
+/// A call that takes longer counts as failed; the leader repeats what it still needs.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The most machines that one page of the list is to show.
+const LIST_PAGE_SIZE: u32 = 500;
+/// Fraction of the budget that this controller uses, since the other controllers read the machine
+/// types, too.
+const BUDGET_FRACTION: f64 = 0.8;
+/// What the body of a response with status 503 contains if an offer has no capacity.
+const NO_CAPACITY_MARK: &[u8] = b"capacity";
 
 /// Address of the cloud actor.
 #[derive(Clone)]
@@ -24,29 +30,52 @@
     inbox: mpsc::UnboundedSender<(u64, CloudCall)>,
 }
 
+/// The response to a call.
 pub struct CloudReply {
+    /// The tag that the call was sent with.
     pub tag: u64,
+    /// The response, or that the call failed.
     pub answer: CloudResponse,
 }
 
+/// Why a call has no usable response.
+#[derive(Debug, thiserror::Error)]
+enum CloudError {
+    #[error("no response: {0:?}")]
+    NoResponse(Failure),
+    #[error("refused with status {status}")]
+    Refused { status: u16 },
+    #[error(transparent)]
+    Invalid(#[from] serde_json::Error),
+}
+
+/// An HTTP request.
+struct Request {
+    method: Method,
+    path: String,
+    body: Vec<u8>,
+}
+
 impl Cloud {
+    /// Starts the actor. It sends a reply to `answers` for each call.
     pub fn start(
         settings: &Settings,
         clock: Clock,
         answers: mpsc::UnboundedSender<CloudReply>,
     ) -> Self {
-        // The leader makes a few calls a second, and none for what is under way.
+        // Unbounded, since the leader makes only a few calls a second, and repeats none in flight.
         let (inbox, mut calls) = mpsc::unbounded_channel::<(u64, CloudCall)>();
         let client = HttpClient::new(settings.outside.cloud);
-        let mut left = Bucket::new(settings.deployment.cloud.rps * SHARE, clock.now());
+        let mut budget = Bucket::new(settings.deployment.cloud.rps * BUDGET_FRACTION, clock.now());
         tokio::spawn(async move {
             while let Some((tag, call)) = calls.recv().await {
-                let wait = left.wait(1.0, clock.now());
+                let wait = budget.wait(1.0, clock.now());
                 tokio::time::sleep(Duration::from_millis(wait.0)).await;
-                left.take(1.0);
+                budget.take(1.0);
                 let (client, answers) = (client.clone(), answers.clone());
                 tokio::spawn(async move {
                     let answer = perform(&client, &call).await;
+                    // The receiver is dropped only when the process ends.
                     let _ = answers.send(CloudReply { tag, answer });
                 });
             }
@@ -54,6 +83,7 @@
         Self { inbox }
     }
 
+    /// Sends a call; its reply carries `tag`.
     pub fn send(&self, tag: u64, call: CloudCall) {
         // The actor ends only with the process.
         let _ = self.inbox.send((tag, call));
@@ -61,19 +91,32 @@
 }
 
 async fn perform(client: &HttpClient, call: &CloudCall) -> CloudResponse {
-    let body_of = |value: Result<Vec<u8>, serde_json::Error>| value.unwrap_or_default();
-    let (method, path, body) = match call {
-        CloudCall::MachineTypes => (Method::GET, "/flavors".to_string(), Vec::new()),
-        CloudCall::List { after } => {
-            let from = after
-                .as_ref()
-                .map(|a| format!("from={a}&"))
-                .unwrap_or_default();
-            (
-                Method::GET,
-                format!("/rentals?{from}most={PAGE}"),
-                Vec::new(),
-            )
+    let Request { method, path, body } = request_of(call);
+    let exchange = client.call(method, &path, body, CALL_TIMEOUT).await;
+    let response = exchange
+        .map_err(CloudError::NoResponse)
+        .and_then(|(status, body)| parse_response(call, status, &body));
+    response.unwrap_or_else(|error| {
+        match error {
+            // Failed connections and timeouts are not logged.
+            CloudError::NoResponse(_) => {}
+            CloudError::Refused { status } => {
+                tracing::debug!(status, path, "cloud request refused");
+            }
+            CloudError::Invalid(error) => {
+                tracing::error!(%error, path, "cloud response is invalid");
+            }
+        }
+        CloudResponse::Failed
+    })
+}
+
+fn request_of(call: &CloudCall) -> Request {
+    match call {
+        CloudCall::MachineTypes => get("/flavors".into()),
+        CloudCall::List { after: None } => get(format!("/rentals?most={LIST_PAGE_SIZE}")),
+        CloudCall::List { after: Some(after) } => {
+            get(format!("/rentals?from={after}&most={LIST_PAGE_SIZE}"))
         }
         CloudCall::Rent {
             request_id,
@@ -82,52 +125,69 @@
         } => {
             let body = RentBody {
                 request_id,
-                machine_type: &offer.0,
-                zone: &offer.1,
-                spot: offer.2,
+                machine_type: &offer.machine_type,
+                zone: &offer.zone,
+                spot: offer.spot,
                 count: *count,
             };
-            (
-                Method::POST,
-                "/rentals".into(),
-                body_of(serde_json::to_vec(&body)),
-            )
+            post("/rentals".into(), &body)
         }
         CloudCall::Delete(machine_ids) => {
             let machine_ids = machine_ids.clone();
-            let body = body_of(serde_json::to_vec(&Machines { machine_ids }));
-            (Method::POST, "/rentals/delete".into(), body)
+            post("/rentals/delete".into(), &MachineIdsBody { machine_ids })
         }
-    };
-    let Ok((status, body)) = client.call(method, &path, body, CALL_LIMIT).await else {
-        return CloudResponse::Failed;
-    };
-    let parsed = match (call, status) {
+    }
+}
+
+fn get(path: String) -> Request {
+    Request {
+        method: Method::GET,
+        path,
+        body: Vec::new(),
+    }
+}
+
+fn post(path: String, body: &impl serde::Serialize) -> Request {
+    Request {
+        method: Method::POST,
+        path,
+        // Bodies consist of strings, numbers and bools, which are always valid JSON.
+        body: serde_json::to_vec(body).unwrap_or_default(),
+    }
+}
+
+fn parse_response(
+    call: &CloudCall,
+    status: u16,
+    body: &Bytes,
+) -> Result<CloudResponse, CloudError> {
+    match (call, status) {
         (CloudCall::MachineTypes, 200) => {
-            serde_json::from_slice(&body).map(|b: MachineTypesBody| {
-                CloudResponse::MachineTypes(b.machine_types.into_iter().map(Into::into).collect())
-            })
+            let body: MachineTypesBody = serde_json::from_slice(body)?;
+            let type_specs = body.machine_types.into_iter().map(Into::into);
+            Ok(CloudResponse::MachineTypes(type_specs.collect()))
         }
         (CloudCall::List { .. }, 200) => {
-            serde_json::from_slice(&body).map(|b: ListBody| CloudResponse::Page {
-                machine_ids: b.machine_ids.into_iter().map(Into::into).collect(),
-                more: b.truncated,
+            let body: ListBody = serde_json::from_slice(body)?;
+            Ok(CloudResponse::Page {
+                machine_ids: body.machines.into_iter().map(Into::into).collect(),
+                more: body.truncated,
             })
         }
         (CloudCall::Rent { .. }, 200) => {
-            serde_json::from_slice(&body).map(|b: Machines| CloudResponse::Rented(b.machine_ids))
-        }
-        (CloudCall::Rent { .. }, 503) if body.windows(8).any(|w| w == b"capacity") => {
-            Ok(CloudResponse::NoCapacity)
+            let body: MachineIdsBody = serde_json::from_slice(body)?;
+            Ok(CloudResponse::Rented(body.machine_ids))
         }
+        (CloudCall::Rent { .. }, 503) if mentions_capacity(body) => Ok(CloudResponse::NoCapacity),
         (CloudCall::Delete(_), 200) => Ok(CloudResponse::Deleted),
-        (_, status) => {
-            tracing::debug!(status, path, "cloud request refused");
-            Ok(CloudResponse::Failed)
-        }
-    };
-    parsed.unwrap_or_else(|error| {
-        tracing::error!(%error, path, "cloud response is invalid");
-        CloudResponse::Failed
-    })
+        (_, status) => Err(CloudError::Refused { status }),
+    }
 }
+
+fn mentions_capacity(body: &[u8]) -> bool {
+    body.windows(NO_CAPACITY_MARK.len())
+        .any(|window| window == NO_CAPACITY_MARK)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/cloud_api.rs
@@ -0,0 +1,99 @@
+//! Calls to the cloud and its responses, independent of their form on the wire.
+
+use std::fmt;
+
+use super::MachineTypeSpec;
+use crate::types::{MachineId, MachineTypeId, Millis, Zone};
+
+/// What can be rented: machines of a type in a zone, spot or ordinary.
+///
+/// The order of the fields decides the order in which a plan's rentals are requested.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Offer {
+    /// The machine type.
+    pub machine_type: MachineTypeId,
+    /// The zone of the machines.
+    pub zone: Zone,
+    /// Whether the machines are spot: cheaper, and taken away by the cloud at short notice.
+    pub spot: bool,
+}
+
+/// The form that log lines show: `(type, zone, spot)`.
+impl fmt::Display for Offer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "({}, {}, {})", self.machine_type, self.zone, self.spot)
+    }
+}
+
+/// Where a rented machine is in its life.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MachineStage {
+    /// Rented, and its worker has not started yet.
+    Booting,
+    /// Its worker has started.
+    Running,
+    /// The cloud reports it as failed; it will not run again.
+    Failed,
+}
+
+/// A call to the cloud.
+#[derive(Clone, Debug)]
+pub enum CloudCall {
+    /// Reads all machine types.
+    MachineTypes,
+    /// Reads one page of the list of rented machines.
+    List {
+        /// The last machine of the page before; none: the first page.
+        after: Option<MachineId>,
+    },
+    /// Rents machines.
+    Rent {
+        /// Makes the request idempotent: the cloud answers a repetition with the same machines.
+        request_id: String,
+        /// What to rent.
+        offer: Offer,
+        /// How many machines.
+        count: u32,
+    },
+    /// Returns machines for good.
+    Delete(Vec<MachineId>),
+}
+
+/// A machine on a page of the cloud's list.
+#[derive(Clone, Debug)]
+pub struct Listed {
+    /// Its name.
+    pub machine_id: MachineId,
+    /// Its type.
+    pub machine_type: MachineTypeId,
+    /// Its zone.
+    pub zone: Zone,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+    /// Its stage when the list was made; lists lag behind.
+    pub stage: MachineStage,
+    /// Time since it was rented.
+    pub age: Millis,
+}
+
+/// The cloud's response to a [`CloudCall`].
+#[derive(Clone, Debug)]
+pub enum CloudResponse {
+    /// All machine types.
+    MachineTypes(Vec<MachineTypeSpec>),
+    /// A page of the list of machines.
+    Page {
+        /// The machines, in order of their names.
+        machine_ids: Vec<Listed>,
+        /// Whether another page follows.
+        more: bool,
+    },
+    /// The machines that were rented: at most as many as requested.
+    Rented(Vec<MachineId>),
+    /// The offer has no capacity at present.
+    NoCapacity,
+    /// The machines are deleted: no task runs on them any more.
+    Deleted,
+    /// The call failed, or its outcome is unknown.
+    Failed,
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,134 +1,100 @@
-//! The fleet: what the cloud offers and which machines there are. Only the leader rents, drains
-//! and returns.
+//! The fleet of rented machines: what the cloud offers, and what the leader knows of the machines
+//! there are. Only the leader rents, drains and returns machines.
+//!
+//! [`plan`] decides what to rent and return, [`client`] performs the calls of [`cloud_api`], and
+//! [`wire`] has their JSON.
 
 pub mod client;
+pub mod cloud_api;
+pub mod machine_types;
 pub mod plan;
 pub mod wire;
 
 use std::collections::BTreeMap;
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
-use serde::{Deserialize, Serialize};
 
-use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
+pub use cloud_api::{CloudCall, CloudResponse, Listed, MachineStage, Offer};
+pub use machine_types::{MACHINE_TYPES_KEY, MachineTypeSpec, fetch_rate, find_type};
 
-/// A machine type.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineTypeSpec {
-    #[serde(rename = "sku")]
-    pub id: MachineTypeId,
-    #[serde(rename = "room")]
-    pub resources: Resources,
-    pub cache_gb: f64,
-    pub fetch_gb_per_s: f64,
-    pub price: f64,
-    pub spot_price: f64,
-    pub boot_s: f64,
-    pub zones: Vec<Zone>,
-}
-
-/// A fetch that takes no more than this part of a boot is quick: it is not worth spending machines on.
-const QUICK: f64 = 0.5;
-
-impl MachineTypeSpec {
-    /// Seconds that an image takes to fetch, beyond a quick fetch.
-    pub fn slow_s(&self, gb: f64) -> f64 {
-        (gb / self.rate() - QUICK * self.boot_s).max(0.0)
-    }
-
-    /// Gigabytes a second at which images are fetched.
-    pub fn rate(&self) -> f64 {
-        self.fetch_gb_per_s.max(0.01)
-    }
-}
-
-/// Gigabytes a second at which a machine of a type fetches images.
-pub fn fetch_rate(type_specs: &[MachineTypeSpec], id: &MachineTypeId) -> f64 {
-    let type_spec = type_specs.iter().find(|type_spec| type_spec.id == *id);
-    type_spec.map_or(1.0, MachineTypeSpec::rate)
-}
-
-/// Where the leader keeps the machine types, for controllers that start while the cloud is away.
-pub const MACHINE_TYPES_KEY: &str = "jt/flavors";
-
-/// What can be rented: a type, in a zone, spot or ordinary.
-pub type Offer = (MachineTypeId, Zone, bool);
+use crate::types::{MachineId, MachineTypeId, Millis, Zone};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineStage {
-    Booting,
-    Running,
-    Failed,
-}
-
-/// A rented machine as the cloud has it.
+/// A rented machine as far as the leader knows it.
 #[derive(Clone, Debug)]
-pub struct Rented {
+pub struct RentedMachine {
+    /// Its type.
     pub machine_type: MachineTypeId,
+    /// Its zone.
     pub zone: Zone,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Its stage, by the cloud's list or by its heartbeats.
     pub stage: MachineStage,
-    pub since: Millis,
-    /// When it was last in a list, or rented.
-    pub seen: Millis,
-    /// Since when it stands idle.
-    pub idle: Option<Millis>,
+    /// When it was rented, or first heard of if the list has not shown its age.
+    pub rented_at: Millis,
+    /// When it was rented, last listed, or last known to send heartbeats.
+    pub last_seen: Millis,
+    /// Since when no task is placed on it; none: tasks are, or it has not booted.
+    pub idle_since: Option<Millis>,
 }
 
-#[derive(Clone, Debug)]
-pub enum CloudCall {
-    MachineTypes,
-    List {
-        after: Option<MachineId>,
-    },
-    Rent {
-        request_id: String,
-        offer: Offer,
-        count: u32,
-    },
-    Delete(Vec<MachineId>),
-}
+impl RentedMachine {
+    /// A machine that is known from `now` on and was rented at `rented_at`.
+    #[must_use]
+    pub fn new(offer: Offer, stage: MachineStage, rented_at: Millis, now: Millis) -> Self {
+        Self {
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
+            stage,
+            rented_at,
+            last_seen: now,
+            idle_since: None,
+        }
+    }
 
-#[derive(Clone, Debug)]
-pub struct Listed {
-    pub machine_id: MachineId,
-    pub machine_type: MachineTypeId,
-    pub zone: Zone,
-    pub spot: bool,
-    pub stage: MachineStage,
-    pub age: Millis,
+    /// The offer that it was rented by.
+    #[must_use]
+    pub fn offer(&self) -> Offer {
+        Offer {
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+        }
+    }
 }
 
+/// A rental request that the cloud has not answered yet.
 #[derive(Clone, Debug)]
-pub enum CloudResponse {
-    MachineTypes(Vec<MachineTypeSpec>),
-    Page {
-        machine_ids: Vec<Listed>,
-        more: bool,
-    },
-    Rented(Vec<MachineId>),
-    NoCapacity,
-    Deleted,
-    Failed,
+pub struct PendingRental {
+    /// What was requested.
+    pub offer: Offer,
+    /// How many machines were requested.
+    pub count: u32,
 }
 
-/// What the leader knows of the fleet.
+/// What the leader knows of the fleet. It starts empty with each term of leadership.
 #[derive(Default)]
 pub struct Fleet {
-    pub machine_ids: BTreeMap<MachineId, Rented>,
-    /// Being deleted.
+    /// Machines that are rented, as far as lists and heartbeats show.
+    pub machines: BTreeMap<MachineId, RentedMachine>,
+    /// Machines whose deletion was requested and not answered yet.
     pub deleting: HashSet<MachineId>,
-    /// The cloud answered that they are gone; lists may still show them.
+    /// Machines whose deletion the cloud confirmed; lists may still show them.
     pub gone: HashSet<MachineId>,
-    /// Offers that had no capacity: not asked again before.
-    pub refused: HashMap<Offer, Millis>,
-    /// Rental requests under way.
-    pub renting: HashMap<u64, (Offer, u32)>,
+    /// Offers that the cloud had no capacity for, or failed to rent, and when to request them again.
+    pub refused_until: HashMap<Offer, Millis>,
+    /// Rental requests in flight, by the tag of the call.
+    pub pending_rentals: HashMap<u64, PendingRental>,
+    /// Rental requests of this term; makes request ids unique.
     pub rental_requests: u64,
-    /// When machines were last chosen to be returned.
-    pub returned: Millis,
-    pub logged: Millis,
+    /// When idle machines were last chosen to be returned.
+    pub last_scale_in: Millis,
+    /// When the usage of the fleet was last logged.
+    pub usage_logged_at: Millis,
+    /// When the last list was begun.
     pub list_started: Millis,
+    /// A list is being read.
     pub listing: bool,
     /// When the cloud's list was last read to its end.
     pub listed: Millis,
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -1,305 +1,261 @@
-//! What to rent and what to return, as a pure function of need.
+//! What to rent and what to return, as a pure function of the machines, the tasks that need room,
+//! and the headroom that should stand ready.
+
+mod bins;
 
 use std::collections::BTreeMap;
 
+pub use bins::Bin;
+use bins::Bins;
+
 use super::{MachineTypeSpec, Offer};
 use crate::jobs::{JobKind, JobSpec};
 use crate::types::{MachineId, Millis, Resources, Zone};
 
-/// A machine that is there or on its way.
-#[derive(Clone, Debug)]
-pub struct Bin {
-    /// None: would have to be rented.
-    pub machine_id: Option<MachineId>,
-    pub offer: Offer,
-    pub capacity: Resources,
-    pub available: Resources,
-    /// Room held by work that gives way to urgent work without much loss.
-    pub soft: Resources,
-    pub idle_for: Millis,
-    /// Seconds that its cache would take to be fetched again.
-    pub worth_s: f64,
-}
-
-impl Bin {
-    fn empty(&self) -> bool {
-        self.available == self.capacity
-    }
-
-    /// Takes room for up to `count` tasks and returns how many found it.
-    fn take(&mut self, need: &Need, count: u32) -> u32 {
-        let resources = need.spec.resources;
-        if !resources.fits_in(self.available) || !need.allows(&self.offer) {
-            return 0;
-        }
-        let taken = self.available.holds(resources).min(count);
-        self.available = self.available.minus(resources.times(f64::from(taken)));
-        taken
-    }
-
-    /// Free, or free as soon as urgent work asks for it.
-    fn ready(&self) -> bool {
-        self.capacity.fits_in(self.available.plus(self.soft))
-    }
-}
-
-/// Waiting tasks of one job.
+/// Tasks of one job that need room.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
+    /// The job.
     pub spec: &'a JobSpec,
+    /// How many of its tasks need room.
     pub count: u32,
-    /// Only spot machines will do: the tasks run elsewhere, at a higher price.
+    /// Only spot machines serve the need: the tasks run already, on more expensive machines.
     pub spot_only: bool,
 }
 
 impl Need<'_> {
     fn allows(&self, offer: &Offer) -> bool {
-        self.spec.allows(&offer.0, &offer.1, offer.2) && (offer.2 || !self.spot_only)
+        let spec_allows = self
+            .spec
+            .allows(&offer.machine_type, &offer.zone, offer.spot);
+        spec_allows && (offer.spot || !self.spot_only)
     }
 }
 
-/// Spare room that should stand ready: this many whole machines of that offer.
+/// Whole machines that should stand ready for work to come.
 #[derive(Clone, Debug)]
 pub struct Headroom {
+    /// Whether spot or ordinary machines.
     pub spot: bool,
+    /// How many should be ready: empty, or with nothing on them but what urgent work may preempt.
     pub machines: u32,
-    /// Of these, so many with nothing on them: for work that can't have any stopped.
+    /// How many should be empty, for work that may not preempt.
     pub empty: u32,
+    /// What each should have room for.
     pub resources: Resources,
 }
 
+/// What should change in the fleet.
 #[derive(Debug, Default, PartialEq)]
 pub struct Plan {
+    /// How many machines of each offer to rent.
     pub rent: BTreeMap<Offer, u32>,
+    /// Idle machines to return.
     pub release: Vec<MachineId>,
 }
 
-/// The cheapest offer that the spec allows and that is not known to be sold out.
-pub fn cheapest(
-    spec_allows: impl Fn(&Offer) -> bool,
-    resources: Resources,
-    type_specs: &[MachineTypeSpec],
-    sold_out: impl Fn(&Offer) -> bool,
-    count_in: impl Fn(&Zone) -> usize,
-) -> Option<(Offer, Resources)> {
-    let mut best: Option<((f64, usize), Offer, Resources)> = None;
-    for type_spec in type_specs.iter().filter(|f| resources.fits_in(f.resources)) {
-        for zone in &type_spec.zones {
-            for spot in [true, false] {
-                let offer = (type_spec.id.clone(), zone.clone(), spot);
-                if !spec_allows(&offer) || sold_out(&offer) {
-                    continue;
-                }
-                let price = if spot {
-                    type_spec.spot_price
-                } else {
-                    type_spec.price
-                };
-                let key = (price, count_in(zone));
-                if best.as_ref().is_none_or(|(low, _, _)| key < *low) {
-                    best = Some((key, offer, type_spec.resources));
-                }
-            }
-        }
-    }
-    best.map(|(_, offer, capacity)| (offer, capacity))
-}
-
-/// Machines that are there or on their way, and which of them still have room for any need at all. A full
-/// fleet is not walked for each job that waits.
-struct Bins {
-    all: Vec<Bin>,
-    /// Positions of those that have, in order.
-    open: Vec<usize>,
-    /// Of those, how many have been filled since.
-    filled: usize,
-    /// No need asks for less of anything.
-    least: Resources,
-}
-
-impl Bins {
-    fn new(all: Vec<Bin>, needs: &[Need]) -> Self {
-        let amounts = needs.iter().map(|need| need.spec.resources);
-        let least = amounts.reduce(|a, b| Resources {
-            cpus: a.cpus.min(b.cpus),
-            gpus: a.gpus.min(b.gpus),
-            memory_gb: a.memory_gb.min(b.memory_gb),
-        });
-        let least = least.unwrap_or_default();
-        let open = |index: &usize| least.fits_in(all[*index].available);
-        Self {
-            open: (0..all.len()).filter(open).collect(),
-            filled: 0,
-            all,
-            least,
-        }
-    }
-
-    fn add(&mut self, bin: Bin) {
-        self.open.push(self.all.len());
-        self.all.push(bin);
-    }
-
-    fn open(&self) -> impl Iterator<Item = &Bin> {
-        self.open.iter().map(|index| &self.all[*index])
-    }
-
-    /// Takes room for up to `count` tasks and returns how many found it: spot machines first where
-    /// they will do, and fuller ones first, as they come.
-    fn take(&mut self, need: &Need, zone: Option<&Zone>, count: u32) -> u32 {
-        let mut left = count;
-        for matching in [true, false] {
-            for index in &self.open {
-                if left == 0 {
-                    break;
-                }
-                let bin = &mut self.all[*index];
-                if (bin.offer.2 == need.spec.spot) != matching
-                    || zone.is_some_and(|zone| bin.offer.1 != *zone)
-                {
-                    continue;
-                }
-                let taken = bin.take(need, left);
-                left -= taken;
-                self.filled += usize::from(taken > 0 && !self.least.fits_in(bin.available));
-            }
-        }
-        self.drop_filled();
-        count - left
-    }
-
-    /// Takes room on the machine that was added last.
-    fn take_last(&mut self, need: &Need, count: u32) -> u32 {
-        self.all.last_mut().map_or(0, |bin| bin.take(need, count))
-    }
-
-    /// Passes over filled machines from now on, once they are many.
-    fn drop_filled(&mut self) {
-        if self.filled * 2 > self.open.len() {
-            let (all, least) = (&self.all, self.least);
-            self.open
-                .retain(|index| least.fits_in(all[*index].available));
-            self.filled = 0;
-        }
-    }
-
-    /// The zone for a gang that must be in one: where most of its tasks find room already.
-    fn gang_zone(&self, need: &Need) -> Option<Zone> {
-        let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
-        for bin in self.open().filter(|bin| need.allows(&bin.offer)) {
-            let fits = bin.available.holds(need.spec.resources);
-            let there = resources.entry(&bin.offer.1).or_default();
-            *there = (*there + fits).min(need.count);
-        }
-        let best = resources.into_iter().max_by_key(|(_, tasks)| *tasks)?;
-        (best.1 > 0).then(|| best.0.clone())
+impl Plan {
+    /// Whether the fleet should stay as it is.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.rent.is_empty() && self.release.is_empty()
     }
 }
 
-/// `needs` come with the most important first.
+/// Plans for `needs`, the most important first, and for `headroom`.
+///
+/// Offers for which `unavailable` holds are not rented. Machines beyond the headroom are returned
+/// once they have been idle for `idle_return` and as long as fetching their cached images again
+/// would take.
 pub fn plan(
     mut bins: Vec<Bin>,
     needs: &[Need],
     headroom: &[Headroom],
     type_specs: &[MachineTypeSpec],
-    sold_out: impl Fn(&Offer) -> bool,
+    unavailable: impl Fn(&Offer) -> bool,
     idle_return: Millis,
 ) -> Plan {
-    let mut plan = Plan::default();
-    let mut in_zone: BTreeMap<Zone, usize> = BTreeMap::new();
+    let mut machines_by_zone: BTreeMap<Zone, usize> = BTreeMap::new();
     for bin in &bins {
-        *in_zone.entry(bin.offer.1.clone()).or_default() += 1;
+        *machines_by_zone.entry(bin.offer.zone.clone()).or_default() += 1;
     }
     bins.sort_by(|a, b| {
-        let fullness = |bin: &Bin| bin.available.share_of(bin.capacity);
-        fullness(a).total_cmp(&fullness(b))
+        let free_share = |bin: &Bin| bin.available.share_of(bin.capacity);
+        free_share(a).total_cmp(&free_share(b))
     });
-    let mut bins = Bins::new(bins, needs);
-    let mut add =
-        |bins: &mut Bins, allows: &dyn Fn(&Offer) -> bool, resources: Resources| -> Option<Zone> {
-            let count_in = |zone: &Zone| in_zone.get(zone).copied().unwrap_or(0);
-            let (offer, capacity) = cheapest(allows, resources, type_specs, &sold_out, count_in)?;
-            let zone = offer.1.clone();
-            *in_zone.entry(zone.clone()).or_default() += 1;
-            *plan.rent.entry(offer.clone()).or_insert(0) += 1;
-            bins.add(Bin {
-                machine_id: None,
-                offer,
-                capacity,
-                available: capacity,
-                soft: Resources::default(),
-                idle_for: Millis(0),
-                worth_s: 0.0,
-            });
-            Some(zone)
-        };
+    let mut planner = Planner {
+        plan: Plan::default(),
+        bins: Bins::new(bins, needs),
+        machines_by_zone,
+        type_specs,
+        unavailable,
+    };
     for need in needs {
+        planner.serve(need);
+    }
+    for wanted in headroom {
+        planner.rent_headroom(wanted);
+        planner.release_idle(wanted, idle_return);
+    }
+    planner.plan
+}
+
+/// A plan in the making.
+struct Planner<'a, Unavailable> {
+    plan: Plan,
+    bins: Bins,
+    machines_by_zone: BTreeMap<Zone, usize>,
+    type_specs: &'a [MachineTypeSpec],
+    unavailable: Unavailable,
+}
+
+impl<Unavailable: Fn(&Offer) -> bool> Planner<'_, Unavailable> {
+    /// Finds room for the tasks of one job, and rents machines for those that find none.
+    fn serve(&mut self, need: &Need) {
         let spec = need.spec;
         let together = spec.kind == JobKind::Gang && spec.one_zone && need.count > 1;
-        let mut zone = if together { bins.gang_zone(need) } else { None };
-        let mut left = need.count - bins.take(need, zone.as_ref(), need.count);
+        let mut zone = if together {
+            self.bins.gang_zone(need)
+        } else {
+            None
+        };
+        let mut left = need.count - self.bins.take(need, zone.as_ref(), need.count);
         while left > 0 {
-            let allows = |o: &Offer| need.allows(o) && zone.as_ref().is_none_or(|z| o.1 == *z);
-            let Some(rented) = add(&mut bins, &allows, spec.resources) else {
+            let allows = |offer: &Offer| {
+                need.allows(offer) && zone.as_ref().is_none_or(|zone| offer.zone == *zone)
+            };
+            let Some(rented_in) = self.rent(allows, spec.resources) else {
                 break;
             };
             if together {
-                zone = Some(rented);
+                zone = Some(rented_in);
             }
-            let taken = bins.take_last(need, left);
+            let taken = self.bins.take_last(need, left);
             if taken == 0 {
                 break;
             }
             left -= taken;
         }
     }
-    for wanted in headroom {
-        let kind =
-            |bin: &&Bin| bin.offer.2 == wanted.spot && wanted.resources.fits_in(bin.capacity);
-        let there = bins
-            .all
-            .iter()
-            .filter(kind)
-            .filter(|bin| bin.ready())
-            .count() as u32;
-        let empty = bins
-            .all
-            .iter()
-            .filter(kind)
-            .filter(|bin| bin.empty())
-            .count() as u32;
-        let missing = wanted.machines.saturating_sub(there);
-        for _ in 0..missing.max(wanted.empty.saturating_sub(empty)) {
-            if add(&mut bins, &|o: &Offer| o.2 == wanted.spot, wanted.resources).is_none() {
+
+    /// Rents what is missing of the headroom.
+    fn rent_headroom(&mut self, wanted: &Headroom) {
+        let ready = self.serving(wanted).filter(|bin| bin.is_ready()).count() as u32;
+        let empty = self.serving(wanted).filter(|bin| bin.is_empty()).count() as u32;
+        let missing = wanted.machines.saturating_sub(ready);
+        let missing_empty = wanted.empty.saturating_sub(empty);
+        for _ in 0..missing.max(missing_empty) {
+            let allows = |offer: &Offer| offer.spot == wanted.spot;
+            if self.rent(allows, wanted.resources).is_none() {
                 break;
             }
         }
-        // Those that give way to urgent work count as headroom first, then those that were in use
-        // until a moment ago.
-        let soft = bins
-            .all
-            .iter()
-            .filter(kind)
-            .filter(|bin| bin.ready() && !bin.empty())
+    }
+
+    /// Returns idle machines beyond the headroom. Machines that preemption can empty count as
+    /// headroom first, then those that became idle last.
+    fn release_idle(&mut self, wanted: &Headroom, idle_return: Millis) {
+        let preemptible = self
+            .serving(wanted)
+            .filter(|bin| bin.is_ready() && !bin.is_empty())
             .count();
-        let spare = wanted.machines.saturating_sub(soft as u32);
-        let mut spare = spare.max(wanted.empty);
-        let mut idle: Vec<&Bin> = bins
-            .all
-            .iter()
-            .filter(kind)
-            .filter(|bin| bin.machine_id.is_some() && bin.empty())
+        let spare = wanted.machines.saturating_sub(preemptible as u32);
+        let spare = spare.max(wanted.empty) as usize;
+        let mut idle: Vec<&Bin> = self
+            .serving(wanted)
+            .filter(|bin| bin.machine_id.is_some() && bin.is_empty())
             .collect();
         idle.sort_by_key(|bin| bin.idle_for);
-        for bin in idle {
-            if spare > 0 {
-                spare -= 1;
-            } else if bin.idle_for >= idle_return + Millis::from_secs(bin.worth_s) {
-                plan.release.extend(bin.machine_id.clone());
+        let released: Vec<MachineId> = idle
+            .into_iter()
+            .skip(spare)
+            .filter(|bin| bin.idle_for >= idle_return + Millis::from_secs(bin.cache_refetch_s))
+            .filter_map(|bin| bin.machine_id.clone())
+            .collect();
+        self.plan.release.extend(released);
+    }
+
+    /// Machines of the kind and size that a headroom asks for.
+    fn serving(&self, wanted: &Headroom) -> impl Iterator<Item = &Bin> {
+        self.bins
+            .iter()
+            .filter(|bin| bin.offer.spot == wanted.spot && wanted.resources.fits_in(bin.capacity))
+    }
+
+    /// Plans to rent one machine by the cheapest offer, and returns its zone; none: no offer will do.
+    fn rent(&mut self, allows: impl Fn(&Offer) -> bool, resources: Resources) -> Option<Zone> {
+        let PricedOffer {
+            offer, capacity, ..
+        } = self.cheapest(allows, resources)?;
+        let zone = offer.zone.clone();
+        *self.machines_by_zone.entry(zone.clone()).or_default() += 1;
+        *self.plan.rent.entry(offer.clone()).or_insert(0) += 1;
+        self.bins.add(Bin::unrented(offer, capacity));
+        Some(zone)
+    }
+
+    /// The cheapest available offer of a machine with room for `resources`; among equals, in the
+    /// zone with the fewest machines.
+    fn cheapest(
+        &self,
+        allows: impl Fn(&Offer) -> bool,
+        resources: Resources,
+    ) -> Option<PricedOffer> {
+        let mut best: Option<PricedOffer> = None;
+        let large_enough = self
+            .type_specs
+            .iter()
+            .filter(|type_spec| resources.fits_in(type_spec.resources));
+        for candidate in large_enough.flat_map(|type_spec| self.offers(type_spec)) {
+            if allows(&candidate.offer)
+                && !(self.unavailable)(&candidate.offer)
+                && best
+                    .as_ref()
+                    .is_none_or(|best| candidate.rank() < best.rank())
+            {
+                best = Some(candidate);
             }
         }
+        best
+    }
+
+    /// All offers of a machine type.
+    fn offers<'b>(
+        &'b self,
+        type_spec: &'b MachineTypeSpec,
+    ) -> impl Iterator<Item = PricedOffer> + 'b {
+        type_spec.zones.iter().flat_map(move |zone| {
+            [true, false].map(|spot| PricedOffer {
+                price: if spot {
+                    type_spec.spot_price
+                } else {
+                    type_spec.price
+                },
+                machines_in_zone: self.machines_by_zone.get(zone).copied().unwrap_or(0),
+                offer: Offer {
+                    machine_type: type_spec.id.clone(),
+                    zone: zone.clone(),
+                    spot,
+                },
+                capacity: type_spec.resources,
+            })
+        })
+    }
+}
+
+/// An offer with what decides between offers.
+struct PricedOffer {
+    price: f64,
+    machines_in_zone: usize,
+    offer: Offer,
+    capacity: Resources,
+}
+
+impl PricedOffer {
+    /// The lower, the better.
+    fn rank(&self) -> (f64, usize) {
+        (self.price, self.machines_in_zone)
     }
-    plan
 }
 
 #[cfg(test)]
--- a/src/fleet/plan/tests.rs
+++ b/src/fleet/plan/tests.rs
@@ -33,15 +33,23 @@
     parse(b.to_string().as_bytes()).unwrap().1
 }
 
+fn offer(zone: &str, spot: bool) -> Offer {
+    Offer {
+        machine_type: "g8".into(),
+        zone: zone.into(),
+        spot,
+    }
+}
+
 fn bin(name: &str, spot: bool, available: f64, idle_s: u64) -> Bin {
     Bin {
         machine_id: Some(name.into()),
-        offer: ("g8".into(), "a".into(), spot),
+        offer: offer("a", spot),
         capacity: resources(8.0),
         available: resources(available),
-        soft: Resources::default(),
+        preemptible: Resources::default(),
         idle_for: Millis(idle_s * 1000),
-        worth_s: 0.0,
+        cache_refetch_s: 0.0,
     }
 }
 
@@ -123,7 +131,7 @@
             empty: 0,
             resources: resources(8.0),
         });
-        let sold_out = |o: &Offer| o.2 && no_spot;
+        let sold_out = |o: &Offer| o.spot && no_spot;
         let plan = plan(
             bins,
             &needs,
@@ -135,7 +143,7 @@
         let rented = |spot| -> u32 {
             plan.rent
                 .iter()
-                .filter(|(o, _)| o.2 == spot)
+                .filter(|(o, _)| o.spot == spot)
                 .map(|(_, n)| n)
                 .sum()
         };
@@ -158,10 +166,12 @@
         ((8.0, 0.0, 30, 0.0, 1, 1), (0, 0)),
         ((8.0, 0.0, 30, 0.0, 0, 1), (0, 0)),
     ];
-    for ((available, soft, idle_s, worth_s, machines, empty), (rented, released)) in cases {
+    for ((available, preemptible, idle_s, cache_refetch_s, machines, empty), (rented, released)) in
+        cases
+    {
         let bin = Bin {
-            soft: resources(soft),
-            worth_s,
+            preemptible: resources(preemptible),
+            cache_refetch_s,
             ..bin("vm-1", false, available, idle_s)
         };
         let headroom = Headroom {
@@ -180,7 +190,14 @@
             idle_return,
         );
         let got = (plan.rent.values().sum::<u32>(), plan.release.len());
-        let case = (available, soft, idle_s, worth_s, machines, empty);
+        let case = (
+            available,
+            preemptible,
+            idle_s,
+            cache_refetch_s,
+            machines,
+            empty,
+        );
         assert_eq!(got, (rented, released), "{case:?}");
     }
 }
@@ -191,7 +208,7 @@
     let mut gang = spec(8.0, false);
     (gang.kind, gang.one_zone) = (JobKind::Gang, true);
     let there = |name: &str, zone: &str| Bin {
-        offer: ("g8".into(), zone.into(), false),
+        offer: offer(zone, false),
         ..bin(name, false, 8.0, 0)
     };
     let cases = [
@@ -214,7 +231,7 @@
         }];
         let plan = plan(bins, &needs, &[], &type_specs(), |_| false, Millis(20_000));
         let rented = |zone: &str| -> u32 {
-            let of = plan.rent.iter().filter(|(o, _)| o.1.as_str() == zone);
+            let of = plan.rent.iter().filter(|(o, _)| o.zone.as_str() == zone);
             of.map(|(_, n)| n).sum()
         };
         assert_eq!((rented("a"), rented("b")), (in_a, in_b), "{count} tasks");
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,16 +1,20 @@
-//! What the cloud's JSON looks like.
+//! The JSON bodies of the cloud's HTTP interface, and their conversion to the types of
+//! [`cloud_api`](super::cloud_api).
 
 use serde::{Deserialize, Serialize};
 
 use super::{Listed, MachineStage, MachineTypeSpec};
 use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
 
+/// Response to `GET /flavors`.
 #[derive(Deserialize)]
 pub struct MachineTypesBody {
+    /// All machine types.
     #[serde(rename = "rigs")]
     pub machine_types: Vec<MachineTypeBody>,
 }
 
+/// A machine type in [`MachineTypesBody`].
 #[derive(Deserialize)]
 pub struct MachineTypeBody {
     #[serde(rename = "sku")]
@@ -20,12 +24,12 @@
     #[serde(rename = "memoryGb")]
     memory_gb: f64,
     #[serde(rename = "localGb", default)]
-    local_gb: f64,
+    cache_gb: f64,
     #[serde(rename = "fetchGbPerS", default)]
     fetch_gb_per_s: f64,
     price: f64,
     #[serde(rename = "marketPrice", default)]
-    market_price: f64,
+    spot_price: f64,
     #[serde(rename = "bootS", default)]
     boot_s: f64,
     #[serde(rename = "yards")]
@@ -33,51 +37,63 @@
 }
 
 impl From<MachineTypeBody> for MachineTypeSpec {
-    fn from(b: MachineTypeBody) -> Self {
+    fn from(body: MachineTypeBody) -> Self {
         Self {
-            id: b.id,
+            id: body.id,
             resources: Resources {
-                cpus: b.vcpus,
-                gpus: b.accelerators,
-                memory_gb: b.memory_gb,
+                cpus: body.vcpus,
+                gpus: body.accelerators,
+                memory_gb: body.memory_gb,
             },
-            cache_gb: b.local_gb,
-            fetch_gb_per_s: b.fetch_gb_per_s,
-            price: b.price,
-            spot_price: b.market_price,
-            boot_s: b.boot_s,
-            zones: b.zones,
+            cache_gb: body.cache_gb,
+            fetch_gb_per_s: body.fetch_gb_per_s,
+            price: body.price,
+            spot_price: body.spot_price,
+            boot_s: body.boot_s,
+            zones: body.zones,
         }
     }
 }
 
+/// Request of `POST /rentals`.
 #[derive(Serialize)]
 pub struct RentBody<'a> {
+    /// Makes the request idempotent.
     #[serde(rename = "hire")]
     pub request_id: &'a str,
+    /// The machine type to rent.
     #[serde(rename = "rig")]
     pub machine_type: &'a MachineTypeId,
+    /// The zone to rent in.
     #[serde(rename = "yard")]
     pub zone: &'a Zone,
+    /// Whether to rent spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// How many machines.
     pub count: u32,
 }
 
+/// Names of machines: the response to `POST /rentals`, and the request of `POST /rentals/delete`.
 #[derive(Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineIdsBody {
+    /// The names.
     #[serde(rename = "hosts")]
     pub machine_ids: Vec<MachineId>,
 }
 
+/// Response to `GET /rentals`: one page of the list.
 #[derive(Deserialize)]
 pub struct ListBody {
+    /// The machines on the page.
     #[serde(rename = "hosts")]
-    pub machine_ids: Vec<ListItem>,
+    pub machines: Vec<ListItem>,
+    /// Whether another page follows.
     #[serde(default)]
     pub truncated: bool,
 }
 
+/// A machine in [`ListBody`].
 #[derive(Deserialize)]
 pub struct ListItem {
     id: MachineId,
@@ -92,7 +108,7 @@
     age_s: f64,
 }
 
-#[derive(Deserialize)]
+#[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum StageBody {
     Booting,
@@ -100,6 +116,16 @@
     Failed,
 }
 
+impl From<StageBody> for MachineStage {
+    fn from(stage: StageBody) -> Self {
+        match stage {
+            StageBody::Booting => Self::Booting,
+            StageBody::Running => Self::Running,
+            StageBody::Failed => Self::Failed,
+        }
+    }
+}
+
 impl From<ListItem> for Listed {
     fn from(item: ListItem) -> Self {
         Self {
@@ -107,11 +133,7 @@
             machine_type: item.machine_type,
             zone: item.zone,
             spot: item.spot,
-            stage: match item.stage {
-                StageBody::Booting => MachineStage::Booting,
-                StageBody::Running => MachineStage::Running,
-                StageBody::Failed => MachineStage::Failed,
-            },
+            stage: item.stage.into(),
             age: Millis::from_secs(item.age_s),
         }
     }
