--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -1,7 +1,8 @@
-//! Chooses the machine for a task: the index gives a shortlist, and the cycle filters and scores it.
+//! Chooses the machine for a task: the index gives a shortlist, and the cycle filters and scores
+//! it.
 //!
-//! The work of a cycle is bounded. Machines of one class (group and capacity level) differ in little
-//! that a score sees, so a few of each class stand for all of it.
+//! The work of a cycle is bounded. Machines of one class (group and capacity level) differ in
+//! little that a score sees, so a few of each class stand for all of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,8 +73,8 @@
         choice.into_result()
     }
 
-    /// The groups whose shards are open to the job. Notes in `choice` which checks rejected machines
-    /// that are not visited: those of closed shards, and those without enough capacity.
+    /// The groups whose shards are open to the job. Notes in `choice` which checks rejected
+    /// machines that are not visited: those of closed shards, and those without enough capacity.
     fn open_groups(
         &self,
         request: &PlacementRequest,
@@ -100,8 +101,9 @@
         open
     }
 
-    /// Visits machines of a group that have enough capacity by the index: a few of each class, from the
-    /// fullest and the emptiest classes in turn, until `max_feasible` passed. Returns how many did.
+    /// Visits machines of a group that have enough capacity by the index: a few of each class,
+    /// from the fullest and the emptiest classes in turn, until `max_feasible` passed. Returns how
+    /// many did.
     fn visit<'a>(
         &'a self,
         image_filter: ImageFilter,
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -55,8 +55,8 @@
         self.ours(machine) || self.others(machine)
     }
 
-    /// Whether this controller may place tasks on a machine itself: it holds the machine's shard, the
-    /// worker has accepted the shard's fencing token, and the machine is fit.
+    /// Whether this controller may place tasks on a machine itself: it holds the machine's shard,
+    /// the worker has accepted the shard's fencing token, and the machine is fit.
     pub(in crate::controller) fn ours(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_some_and(|token| {
             machine.worker_token.token() == token
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -1,15 +1,15 @@
 //! Keeps the index of available capacity up to date with the machines.
 //!
-//! Changes are entered when a cycle needs the index. Now and then a sweep compares all machines with
-//! it, since some become schedulable, or stop being so, as time passes.
+//! Changes are entered when a cycle needs the index. Now and then a sweep compares all machines
+//! with it, since some become schedulable, or stop being so, as time passes.
 
 use crate::controller::Controller;
 use crate::cycle::index::{CapacityLevel, Entry, Group};
 use crate::types::{Image, MachineId, Millis};
 use crate::workers::Machine;
 
-/// Time between two sweeps. A sweep looks at each machine, so it may not run with each cycle; what it
-/// finds (machines that went silent) changes within seconds.
+/// Time between two sweeps. A sweep looks at each machine, so it may not run with each cycle; what
+/// it finds (machines that went silent) changes within seconds.
 const SWEEP_INTERVAL: Millis = Millis(200);
 
 /// What a comparison of the machines with the index found.
@@ -132,9 +132,9 @@
         empty.count() > needed as usize
     }
 
-    /// Compares the index with a recount, for tests: returns a line for each difference. Between two
-    /// sweeps a machine's schedulability, or an image that it gave up fetching, may be out of date; all else has to
-    /// be right at any moment.
+    /// Compares the index with a recount, for tests: returns a line for each difference. Between
+    /// two sweeps a machine's schedulability, or an image that it gave up fetching, may be out of
+    /// date; all else has to be right at any moment.
     pub fn recount_pool(&mut self) -> Vec<String> {
         self.refresh_candidates();
         let candidates = &self.scheduler.candidates;
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -27,7 +27,7 @@
     format!("vm-{index:05}").into()
 }
 
-/// A controller with machines of its own, of which some are taken by an array of whole machines.
+/// A controller that holds all machines, some of them fully allocated to an array.
 fn fleet(machines: usize, allocated: impl Fn(usize) -> bool) -> (Controller, JobId) {
     let (mut controller, id) = controller(spec(1.0, PriorityClass::Urgent), vec![Task::FRESH; 4]);
     controller.machines.clear();
@@ -86,14 +86,14 @@
     controller.apply(&page_key(&id, 0), Some(&page), Revision(21));
 }
 
-/// What a cycle looked at grew with the fleet, several times for each job, so that a leader's work grew
-/// with the square of the size.
+/// What a cycle looked at grew with the fleet, several times for each job, so that a leader's work
+/// grew with the square of the size.
 #[test]
-fn what_is_looked_at_does_not_grow_with_the_fleet() {
+fn the_work_of_a_cycle_does_not_grow_with_the_fleet() {
     struct Case {
         name: &'static str,
         allocated: fn(usize) -> bool,
-        /// Machines that a cycle, or making room, may look at.
+        /// Machines that a cycle, or a preemption, may look at.
         most: u64,
         step: fn(&mut Controller, &JobId),
     }
@@ -111,7 +111,7 @@
             step: choose,
         },
         Case {
-            name: "work that keeps off empty machines",
+            name: "a job that avoids empty machines",
             allocated: |_| false,
             most: 128,
             step: |controller, id| {
@@ -134,15 +134,15 @@
             step: choose,
         },
         Case {
-            name: "whose image is nowhere",
+            name: "an image that no machine has",
             allocated: |_| false,
             most: 0,
             step: cached,
         },
         Case {
-            name: "room made in a full fleet",
+            name: "preemption in a full fleet",
             allocated: |_| true,
-            // Each that is weighed was looked at first.
+            // Each site is counted twice: when it is looked at, and when it is weighed.
             most: 2 * 64,
             step: |controller, id| {
                 let place = super::super::preemption::PreemptionScope::Anywhere;
@@ -150,7 +150,7 @@
             },
         },
         Case {
-            name: "nothing gives way in a full fleet",
+            name: "nothing to preempt in a full fleet",
             allocated: |_| true,
             most: 2_048,
             step: |controller, id| {
@@ -175,9 +175,10 @@
     }
 }
 
-/// The index follows what is placed, what leaves, which images come and which machines can take tasks.
+/// The index follows placements, tasks that leave, new images, and machines that stop being
+/// schedulable.
 #[test]
-fn the_index_is_what_a_recount_gives() {
+fn the_index_equals_a_recount() {
     type Step = (&'static str, fn(&mut Controller));
     let steps: [Step; 5] = [
         ("nothing", |_| {}),
@@ -212,9 +213,9 @@
     }
 }
 
-/// What the index misses is found by the next sweep and entered.
+/// A machine that is missing from the index is entered by the next sweep.
 #[test]
-fn a_sweep_mends_the_index() {
+fn a_sweep_corrects_the_index() {
     let (mut controller, _) = fleet(12, |_| false);
     controller.scheduler.candidates.index.remove(&machine_id(2));
     controller.now = NOW + Millis(1_000);
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Takes into account that a task of a job failed on a machine, which this controller or another
-    /// saw.
+    /// Takes into account that a task of a job failed on a machine, which this controller or
+    /// another saw.
     pub(super) fn note_failed(&mut self, id: &JobId, machine_id: &MachineId) {
         let Some(job) = self.jobs.get(id).filter(|job| job.active()) else {
             return;
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Counts a failure against a machine. Only the controller that holds it judges it, and tells the
-    /// others by its status.
+    /// Counts a failure against a machine. Only the controller that holds it judges it, and tells
+    /// the others by its status.
     fn blame_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let (leases, me) = (&self.membership.leases, &self.me);
         let (jobs, crash_loops) = (&self.jobs, &mut self.scheduler.crash_loops);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Holds a crash-looping job back: one task of it is tried at a time, and not before its backoff is
-    /// over. Returns whether it was held back.
+    /// Holds a crash-looping job back: one task of it is tried at a time, and not before its
+    /// backoff is over. Returns whether it was held back.
     pub(super) fn hold_back_crash_looping(&mut self, id: &JobId, key: QueueKey) -> bool {
         let crash_loops = &self.scheduler.crash_loops;
         let Some(job) = self
@@ -116,8 +116,8 @@
     !finished_any && crash_loops.suspect(id)
 }
 
-/// Whether a task of a crash-looping job runs, or is about to, whose end shows how the job fares. Of a
-/// service each replica is a trial by itself, so the running ones are not waited for.
+/// Whether a task of a crash-looping job runs, or is about to, whose end shows how the job fares.
+/// Of a service each replica is a trial by itself, so the running ones are not waited for.
 fn awaits_trial(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
     job.spec.kind != JobKind::Service && (job.placed > 0 || job.changes.values().any(is_placement))
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -1,5 +1,5 @@
-//! One scheduling cycle: it takes the next task of a job, or a whole gang, and ends with a placement,
-//! with the job handed to another controller, or with the job back in the queue.
+//! One scheduling cycle: it takes the next task of a job, or a whole gang, and ends with a
+//! placement, with the job handed to another controller, or with the job back in the queue.
 
 use std::collections::BTreeSet;
 
@@ -61,8 +61,8 @@
     }
 
     /// Looks for a start that is faster than fetching the image to our machines. A fetch takes far
-    /// longer than the way over the leader, or than preempting: where our shards lack the image, the
-    /// job is placed where the image is, and for an urgent job tasks are preempted there.
+    /// longer than the way over the leader, or than preempting: where our shards lack the image,
+    /// the job is placed where the image is, and for an urgent job tasks are preempted there.
     ///
     /// Returns whether that ends the cycle.
     fn try_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduling loop: takes jobs from the queue and runs one cycle for each, which places the next
-//! task, or a whole gang, on machines of this controller's shards.
+//! The scheduling loop: takes jobs from the queue and runs one cycle for each, which places the
+//! next task, or a whole gang, on machines of this controller's shards.
 //!
 //! - `cycle`: one cycle, from the checks before it to what follows a placement;
 //! - `single_task`: machines for tasks that are placed one by one;
@@ -22,15 +22,17 @@
 
 /// Cycles of one run of the loop. The queue may be long, and other events have to wait meanwhile.
 const MAX_CYCLES_PER_RUN: usize = 64;
-/// Placements may wait for this many seconds of our part of the store's write limit. What cannot be
-/// written sooner is better decided later: by then more is known, and more important work goes first.
+/// Placements may wait for this many seconds of our part of the store's write limit. What cannot
+/// be written sooner is better decided later: by then more is known, and more important work goes
+/// first.
 const MAX_WRITE_QUEUE_S: f64 = 0.5;
 /// Placements that may wait at any rate, so that a low write limit does not stop the loop.
 const MIN_PENDING_PLACEMENTS: f64 = 4.0;
-/// Writes count as short for this long after they stopped the loop, so that the mode does not change
-/// with each write.
+/// Writes count as short for this long after they stopped the loop, so that the mode does not
+/// change with each write.
 const WRITE_SHORTAGE_HOLD: Millis = Millis(1_000);
-/// Best-effort jobs avoid empty machines for this long after their submission: then they have to start.
+/// Best-effort jobs avoid empty machines for this long after their submission: then they have to
+/// start.
 const MAX_EMPTY_MACHINE_AVOIDANCE: Millis = Millis(30_000);
 
 /// One try to place one task of a job.
@@ -64,8 +66,8 @@
 
 impl Controller {
     /// Whether a job may not use empty machines for now. Best-effort work that fills them delays
-    /// urgent jobs, which have to wait until it has saved: it takes an empty machine only while there
-    /// are more than urgent work needs, or to start at all.
+    /// urgent jobs, which have to wait until it has saved: it takes an empty machine only while
+    /// there are more than urgent work needs, or to start at all.
     pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
         job.spec.priority == PriorityClass::BestEffort
             && !self.scheduler.candidates.spare_empty_machines
--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -17,8 +17,8 @@
 const MAX_FILLING_TASKS: usize = 64;
 
 impl Controller {
-    /// Reserves machines for the next task of a job, or for all tasks of a gang. On failure, returns
-    /// the checks that rejected the machines.
+    /// Reserves machines for the next task of a job, or for all tasks of a gang. On failure,
+    /// returns the checks that rejected the machines.
     pub(super) fn place(&mut self, id: &JobId) -> Result<(), BTreeSet<Check>> {
         let Some(job) = self.jobs.get(id) else {
             return Ok(());
@@ -96,8 +96,8 @@
     }
 
     /// Places further tasks of an array on the machine that was just chosen for one, as long as
-    /// cycles of their own would choose it again. A cycle looks at the whole index, and an array may
-    /// have 25,000 tasks.
+    /// cycles of their own would choose it again. A cycle looks at the whole index, and an array
+    /// may have 25,000 tasks.
     fn fill_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let waiting = self
             .jobs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Whether a cycle would choose the machine again that the last one chose: its score is no lower
-    /// than it was, and no other machine's score has changed.
+    /// Whether a cycle would choose the machine again that the last one chose: its score is no
+    /// lower than it was, and no other machine's score has changed.
     fn would_choose_again(&self, id: &JobId, machine_id: &MachineId) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(machine_id)) else {
             return false;
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -7,10 +7,10 @@
 use crate::peers::{MachineHeartbeat, Message, Status};
 use crate::types::{AgentEpoch, MachineId, Revision};
 
-/// A message between controllers takes a millisecond, the watch up to a pause of its own: jobs
-/// that were handed to the leader at once were unknown there, and waited a second.
+/// A message between controllers takes a millisecond, the watch up to its poll interval: jobs that
+/// were forwarded to the leader at once were unknown there, and waited a second.
 #[test]
-fn a_job_that_is_handed_over_before_it_is_known_is_taken_when_it_is() {
+fn a_job_that_is_forwarded_before_its_record_arrives_is_queued_on_arrival() {
     for (known_after, queued) in [(100, true), (60_000, false)] {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, known) = controller(spec, vec![Task::FRESH; 8]);
@@ -27,7 +27,7 @@
         controller.now = Millis(known_after);
         controller.detect_silent_machines();
         let record = record.unwrap().replace("\"n0\"", "\"n1\"");
-        // Its home is there, so nothing but the hand-over makes it ours.
+        // Its owner is alive, so only the forwarding makes this controller responsible.
         let node = r#"{"permit":2,"zone":"a","hears":true}"#;
         controller.apply("jt/node/n1", Some(node), Revision(9));
         controller.apply(&job_key(&id), Some(&record), Revision(10));
@@ -39,13 +39,14 @@
     }
 }
 
-/// A shard came back to us whose machine had begun a new agent epoch meanwhile, under another holder.
-/// Its counter was held against that of the agent epoch that we knew, so what it said counted as old
-/// for minutes, and it was given up for silence.
+/// A shard came back to us whose machine had begun a new agent epoch meanwhile, under another
+/// holder. Its counter was held against that of the agent epoch that we knew, so what it said
+/// counted as old for minutes, and it was given up for silence.
 #[test]
-fn a_counter_is_of_its_own_agent_epoch() {
+fn heartbeat_sequences_count_within_an_agent_epoch() {
     let cases = [
-        // agent epoch that the other holder told of, agent epoch and counter that the machine shows, newer
+        // agent epoch that the other holder told of, agent epoch and counter that the machine
+        // shows, newer
         (1, 1, 50, false),
         (1, 1, 51, true),
         (2, 2, 5, true),
@@ -83,10 +84,10 @@
     }
 }
 
-/// A holder went on placing on a machine that the leader had just had deleted until it had been silent for a
-/// few heartbeats.
+/// A holder went on placing on a machine that the leader had just had deleted until it had been
+/// silent for a few heartbeats.
 #[test]
-fn holders_hear_which_machines_are_being_deleted() {
+fn holders_are_told_which_machines_are_being_deleted() {
     type Step = fn(&mut Controller);
     let cases: [(&str, Step, bool, bool); 5] = [
         // the machine, whether we lead, whether its holder is told to leave it alone
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -1,5 +1,5 @@
-//! What follows a cycle in which no machine of our shards would do: preemption, another controller's
-//! machines by way of the leader, or the queue.
+//! What follows a cycle in which no machine of our shards would do: preemption, another
+//! controller's machines by way of the leader, or the queue.
 
 use std::collections::BTreeSet;
 
@@ -76,7 +76,7 @@
         }
         if self.jobs.get(id).is_some_and(Job::whole_gang) {
             // The whole fleet was tried in the cycle already.
-            return if self.make_room_for_gang(id) {
+            return if self.preempt_for_gang(id) {
                 Remedy::Preempting
             } else {
                 Remedy::None(checks)
--- a/src/controller/preemption/cost.rs
+++ b/src/controller/preemption/cost.rs
@@ -78,8 +78,9 @@
         teams.any(|team| !quota::guaranteed(self.jobs.usage(&team.name), team))
     }
 
-    /// Seconds of a machine's time that stopping a task wastes: its save, or its work so far, and its
-    /// restart. Tasks of jobs that are late, or long, count for more, since they can afford it least.
+    /// Seconds of a machine's time that stopping a task wastes: its save, or its work so far, and
+    /// its restart. Tasks of jobs that are late, or long, count for more, since they can afford it
+    /// least.
     pub(in crate::controller) fn waste(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
         let capacity = self
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -52,8 +52,8 @@
 }
 
 impl Controller {
-    /// Stops tasks where that wastes least, and keeps their room for the job. Returns whether room is
-    /// being made.
+    /// Stops tasks where that wastes least, and keeps their room for the job. Returns whether room
+    /// is being made.
     pub(super) fn preempt(&mut self, id: &JobId, scope: PreemptionScope) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -90,7 +90,9 @@
                 }
                 offers
             }
-            None => preempt::choose(resources, sites).into_iter().collect(),
+            None => preempt::cheapest_offer(resources, sites)
+                .into_iter()
+                .collect(),
         };
         let first = offers.first()?;
         if matches!(scope, PreemptionScope::Quickest) && first.victims.is_empty() {
@@ -117,7 +119,7 @@
     }
 
     /// Makes room for all tasks of a gang. Returns whether room is being made.
-    pub(super) fn make_room_for_gang(&mut self, id: &JobId) -> bool {
+    pub(super) fn preempt_for_gang(&mut self, id: &JobId) -> bool {
         let Some(offers) = self.gang_offers(id) else {
             return false;
         };
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Stops these tasks, which are on a machine of ours. Those that lose little by it are not given
-    /// time to save.
+    /// Stops these tasks, which are on a machine of ours. Those that lose little by it are not
+    /// given time to save.
     pub(super) fn stop_victims(&mut self, machine_id: &MachineId, victims: Vec<TaskId>) {
         for task in victims {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -172,8 +174,9 @@
         self.push_commands(machine_id);
     }
 
-    /// Where a gang would start soonest, all in one zone if it asks for that: on machines that have
-    /// room, and on those where stopping tasks wastes less than a fetch. `None` if there are too few.
+    /// Where a gang would start soonest, all in one zone if it asks for that: on machines that
+    /// have room, and on those where stopping tasks wastes less than a fetch. `None` if there are
+    /// too few.
     pub(super) fn gang_offers(&self, id: &JobId) -> Option<Vec<PreemptionOffer>> {
         let job = self.jobs.get(id)?;
         let (resources, tasks) = (job.spec.resources, job.record.tasks as usize);
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -63,8 +63,8 @@
         sites.collect()
     }
 
-    /// The bounds of a search for room for so many tasks in so many groups of machines. With a quota
-    /// tree all machines count, since its ledger weighs them against each other.
+    /// The bounds of a search for room for so many tasks in so many groups of machines. With a
+    /// quota tree all machines count, since its ledger weighs them against each other.
     pub(super) fn site_search<'a>(
         &self,
         preemptor: Preemptor<'a>,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Sites of one group: machines with the job's image that have room, other machines that have room,
-    /// and full ones where enough can be stopped.
+    /// Sites of one group: machines with the job's image that have room, other machines that have
+    /// room, and full ones where enough can be stopped.
     pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<Site> {
         let mut found = SitesByMachine::default();
         self.add_sites_with_room(search, group, &mut found);
@@ -177,8 +177,8 @@
         }
     }
 
-    /// A task as one that may be stopped for a job; `None` if it may not. Gangs are never stopped in
-    /// part.
+    /// A task as one that may be stopped for a job; `None` if it may not. Gangs are never stopped
+    /// in part.
     fn victim(&self, preemptor: Preemptor, id: &JobId, index: u32) -> Option<Victim> {
         let task = TaskId {
             job: id.clone(),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -17,9 +17,9 @@
 }
 
 impl Controller {
-    /// Whether this controller places a job's tasks: as its owner, because the job was forwarded to it,
-    /// or as the leader while the owner is gone.
-    pub(super) fn responsible(&self, job: &Job) -> bool {
+    /// Whether this controller places a job's tasks: as its owner, because the job was forwarded
+    /// to it, or as the leader while the owner is gone.
+    pub(super) fn is_responsible_for(&self, job: &Job) -> bool {
         let owner = &job.record.owner;
         *owner == self.me
             || self.scheduler.forwarded.contains(&job.id)
@@ -31,7 +31,7 @@
         QueueKey {
             beyond_guarantee: !self.guaranteed(job),
             priority: Reverse(job.spec.priority),
-            born: job.born,
+            first_seen_at: job.born,
             flow: self.commits.flows.of(&job.spec),
         }
     }
@@ -44,14 +44,14 @@
             return;
         };
         if !job.active() {
-            let responsible = self.responsible(job);
+            let responsible = self.is_responsible_for(job);
             self.scheduler.queue.remove(id);
             if responsible || self.requests.cancellations.waits_for(id) {
                 self.clear(id);
             }
             return;
         }
-        if job.waiting() > 0 && self.responsible(job) && !self.scheduler.queue.contains(id) {
+        if job.waiting() > 0 && self.is_responsible_for(job) && !self.scheduler.queue.contains(id) {
             let key = self.order(job);
             self.enqueue(id, key);
         }
@@ -73,7 +73,7 @@
     /// Backs a job off after a temporary error, whatever happens in the cluster meanwhile.
     pub(super) fn fail_later(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.active() && job.waiting() > 0 && self.responsible(job) {
+        if job.active() && job.waiting() > 0 && self.is_responsible_for(job) {
             let key = self.order(job);
             self.requeue(id, 0, BTreeSet::new(), key);
         }
@@ -124,9 +124,9 @@
         Some(EventMachine { machine, available })
     }
 
-    /// Whether a job that was rejected for resources waits until all machines that it is nominated for
-    /// have room. A gang does; of other jobs any task may start, unless their room was made without a
-    /// quota tree.
+    /// Whether a job that was rejected for resources waits until all machines that it is nominated
+    /// for have room. A gang does; of other jobs any task may start, unless their room was made
+    /// without a quota tree.
     fn awaits_preemption(&self, job: &Job, check: Check) -> bool {
         let needs_all = job.whole_gang() || self.quota.hierarchy.force().is_none();
         if check != Check::Resources || !needs_all {
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -1,4 +1,5 @@
-//! The state of the scheduling path: the queue, the candidate machines, nominations, and what failed.
+//! The state of the scheduling path: the queue, the candidate machines, nominations, and what
+//! failed.
 //!
 //! The steps that work on it are in `queueing`, `placement`, `candidates`, `preemption` and
 //! `failure_attribution`.
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -1,10 +1,11 @@
-//! The index of available capacity: machines that can take tasks, by group (shard, type, spot or not) and,
-//! within a group, by capacity level (what is available), and by the images in their caches. It is
-//! updated as machines change, so that a cycle visits machines that fit instead of the whole fleet.
+//! The index of available capacity: machines that can take tasks, by group (shard, type, spot or
+//! not) and, within a group, by capacity level (what is available), and by the images in their
+//! caches. It is updated as machines change, so that a cycle visits machines that fit instead of
+//! the whole fleet.
 //!
-//! Machines of one class (group and level) look alike to a cycle, except for their images: those with
-//! a job's image are found by a second index. The index gives a shortlist only; who uses it looks at
-//! the machine itself.
+//! Machines of one class (group and level) look alike to a cycle, except for their images: those
+//! with a job's image are found by a second index. The index gives a shortlist only; who uses it
+//! looks at the machine itself.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,8 +15,8 @@
 
 use crate::types::{Image, MachineId, MachineTypeId, Resources, ShardId, Zone};
 
-/// Machines that a job allows, or does not allow, as a whole. The order of the fields is the order in
-/// which groups are visited.
+/// Machines that a job allows, or does not allow, as a whole. The order of the fields is the order
+/// in which groups are visited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
     /// This controller holds the shard.
@@ -45,8 +46,8 @@
     fetches: usize,
 }
 
-/// Steps in one unit of a resource (core, GPU, GB). Amounts are rounded to steps, so that sums which
-/// differ in their last bits are one level.
+/// Steps in one unit of a resource (core, GPU, GB). Amounts are rounded to steps, so that sums
+/// which differ in their last bits are one level.
 const STEPS_PER_UNIT: f64 = 1e4;
 
 fn rounded(resources: Resources) -> Resources {
@@ -60,8 +61,8 @@
 }
 
 impl CapacityLevel {
-    /// The level of a machine with so much available, so much of the rest preemptible at little loss,
-    /// and so many fetches under way.
+    /// The level of a machine with so much available, so much of the rest preemptible at little
+    /// loss, and so many fetches under way.
     pub fn new(available: Resources, preemptible: Resources, fetches: usize) -> Self {
         Self {
             available: rounded(available),
@@ -223,8 +224,8 @@
         self.entries.iter()
     }
 
-    /// Whether a machine's entry shows this level, this shard and so many images. It is cheaper than
-    /// making a new entry and comparing it.
+    /// Whether a machine's entry shows this level, this shard and so many images. It is cheaper
+    /// than making a new entry and comparing it.
     pub fn is_current(
         &self,
         machine_id: &MachineId,
@@ -316,7 +317,8 @@
         levels.any(|level| !resources.fits_in(level.available))
     }
 
-    /// Classes of a group in which these resources are not available, those with most available first.
+    /// Classes of a group in which these resources are not available, those with most available
+    /// first.
     pub fn too_full<'a>(
         &'a self,
         group: &'a Group,
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -34,9 +34,9 @@
     }
 }
 
-/// After any changes, a look-up finds just what a walk over all machines finds.
+/// After any sequence of changes, a look-up finds exactly what a walk over all machines finds.
 #[test]
-fn what_is_found_is_what_a_full_walk_finds() {
+fn look_ups_find_what_a_full_walk_finds() {
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = CapacityIndex::default();
@@ -93,16 +93,16 @@
     }
 }
 
-/// Sums of decimal amounts differ in their last bits, and are one class all the same.
+/// Sums of decimal amounts differ in their last bits, but are one level.
 #[test]
-fn rounding_makes_no_classes() {
+fn rounding_errors_make_no_levels() {
     let level = |gpus: f64| CapacityLevel::new(resources(gpus), Resources::default(), 0);
     let cases = [
         (0.1 + 0.2, 0.3, true),
         (1.0 - 0.9 - 0.1, 0.0, true),
         (0.3, 0.301, false),
     ];
-    for (a, b, same) in cases {
-        assert_eq!(level(a) == level(b), same, "{a} and {b}");
+    for (left, right, same) in cases {
+        assert_eq!(level(left) == level(right), same, "{left} and {right}");
     }
 }
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -19,8 +19,8 @@
     pub capacity: Resources,
     /// What the job may use of it now.
     pub available: Resources,
-    /// All tasks on it can be preempted by urgent work at little loss, so that for urgent work it is
-    /// as good as an empty machine.
+    /// All tasks on it can be preempted by urgent work at little loss, so that for urgent work it
+    /// is as good as an empty machine.
     pub only_preemptible: bool,
     /// Seconds until the job's image would be here: fetches share the machine's rate.
     pub image_s: f64,
@@ -42,11 +42,12 @@
 /// Jobs that allow spot machines go to spot machines, and leave the others to those that do not.
 const SPOT_MATCH_WEIGHT: f64 = 1.5;
 /// For each second of a fetch: small long-running tasks keep apart where fetches are slow, since a
-/// machine full of them has images that nobody else can use. Scaled by the share of the machine that
-/// work takes which cannot be preempted.
+/// machine full of them has images that nobody else can use. Scaled by the share of the machine
+/// that work takes which cannot be preempted.
 const LONG_RUNNING_SPREAD_WEIGHT_PER_S: f64 = 0.4;
-/// For each second of a fetch: tasks that end soon and have to fetch spread where that is slow, since
-/// later ones then find their image on more machines. Scaled by the share of the machine in use.
+/// For each second of a fetch: tasks that end soon and have to fetch spread where that is slow,
+/// since later ones then find their image on more machines. Scaled by the share of the machine in
+/// use.
 const COLD_SPREAD_WEIGHT_PER_S: f64 = 0.08;
 /// No task of the job has failed on the machine.
 const NOT_FAILED_WEIGHT: f64 = 4.0;
@@ -99,8 +100,8 @@
             .then_some(Check::ShardQuota)
     }
 
-    /// Whether the job may have another task in a zone. `oneZone` and `spread` count tasks of earlier
-    /// attempts, too, until they are proven gone.
+    /// Whether the job may have another task in a zone. `oneZone` and `spread` count tasks of
+    /// earlier attempts, too, until they are proven gone.
     pub fn zone_allowed(&self, zone: &Zone) -> bool {
         let spec = &self.job.spec;
         if spec.one_zone && self.tasks_by_zone.keys().any(|other| other != zone) {
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -11,22 +11,22 @@
     }
 }
 
-/// Array tasks that had to fetch filled machines four at a time, and a minute's fetch served one
-/// machine; those that find their image still fill machines.
+/// Array tasks that had to fetch were packed four to a machine, so that a fetch of a minute served
+/// one machine only. Tasks that find their image are still packed.
 #[test]
-fn tasks_that_fetch_slowly_spread() {
+fn array_tasks_spread_where_fetches_are_slow() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.priority) = (crate::jobs::JobKind::Array, PriorityClass::Normal);
     (spec.resources, spec.image_gb, spec.checkpoint_s) = (resources(1.0), 7.0, 15.0);
     assert!(spec.yields());
     let cases = [
-        // gigabytes a second, cached, fills
+        // fetch rate in GB/s, cached, packed
         (0.8, false, true),
         (0.5, false, true),
         (0.12, false, false),
         (0.12, true, true),
     ];
-    for (rate, cached, fills) in cases {
+    for (rate, cached, packed) in cases {
         let shard = ShardId::parse("a.0").unwrap();
         let (machine_type, zone) = ("g4".into(), "a".into());
         let mut machine =
@@ -45,26 +45,26 @@
             non_preemptible_share: 0.0,
         };
         let (beside, alone) = (score(&spec, &at(2.0), false), score(&spec, &at(0.0), false));
-        assert_eq!(beside > alone, fills, "{rate} GB/s: {beside}, {alone}");
+        assert_eq!(beside > alone, packed, "{rate} GB/s: {beside}, {alone}");
     }
 }
 
-/// Guests' arrays of the lowest rank filled every machine that stood ready: gangs waited for them to
-/// save (started in 30 s 0.87, then 0.97).
+/// Best-effort arrays filled every empty machine, and gangs waited for them to save: the part that
+/// started within 30 s was 0.87, and 0.97 once they avoided empty machines.
 #[test]
-fn who_keeps_off_empty_machines_finds_room_beside_others() {
+fn a_job_that_avoids_empty_machines_finds_room_on_used_ones() {
     let (jobs, id) = crate::jobs::cache::tests::jobs(1, &[]);
     let job = jobs.get(&id).unwrap();
     let shard = ShardId::parse("a.0").unwrap();
     let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
     let machine = &Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
-    for (keeps_off, taken, rejected) in [
+    for (avoids_empty, taken, rejected) in [
         (false, 0.0, None),
         (true, 0.0, Some(Check::Resources)),
         (true, 1.0, None),
     ] {
         let mut request = PlacementRequest::new(job, Vec::new());
-        request.avoids_empty_machines = keeps_off;
+        request.avoids_empty_machines = avoids_empty;
         let capacity = resources(64.0);
         let candidate = Candidate {
             machine,
@@ -78,15 +78,15 @@
         assert_eq!(
             filter(&request, &candidate),
             rejected,
-            "{keeps_off}, {taken}"
+            "{avoids_empty}, {taken}"
         );
     }
 }
 
-/// Replicas filled machines four at a time, so where an image took a minute to fetch, all the
-/// machines that had it were full of work that never gives way, and each new replica fetched.
+/// Replicas were packed four to a machine. Where an image took a minute to fetch, all machines that
+/// had it were full of work that cannot be preempted, and each new replica had to fetch.
 #[test]
-fn replicas_share_machines_only_where_fetches_are_quick() {
+fn replicas_are_packed_only_where_fetches_are_fast() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.priority) = (crate::jobs::JobKind::Service, PriorityClass::Critical);
     (spec.resources, spec.image_gb) = (resources(1.0), 7.0);
@@ -104,7 +104,7 @@
     };
     let (empty, used) = (machine("vm-2"), machine("vm-1"));
     let cases = [(0.8, true), (0.5, true), (0.12, false)];
-    for (rate, shares) in cases {
+    for (rate, packed) in cases {
         let fetch_s = spec.image_gb / rate;
         let at = |machine, taken: f64| Candidate {
             machine,
@@ -117,6 +117,6 @@
         };
         let beside = score(&spec, &at(&used, 1.0), false);
         let alone = score(&spec, &at(&empty, 0.0), false);
-        assert_eq!(beside > alone, shares, "{rate} GB/s: {beside}, {alone}");
+        assert_eq!(beside > alone, packed, "{rate} GB/s: {beside}, {alone}");
     }
 }
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -42,8 +42,8 @@
     pub victims: Vec<Victim>,
     /// Seconds that the task would have to wait here in addition, such as for its image.
     pub delay_s: f64,
-    /// Shares of a quota tree count: nobody is stopped without need, then borrowed work is, that of the
-    /// team furthest over its share first.
+    /// Shares of a quota tree count: nobody is stopped without need, then borrowed work is, that
+    /// of the team furthest over its share first.
     pub nested: bool,
 }
 
@@ -81,7 +81,8 @@
         victims: stopped().map(|victim| victim.task.clone()).collect(),
         cost: Cost {
             entitlement_rank: highest_rank.unwrap_or(0),
-            // Stopping nobody is no better than stopping work of normal priority if it takes longer.
+            // Stopping nobody is no better than stopping work of normal priority if it takes
+            // longer.
             priority: highest_priority
                 .unwrap_or(PriorityClass::BestEffort)
                 .max(PriorityClass::Normal),
@@ -91,7 +92,7 @@
 }
 
 /// The machine where room for a task costs least, and whom to stop there.
-pub fn choose(resources: Resources, sites: Vec<Site>) -> Option<PreemptionOffer> {
+pub fn cheapest_offer(resources: Resources, sites: Vec<Site>) -> Option<PreemptionOffer> {
     let offers = sites
         .iter()
         .filter_map(|site| offer(resources, site))
@@ -99,8 +100,8 @@
     cheapest_set(std::iter::once(offers), 1)?.pop()
 }
 
-/// Of several sets of machines, such as one for each zone, the `count` machines of one set where room
-/// for a task each costs least; `None` if no set has so many.
+/// Of several sets of machines, such as one for each zone, the `count` machines of one set where
+/// room for a task each costs least; `None` if no set has so many.
 pub fn cheapest_set(
     sets: impl Iterator<Item = Vec<PreemptionOffer>>,
     count: usize,
@@ -137,8 +138,8 @@
     }
 }
 
-/// How costly it is, by the quota tree, to stop a victim: the further its team is over its share, the
-/// cheaper; work within the share is the dearest. Zero without a tree.
+/// How costly it is, by the quota tree, to stop a victim: the further its team is over its share,
+/// the cheaper; work within the share is the dearest. Zero without a tree.
 fn entitlement_rank(site: &Site, victim: &Victim) -> i64 {
     match victim.over {
         _ if !site.nested => 0,
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn the_least_waste_of_the_lowest_priority_is_stopped() {
+fn the_lowest_priority_and_the_least_waste_are_stopped_first() {
     use PriorityClass::{BestEffort, Normal, Urgent};
     let cases = [
-        // sites, where, whom
+        // sites, the machine that is chosen and the tasks that are stopped there
         (vec![site("a", 2.0, &[(0, 1.0, Normal, 5.0, false)])], None),
         (
             vec![site(
@@ -73,7 +73,7 @@
             )],
             Some(("a", vec![1])),
         ),
-        // A free machine without the image is no better than a moment's work that stops.
+        // An empty machine without the image is no better than one where little work is lost.
         (
             vec![
                 Site {
@@ -96,7 +96,7 @@
         ),
     ];
     for (index, (sites, expected)) in cases.into_iter().enumerate() {
-        let got = choose(resources(4.0), sites);
+        let got = cheapest_offer(resources(4.0), sites);
         let got = got.as_ref().map(|offer| {
             (
                 offer.machine_id.as_str(),
--- a/src/queue/key.rs
+++ b/src/queue/key.rs
@@ -7,15 +7,15 @@
 use crate::types::Millis;
 
 /// Sort key of a queued job: jobs within their team's guarantee go first, then those of higher
-/// priority, then the older ones. The order of the fields is the order of comparison.
+/// priority, then those that were seen first. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     /// What the job would place next exceeds its team's guarantee.
     pub beyond_guarantee: bool,
     /// The job's priority class, highest first.
     pub priority: Reverse<PriorityClass>,
-    /// When the job was submitted.
-    pub born: Millis,
+    /// When this controller first saw the job.
+    pub first_seen_at: Millis,
     /// The job's class and team, whose floors apply while writes are short.
     pub flow: Flow,
 }
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,9 +1,9 @@
 //! The pending queue: jobs that have tasks to place.
 //!
-//! It has three parts, as in other schedulers: *active* jobs may be tried at once, jobs in *backoff*
-//! after their wait, and *unschedulable* (parked) jobs when an event in the cluster may help them.
-//! The tasks of one job are alike, so one entry stands for all of a job's waiting tasks; a cycle
-//! still takes one task.
+//! It has three parts, as in other schedulers: *active* jobs may be tried at once, jobs in
+//! *backoff* after their wait, and *unschedulable* (parked) jobs when an event in the cluster may
+//! help them. The tasks of one job are alike, so one entry stands for all of a job's waiting
+//! tasks; a cycle still takes one task.
 //!
 //! The queue decides the order alone. The controller says which jobs are in it, and places them.
 
@@ -215,7 +215,8 @@
     }
 
     /// Parks a job that was nominated for machines on which tasks are being preempted. It becomes
-    /// active as soon as their resources are released: the wait is no failure, so no backoff applies.
+    /// active as soon as their resources are released: the wait is no failure, so no backoff
+    /// applies.
     pub fn expect_room(&mut self, job: &JobId, failures: u32, key: QueueKey, now: Millis) {
         self.detach(job);
         let part = Part::Parked {
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -4,11 +4,11 @@
 use rand::rngs::SmallRng;
 use std::cmp::Reverse;
 
-fn key(priority: PriorityClass, born: u64) -> QueueKey {
+fn key(priority: PriorityClass, first_seen_at: u64) -> QueueKey {
     QueueKey {
         beyond_guarantee: true,
         priority: Reverse(priority),
-        born: Millis(born),
+        first_seen_at: Millis(first_seen_at),
         flow: Flow { class: 0, team: 0 },
     }
 }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_guaranteed_go_first_then_priority_then_age() {
+fn jobs_within_their_guarantee_go_first_then_by_priority_and_age() {
     let (mut queue, _) = queue();
     let guaranteed = QueueKey {
         beyond_guarantee: false,
@@ -41,9 +41,10 @@
     assert_eq!(popped, ["job-4", "job-3", "job-2", "job-5", "job-1"]);
 }
 
-/// A swarm at top priority took all cycles, so nothing else was placed though it had room.
+/// A flood of jobs at top priority took all cycles, so nothing else was placed although there was
+/// room for it.
 #[test]
-fn while_changes_are_short_every_class_and_team_has_its_floor() {
+fn while_writes_are_short_every_class_and_team_has_its_floor() {
     let (mut queue, _) = queue();
     let flow = |class, team| Flow { class, team };
     let jobs = [
@@ -73,12 +74,12 @@
         queue.record_served(flow);
     }
     assert!(served[1] >= 15 && served[2] >= 22, "{served:?}");
-    // Not short: priority and age alone.
+    // While writes are not short, priority and age alone decide.
     assert!(queue.pop().unwrap().id.as_str() < "job-900");
 }
 
 #[test]
-fn backoff_doubles_up_to_its_most() {
+fn backoff_doubles_up_to_its_maximum() {
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
     for (failures, least, most) in [(0, 1_000, 1_100), (1, 2_000, 2_200), (9, 10_000, 11_000)] {
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn the_flush_frees_what_no_event_woke() {
+fn the_flush_releases_jobs_that_no_event_woke() {
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
     let key = key(PriorityClass::Normal, 0);
