--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -1,4 +1,7 @@
-//! What a controller is told, and what it asks for: its only connection with the outside.
+//! Events that a controller handles and effects that it asks for: its only connection with the outside.
+//!
+//! The daemon and the simulator turn answers, requests and the passing of time into [`Event`]s, and carry
+//! out each [`Effect`]. An answer carries the tag or the reply id of what it answers.
 
 use std::net::SocketAddr;
 
@@ -10,99 +13,154 @@
 use crate::types::{AgentEpoch, ControllerId, JobId, MachineId, ReplyId, WorkerToken};
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
-/// A worker's answer to commands that were sent to it directly: its heartbeat after them, or what it
-/// refused them with.
+/// A worker's answer to commands that were sent to it directly.
 pub struct CommandReply {
+    /// The worker's heartbeat after the commands; none if it refused them.
     pub heartbeat: Option<Heartbeat>,
 }
 
+/// What a controller has to handle.
 pub enum Event {
-    /// Time passes; several times a second.
+    /// Time has passed; sent several times a second.
     Tick,
+    /// The key-value store answered a call.
     Store {
+        /// The tag of the call.
         tag: u64,
+        /// The store's answer, or that there was none.
         answer: StoreResponse,
     },
+    /// The cloud answered a call.
     Cloud {
+        /// The tag of the call.
         tag: u64,
+        /// The cloud's answer, or that there was none.
         answer: CloudResponse,
     },
+    /// Another controller sent a message.
     Peer {
+        /// The sender.
         from: ControllerId,
+        /// Its message.
         message: Message,
     },
+    /// A worker sent a heartbeat and waits for the response.
     Heartbeat {
+        /// The worker's request.
         reply: ReplyId,
+        /// What it reports.
         heartbeat: Heartbeat,
     },
+    /// A user submits a job.
     Submit {
+        /// The user's request.
         reply: ReplyId,
+        /// The job, or why the submission is invalid.
         submission: Result<(JobId, JobSpec), Refused>,
     },
+    /// A user asks for the state of a job.
     Poll {
+        /// The user's request.
         reply: ReplyId,
+        /// The job that it asks for.
         job: JobId,
     },
+    /// A user cancels a job.
     Abort {
+        /// The user's request.
         reply: ReplyId,
+        /// The job to cancel.
         job: JobId,
     },
+    /// A load balancer asks whether this controller can take users' requests.
     Ready {
+        /// The load balancer's request.
         reply: ReplyId,
     },
-    /// What came of asking a worker for its heartbeat.
+    /// The outcome of [`Effect::Inspect`].
     Inspected {
+        /// Whether the worker answered.
         answered: bool,
     },
-    /// What came of commands sent directly; none: no answer.
+    /// The outcome of [`Effect::Direct`].
     Direct {
+        /// The machine that the commands were sent to.
         machine_id: MachineId,
+        /// The worker's answer; none if there was no answer.
         answer: Option<CommandReply>,
     },
 }
 
+/// What a controller asks to be done.
 #[derive(Debug)]
 pub enum Effect {
-    /// Asks a worker for its heartbeat, to see whether workers can be reached.
+    /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at all.
     Inspect {
+        /// The worker's machine.
         machine_id: MachineId,
+        /// The worker's address.
         address: SocketAddr,
     },
-    /// Orders that do not wait for the worker's next heartbeat.
+    /// Send a worker commands that should not wait for its next heartbeat.
     Direct {
+        /// The worker's machine.
         machine_id: MachineId,
+        /// The worker's address.
         address: SocketAddr,
+        /// The token under which the commands are sent.
         worker_token: WorkerToken,
+        /// The agent epoch that the commands are for; a worker that has restarted since refuses them.
         agent_epoch: AgentEpoch,
+        /// The commands, in order.
         commands: Vec<WorkerCommand>,
     },
+    /// Call the key-value store.
     Store {
+        /// The tag that the answer has to carry.
         tag: u64,
+        /// The priority of the call within the store's budget.
         class: CallClass,
+        /// The call.
         call: StoreCall,
     },
-    /// So many changes a second of the state service are ours.
+    /// Set the rate of changes that this controller may send to the key-value store.
     Allow {
+        /// Changes a second.
         writes: f64,
     },
+    /// Call the cloud.
     Cloud {
+        /// The tag that the answer has to carry.
         tag: u64,
+        /// The call.
         call: CloudCall,
     },
+    /// Send another controller a message.
     Peer {
+        /// The receiver.
         to: ControllerId,
+        /// The message.
         message: Message,
     },
+    /// Answer a user's request.
     User {
+        /// The request.
         reply: ReplyId,
+        /// The response to it.
         response: Response,
     },
+    /// Answer a worker's heartbeat.
     Worker {
+        /// The worker's request.
         reply: ReplyId,
+        /// The response to it.
         answer: HeartbeatResponse,
     },
+    /// Answer a load balancer's readiness check.
     Ready {
+        /// The load balancer's request.
         reply: ReplyId,
+        /// Whether this controller can take users' requests.
         ready: bool,
     },
 }
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -1,4 +1,4 @@
-//! What a job waits for, for operators and tests.
+//! Why tasks of a job wait, as operators and tests see it.
 
 use super::Controller;
 use crate::jobs::cache::Writing;
@@ -6,13 +6,15 @@
 use crate::types::JobId;
 
 impl Controller {
-    /// What a job of which tasks wait waits for here; none: it is no job of ours, or has none.
+    /// Why tasks of this job wait at this controller; none if no task waits or another controller
+    /// queues the job.
     pub fn waits_for(&self, id: &JobId) -> Option<WaitReason> {
         let job = self.jobs.get(id)?;
-        if job.active() && job.waiting() == 0 && job.changes.is_empty() {
+        let has_changes = !job.changes.is_empty();
+        if job.active() && job.waiting() == 0 && !has_changes {
             return None;
         }
-        if job.writing != Writing::Idle || !job.changes.is_empty() {
+        if job.writing != Writing::Idle || has_changes {
             return Some(WaitReason::Writing);
         }
         let queued = self.scheduler.queue.waits_for(id);
--- a/src/controller/work_counters.rs
+++ b/src/controller/work_counters.rs
@@ -1,40 +1,44 @@
-//! Counts of what a controller looked at: a cost that grows with the fleet rather than with what changes
-//! shows here first, and repeats exactly.
+//! Counts of the items that a controller examines. They repeat exactly from run to run, so a cost that grows
+//! with the size of the fleet rather than with what changes shows here before it shows in times.
 
 use std::cell::Cell;
 
-/// How often something was looked at.
+/// How many items of one kind were examined. Counted through a shared reference, as the steps that count
+/// borrow other parts of the controller.
 #[derive(Debug, Default)]
 pub struct WorkCounter(Cell<u64>);
 
 impl WorkCounter {
-    /// Looked at so many more.
-    pub fn add(&self, more: usize) {
-        self.0.set(self.0.get() + more as u64);
+    /// Counts `count` more items.
+    pub fn add(&self, count: usize) {
+        self.0.set(self.0.get() + count as u64);
     }
 
+    /// The count since the controller started.
+    #[must_use]
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// What a controller looked at since it started.
+/// What a controller has examined since it started.
 #[derive(Debug, Default)]
 pub struct WorkCounters {
-    /// Cycles that were run.
+    /// Scheduling cycles.
     pub cycles: WorkCounter,
-    /// Machines that cycles filtered and scored.
+    /// Machines that scheduling cycles filtered and scored.
     pub candidates: WorkCounter,
-    /// Machines on which room might be made.
+    /// Machines that were examined for preemption.
     pub sites: WorkCounter,
-    /// Machines looked over for whether they can take tasks.
+    /// Machines that were examined for whether they can take tasks.
     pub swept: WorkCounter,
-    /// Parked jobs that were asked whether an event helps them.
+    /// Parked jobs for which it was examined whether an event helps them.
     pub parked: WorkCounter,
 }
 
 impl WorkCounters {
-    /// Each count under its name, for tables and tests.
+    /// Each count with its name, for tables and tests.
+    #[must_use]
     pub fn rows(&self) -> [(&'static str, u64); 5] {
         [
             ("cycles", self.cycles.get()),
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -1,26 +1,31 @@
-//! Zones in trouble, as the controller meets them.
+//! Partition mode of this controller, and the health of zones as the leader sees it.
+//!
+//! Feeds the decisions in [`crate::zones`] with what the controller knows of leases, peers and machines,
+//! and carries out what they decide.
 
-use crate::zones::partition_mode::PartitionMode;
-use crate::zones::zone_health::ZoneHealthTracker;
 use std::collections::BTreeMap;
 
 use super::Controller;
 use crate::jobs::JobKind;
 use crate::lease::OwnLease;
-use crate::types::{FencingToken, MachineId, ShardId, WorkerToken, Zone};
+use crate::types::{ControllerId, FencingToken, MachineId, ShardId, WorkerToken, Zone};
 use crate::workers::wire::HeartbeatResponse;
-use crate::zones::partition_mode::{Circumstances, may_renew};
-use crate::zones::zone_health::{EvictionCost, SuspectedMachine, ZoneObservation};
+use crate::zones::partition_mode::{Circumstances, PartitionMode, may_renew};
+use crate::zones::zone_health::{
+    EvictionCost, SuspectedMachine, ZoneHealthTracker, ZoneObservation,
+};
 
 /// This controller's own partition mode, and the health of all zones as the leader sees it.
 #[derive(Debug, Default)]
 pub(super) struct Partition {
+    /// Whether this controller keeps its workers' leases while it is cut off from the store.
     pub(super) mode: PartitionMode,
+    /// The health of all zones; only the leader's is used.
     pub(super) zone_health: ZoneHealthTracker,
 }
 
 impl Controller {
-    /// What workers are told of a token that we hold.
+    /// The token that workers see for a fencing token that we hold.
     pub(super) fn worker_token(&self, token: FencingToken) -> WorkerToken {
         if self.partition.mode.on() {
             WorkerToken::partitioned(token)
@@ -29,29 +34,30 @@
         }
     }
 
-    /// Keeps our machines at work once we are cut off with them.
+    /// Enters partition mode once this controller is cut off from the store together with its machines.
     pub(super) fn check_partition_mode(&mut self) {
-        let over =
+        let lease_over =
             matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
-        let seen = Circumstances {
-            lease_over: over && self.store_sync.synced,
-            outage: over && self.outage_is_common(),
-            holds: self
-                .membership
-                .leases
-                .shards
-                .values()
-                .any(|(h, _)| *h == self.me),
+        let circumstances = Circumstances {
+            lease_over: lease_over && self.store_sync.synced,
+            outage: lease_over && self.outage_is_common(),
+            holds: self.holds_shards(),
         };
-        if self.partition.mode.begins(seen, self.now) {
+        if self.partition.mode.begins(circumstances, self.now) {
             tracing::info!("partition mode entered");
-            // Before we might crash: only marked machines may be renewed by others then.
+            // All workers must see the marked token before this controller might crash: only workers
+            // that have seen it may be renewed by other controllers then.
             self.fence();
         }
     }
 
-    /// The state service is there again. Our tokens are marked as keeping, under which silence
-    /// proves nothing, so they are given up.
+    fn holds_shards(&self) -> bool {
+        let mut holders = self.membership.leases.shards.values();
+        holders.any(|(holder, _)| *holder == self.me)
+    }
+
+    /// Leaves partition mode, since the store answers again. The shards are given up: under a token that
+    /// is marked as partitioned, a worker's silence is no evidence that its lease has expired.
     pub(super) fn leave_partition_mode(&mut self) {
         if let Some(kept) = self.partition.mode.end(self.now) {
             tracing::info!(kept_s = kept.secs(), "partition mode left");
@@ -60,55 +66,73 @@
         }
     }
 
-    /// A worker whose holder keeps it came to us instead: its lease is renewed, and that is all.
+    /// The response to a worker whose holder is in partition mode and that came to us instead: it renews
+    /// the worker's lease and carries no commands. None if we may not renew it.
     pub(super) fn renew_for_partitioned_holder(
         &self,
         shard: &ShardId,
         worker_token: WorkerToken,
     ) -> Option<HeartbeatResponse> {
         let cut_off = !self.store_sync.synced || self.partition.mode.on();
-        let holder = self
+        let holder_in_contact = self
             .membership
             .leases
             .shards
             .get(shard)
-            .map(|(holder, _)| holder);
-        let speaks = holder.is_some_and(|holder| self.recent_status(holder).is_some());
-        let renews = self.may_answer() && may_renew(worker_token, cut_off, speaks);
+            .is_some_and(|(holder, _)| self.recent_status(holder).is_some());
+        let renews = self.may_answer() && may_renew(worker_token, cut_off, holder_in_contact);
         renews.then(|| HeartbeatResponse::Commands {
             worker_token,
             commands: Vec::new(),
         })
     }
 
-    /// Takes in how each zone looks to the leader now.
+    /// Takes in what the leader observes of each zone's machines. Adds whether the zone's controllers are
+    /// in contact: those whose lease has not expired are.
     pub(super) fn observe_zones(&mut self, zones: BTreeMap<Zone, ZoneObservation>) {
-        for (zone, mut seen) in zones {
-            let members = self.settings.members.iter().map(|m| (&m.label, &m.zone));
-            let all = members.chain([(&self.me, &self.settings.zone)]);
-            let mut inside = all.filter(|(_, its)| **its == zone).peekable();
-            seen.controllers_silent = inside.peek().is_some()
-                && inside.all(|(label, _)| !self.membership.leases.controllers.contains_key(label));
-            if let Some(health) = self.partition.zone_health.observe(&zone, seen, self.now) {
-                let (machines, silent) = (seen.machines, seen.silent);
+        for (zone, mut observation) in zones {
+            observation.controllers_silent = self.controllers_are_silent(&zone);
+            let health = self
+                .partition
+                .zone_health
+                .observe(&zone, observation, self.now);
+            if let Some(health) = health {
+                let (machines, silent) = (observation.machines, observation.silent);
                 tracing::info!(%zone, ?health, machines, silent, "zone health changed");
             }
         }
     }
 
-    /// A machine that is thought lost, and what would be lost with it.
+    /// Whether a zone has controllers and none of them has a lease.
+    fn controllers_are_silent(&self, zone: &Zone) -> bool {
+        let members = self.settings.members.iter().map(|m| (&m.label, &m.zone));
+        let mut labels = members
+            .chain([(&self.me, &self.settings.zone)])
+            .filter(|(_, member_zone)| *member_zone == zone)
+            .map(|(label, _)| label)
+            .peekable();
+        let has_lease =
+            |label: &ControllerId| self.membership.leases.controllers.contains_key(label);
+        labels.peek().is_some() && !labels.any(has_lease)
+    }
+
+    /// A machine that is thought lost, with the cost of the most valuable task on it.
     pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> SuspectedMachine {
-        let jobs = self.jobs.on_machine(machine_id);
-        let worth = jobs.filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.kind));
-        let worth = worth.map(|kind| match kind {
-            JobKind::Array => EvictionCost::Arrays,
-            JobKind::Gang => EvictionCost::Gangs,
-            JobKind::Service => EvictionCost::Replicas,
-        });
+        let eviction_cost = self
+            .jobs
+            .on_machine(machine_id)
+            .filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.kind))
+            .map(|kind| match kind {
+                JobKind::Array => EvictionCost::Arrays,
+                JobKind::Gang => EvictionCost::Gangs,
+                JobKind::Service => EvictionCost::Replicas,
+            })
+            .max()
+            .unwrap_or(EvictionCost::Idle);
         SuspectedMachine {
             machine_id: machine_id.clone(),
             zone: zone.clone(),
-            worth: worth.max().unwrap_or(EvictionCost::Idle),
+            eviction_cost,
         }
     }
 }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,7 +1,8 @@
-//! Leases: which controllers are there, which one leads, and who holds which shard of machines.
+//! Leases: which controllers are running, which one is the leader, and which one holds each shard.
 //!
-//! Each controller has one lease in the state service; its own record, its leadership and its
-//! shards hang on it, so one renewal keeps them all and its end takes them all away.
+//! Each controller has one lease in the key-value store. Its own record, its leadership and its shards are
+//! attached to it, so one renewal keeps all of them and the expiry of the lease deletes all of them.
+//! [`Leases`] is the cache of these records; it does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,14 +10,21 @@
 
 use crate::types::{ControllerId, FencingToken, LeaseId, Millis, Revision, ShardId, Zone};
 
+/// The prefix of controllers' records; the controller's label follows.
 pub const CONTROLLERS: &str = "jt/node/";
+/// The key of the leader's record.
 pub const LEADER: &str = "jt/lead";
+/// The prefix of shards' records; the shard follows.
 pub const SHARDS: &str = "jt/block/";
 
+/// The key of a controller's own record.
+#[must_use]
 pub fn controller_key(controller: &ControllerId) -> String {
     format!("{CONTROLLERS}{controller}")
 }
 
+/// The key of a shard's record.
+#[must_use]
 pub fn shard_key(shard: &ShardId) -> String {
     format!("{SHARDS}{shard}")
 }
@@ -24,26 +32,33 @@
 /// A controller's own record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
+    /// The lease that the record is attached to. A restarted controller has another.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
+    /// The controller's zone.
     pub zone: Zone,
-    /// Whether it can hold shards: it hears from workers.
+    /// Whether workers' heartbeats reach it; without them it can hold no shards.
     #[serde(rename = "hears")]
     pub receives_heartbeats: bool,
 }
 
-/// A lease belongs to a process, not to a label: to the lease that the process took itself. One
-/// that was started again reads what the process before it held, and must not take it for its own.
+/// The leader's record. It names the lease and not only the label, since leadership belongs to a process:
+/// a restarted controller reads what the process before it held, and must not take it for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// The controller that leads.
     pub leader: ControllerId,
+    /// The lease of the process that leads.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
 }
 
+/// The record of a shard's holder. The revision at which it was written is the shard's fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
+    /// The controller that holds the shard.
     pub holder: ControllerId,
+    /// The lease of the process that holds the shard.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
 }
@@ -51,28 +66,40 @@
 /// The lease of this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnLease {
+    /// It has none.
     None,
+    /// It has requested one and waits for the answer.
     Requested,
-    /// Held at least until `until` by our clock.
+    /// It holds one.
     Held {
+        /// The lease.
         lease_id: LeaseId,
+        /// The lease lasts at least until this time of our clock.
         until: Millis,
     },
 }
 
+/// What a controller knows of all leases: its own, and the records that are attached to leases.
 #[derive(Debug)]
 pub struct Leases {
+    /// The lease of this controller.
     pub own: OwnLease,
+    /// The next renewal of our lease is due one renewal interval after this time.
     pub renewal_base: Millis,
+    /// The record of each running controller, and its version.
     pub controllers: BTreeMap<ControllerId, (ControllerRecord, Revision)>,
+    /// The leader, and the version of its record.
     pub leader: Option<(ControllerId, Revision)>,
+    /// The holder of each shard, and its fencing token.
     pub shards: BTreeMap<ShardId, (ControllerId, FencingToken)>,
-    /// Leases that controllers had before, the last of them: their processes are no more.
+    /// Leases whose controller's record was deleted or replaced, so that their processes have ended; oldest
+    /// first.
     ended: VecDeque<LeaseId>,
 }
 
-/// So many leases that are over are remembered.
-const MOST_ENDED: usize = 256;
+/// How many ended leases are remembered. They are needed only while messages of their processes may still
+/// arrive.
+const MAX_ENDED_LEASES: usize = 256;
 
 impl Default for Leases {
     fn default() -> Self {
@@ -87,15 +114,25 @@
     }
 }
 
-/// What a fed record changed.
+/// What a record that was applied has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
+    /// The record of this controller.
     Controller(ControllerId),
+    /// The leader.
     Leader,
+    /// The holder of this shard, or its fencing token.
     Shard(ShardId),
 }
 
+/// A stored record; none if it was deleted or can't be read.
+fn decode<'a, T: Deserialize<'a>>(data: Option<&'a str>) -> Option<T> {
+    data.and_then(|text| serde_json::from_str(text).ok())
+}
+
 impl Leases {
+    /// The lease that this controller holds.
+    #[must_use]
     pub fn lease_id(&self) -> Option<LeaseId> {
         match self.own {
             OwnLease::Held { lease_id, .. } => Some(lease_id),
@@ -103,34 +140,45 @@
         }
     }
 
-    /// Whether a message of a process with this lease comes from one that is known to be no more.
+    /// Whether the process with this lease is known to have ended, so that its messages are outdated.
+    #[must_use]
     pub fn is_over(&self, lease_id: LeaseId) -> bool {
         self.ended.contains(&lease_id)
     }
 
-    fn note_ended(&mut self, lease_id: LeaseId) {
+    fn remember_ended(&mut self, lease_id: LeaseId) {
         self.ended.push_back(lease_id);
-        if self.ended.len() > MOST_ENDED {
+        if self.ended.len() > MAX_ENDED_LEASES {
             self.ended.pop_front();
         }
     }
 
-    /// Whether a lease of this holder is a dead process's that had our label.
-    fn of_the_dead(&self, holder: &ControllerId, lease_id: LeaseId, me: &ControllerId) -> bool {
+    /// Whether a record was written by an earlier process with our label.
+    fn is_of_earlier_process(
+        &self,
+        holder: &ControllerId,
+        lease_id: LeaseId,
+        me: &ControllerId,
+    ) -> bool {
         holder == me && self.lease_id() != Some(lease_id)
     }
 
+    /// The fencing token of a shard, if `me` holds it.
+    #[must_use]
     pub fn holds(&self, shard: &ShardId, me: &ControllerId) -> Option<FencingToken> {
         let (holder, token) = self.shards.get(shard)?;
         (holder == me).then_some(*token)
     }
 
+    /// The revision at which `me` took the leadership, if it leads.
+    #[must_use]
     pub fn leads(&self, me: &ControllerId) -> Option<Revision> {
         let (leader, version) = self.leader.as_ref()?;
         (leader == me).then_some(*version)
     }
 
-    /// Another controller holds a shard of ours under a higher token, by its own word.
+    /// Takes in a peer's own message that it holds a shard. True if its fencing token is higher than that of
+    /// another holder we know; the watch will bring the record.
     pub fn supersede(
         &mut self,
         shard: &ShardId,
@@ -146,15 +194,16 @@
         }
     }
 
-    /// Our lease is over, and all that hung on it with it, though the watch may bring that later.
-    /// Without this a leader back from a cut takes up its old lease under its new lease.
+    /// Our lease is over, and with it our leadership and our shards. The watch may bring that later: without
+    /// this, a leader that is back from a partition would lead again under its old record and a new lease.
     pub fn lose(&mut self, me: &ControllerId) {
         self.own = OwnLease::None;
         self.leader.take_if(|(leader, _)| leader == me);
         self.shards.retain(|_, (holder, _)| holder != me);
     }
 
-    /// Takes in a record. A lease of the process that had our label before counts as nobody's.
+    /// Takes in a record, or its deletion if there is no `data`. None if it is older than what is known, or
+    /// not a record of leases. Leadership and shards of an earlier process with our label count as nobody's.
     pub fn apply(
         &mut self,
         me: &ControllerId,
@@ -163,52 +212,71 @@
         version: Revision,
     ) -> Option<LeaseChange> {
         if key == LEADER {
-            let record: Option<LeaderRecord> = data.and_then(|d| serde_json::from_str(d).ok());
-            if self
-                .leader
-                .as_ref()
-                .is_some_and(|(_, known)| *known >= version)
-            {
-                return None;
-            }
-            let record = record.filter(|r| !self.of_the_dead(&r.leader, r.lease_id, me));
-            self.leader = record.map(|r| (r.leader, version));
-            return Some(LeaseChange::Leader);
+            return self.apply_leader(me, data, version);
         }
-        if let Some(name) = key.strip_prefix(CONTROLLERS) {
-            let controller = ControllerId::from(name);
-            if self
-                .controllers
-                .get(&controller)
-                .is_some_and(|(_, known)| *known >= version)
-            {
-                return None;
-            }
-            let record: Option<ControllerRecord> = data.and_then(|d| serde_json::from_str(d).ok());
-            let lease_id = record.as_ref().map(|record| record.lease_id);
-            let before = match record {
-                Some(record) => self
-                    .controllers
-                    .insert(controller.clone(), (record, version)),
-                None => self.controllers.remove(&controller),
-            };
-            let before = before.map(|(record, _)| record.lease_id);
-            if let Some(ended) = before.filter(|before| Some(*before) != lease_id) {
-                self.note_ended(ended);
-            }
-            return Some(LeaseChange::Controller(controller));
+        if let Some(label) = key.strip_prefix(CONTROLLERS) {
+            return self.apply_controller(label.into(), data, version);
         }
         let shard = ShardId::parse(key.strip_prefix(SHARDS)?)?;
-        let token = FencingToken(version.0);
-        if self
-            .shards
-            .get(&shard)
-            .is_some_and(|(_, known)| *known >= token)
+        self.apply_shard(me, shard, data, FencingToken(version.0))
+    }
+
+    fn apply_leader(
+        &mut self,
+        me: &ControllerId,
+        data: Option<&str>,
+        version: Revision,
+    ) -> Option<LeaseChange> {
+        let known = self.leader.as_ref().map(|(_, known)| *known);
+        if known.is_some_and(|known| known >= version) {
+            return None;
+        }
+        self.leader = decode::<LeaderRecord>(data)
+            .filter(|record| !self.is_of_earlier_process(&record.leader, record.lease_id, me))
+            .map(|record| (record.leader, version));
+        Some(LeaseChange::Leader)
+    }
+
+    fn apply_controller(
+        &mut self,
+        controller: ControllerId,
+        data: Option<&str>,
+        version: Revision,
+    ) -> Option<LeaseChange> {
+        let known = self.controllers.get(&controller).map(|(_, known)| *known);
+        if known.is_some_and(|known| known >= version) {
+            return None;
+        }
+        let record: Option<ControllerRecord> = decode(data);
+        let lease_id = record.as_ref().map(|record| record.lease_id);
+        let previous = match record {
+            Some(record) => self
+                .controllers
+                .insert(controller.clone(), (record, version)),
+            None => self.controllers.remove(&controller),
+        };
+        if let Some((previous, _)) = previous
+            && Some(previous.lease_id) != lease_id
         {
+            self.remember_ended(previous.lease_id);
+        }
+        Some(LeaseChange::Controller(controller))
+    }
+
+    fn apply_shard(
+        &mut self,
+        me: &ControllerId,
+        shard: ShardId,
+        data: Option<&str>,
+        token: FencingToken,
+    ) -> Option<LeaseChange> {
+        let known = self.shards.get(&shard).map(|(_, known)| *known);
+        if known.is_some_and(|known| known >= token) {
             return None;
         }
-        let record: Option<ShardRecord> = data.and_then(|d| serde_json::from_str(d).ok());
-        match record.filter(|r| !self.of_the_dead(&r.holder, r.lease_id, me)) {
+        let record = decode::<ShardRecord>(data)
+            .filter(|record| !self.is_of_earlier_process(&record.holder, record.lease_id, me));
+        match record {
             Some(record) => self.shards.insert(shard.clone(), (record.holder, token)),
             None => self.shards.remove(&shard),
         };
@@ -216,58 +284,69 @@
     }
 }
 
-/// Who should hold each shard: controllers of its zone, in turn; shards of a zone without any go
-/// to those who hold least. The same for all who know the same controllers, so nothing moves
-/// without need.
+/// The controller that should hold each shard: the controllers of its zone take turns; shards of a zone
+/// without controllers go to those that hold the fewest. It depends on nothing but the arguments, so every
+/// leader comes to the same assignment and no shard moves without need. Controllers that receive no
+/// heartbeats hold shards only if no controller receives any.
+#[must_use]
 pub fn desired_assignment(
     zones: &[Zone],
-    parts: u32,
+    shards_per_zone: u32,
     controllers: &BTreeMap<ControllerId, (ControllerRecord, Revision)>,
 ) -> BTreeMap<ShardId, ControllerId> {
-    let fit: Vec<(&ControllerId, &ControllerRecord)> = {
-        let hearing: Vec<_> = controllers
-            .iter()
-            .filter(|(_, (r, _))| r.receives_heartbeats)
-            .map(|(n, (r, _))| (n, r))
-            .collect();
-        if hearing.is_empty() {
-            controllers.iter().map(|(n, (r, _))| (n, r)).collect()
-        } else {
-            hearing
-        }
-    };
-    let mut held: BTreeMap<&ControllerId, u32> = fit.iter().map(|(n, _)| (*n, 0)).collect();
-    let mut result = BTreeMap::new();
-    let mut unowned = Vec::new();
+    let eligible = eligible_holders(controllers);
+    let mut shard_counts: BTreeMap<&ControllerId, u32> =
+        eligible.iter().map(|(label, _)| (*label, 0)).collect();
+    let mut assignment = BTreeMap::new();
+    let mut remaining = Vec::new();
     let zones: BTreeSet<&Zone> = zones.iter().collect();
     for zone in zones {
-        let local: Vec<&ControllerId> = fit
+        let local: Vec<&ControllerId> = eligible
             .iter()
-            .filter(|(_, r)| r.zone == *zone)
-            .map(|(n, _)| *n)
+            .filter(|(_, record)| record.zone == *zone)
+            .map(|(label, _)| *label)
             .collect();
-        for part in 0..parts {
+        for part in 0..shards_per_zone {
             let zone = zone.clone();
             let shard = ShardId { zone, part };
             match local.get(part as usize % local.len().max(1)) {
                 Some(controller) => {
-                    *held.entry(controller).or_default() += 1;
-                    result.insert(shard, (*controller).clone());
+                    *shard_counts.entry(controller).or_default() += 1;
+                    assignment.insert(shard, (*controller).clone());
                 }
-                None => unowned.push(shard),
+                None => remaining.push(shard),
             }
         }
     }
-    for shard in unowned {
-        if let Some((controller, count)) = held
+    for shard in remaining {
+        let fewest = shard_counts
             .iter_mut()
-            .min_by_key(|(controller, count)| (**count, **controller))
-        {
+            .min_by_key(|(controller, count)| (**count, **controller));
+        if let Some((controller, count)) = fewest {
             *count += 1;
-            result.insert(shard, (*controller).clone());
+            assignment.insert(shard, (*controller).clone());
         }
     }
-    result
+    assignment
+}
+
+/// Controllers that can hold shards: those that receive heartbeats, or all if none does.
+fn eligible_holders(
+    controllers: &BTreeMap<ControllerId, (ControllerRecord, Revision)>,
+) -> Vec<(&ControllerId, &ControllerRecord)> {
+    let all = || {
+        controllers
+            .iter()
+            .map(|(label, (record, _))| (label, record))
+    };
+    let receiving: Vec<_> = all()
+        .filter(|(_, record)| record.receives_heartbeats)
+        .collect();
+    if receiving.is_empty() {
+        all().collect()
+    } else {
+        receiving
+    }
 }
 
 #[cfg(test)]
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -74,7 +74,7 @@
 /// A leader back from a cut took a new lease and, until the watch told it of its successor,
 /// acted as leader again: it deleted twelve machines at work.
 #[test]
-fn the_end_of_our_lease_ends_our_offices_and_nobody_elses() {
+fn losing_our_lease_drops_our_leadership_and_shards_only() {
     let mut leases = Leases {
         own: OwnLease::Held {
             lease_id: LeaseId(7),
@@ -146,7 +146,7 @@
 /// of the process before, until its old lease had been ended: it could have rented under names
 /// that were used already, and answered workers under a token it had no right to.
 #[test]
-fn an_office_belongs_to_the_process_that_took_it() {
+fn leadership_and_shards_belong_to_the_process_that_took_them() {
     let me = ControllerId::from("n0");
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
@@ -179,7 +179,7 @@
 
 /// What a dead process said may come late, and make machines look alive that nobody hears.
 #[test]
-fn a_process_is_over_once_its_record_has_changed_hands() {
+fn a_process_has_ended_once_its_record_is_replaced_or_deleted() {
     let mut leases = Leases::default();
     let record = |lease_id| format!("{{\"permit\":{lease_id},\"zone\":\"a\",\"hears\":true}}");
     let steps = [
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! Small types for ids, versions and times, shared by every slice.
+//! Identifiers, versions, times and resources: small types that every part of the daemon shares.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -14,6 +14,8 @@
         pub struct $name(Arc<str>);
 
         impl $name {
+            /// The name as text.
+            #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -55,28 +57,29 @@
     MachineId
 );
 name_type!(
-    /// The label of a controller.
+    /// A controller's label, as in the deploy file.
     ControllerId
 );
 name_type!(
-    /// A zone.
+    /// A zone of the cloud.
     Zone
 );
 name_type!(
-    /// A machine type.
+    /// A machine type that the cloud offers.
     MachineTypeId
 );
 name_type!(
-    /// A team.
+    /// A team of users, with its own quota.
     Team
 );
 name_type!(
-    /// An image.
+    /// The image that a job's tasks run.
     Image
 );
 
 impl JobId {
-    /// The form every id has: `job-` and one to eighteen digits.
+    /// Whether `text` is a job id: `job-` and one to eighteen digits.
+    #[must_use]
     pub fn well_formed(text: &str) -> bool {
         text.strip_prefix("job-").is_some_and(|digits| {
             (1..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
@@ -96,72 +99,87 @@
 }
 
 number_type!(
-    /// A revision of the state service; the version of a key is the revision of its last change.
+    /// A revision of the key-value store, which counts its changes. The version of a record is the revision of
+    /// its last change.
     Revision
 );
 number_type!(
-    /// What entitles a holder to command a machine: the revision at which its shard was taken.
+    /// A shard's fencing token, the revision at which its holder was written. Workers obey no commands under
+    /// a token lower than the highest that they have seen.
     FencingToken
 );
 number_type!(
-    /// What workers see of a token: twice the token, and one more while its holder keeps machines
-    /// alive that are cut off together with it.
+    /// A fencing token as workers see it: twice the fencing token, and one more while its holder is in
+    /// partition mode.
     WorkerToken
 );
 number_type!(
-    /// A lease of the state service.
+    /// A lease in the key-value store.
     LeaseId
 );
 number_type!(
-    /// One start of a task; shared by all tasks of a gang that start together.
+    /// One attempt to run a task; all tasks of a gang that start together share it.
     Attempt
 );
 number_type!(
-    /// A worker's agent epoch.
+    /// The incarnation of a worker's agent, which changes when the agent restarts.
     AgentEpoch
 );
 number_type!(
-    /// Names a request whose answer is still owed.
+    /// A request that waits for its response.
     ReplyId
 );
 number_type!(
-    /// Names a transaction in flight.
+    /// A transaction in flight.
     TxnId
 );
 
 impl WorkerToken {
+    /// The token of a holder in contact with the store.
+    #[must_use]
     pub fn of(token: FencingToken) -> Self {
         Self(token.0 * 2)
     }
 
-    /// Obeyed after `of` the same token, and before any later one.
+    /// The token of a holder in partition mode: higher than [`WorkerToken::of`] the same fencing token, and
+    /// lower than any form of a later one.
+    #[must_use]
     pub fn partitioned(token: FencingToken) -> Self {
         Self(token.0 * 2 + 1)
     }
 
+    /// The fencing token that this one was made of.
+    #[must_use]
     pub fn token(self) -> FencingToken {
         FencingToken(self.0 / 2)
     }
 
+    /// Whether the holder was in partition mode.
+    #[must_use]
     pub fn is_partitioned(self) -> bool {
         self.0 % 2 == 1
     }
 }
 
-/// Milliseconds of this process's steady clock.
+/// Milliseconds, as a time of this process's monotonic clock or as a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Millis(pub u64);
 
 impl Millis {
+    /// So many seconds; negative ones count as zero.
+    #[must_use]
     pub fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// Time since `earlier`, or zero.
+    /// The time since `earlier`; zero if that is later.
+    #[must_use]
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
+    /// As seconds.
+    #[must_use]
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -174,6 +192,7 @@
     }
 }
 
+/// Saturates at zero.
 impl Sub for Millis {
     type Output = Millis;
     fn sub(self, other: Millis) -> Millis {
@@ -184,11 +203,15 @@
 /// One task of a job, written `job-000412/3` on the wire.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
+    /// The task's job.
     pub job: JobId,
+    /// The task's index within the job, from zero.
     pub index: u32,
 }
 
 impl TaskId {
+    /// Parses the form on the wire.
+    #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         JobId::well_formed(job).then_some(())?;
@@ -211,14 +234,19 @@
     }
 }
 
-/// A shard of machines: a part of one zone that one controller at a time places in.
+/// A shard of machines, written `a.0`: the part of a zone's machines that one controller at a time holds and
+/// places tasks on.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ShardId {
+    /// The zone of the shard's machines.
     pub zone: Zone,
+    /// The index of the shard within the zone, from zero.
     pub part: u32,
 }
 
 impl ShardId {
+    /// Parses the form in which shards are written in keys and messages.
+    #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (zone, part) = text.rsplit_once('.')?;
         Some(Self {
@@ -240,24 +268,35 @@
     }
 }
 
-/// What a task takes of a machine, or what a machine has.
+/// Amounts of resources: what a task requests, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
+    /// CPU cores.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts are compared with this much slack.
-const SLACK: f64 = 1e-6;
+/// The tolerance when amounts are compared, since sums of decimal fractions are not exact.
+const TOLERANCE: f64 = 1e-6;
+
+/// The count for tasks that request nothing. Half of the largest number, so that the sum of two
+/// does not overflow.
+const UNLIMITED_COUNT: u32 = u32::MAX / 2;
 
 impl Resources {
+    /// Whether these resources are available.
+    #[must_use]
     pub fn fits_in(self, available: Resources) -> bool {
-        self.cpus <= available.cpus + SLACK
-            && self.gpus <= available.gpus + SLACK
-            && self.memory_gb <= available.memory_gb + SLACK
+        self.cpus <= available.cpus + TOLERANCE
+            && self.gpus <= available.gpus + TOLERANCE
+            && self.memory_gb <= available.memory_gb + TOLERANCE
     }
 
+    /// The sum of both.
+    #[must_use]
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus + other.cpus,
@@ -266,6 +305,8 @@
         }
     }
 
+    /// The difference of both, which may be negative.
+    #[must_use]
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus - other.cpus,
@@ -274,6 +315,8 @@
         }
     }
 
+    /// The resources of `count` such tasks.
+    #[must_use]
     pub fn times(self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
@@ -282,7 +325,8 @@
         }
     }
 
-    /// How many times `part` fits.
+    /// How many tasks that request `part` each fit; very many if they request nothing.
+    #[must_use]
     pub fn holds(self, part: Resources) -> u32 {
         [
             (self.cpus, part.cpus),
@@ -290,13 +334,14 @@
             (self.memory_gb, part.memory_gb),
         ]
         .into_iter()
-        .filter(|(_, take)| *take > 0.0)
-        .map(|(have, take)| ((have + SLACK) / take).max(0.0) as u32)
+        .filter(|(_, requested)| *requested > 0.0)
+        .map(|(available, requested)| ((available + TOLERANCE) / requested).max(0.0) as u32)
         .min()
-        .unwrap_or(u32::MAX / 2)
+        .unwrap_or(UNLIMITED_COUNT)
     }
 
-    /// The largest share that this takes of any resource of `capacity`.
+    /// The dominant share: the largest fraction that these resources are of any resource of `capacity`.
+    #[must_use]
     pub fn share_of(self, capacity: Resources) -> f64 {
         [
             (self.cpus, capacity.cpus),
@@ -304,8 +349,8 @@
             (self.memory_gb, capacity.memory_gb),
         ]
         .into_iter()
-        .filter(|(_, have)| *have > 0.0)
-        .map(|(take, have)| take / have)
+        .filter(|(_, capacity)| *capacity > 0.0)
+        .map(|(requested, capacity)| requested / capacity)
         .fold(0.0, f64::max)
     }
 }
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -1,65 +1,78 @@
-//! Keeping machines at work that are cut off from the state service together with their
-//! controller.
+//! Partition mode: a controller that is cut off from the key-value store together with its workers keeps
+//! renewing their leases, so that their tasks go on.
 //!
-//! Workers kill their tasks when nobody answers their heartbeats for a lease. Their holder goes on
-//! answering, and marks its token as keeping: whoever else a kept worker finds, if its holder
-//! crashes, may then renew its lease too, without any commands. For that the holder gives one thing
-//! up for good under this token: taking a worker's silence for the end of its lease.
+//! Workers kill their tasks when no controller answers their heartbeats for the length of a lease. In
+//! partition mode their holder goes on answering, under a token that is marked as partitioned. If the holder
+//! crashes, any controller that a worker with such a token finds may renew its lease too, without commands.
+//! In return the holder may never take a worker's silence under this token for the expiry of its lease.
 
 use crate::types::{Millis, WorkerToken};
 
-/// Whether this controller keeps machines, and since when.
+/// Whether this controller is in partition mode, and since when.
 #[derive(Debug, Default)]
 pub struct PartitionMode {
-    since: Option<Millis>,
-    /// Since when we seem to be cut off.
-    seems: Option<Millis>,
+    /// When partition mode was entered.
+    entered: Option<Millis>,
+    /// Since when the circumstances have been those of a partition.
+    suspected: Option<Millis>,
 }
 
-/// A process that stood still, or was slow, has answers waiting that it has not read yet.
-const MAKE_SURE: Millis = Millis(1_500);
+/// The circumstances must last this long before partition mode is entered. A process that was suspended, or
+/// slow, finds its lease over before it has read the store's answers that wait for it.
+const CONFIRMATION_TIME: Millis = Millis(1_500);
 
-/// What tells whether to keep.
+/// What decides whether partition mode is entered.
 #[derive(Clone, Copy, Debug)]
 pub struct Circumstances {
-    /// Our lease in the state service is over, by our clock.
+    /// Our lease in the key-value store is over, by our own clock.
     pub lease_over: bool,
-    /// All others say that they are without the state service too: an outage, in which leases
-    /// stand still.
+    /// All other controllers report that they have lost the store too. In such an outage leases do not
+    /// expire, so nothing has to be kept.
     pub outage: bool,
-    /// We hold machines.
+    /// We hold shards.
     pub holds: bool,
 }
 
+impl Circumstances {
+    /// Whether we are cut off from the store with machines of ours.
+    fn indicate_partition(self) -> bool {
+        self.lease_over && !self.outage && self.holds
+    }
+}
+
 impl PartitionMode {
+    /// Whether this controller is in partition mode.
+    #[must_use]
     pub fn on(&self) -> bool {
-        self.since.is_some()
+        self.entered.is_some()
     }
 
-    /// True when keeping begins now.
-    pub fn begins(&mut self, seen: Circumstances, now: Millis) -> bool {
-        if !seen.lease_over || seen.outage || !seen.holds {
-            self.seems = None;
+    /// Takes in the circumstances at `now`; true if partition mode is entered with them.
+    pub fn begins(&mut self, circumstances: Circumstances, now: Millis) -> bool {
+        if !circumstances.indicate_partition() {
+            self.suspected = None;
             return false;
         }
-        let seems = *self.seems.get_or_insert(now);
-        if self.on() || now.since(seems) < MAKE_SURE {
+        let suspected = *self.suspected.get_or_insert(now);
+        if self.on() || now.since(suspected) < CONFIRMATION_TIME {
             return false;
         }
-        self.since = Some(now);
+        self.entered = Some(now);
         true
     }
 
-    /// For how long machines were kept, if it ends now.
+    /// Leaves partition mode, and returns how long it lasted; none if it was not on.
     pub fn end(&mut self, now: Millis) -> Option<Millis> {
-        self.since.take().map(|since| now.since(since))
+        self.entered.take().map(|entered| now.since(entered))
     }
 }
 
-/// Whether a controller that is not known to hold a worker's shard may renew the worker's lease,
-/// without any commands: only if its holder keeps it, and only while we know no better.
-pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_speaks: bool) -> bool {
-    worker_token.is_partitioned() && cut_off && !holder_speaks
+/// Whether a controller that is not known to hold a worker's shard may renew the worker's lease, without
+/// commands: the worker has seen that its holder is in partition mode, this controller is cut off (or has
+/// read nothing of the store yet) and so knows no later holder, and the known holder is not in contact.
+#[must_use]
+pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_in_contact: bool) -> bool {
+    worker_token.is_partitioned() && cut_off && !holder_in_contact
 }
 
 #[cfg(test)]
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -1,145 +1,233 @@
-//! What the leader makes of machines that nobody hears.
+//! The health of zones, and which machines the leader deletes for their silence.
 //!
-//! A machine that falls silent alone is dead, or as good as that: it is deleted, and its work
-//! starts elsewhere. A zone that falls silent as a whole is most likely cut off, and its machines
-//! at work: deleting them destroys what would be back when the cut ends. So that is held back, and
-//! then done in steps, what is worth least first. Whatever is thought, only so many machines are
-//! deleted for their silence in a while.
+//! A single silent machine has most likely failed: it is deleted, and its tasks start elsewhere. A zone that
+//! falls silent as a whole is most likely cut off, with its machines still running their tasks, and deleting
+//! them destroys what would be back after the partition. So deletions in such a zone are held back first, and
+//! then done in steps that double, the machines that are cheapest to lose first. Whatever the leader believes,
+//! the number of machines deleted for their silence within a time window is bounded.
+//!
+//! [`ZoneHealthTracker`] owns the health of each zone and the recent deletions; the leader's autoscaler feeds
+//! it once a second and asks it which silent machines to delete.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::types::{MachineId, Millis, Zone};
 
-/// How a zone stands, as far as its machines are heard.
+/// The health of a zone, judged by the heartbeats of its machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ZoneHealth {
+    /// Heartbeats arrive from nearly all machines.
     #[default]
     Healthy,
-    /// Many machines are silent while others speak, or all though a controller is in contact from
-    /// there: they are lost.
+    /// Many machines are silent while others are heard, or all are silent while a controller of the zone is in
+    /// contact: the silent ones have failed.
     Degraded,
-    /// Nearly all are silent, and so are the zone's controllers: they go on without us.
+    /// Nearly all machines are silent and so are the zone's controllers, or many machines are in contact one
+    /// way only: the zone is cut off and its machines work on.
     Partitioned,
-    /// Machines of a zone that was cut off speak again, not all of them yet.
+    /// Machines of a zone that was partitioned are heard again, but not nearly all of them yet.
     Recovering,
 }
 
-/// What is seen of a zone at a moment.
+/// What is observed of a zone at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ZoneObservation {
-    /// Machines of which somebody can tell whether they are silent.
+    /// Machines whose silence at least one controller can judge.
     pub machines: u32,
+    /// Those of them that are silent.
     pub silent: u32,
-    /// Machines that speak and are not proved to hear, or that hear and can't report, for long.
+    /// Those of them that have been in contact one way only for a while: they send heartbeats and commands are
+    /// not proved to arrive, or the other way round.
     pub one_way: u32,
     /// The zone has controllers, and none of them is in contact.
     pub controllers_silent: bool,
 }
 
-/// What would be destroyed with a machine, least first.
+/// What is lost with a machine; cheaper first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionCost {
+    /// No task.
     Idle,
+    /// Tasks of arrays: each loses its own progress.
     Arrays,
+    /// Tasks of gangs: the whole gang loses its progress.
     Gangs,
+    /// Replicas of services: users lose capacity.
     Replicas,
 }
 
 /// A machine that is thought lost for its silence.
 #[derive(Clone, Debug)]
 pub struct SuspectedMachine {
+    /// The machine.
     pub machine_id: MachineId,
+    /// Its zone.
     pub zone: Zone,
-    pub worth: EvictionCost,
+    /// What is lost if it still runs and is deleted.
+    pub eviction_cost: EvictionCost,
 }
 
-/// Fewer machines than this tell nothing of their zone.
-const FEW: u32 = 3;
-/// A zone is cut off once this part is silent, and until less than the second is.
-const CUT: (f64, f64) = (0.8, 0.5);
-/// And partly lost likewise.
-const PART: (f64, f64) = (0.25, 0.125);
-/// The bound on deletions for silence holds over so long.
-const WINDOW: Millis = Millis(30_000);
-/// Part of a zone's machines, and of all, that may be deleted for silence within the window; and
-/// the least that may be.
-const MOST_OF_ZONE: f64 = 0.5;
-const MOST_OF_ALL: f64 = 0.25;
-const LEAST: usize = 8;
-/// After it was held, a cut zone is deleted in steps: the part of the first, and how long until
-/// the next, which doubles it.
-const FIRST_STEP: f64 = 0.02;
-const STEP: Millis = Millis(10_000);
+/// A zone with fewer machines keeps its health: so few say nothing about the zone.
+const MIN_MACHINES: u32 = 3;
+
+/// A threshold with hysteresis, so that a zone near it does not change its health all the time. Fractions of
+/// the zone's machines.
+#[derive(Clone, Copy)]
+struct Threshold {
+    /// The state is entered at this fraction.
+    enter: f64,
+    /// It is left below this fraction.
+    leave: f64,
+}
+
+/// Silent machines of a zone that is partitioned.
+const PARTITIONED: Threshold = Threshold {
+    enter: 0.8,
+    leave: 0.5,
+};
+/// Silent machines of a zone that is not healthy; also machines in contact one way only of a zone that is
+/// partitioned, since no failure of single machines explains a quarter of them.
+const DEGRADED: Threshold = Threshold {
+    enter: 0.25,
+    leave: 0.125,
+};
+/// In a zone with few machines, this fraction of them in contact one way only is a partition.
+const MIN_ONE_WAY_FRACTION: f64 = 0.5;
+
+/// Deletions for silence are bounded within a window of this length, so that an error of judgement shows
+/// before a fleet is gone.
+const DELETION_WINDOW: Millis = Millis(30_000);
+/// The fraction of a zone's machines that may be deleted for silence within the window.
+const MAX_ZONE_FRACTION: f64 = 0.5;
+/// The fraction of all machines that may be deleted for silence within the window.
+const MAX_FLEET_FRACTION: f64 = 0.25;
+/// This many machines may be deleted in any case, so that a small fleet recovers from the loss of a few.
+const MIN_DELETION_BOUND: usize = 8;
+/// In a zone of any size, this many machines in contact one way only are too many for failures of single
+/// machines.
+const MANY_ONE_WAY: usize = 8;
+
+/// Of a partitioned zone, this fraction is deleted in the first step after the hold, and twice as many in
+/// total with each further step.
+const FIRST_STEP_FRACTION: f64 = 0.02;
+/// The time from one step to the next; also how long nothing is deleted in a zone that recovers, since
+/// heartbeats of its machines may be on their way.
+const STEP_INTERVAL: Millis = Millis(10_000);
+/// Bounds the exponent. Long before this many doublings the steps allow every machine of a zone.
+const MAX_DOUBLINGS: u64 = 16;
+
+impl Threshold {
+    /// Whether the state holds at this fraction, given whether it held before.
+    fn is_reached(self, fraction: f64, held_before: bool) -> bool {
+        fraction >= if held_before { self.leave } else { self.enter }
+    }
+}
 
+/// What is known of one zone.
 #[derive(Debug, Default)]
-struct State {
+struct ZoneState {
     health: ZoneHealth,
+    /// When the health last changed.
     since: Millis,
+    /// Machines at the last observation.
     machines: u32,
-    /// Deleted for silence since the zone was cut off.
-    given_up: usize,
+    /// Machines deleted for silence since the zone was partitioned.
+    deleted: usize,
 }
 
-/// All zones.
-#[derive(Debug, Default)]
-pub struct ZoneHealthTracker {
-    zones: BTreeMap<Zone, State>,
-    /// Deletions for silence within the window.
-    deleted: VecDeque<(Millis, Zone)>,
+impl ZoneState {
+    /// The health that follows from an observation and the health before.
+    fn next_health(&self, observation: ZoneObservation) -> ZoneHealth {
+        let was_partitioned = self.health == ZoneHealth::Partitioned;
+        let silent = f64::from(observation.silent) / f64::from(observation.machines);
+        let one_way = f64::from(observation.one_way) / f64::from(observation.machines);
+        // So many machines that are there and in contact one way only have not failed: it is the network.
+        let many_one_way = observation.one_way as usize >= MANY_ONE_WAY
+            || observation.one_way >= MIN_MACHINES && one_way >= MIN_ONE_WAY_FRACTION;
+        let partitioned = PARTITIONED.is_reached(silent, was_partitioned)
+            && observation.controllers_silent
+            || many_one_way && DEGRADED.is_reached(one_way, was_partitioned);
+        let degraded = DEGRADED.is_reached(silent, self.health != ZoneHealth::Healthy);
+        match (self.health, partitioned, degraded) {
+            (_, true, _) => ZoneHealth::Partitioned,
+            (ZoneHealth::Partitioned | ZoneHealth::Recovering, _, true) => ZoneHealth::Recovering,
+            (_, _, true) => ZoneHealth::Degraded,
+            _ => ZoneHealth::Healthy,
+        }
+    }
+
+    /// Whether the zone's silent machines are left alone at `now`.
+    fn holds_deletions(&self, hold: Millis, now: Millis) -> bool {
+        let elapsed = now.since(self.since);
+        match self.health {
+            ZoneHealth::Partitioned => self.deleted >= self.allowed_deletions(elapsed, hold),
+            ZoneHealth::Recovering => elapsed < STEP_INTERVAL,
+            ZoneHealth::Healthy | ZoneHealth::Degraded => false,
+        }
+    }
+
+    /// How many machines of a zone that was partitioned `elapsed` ago may have been deleted by now.
+    fn allowed_deletions(&self, elapsed: Millis, hold: Millis) -> usize {
+        if elapsed < hold {
+            return 0;
+        }
+        let doublings = (elapsed.since(hold).0 / STEP_INTERVAL.0).min(MAX_DOUBLINGS) as i32;
+        (f64::from(self.machines) * FIRST_STEP_FRACTION * 2f64.powi(doublings)).ceil() as usize
+    }
 }
 
-fn over(silent: f64, (enter, leave): (f64, f64), is: bool) -> bool {
-    silent >= if is { leave } else { enter }
+/// The health of all zones, and the deletions for silence within the window.
+#[derive(Debug, Default)]
+pub struct ZoneHealthTracker {
+    zones: BTreeMap<Zone, ZoneState>,
+    /// When a machine was deleted for silence, and in which zone; oldest first.
+    recent_deletions: VecDeque<(Millis, Zone)>,
 }
 
 impl ZoneHealthTracker {
-    /// Takes in how a zone looks; its standing, if that has changed.
+    /// Takes in what is observed of a zone; returns its health if that has changed.
     pub fn observe(
         &mut self,
         zone: &Zone,
-        seen: ZoneObservation,
+        observation: ZoneObservation,
         now: Millis,
     ) -> Option<ZoneHealth> {
         let state = self.zones.entry(zone.clone()).or_default();
-        if seen.machines < FEW {
+        if observation.machines < MIN_MACHINES {
             return None;
         }
-        state.machines = seen.machines;
-        let silent = f64::from(seen.silent) / f64::from(seen.machines);
-        let was = state.health;
-        let one_way = f64::from(seen.one_way) / f64::from(seen.machines);
-        // Many that are there, and in contact one way only, are no dead machines: it is the way to them.
-        let many = seen.one_way as usize >= LEAST || seen.one_way >= FEW && one_way >= CUT.1;
-        let cut = over(silent, CUT, was == ZoneHealth::Partitioned) && seen.controllers_silent
-            || many && over(one_way, PART, was == ZoneHealth::Partitioned);
-        let part = over(silent, PART, was != ZoneHealth::Healthy);
-        let next = match (was, cut, part) {
-            (_, true, _) => ZoneHealth::Partitioned,
-            (ZoneHealth::Partitioned | ZoneHealth::Recovering, _, true) => ZoneHealth::Recovering,
-            (_, _, true) => ZoneHealth::Degraded,
-            _ => ZoneHealth::Healthy,
-        };
-        if next == was {
+        state.machines = observation.machines;
+        let next = state.next_health(observation);
+        if next == state.health {
             return None;
         }
         if next == ZoneHealth::Partitioned {
-            state.given_up = 0;
+            state.deleted = 0;
         }
         (state.health, state.since) = (next, now);
         Some(next)
     }
 
+    /// The health of a zone; healthy if it was never observed.
+    #[must_use]
     pub fn health(&self, zone: &Zone) -> ZoneHealth {
-        self.zones.get(zone).map(|s| s.health).unwrap_or_default()
+        self.zones
+            .get(zone)
+            .map(|state| state.health)
+            .unwrap_or_default()
     }
 
-    /// Whether nothing should be started or rented there, since nobody could tell it to.
+    /// Whether nothing should be started or rented in a zone, since no command would arrive there.
+    #[must_use]
     pub fn out_of_reach(&self, zone: &Zone) -> bool {
         self.health(zone) == ZoneHealth::Partitioned
     }
 
-    /// Of machines thought lost, those that are given up now; the others stay for the time being.
-    /// No more than `max_deletions` can be deleted now; `hold` is how long a zone that is cut off is left alone.
+    /// Chooses the machines to delete now among those that are thought lost, the cheapest first; the others
+    /// are left alone for the time being. The caller must delete what is returned, as it counts against the
+    /// bound. `max_deletions` is what the caller can delete now; `hold` is how long a partitioned zone is left
+    /// alone.
+    #[must_use]
     pub fn give_up(
         &mut self,
         mut lost: Vec<SuspectedMachine>,
@@ -147,49 +235,46 @@
         hold: Millis,
         now: Millis,
     ) -> Vec<MachineId> {
-        while (self.deleted.front()).is_some_and(|(at, _)| now.since(*at) > WINDOW) {
-            self.deleted.pop_front();
-        }
-        lost.sort_by(|a, b| (a.worth, &a.machine_id).cmp(&(b.worth, &b.machine_id)));
-        let all: u32 = self.zones.values().map(|state| state.machines).sum();
-        let most = |part: f64, of: u32| LEAST.max((part * f64::from(of)) as usize);
-        let mut given_up = Vec::new();
-        let mut held = 0;
+        self.forget_old_deletions(now);
+        lost.sort_by(|a, b| {
+            (a.eviction_cost, &a.machine_id).cmp(&(b.eviction_cost, &b.machine_id))
+        });
+        let all_machines: u32 = self.zones.values().map(|state| state.machines).sum();
+        let fleet_bound = deletion_bound(MAX_FLEET_FRACTION, all_machines);
+        let mut chosen = Vec::new();
+        let mut retained = 0;
         for suspect in lost {
             let state = self.zones.entry(suspect.zone.clone()).or_default();
-            let in_zone = self.deleted.iter().filter(|(_, z)| *z == suspect.zone);
-            let bounded = in_zone.count() >= most(MOST_OF_ZONE, state.machines)
-                || self.deleted.len() >= most(MOST_OF_ALL, all);
-            let stays = match state.health {
-                ZoneHealth::Partitioned => {
-                    state.given_up >= steps(now.since(state.since), hold, state)
-                }
-                // Word of it may be on its way.
-                ZoneHealth::Recovering => now.since(state.since) < STEP,
-                ZoneHealth::Healthy | ZoneHealth::Degraded => false,
-            };
-            if bounded || stays || given_up.len() >= max_deletions {
-                held += 1;
+            let recent = &self.recent_deletions;
+            let in_zone = recent.iter().filter(|(_, zone)| *zone == suspect.zone);
+            let bounded = in_zone.count() >= deletion_bound(MAX_ZONE_FRACTION, state.machines)
+                || recent.len() >= fleet_bound;
+            let held = state.holds_deletions(hold, now);
+            if bounded || held || chosen.len() >= max_deletions {
+                retained += 1;
                 continue;
             }
-            state.given_up += 1;
-            self.deleted.push_back((now, suspect.zone));
-            given_up.push(suspect.machine_id);
+            state.deleted += 1;
+            self.recent_deletions.push_back((now, suspect.zone));
+            chosen.push(suspect.machine_id);
         }
-        if held > 0 {
-            tracing::debug!(held, "silent machines retained");
+        if retained > 0 {
+            tracing::debug!(held = retained, "silent machines retained");
         }
-        given_up
+        chosen
     }
-}
 
-/// How many machines of a zone may have been given up that was cut off so long ago.
-fn steps(cut_off: Millis, hold: Millis, state: &State) -> usize {
-    if cut_off < hold {
-        return 0;
+    fn forget_old_deletions(&mut self, now: Millis) {
+        let is_old = |(at, _): &(Millis, Zone)| now.since(*at) > DELETION_WINDOW;
+        while self.recent_deletions.front().is_some_and(is_old) {
+            self.recent_deletions.pop_front();
+        }
     }
-    let doubled = (cut_off.since(hold).0 / STEP.0).min(16) as i32;
-    (f64::from(state.machines) * FIRST_STEP * 2f64.powi(doubled)).ceil() as usize
+}
+
+/// How many of so many machines may be deleted for silence within the window.
+fn deletion_bound(fraction: f64, machines: u32) -> usize {
+    MIN_DELETION_BOUND.max((fraction * f64::from(machines)) as usize)
 }
 
 #[cfg(test)]
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn suspects(zone: &str, count: usize) -> Vec<SuspectedMachine> {
-    let worth = [
+    let eviction_costs = [
         EvictionCost::Replicas,
         EvictionCost::Idle,
         EvictionCost::Gangs,
@@ -22,7 +22,7 @@
     let suspect = |i: usize| SuspectedMachine {
         machine_id: format!("vm-{i:04}").into(),
         zone: zone.into(),
-        worth: worth[i % 4],
+        eviction_cost: eviction_costs[i % 4],
     };
     (0..count).map(suspect).collect()
 }
