--- a/crates/admission-control/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -1,16 +1,16 @@
-//! What a decision of admission costs, by the number of teams and of controllers.
+//! Cost of a decision of admission control, by the number of teams and of controllers.
 
 use std::hint::black_box;
 
 use admission_control::floors::Floors;
-use admission_control::plan::{ControllerStatus, Demand, Plan};
+use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan};
 use admission_control::slots::Slots;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 const TEAMS: [usize; 3] = [4, 50, 1_000];
 const CONTROLLERS: [usize; 3] = [3, 5, 9];
 
-/// The slots of so many teams, as a controller has them: names beyond its bound share some.
+/// The slots of this many teams, as a controller has them: names beyond its bound share some.
 fn slots(teams: usize) -> Vec<u16> {
     let names = || (0..teams).map(|n| format!("team-{n}"));
     let slots = Slots::new(names());
@@ -36,13 +36,17 @@
     group.finish();
     let mut group = criterion.benchmark_group("plan");
     for controllers in CONTROLLERS {
-        let rows: Vec<(String, ControllerStatus, Demand)> = (0..controllers)
+        let rows: Vec<ControllerDemand> = (0..controllers)
             .map(|n| {
                 let demand = Demand {
                     used: n as f64,
                     waiting: 10.0,
                 };
-                (format!("tiller-{n}"), ControllerStatus::Obeys, demand)
+                ControllerDemand {
+                    label: format!("tiller-{n}"),
+                    status: ControllerStatus::Current,
+                    demand,
+                }
             })
             .collect();
         let plan = Plan::default().next(35.0, &rows);
--- a/crates/admission-control/src/gate/tests.rs
+++ b/crates/admission-control/src/gate/tests.rs
@@ -25,15 +25,23 @@
                 continue;
             }
             luck = (luck + 0.381_966) % 1.0;
-            match gate.ask(class, false, pending as usize, 20.0, now, luck) {
+            let request = SubmissionRequest {
+                class,
+                urgency: Urgency::Normal,
+                pending: pending as usize,
+                allowed: 20.0,
+                now_s: now,
+                jitter: luck,
+            };
+            match gate.admit(request) {
                 Ok(()) => {
                     pending += 1.0;
                     counts[usize::from(class)].1 += 1;
                     user.1 = f64::INFINITY;
                 }
-                Err(pause) => {
+                Err(rejected) => {
                     sent_away += 1;
-                    let back = now + f64::from(pause);
+                    let back = now + f64::from(rejected.retry_after_s);
                     user.1 = if back - first > 60.0 {
                         f64::INFINITY
                     } else {
--- a/crates/admission-control/src/plan/tests.rs
+++ b/crates/admission-control/src/plan/tests.rs
@@ -1,10 +1,14 @@
 use super::*;
 
-fn controllers(rows: &[(ControllerStatus, f64, f64)]) -> Vec<(String, ControllerStatus, Demand)> {
+fn controllers(rows: &[(ControllerStatus, f64, f64)]) -> Vec<ControllerDemand> {
     let rows = rows.iter().enumerate();
     rows.map(|(n, (status, used, waiting))| {
         let (used, waiting) = (*used, *waiting);
-        (format!("n{n}"), *status, Demand { used, waiting })
+        ControllerDemand {
+            label: format!("n{n}"),
+            status: *status,
+            demand: Demand { used, waiting },
+        }
     })
     .collect()
 }
@@ -16,20 +20,32 @@
 
 #[test]
 fn shares_follow_demand_and_the_rest_is_even() {
-    use ControllerStatus::{Gone, Obeys};
+    use ControllerStatus::{Absent, Current};
     let cases = [
-        (vec![(Obeys, 0.0, 0.0); 3], vec![10.0, 10.0, 10.0]),
+        (vec![(Current, 0.0, 0.0); 3], vec![10.0, 10.0, 10.0]),
         (
             // Each has a base of 3; one asks for all there is.
-            vec![(Obeys, 0.0, 0.0), (Obeys, 0.0, 0.0), (Obeys, 9.0, 300.0)],
+            vec![
+                (Current, 0.0, 0.0),
+                (Current, 0.0, 0.0),
+                (Current, 9.0, 300.0),
+            ],
             vec![3.0, 3.0, 24.0],
         ),
         (
-            vec![(Obeys, 8.0, 0.0), (Obeys, 8.0, 0.0), (Obeys, 3.0, 0.0)],
+            vec![
+                (Current, 8.0, 0.0),
+                (Current, 8.0, 0.0),
+                (Current, 3.0, 0.0),
+            ],
             vec![11.7, 11.7, 6.7],
         ),
         (
-            vec![(Obeys, 5.0, 0.0), (Gone, 9.0, 90.0), (Obeys, 5.0, 0.0)],
+            vec![
+                (Current, 5.0, 0.0),
+                (Absent, 9.0, 90.0),
+                (Current, 5.0, 0.0),
+            ],
             vec![13.5, 3.0, 13.5],
         ),
     ];
@@ -43,7 +59,7 @@
 
 #[test]
 fn a_share_rises_only_by_what_surely_nobody_uses() {
-    use ControllerStatus::{Gone, Late, Obeys};
+    use ControllerStatus::{Absent, Current, Stale};
     let hungry = |standings: [ControllerStatus; 2]| {
         controllers(&[(standings[0], 0.0, 0.0), (standings[1], 10.0, 500.0)])
     };
@@ -51,15 +67,15 @@
     let rich = [("n0", 24.0), ("n1", 6.0)].map(|(n, share)| (n.to_string(), share));
     let plan = Plan {
         shares: rich.clone().into(),
-        most: rich.into(),
+        upper_bounds: rich.into(),
     };
-    for (first, after) in [(Late, 6.0), (Obeys, 6.0), (Gone, 25.5)] {
-        let next = plan.next(30.0, &hungry([first, Obeys]));
+    for (first, after) in [(Stale, 6.0), (Current, 6.0), (Absent, 25.5)] {
+        let next = plan.next(30.0, &hungry([first, Current]));
         assert_eq!(shares(&next)[1], after, "{first:?}");
         // Told of the new plan, it makes room.
-        let then = next.next(30.0, &hungry([Obeys, Obeys]));
+        let then = next.next(30.0, &hungry([Current, Current]));
         assert_eq!(shares(&then)[1], 25.5, "{first:?}");
-        let late = next.next(30.0, &hungry([Late, Obeys]));
+        let late = next.next(30.0, &hungry([Stale, Current]));
         assert_eq!(shares(&late)[1], after, "{first:?}");
     }
 }
@@ -68,8 +84,8 @@
 fn small_differences_are_not_worth_a_change() {
     let row = |waiting| {
         controllers(&[
-            (ControllerStatus::Obeys, 5.0, 0.0),
-            (ControllerStatus::Obeys, 5.0, waiting),
+            (ControllerStatus::Current, 5.0, 0.0),
+            (ControllerStatus::Current, 5.0, waiting),
         ])
     };
     let plan = Plan::default().next(30.0, &row(0.0));
--- a/crates/admission-control/src/slots.rs
+++ b/crates/admission-control/src/slots.rs
@@ -1,41 +1,42 @@
-//! Classes and teams by small numbers, so that names which users make up take no memory.
+//! Numbers for classes and teams, so that names which users make up take no memory.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Stands for a class or a team.
+/// The number of a class or a team.
 pub type Slot = u16;
 
-/// Names that nobody told us of share so many slots, as in stochastic fairness queueing.
-const UNKNOWN: u16 = 16;
-/// The most names with a slot of their own.
-const KNOWN: usize = 256;
+/// Unknown names share this many slots, as in stochastic fairness queueing.
+const UNKNOWN_SLOTS: u16 = 16;
+/// Names with a slot of their own, at most.
+const MAX_KNOWN_NAMES: usize = 256;
 
+/// The names with slots of their own, in the order of their slots.
 #[derive(Clone, Debug, Default)]
 pub struct Slots {
     known: Vec<String>,
 }
 
 impl Slots {
-    /// The names that have slots of their own; of more than there are slots for, the first.
+    /// Gives each of these names a slot of its own; of more than there are slots for, the first.
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         let mut known: Vec<String> = names.into_iter().collect();
         known.sort();
         known.dedup();
-        known.truncate(KNOWN);
+        known.truncate(MAX_KNOWN_NAMES);
         Self { known }
     }
 
-    /// The same name has the same slot on every controller that knows the same names.
+    /// The slot of a name. It is the same on every controller that knows the same names.
     pub fn of(&self, name: &str) -> Slot {
-        match self
+        let found = self
             .known
-            .binary_search_by(|known| known.as_str().cmp(name))
-        {
+            .binary_search_by(|known| known.as_str().cmp(name));
+        match found {
             Ok(index) => index as Slot,
             Err(_) => {
                 let mut hasher = DefaultHasher::new();
                 name.hash(&mut hasher);
-                self.known.len() as Slot + (hasher.finish() % u64::from(UNKNOWN)) as Slot
+                self.known.len() as Slot + (hasher.finish() % u64::from(UNKNOWN_SLOTS)) as Slot
             }
         }
     }
--- a/crates/admission-control/src/slots/tests.rs
+++ b/crates/admission-control/src/slots/tests.rs
@@ -9,5 +9,5 @@
     assert_eq!((slots.name(1), slots.name(3)), (Some("b"), None));
     let made_up: std::collections::BTreeSet<Slot> =
         (0..10_000).map(|n| slots.of(&format!("x{n}"))).collect();
-    assert!(made_up.len() <= usize::from(UNKNOWN) && made_up.iter().all(|slot| *slot > 2));
+    assert!(made_up.len() <= usize::from(UNKNOWN_SLOTS) && made_up.iter().all(|slot| *slot > 2));
 }
--- a/crates/admission-control/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashSet;
 
-use admission_control::plan::{ControllerStatus, Demand, Plan, base};
+use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, base};
 
 const LIMIT: f64 = 30.0;
 const LABELS: [&str; 2] = ["a", "b"];
@@ -60,7 +60,11 @@
             lease: Some(n),
             said: 2,
         };
-        let rows = LABELS.map(|l| (l.to_string(), ControllerStatus::Obeys, Demand::default()));
+        let rows = LABELS.map(|label| ControllerDemand {
+            label: label.to_string(),
+            status: ControllerStatus::Current,
+            demand: Demand::default(),
+        });
         let plan = Plan::default().next(LIMIT, &rows);
         Self {
             written: vec![
@@ -120,17 +124,21 @@
                 return None;
             }
             let status = match there {
-                None => ControllerStatus::Gone,
+                None => ControllerStatus::Absent,
                 Some(_)
                     if self.controllers[node].said >= newest
                         || without == Without::WaitingForWord =>
                 {
-                    ControllerStatus::Obeys
+                    ControllerStatus::Current
                 }
-                Some(_) => ControllerStatus::Late,
+                Some(_) => ControllerStatus::Stale,
             };
             let waiting = if node == hungry { 1_000.0 } else { 0.0 };
-            rows.push((label.to_string(), status, Demand { used: 0.0, waiting }));
+            rows.push(ControllerDemand {
+                label: label.to_string(),
+                status,
+                demand: Demand { used: 0.0, waiting },
+            });
         }
         let mut next = self.clone();
         next.written
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -1,7 +1,7 @@
 //! Jobs whose noted changes wait to be written, by lane, and within a lane by class.
 //!
 //! What waits here is not a finished transaction: a job's changes are written as they stand when
-//! its turn comes, so what comes meanwhile goes along at no cost.
+//! its turn comes, so changes that are noted meanwhile go along at no cost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,21 +14,25 @@
 /// What a job's changes are, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// The last end of a job: its user waits to hear that it is over.
+    /// The last completions of a job: its user waits to hear that it is over.
     Completions,
-    /// Starts, and what has to be written before a task can start again.
+    /// Placements, and what has to be written before a task can be placed again.
     Places,
-    /// Ends of some of a job's tasks. Their room is free already, so these wait best.
+    /// Completions of some of a job's tasks. Their resources are available already, so these can wait
+    /// longest.
     Gathered,
 }
 
-const LANES: [Lane; 3] = [Lane::Completions, Lane::Places, Lane::Gathered];
+/// Number of lanes.
+const LANE_COUNT: usize = 3;
+const LANES: [Lane; LANE_COUNT] = [Lane::Completions, Lane::Places, Lane::Gathered];
 
-/// Of what is written, the part that goes by the lanes' floors.
+/// The part of the writes that the lanes' floors divide; the rest goes to the most urgent lane.
 const LANE_FLOORS: f64 = 0.9;
-/// Of what a lane writes, the part that goes by the floors of classes.
+/// The part of a lane's writes that the floors of classes divide; the rest goes by due time.
 const CLASS_FLOORS: f64 = 0.5;
 
+/// The part of the lanes' floors that is a lane's.
 fn lane_weight(lane: &Lane) -> f64 {
     match lane {
         Lane::Completions => 0.35,
@@ -37,124 +41,153 @@
     }
 }
 
+/// Where a job waits. The least is the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
     lane: Lane,
-    at: Millis,
+    due: Millis,
     class: Slot,
 }
 
+/// Jobs by the time at which they are due.
+type JobsByDueTime = BTreeSet<(Millis, JobId)>;
+
+/// The jobs that wait in one lane.
 #[derive(Debug, Default)]
-struct Waiting {
-    classes: BTreeMap<Slot, BTreeSet<(Millis, JobId)>>,
+struct LaneQueue {
+    classes: BTreeMap<Slot, JobsByDueTime>,
 }
 
-impl Waiting {
-    /// Each class whose first job's turn has come, with that job's time.
-    fn due(&self, now: Millis) -> impl Iterator<Item = (Slot, Millis)> {
+impl LaneQueue {
+    /// Each class with a job that is due, and since when its first one is.
+    fn due_classes(&self, now: Millis) -> impl Iterator<Item = (Slot, Millis)> {
         let firsts = self.classes.iter().filter_map(|(class, jobs)| {
-            let (at, _) = jobs.first()?;
-            Some((*class, *at))
+            let (due, _) = jobs.first()?;
+            Some((*class, *due))
         });
-        firsts.filter(move |(_, at)| *at <= now)
+        firsts.filter(move |(_, due)| *due <= now)
+    }
+
+    fn insert(&mut self, id: JobId, turn: Turn) {
+        let jobs = self.classes.entry(turn.class).or_default();
+        jobs.insert((turn.due, id));
+    }
+
+    fn remove(&mut self, id: &JobId, turn: Turn) {
+        if let Some(jobs) = self.classes.get_mut(&turn.class) {
+            jobs.remove(&(turn.due, id.clone()));
+            if jobs.is_empty() {
+                self.classes.remove(&turn.class);
+            }
+        }
+    }
+
+    fn len(&self) -> usize {
+        self.classes.values().map(BTreeSet::len).sum()
+    }
+
+    fn overdue(&self, now: Millis) -> usize {
+        let overdue = |jobs: &JobsByDueTime| jobs.iter().take_while(|(due, _)| *due <= now).count();
+        self.classes.values().map(overdue).sum()
     }
 }
 
+/// The jobs that wait to be written, and how many are being written.
 #[derive(Debug)]
 pub struct Backlog {
-    lanes: [Waiting; 3],
-    jobs: HashMap<JobId, Turn>,
-    /// Transactions under way.
+    lanes: [LaneQueue; LANE_COUNT],
+    turns: HashMap<JobId, Turn>,
+    /// Job transactions in flight.
     pub under_way: usize,
     lane_floors: Floors<Lane>,
-    class_floors: [Floors<Slot>; 3],
+    class_floors: [Floors<Slot>; LANE_COUNT],
 }
 
 impl Default for Backlog {
     fn default() -> Self {
         Self {
             lanes: Default::default(),
-            jobs: HashMap::default(),
+            turns: HashMap::default(),
             under_way: 0,
             lane_floors: Floors::weighted(LANE_FLOORS, lane_weight),
-            class_floors: [0; 3].map(|_| Floors::equal(CLASS_FLOORS)),
+            class_floors: std::array::from_fn(|_| Floors::equal(CLASS_FLOORS)),
         }
     }
 }
 
 impl Backlog {
-    /// Sets a job's turn, unless it has one in a more urgent lane or earlier in the same.
-    pub fn add(&mut self, id: &JobId, lane: Lane, class: Slot, at: Millis) {
-        let turn = Turn { lane, at, class };
-        match self.jobs.get(id) {
+    /// Has a job wait in a lane until it is due, unless it waits in a more urgent lane already, or is
+    /// due earlier in the same lane.
+    pub fn add(&mut self, id: &JobId, lane: Lane, class: Slot, due: Millis) {
+        let turn = Turn { lane, due, class };
+        match self.turns.get(id) {
             Some(known) if *known <= turn => return,
             Some(_) => {
                 self.remove(id);
             }
             None => {}
         }
-        let classes = &mut self.lanes[lane as usize].classes;
-        classes.entry(class).or_default().insert((at, id.clone()));
-        self.jobs.insert(id.clone(), turn);
+        self.lanes[lane as usize].insert(id.clone(), turn);
+        self.turns.insert(id.clone(), turn);
     }
 
     fn remove(&mut self, id: &JobId) -> Option<Turn> {
-        let turn = self.jobs.remove(id)?;
-        let classes = &mut self.lanes[turn.lane as usize].classes;
-        if let Some(jobs) = classes.get_mut(&turn.class) {
-            jobs.remove(&(turn.at, id.clone()));
-            if jobs.is_empty() {
-                classes.remove(&turn.class);
-            }
-        }
+        let turn = self.turns.remove(id)?;
+        self.lanes[turn.lane as usize].remove(id, turn);
         Some(turn)
     }
 
+    /// Whether no job waits and none is being written.
     pub fn is_empty(&self) -> bool {
-        self.jobs.is_empty() && self.under_way == 0
+        self.turns.is_empty() && self.under_way == 0
     }
 
-    /// How many jobs wait to be written in a lane.
+    /// How many jobs wait in a lane.
     pub fn waiting(&self, lane: Lane) -> usize {
-        let classes = self.lanes[lane as usize].classes.values();
-        classes.map(BTreeSet::len).sum()
+        self.lanes[lane as usize].len()
     }
 
-    /// The jobs that wait to have starts written.
+    /// The jobs that wait to have placements written.
     pub fn placing(&self) -> Vec<JobId> {
         let classes = self.lanes[Lane::Places as usize].classes.values();
         classes.flatten().map(|(_, id)| id.clone()).collect()
     }
 
-    /// How many should have been written by now.
+    /// How many jobs should have been written by now.
     pub fn overdue(&self, now: Millis) -> usize {
         LANES.map(|lane| self.overdue_in(lane, now)).iter().sum()
     }
 
     /// The same in one lane.
     pub fn overdue_in(&self, lane: Lane, now: Millis) -> usize {
-        let classes = self.lanes[lane as usize].classes.values();
-        let due =
-            |jobs: &BTreeSet<(Millis, JobId)>| jobs.iter().take_while(|(at, _)| *at <= now).count();
-        classes.map(due).sum()
+        self.lanes[lane as usize].overdue(now)
     }
 
-    /// Takes the job whose turn it is.
+    /// Takes the job that is to be written next, if one is due.
     pub fn next(&mut self, now: Millis) -> Option<JobId> {
-        let due = |lane: &Lane| self.lanes[*lane as usize].due(now).next().is_some();
-        let waiting: Vec<Lane> = LANES.into_iter().filter(due).collect();
-        let lane = self.lane_floors.next(waiting.iter().map(|l| (*l, *l)))?;
-        self.lane_floors.served(&lane, 1.0, waiting);
-        let (jobs, floors) = (
-            &self.lanes[lane as usize],
-            &mut self.class_floors[lane as usize],
-        );
-        let class = floors.next(jobs.due(now))?;
-        floors.served(&class, 1.0, jobs.due(now).map(|(class, _)| class));
-        let (_, id) = jobs.classes.get(&class)?.first()?.clone();
+        let lane = self.next_lane(now)?;
+        let queue = &self.lanes[lane as usize];
+        let floors = &mut self.class_floors[lane as usize];
+        let class = floors.next(queue.due_classes(now))?;
+        let due_classes = queue.due_classes(now).map(|(class, _)| class);
+        floors.served(&class, 1.0, due_classes);
+        let (_, id) = queue.classes.get(&class)?.first()?.clone();
         self.remove(&id);
         Some(id)
     }
+
+    fn next_lane(&mut self, now: Millis) -> Option<Lane> {
+        let is_due = |lane: &Lane| {
+            let queue = &self.lanes[*lane as usize];
+            queue.due_classes(now).next().is_some()
+        };
+        let due: Vec<Lane> = LANES.into_iter().filter(is_due).collect();
+        let lane = self
+            .lane_floors
+            .next(due.iter().map(|lane| (*lane, *lane)))?;
+        self.lane_floors.served(&lane, 1.0, due);
+        Some(lane)
+    }
 }
 
 #[cfg(test)]
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,9 @@
-//! Admission: in which order what is scarce goes to whom. Its decisions are in `crates/admission`.
+//! Admission: who goes first when write capacity is scarce. The decisions are pure functions in
+//! `crates/admission-control`; this module has what they are made for.
+//!
+//! [`backlog`] orders the commits of task changes on this controller, [`shared`] has the plan that
+//! divides the store's write limit among controllers, and [`Flows`] maps jobs to the classes and teams
+//! that are told apart.
 
 pub mod backlog;
 pub mod shared;
@@ -8,14 +13,16 @@
 use crate::jobs::JobSpec;
 use crate::settings::Settings;
 
-/// A class and a team.
+/// The class and the team of a job, each by its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Flow {
+    /// The class's slot.
     pub class: Slot,
+    /// The team's slot.
     pub team: Slot,
 }
 
-/// The classes and teams that have floors of their own.
+/// The classes and teams that have slots, and so floors, of their own.
 #[derive(Debug)]
 pub struct Flows {
     classes: Slots,
@@ -23,9 +30,11 @@
 }
 
 impl Flows {
+    /// The classes with an objective, and the teams of the deployment.
     pub fn new(settings: &Settings) -> Self {
         let deployment = &settings.deployment;
-        let classes = deployment.objectives.iter().filter_map(|o| o.class.clone());
+        let objectives = deployment.objectives.iter();
+        let classes = objectives.filter_map(|objective| objective.class.clone());
         let teams = deployment.teams.iter().map(|team| team.name.to_string());
         Self {
             classes: Slots::new(classes),
@@ -33,6 +42,7 @@
         }
     }
 
+    /// The flow that a job belongs to.
     pub fn of(&self, spec: &JobSpec) -> Flow {
         Flow {
             class: self.classes.of(&spec.class),
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -1,46 +1,56 @@
-//! The changes that all controllers share: what each tells of its need, and the plan that divides
-//! them. Why the sum holds: `admission_control::plan`.
+//! The store's write limit, which all controllers share: what each reports of its demand, and the plan
+//! that divides the limit. Why the sum holds is told in `admission_control::plan`.
 
-use admission_control::plan::{ControllerStatus, Demand, Plan};
+use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, Rate};
 use rustc_hash::FxHashMap as HashMap;
 
 use crate::types::{ControllerId, Millis, Revision};
 
-/// The plan's record.
+/// The key of the plan's record.
 pub const PLAN: &str = "jt/admission";
-/// A plan follows another after this long at the earliest.
-const PLAN_EVERY: Millis = Millis(2_000);
-/// What is used is measured in steps of this.
-const MEASURE: Millis = Millis(500);
-/// How much the newest step counts.
-const NEWEST: f64 = 0.35;
-/// What leases take past the budget.
-const LEFT_FOR_LEASES: f64 = 0.01;
+/// Time between two plans, at least: each is a write itself.
+const MIN_PLAN_INTERVAL: Millis = Millis(2_000);
+/// The rate of writes is measured over intervals of at least this.
+const MEASUREMENT_INTERVAL: Millis = Millis(500);
+/// Weight of the newest interval in the smoothed rate.
+const SMOOTHING: f64 = 0.35;
+/// The part of the store's limit that is kept for lease renewals, which go past the budget.
+const LEASE_RESERVE: f64 = 0.01;
 
-/// What a controller said of itself.
+/// What a controller reports of itself, with every heartbeat to the others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionReport {
-    /// The plan that it obeys, if it obeys one.
+    /// The version of the plan that it follows; zero: none.
     pub obeys: Revision,
+    /// What it would write.
     pub demand: Demand,
 }
 
+/// The plan as this controller sees it, and what it knows of all controllers' demand.
 #[derive(Debug, Default)]
 pub struct Shared {
+    /// The newest plan.
     pub plan: Plan,
+    /// The version of its record.
     pub version: Revision,
+    /// The last report of each controller, this one included.
     pub said: HashMap<ControllerId, AdmissionReport>,
     /// Changes written since the last measurement.
     written: f64,
-    measured: Millis,
-    used: f64,
+    /// When the rate was last measured.
+    measured_at: Millis,
+    /// The smoothed rate, in changes a second.
+    write_rate: Rate,
+    /// A plan is being written.
     pub writing: bool,
-    planned: Millis,
-    /// What the budget was last told.
-    pub allowed: f64,
+    /// When this controller last wrote a plan.
+    planned_at: Millis,
+    /// The rate that the write budget was last set to, in changes a second.
+    pub allowed: Rate,
 }
 
 impl Shared {
+    /// Applies the plan's record; `None`: it was deleted.
     pub fn apply(&mut self, data: Option<&str>, version: Revision) {
         if version <= self.version {
             return;
@@ -54,59 +64,68 @@
         }
     }
 
+    /// Counts changes that this controller writes.
     pub fn wrote(&mut self, changes: usize) {
         self.written += changes as f64;
     }
 
-    /// Our own need; `waiting`: changes that should have been made by now.
+    /// This controller's demand. `waiting`: changes that should have been written by now.
     pub fn demand(&mut self, waiting: usize, now: Millis) -> Demand {
-        let passed = now.since(self.measured);
-        if passed >= MEASURE {
-            let rate = std::mem::take(&mut self.written) / passed.secs();
-            self.used += (rate - self.used) * NEWEST;
-            self.measured = now;
+        let elapsed = now.since(self.measured_at);
+        if elapsed >= MEASUREMENT_INTERVAL {
+            let rate = std::mem::take(&mut self.written) / elapsed.secs();
+            self.write_rate += (rate - self.write_rate) * SMOOTHING;
+            self.measured_at = now;
         }
         Demand {
-            used: self.used,
+            used: self.write_rate,
             waiting: waiting as f64,
         }
     }
 
-    /// What of the state service's limit the plan divides.
-    pub fn limit(write_rps: f64) -> f64 {
-        write_rps * (1.0 - LEFT_FOR_LEASES)
+    /// The part of the store's write limit that plans divide, in changes a second.
+    pub fn limit(write_rps: f64) -> Rate {
+        write_rps * (1.0 - LEASE_RESERVE)
     }
 
-    /// The plan to be written now, if one is worth it. `present`: who has a lease.
+    /// The plan to be written now, if one is worth it. `has_lease`: whether a controller has a lease.
     pub fn next(
         &self,
-        limit: f64,
+        limit: Rate,
         controllers: impl Iterator<Item = ControllerId>,
-        present: impl Fn(&ControllerId) -> bool,
+        has_lease: impl Fn(&ControllerId) -> bool,
         now: Millis,
     ) -> Option<Plan> {
-        if self.writing || now.since(self.planned) < PLAN_EVERY && self.version != Revision(0) {
+        let is_early = now.since(self.planned_at) < MIN_PLAN_INTERVAL;
+        if self.writing || is_early && self.version != Revision(0) {
             return None;
         }
-        let rows: Vec<(String, ControllerStatus, Demand)> = controllers
-            .map(|controller| {
-                let said = self.said.get(&controller).copied().unwrap_or_default();
-                let status = if !present(&controller) {
-                    ControllerStatus::Gone
-                } else if said.obeys == self.version && self.version != Revision(0) {
-                    ControllerStatus::Obeys
-                } else {
-                    ControllerStatus::Late
-                };
-                (controller.to_string(), status, said.demand)
-            })
+        let demands: Vec<ControllerDemand> = controllers
+            .map(|controller| self.demand_of(&controller, has_lease(&controller)))
             .collect();
-        let plan = self.plan.next(limit, &rows);
+        let plan = self.plan.next(limit, &demands);
         plan.matters(&self.plan, limit).then_some(plan)
     }
 
+    fn demand_of(&self, controller: &ControllerId, has_lease: bool) -> ControllerDemand {
+        let report = self.said.get(controller).copied().unwrap_or_default();
+        let status = if !has_lease {
+            ControllerStatus::Absent
+        } else if report.obeys == self.version && self.version != Revision(0) {
+            ControllerStatus::Current
+        } else {
+            ControllerStatus::Stale
+        };
+        ControllerDemand {
+            label: controller.to_string(),
+            status,
+            demand: report.demand,
+        }
+    }
+
+    /// Notes that this controller writes a plan now.
     pub fn planned(&mut self, now: Millis) {
         self.writing = true;
-        self.planned = now;
+        self.planned_at = now;
     }
 }
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -1,5 +1,7 @@
-//! This controller's part of what all share: what it may use, what it needs, and the plan it writes
-//! while it leads.
+//! This controller's part in dividing the store's write limit: the rate it may write at, the demand it
+//! reports, and the plan it writes while it leads.
+//!
+//! State: `commits.admission`. The others learn of the demand by the status messages between peers.
 
 use super::{CallPurpose, Controller, Effect};
 use crate::admission::shared::{AdmissionReport, PLAN, Shared};
@@ -8,28 +10,50 @@
 use crate::types::{ControllerId, Revision};
 
 impl Controller {
-    /// Whether we have a lease, by our own clock, and have seen all that was written before it.
-    /// Without the second, a controller that is back would go by a plan that counts it for gone.
+    /// Follows the newest plan, reports the demand, and writes the next plan if this controller leads.
+    pub(super) fn update_admission_plan(&mut self) {
+        let limit = Shared::limit(self.settings.deployment.state.write_rps);
+        self.follow_admission_plan(limit);
+        let report = self.admission_report();
+        self.commits.admission.said.insert(self.me.clone(), report);
+        self.write_admission_plan(limit);
+    }
+
+    /// Sets the write budget to this controller's allowance.
+    fn follow_admission_plan(&mut self, limit: f64) {
+        let base = admission_control::plan::base(limit, self.settings.controllers());
+        let is_member = self.obeys_plan();
+        let plan = &self.commits.admission.plan;
+        let allowed = plan.allowance(self.me.as_str(), is_member, base);
+        if allowed != self.commits.admission.allowed {
+            self.commits.admission.allowed = allowed;
+            self.effects.push(Effect::Allow { writes: allowed });
+        }
+    }
+
+    /// Whether this controller has a lease, by its own clock, and has seen all that was written before
+    /// it took that. Without the second, a controller that is back would follow a plan that counts it
+    /// as absent.
     fn obeys_plan(&self) -> bool {
         let OwnLease::Held { lease_id, until } = self.membership.leases.own else {
             return false;
         };
-        let mine = self.membership.leases.controllers.get(&self.me);
+        let registered = self.membership.leases.controllers.get(&self.me);
         self.now < until
-            && mine.is_some_and(|(r, version)| {
-                r.lease_id == lease_id && self.store_sync.applied >= *version
+            && registered.is_some_and(|(record, version)| {
+                record.lease_id == lease_id && self.store_sync.applied >= *version
             })
     }
 
-    /// What we tell the others, at each tick.
-    fn said(&mut self) -> AdmissionReport {
-        let calls = self
+    /// What this controller reports to the others.
+    fn admission_report(&mut self) -> AdmissionReport {
+        let unanswered_writes = self
             .calls
             .store
             .values()
-            .filter(|(_, w)| !w.is_empty())
+            .filter(|(_, written)| !written.is_empty())
             .count();
-        let waiting = calls + self.commits.backlog.overdue(self.now);
+        let waiting = unanswered_writes + self.commits.backlog.overdue(self.now);
         let obeys = if self.obeys_plan() {
             self.commits.admission.version
         } else {
@@ -41,41 +65,33 @@
         }
     }
 
-    pub(super) fn update_admission_plan(&mut self) {
-        let limit = Shared::limit(self.settings.deployment.state.write_rps);
-        let base = admission_control::plan::base(limit, self.settings.controllers());
-        let member = self.obeys_plan();
-        let plan = &self.commits.admission.plan;
-        let allowed = plan.allowance(self.me.as_str(), member, base);
-        if allowed != self.commits.admission.allowed {
-            self.commits.admission.allowed = allowed;
-            self.effects.push(Effect::Allow { writes: allowed });
-        }
-        let said = self.said();
-        self.commits.admission.said.insert(self.me.clone(), said);
-        let Some(lead) = self.leading().filter(|_| self.may_place()) else {
+    /// Writes the next plan, if this controller leads and the plan is worth a write.
+    fn write_admission_plan(&mut self, limit: f64) {
+        let Some(leader_revision) = self.leading().filter(|_| self.may_place()) else {
             return;
         };
-        let members = self.settings.members.iter().map(|m| m.label.clone());
-        let all: Vec<ControllerId> = members.chain([self.me.clone()]).collect();
-        let present =
+        let members = self.settings.members.iter();
+        let members = members.map(|member| member.label.clone());
+        let controllers: Vec<ControllerId> = members.chain([self.me.clone()]).collect();
+        let has_lease =
             |controller: &ControllerId| self.membership.leases.controllers.contains_key(controller);
-        let next = self
-            .commits
-            .admission
-            .next(limit, all.iter().cloned(), present, self.now);
+        let admission = &self.commits.admission;
+        let next = admission.next(limit, controllers.iter().cloned(), has_lease, self.now);
         let Some(plan) = next else { return };
         tracing::debug!(shares = ?plan.shares, "admission plan updated");
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), lead);
-        txn.require(PLAN.into(), self.commits.admission.version);
-        // One that is back meanwhile may go by a plan that counts on it.
-        for controller in all.iter().filter(|controller| !present(controller)) {
+        txn.require(LEADER.into(), leader_revision);
+        txn.require(PLAN.into(), admission.version);
+        // A controller that is back meanwhile may follow a plan that counts on it.
+        for controller in controllers
+            .iter()
+            .filter(|controller| !has_lease(controller))
+        {
             txn.require(controller_key(controller), Revision(0));
         }
         txn.put(PLAN.into(), &plan);
         self.commits.admission.planned(self.now);
-        // It must not wait behind what it is to speed up.
+        // It must not wait behind the writes that it is to speed up.
         self.transact(CallClass::Leases, txn, CallPurpose::Plan);
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,33 +1,43 @@
-//! What users ask: submissions, polls and cancellations.
+//! Requests of users: submissions and polls, and the answers that wait for a read barrier.
+//!
+//! A submission is idempotent: a job that is known is answered with its state. Answers to polls, and
+//! refusals, wait until the cache is proved to be as new as the request. State: [`UserRequests`].
 
-use crate::jobs::cancel::Cancelling;
+use admission_control::gate::{SubmissionRequest, Urgency};
 use rand::Rng;
 use rustc_hash::FxHashMap as HashMap;
 
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller, Effect};
 use crate::jobs::api::{self, Refusal, Refused, Response, is_final};
+use crate::jobs::cancel::PendingCancellations;
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// Without an answer of the state service for this long, users are told to come back.
-const STORE_LOST: Millis = Millis(2_500);
+/// Without an answer of the key-value store for this long, users are asked to come back.
+const STORE_TIMEOUT: Millis = Millis(2_500);
+/// Seconds after which users are asked to come back while the store or the fleet is not known.
+const NOT_READY_RETRY_S: u32 = 2;
 
 /// Requests of users that wait for the store or for tasks to end.
 #[derive(Debug, Default)]
 pub(super) struct UserRequests {
-    /// Submissions in flight, with everyone who asked.
-    pub(super) submitting: HashMap<JobId, Vec<ReplyId>>,
-    pub(super) cancellations: Cancelling,
+    /// Submissions in flight, with all requests that wait for each.
+    submitting: HashMap<JobId, Vec<ReplyId>>,
+    /// Requests that wait for the end of cancelled jobs.
+    pub(super) cancellations: PendingCancellations,
 }
 
 impl Controller {
+    /// Answers a request of a user.
     pub(super) fn tell(&mut self, reply: ReplyId, response: Response) {
         self.effects.push(Effect::User { reply, response });
     }
 
+    /// Handles a submission: answers with the job's state if it is known, else checks it and commits the
+    /// job's record.
     pub(super) fn on_submit(
         &mut self,
         reply: ReplyId,
@@ -41,11 +51,8 @@
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
         }
-        if !self.store_sync.synced
-            || self.autoscaler.type_specs.is_empty()
-            || self.without_store() > STORE_LOST
-        {
-            return self.tell(reply, Response::Later(2));
+        if !self.store_is_ready() || self.autoscaler.type_specs.is_empty() {
+            return self.tell(reply, Response::Later(NOT_READY_RETRY_S));
         }
         if let Some(waiting) = self.requests.submitting.get_mut(&id) {
             waiting.push(reply);
@@ -55,43 +62,62 @@
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
-        let (class, urgent) = (
-            self.commits.flows.of(&spec).class,
-            spec.priority >= PriorityClass::Urgent,
-        );
-        let (pending, luck) = (self.requests.submitting.len(), self.rng.random());
-        let (allowed, now) = (self.commits.admission.allowed, self.now.secs());
-        let asked = self
-            .commits
-            .gate
-            .ask(class, urgent, pending, allowed, now, luck);
-        if let Err(pause) = asked {
-            tracing::debug!(job = %id, pending, pause, "submission rejected by admission control");
-            return self.tell(reply, Response::Later(pause));
+        if let Err(retry_s) = self.admit_now(&id, &spec) {
+            return self.tell(reply, Response::Later(retry_s));
         }
+        self.requests.submitting.insert(id.clone(), vec![reply]);
+        self.commit_submission(id, spec);
+    }
+
+    /// Whether the store answers, and all its records are in the cache.
+    fn store_is_ready(&self) -> bool {
+        self.store_sync.synced && self.without_store() <= STORE_TIMEOUT
+    }
+
+    /// Asks admission control to take a submission now. If it is not taken: the seconds until its user
+    /// should come back.
+    fn admit_now(&mut self, id: &JobId, spec: &JobSpec) -> Result<(), u32> {
+        let pending = self.requests.submitting.len();
+        let urgency = if spec.priority >= PriorityClass::Urgent {
+            Urgency::Urgent
+        } else {
+            Urgency::Normal
+        };
+        let request = SubmissionRequest {
+            class: self.commits.flows.of(spec).class,
+            urgency,
+            pending,
+            allowed: self.commits.admission.allowed,
+            now_s: self.now.secs(),
+            jitter: self.rng.random(),
+        };
+        self.commits.gate.admit(request).map_err(|rejected| {
+            let pause = rejected.retry_after_s;
+            tracing::debug!(job = %id, pending, pause, "submission rejected by admission control");
+            pause
+        })
+    }
+
+    fn commit_submission(&mut self, id: JobId, spec: JobSpec) {
         let deployment = &self.settings.deployment;
-        let longest = deployment
-            .zones
-            .iter()
-            .map(|z| z.as_str().len())
-            .max()
-            .unwrap_or(0);
+        let zones = deployment.zones.iter();
+        let longest_zone = zones.map(|zone| zone.as_str().len()).max().unwrap_or(0);
         let record = JobRecord {
             phase: Phase::Active,
             owner: self.me.clone(),
             tasks: spec.tasks,
-            page: page_size(deployment.state.value_kb, longest),
+            page: page_size(deployment.state.value_kb, longest_zone),
             spec: Some(spec),
         };
         let mut txn = Transaction::default();
         txn.require(job_key(&id), Revision(0));
         txn.put(job_key(&id), &record);
-        self.requests.submitting.insert(id.clone(), vec![reply]);
         self.transact(CallClass::Submissions, txn, CallPurpose::Submit { job: id });
     }
 
-    /// A job that was accepted once is never refused, whatever has changed since in its body or the settings:
-    /// nobody is refused by a cache that may be behind.
+    /// Refuses a submission, unless its job is known after a read barrier. A job that was accepted once
+    /// is never refused, whatever has changed since in its body or the settings, and the cache may be
+    /// behind.
     fn refuse(&mut self, reply: ReplyId, job: JobId, why: Refusal) {
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
@@ -99,13 +125,14 @@
         self.ask_fresh(PendingRead::Refuse { reply, job, why });
     }
 
+    /// Handles the store's answer to a submission.
     pub(super) fn on_submitted(&mut self, id: JobId, answer: StoreResponse) {
         let replies = self.requests.submitting.remove(&id).unwrap_or_default();
         for reply in replies {
             match answer {
                 StoreResponse::Committed(_) => self.tell(reply, Response::Accepted(id.clone())),
-                // Known already: from another controller, or from a request of ours that was
-                // thought lost.
+                // Known already: from another controller, or from an earlier request of this one that
+                // was thought lost.
                 StoreResponse::Conflict(revision) => {
                     let job = id.clone();
                     self.once_applied(revision, self.now, PendingRead::State { reply, job });
@@ -119,15 +146,16 @@
         }
     }
 
-    /// Asks for a proof unless the state service is away anyway.
+    /// Waits for a read barrier, or gives up at once if the store does not answer anyway.
     pub(super) fn ask_fresh(&mut self, after: PendingRead) {
-        if self.without_store() > STORE_LOST || !self.store_sync.synced {
-            self.not_proved(after);
-        } else {
+        if self.store_is_ready() {
             self.once_fresh(after);
+        } else {
+            self.not_proved(after);
         }
     }
 
+    /// Handles a poll of a job's state. Final states don't change, so only others need a read barrier.
     pub(super) fn on_poll(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
             Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
@@ -135,7 +163,7 @@
         }
     }
 
-    /// The cache is as new as the request now.
+    /// Goes on with what waited for a read barrier: the cache is as new as the request now.
     pub(super) fn go_on(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job } => {
@@ -159,6 +187,7 @@
         }
     }
 
+    /// Gives up a read barrier that was not reached in time.
     pub(super) fn not_proved(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job }
@@ -168,7 +197,7 @@
                 self.tell(reply, Response::later());
             }
             PendingRead::Clear { job } => self.clear(&job),
-            // A transaction's fate must become known, however long it takes.
+            // The outcome of a transaction must become known, however long it takes.
             settle @ PendingRead::Settle { .. } => {
                 self.store_sync.read_barrier.next.push((self.now, settle))
             }
--- a/src/jobs/cancel.rs
+++ b/src/jobs/cancel.rs
@@ -1,57 +1,71 @@
-//! Users who wait to hear that their job is cancelled.
+//! Users who wait for the end of a job that they cancelled.
 //!
-//! They are told once no task of it is left on any machine, by evidence: what is told then can't
-//! be made untrue by a machine that nobody reaches.
+//! They are answered once no task of it is left on any machine, by evidence: a machine that no
+//! controller can reach must not make that answer untrue later.
 
 use std::collections::BTreeMap;
 
 use crate::types::{JobId, Millis, ReplyId};
 
-/// A user waits this long for the tasks to go before being told to ask again.
-const WAITS: Millis = Millis(500);
+/// How long a user waits for the tasks to leave before being asked to come back.
+const REPLY_TIMEOUT: Millis = Millis(500);
 
+/// A request that waits for the end of a job.
+#[derive(Debug)]
+struct WaitingReply {
+    reply: ReplyId,
+    deadline: Millis,
+}
+
+/// Requests that wait for the end of cancelled jobs.
 #[derive(Debug, Default)]
-pub struct Cancelling {
-    waiting: BTreeMap<JobId, Vec<(ReplyId, Millis)>>,
+pub struct PendingCancellations {
+    waiting: BTreeMap<JobId, Vec<WaitingReply>>,
 }
 
-impl Cancelling {
+impl PendingCancellations {
+    /// Adds a request that waits for the end of a job from now on.
     pub fn add(&mut self, job: &JobId, reply: ReplyId, now: Millis) {
+        let deadline = now + REPLY_TIMEOUT;
         let waiting = self.waiting.entry(job.clone()).or_default();
-        waiting.push((reply, now + WAITS));
+        waiting.push(WaitingReply { reply, deadline });
     }
 
+    /// Whether a request waits for the end of a job.
     pub fn waits_for(&self, job: &JobId) -> bool {
         self.waiting.contains_key(job)
     }
 
-    /// Whose job is over now.
-    pub fn over(&mut self, over: impl Fn(&JobId) -> bool) -> Vec<(JobId, ReplyId)> {
-        let mut told = Vec::new();
+    /// Takes the requests whose job is over.
+    #[must_use]
+    pub fn take_finished(&mut self, is_over: impl Fn(&JobId) -> bool) -> Vec<(JobId, ReplyId)> {
+        let mut finished = Vec::new();
         self.waiting.retain(|job, replies| {
-            let ended = over(job);
-            if ended {
-                told.extend(replies.iter().map(|(reply, _)| (job.clone(), *reply)));
+            let over = is_over(job);
+            if over {
+                let replies = replies.iter().map(|waiting| (job.clone(), waiting.reply));
+                finished.extend(replies);
             }
-            !ended
+            !over
         });
-        told
+        finished
     }
 
-    /// Who has waited long enough.
-    pub fn late(&mut self, now: Millis) -> Vec<ReplyId> {
-        let mut late = Vec::new();
+    /// Takes the requests that have waited long enough.
+    #[must_use]
+    pub fn take_expired(&mut self, now: Millis) -> Vec<ReplyId> {
+        let mut expired = Vec::new();
         self.waiting.retain(|_, replies| {
-            replies.retain(|(reply, until)| {
-                let waits = now < *until;
-                if !waits {
-                    late.push(*reply);
+            replies.retain(|waiting| {
+                let in_time = now < waiting.deadline;
+                if !in_time {
+                    expired.push(waiting.reply);
                 }
-                waits
+                in_time
             });
             !replies.is_empty()
         });
-        late
+        expired
     }
 }
 
