--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -29,7 +29,7 @@
         };
         self.commits
             .completions
-            .tell(owner, job, held_token, self.now)
+            .forward(owner, job, held_token, self.now)
     }
 
     /// Sends the departures that wait for their owners, and schedules commits of those that an owner
@@ -40,12 +40,12 @@
             jobs.get(id)
                 .is_some_and(|job| job.writing == Writing::Idle && !job.changes.is_empty())
         };
-        let mut due = self.commits.completions.pending(unwritten);
-        due.extend(self.commits.completions.due(self.now));
+        let mut due = self.commits.completions.retain_unwritten(unwritten);
+        due.extend(self.commits.completions.due_scans(self.now));
         for id in due {
             self.commit(&id);
         }
-        for (to, departures) in self.commits.completions.take() {
+        for (to, departures) in self.commits.completions.take_outbox() {
             let message = Message::TasksDeparted(departures);
             self.effects.push(Effect::Peer { to, message });
         }
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -97,7 +97,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         if job.writing != Writing::Idle
             || job.changes.is_empty()
-            || self.commits.completions.waits(job, self.now)
+            || self.commits.completions.defers_scan(job, self.now)
         {
             return;
         }
--- /dev/null
+++ b/src/jobs/api/feasibility.rs
@@ -0,0 +1,65 @@
+//! Checks that a job can ever run on the machine types, zones and quotas that there are.
+
+use std::collections::BTreeSet;
+
+use super::Refusal;
+use crate::fleet::MachineTypeSpec;
+use crate::jobs::{JobKind, JobSpec};
+use crate::settings::Settings;
+use crate::types::Zone;
+
+/// Accepts a job that can run at some time. Drops the allowed machine types that don't exist, so that
+/// the record stays small whatever the user listed.
+///
+/// # Errors
+/// Why the job can never run.
+pub fn admit(
+    mut spec: JobSpec,
+    settings: &Settings,
+    type_specs: &[MachineTypeSpec],
+) -> Result<JobSpec, Refusal> {
+    let never_runs = |reason: String| Err(Refusal::NeverRuns(reason));
+    let Some(team) = settings.team(&spec.team) else {
+        return never_runs(format!("crew: no team is called {}", spec.team));
+    };
+    if let Some(machine_types) = &mut spec.machine_types {
+        machine_types
+            .retain(|machine_type| type_specs.iter().any(|known| known.id == *machine_type));
+        machine_types.dedup();
+    }
+    let zones = feasible_zones(&spec, type_specs);
+    if zones.is_empty() {
+        return never_runs("a task fits no allowed machine type".into());
+    }
+    let confined = spec.one_zone || zones.len() == 1;
+    if spec.kind != JobKind::Array && spec.spread && confined && spec.zone_share() < spec.tasks {
+        return never_runs("spread: all tasks would have to be in one zone".into());
+    }
+    let concurrent_tasks = match spec.kind {
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks,
+    };
+    if !crate::quota::within(spec.resources.times(f64::from(concurrent_tasks)), team) {
+        return never_runs(format!(
+            "the job needs more than the limit of {}",
+            spec.team
+        ));
+    }
+    Ok(spec)
+}
+
+/// The zones with an allowed machine type that a task fits on.
+fn feasible_zones<'a>(spec: &JobSpec, type_specs: &'a [MachineTypeSpec]) -> BTreeSet<&'a Zone> {
+    type_specs
+        .iter()
+        .filter(|machine_type| spec.resources.fits_in(machine_type.resources))
+        .flat_map(|machine_type| {
+            machine_type
+                .zones
+                .iter()
+                .map(|zone| (&machine_type.id, zone))
+        })
+        .filter(|(machine_type, zone)| spec.allows(machine_type, zone, false))
+        .map(|(_, zone)| zone)
+        .collect()
+}
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -1,246 +1,99 @@
 //! The users' interface: what submissions must look like, and the answers.
+//!
+//! [`submission`] parses a request body into a [`JobSpec`](super::JobSpec), [`feasibility`] checks
+//! that the job can ever run, and this module has the answers. HTTP itself is in `http_server`.
 
-use std::collections::BTreeSet;
+mod feasibility;
+mod submission;
 
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
+use thiserror::Error;
 
-use super::{JobKind, JobSpec, PriorityClass};
-use crate::fleet::MachineTypeSpec;
-use crate::settings::Settings;
-use crate::types::{Image, JobId, MachineTypeId, Resources, Team, Zone};
+use crate::types::JobId;
+pub use feasibility::admit;
+pub use submission::{LARGEST_BODY, parse};
 
-/// No request body is larger.
-pub const LARGEST_BODY: usize = 64 * 1024;
-const MOST_TASKS: u64 = 100_000;
-const LONGEST_NAME: usize = 256;
-/// Amounts beyond this are surely mistakes.
-const LARGEST_AMOUNT: f64 = 1e12;
-
-#[derive(Deserialize)]
-struct SubmitBody {
-    id: String,
-    #[serde(rename = "lot")]
-    class: String,
-    #[serde(rename = "crew")]
-    team: Team,
-    #[serde(rename = "shape")]
-    kind: JobKind,
-    #[serde(rename = "rank")]
-    priority: PriorityClass,
-    #[serde(rename = "picks")]
-    tasks: u64,
-    vcpus: f64,
-    accelerators: f64,
-    #[serde(rename = "memoryGb")]
-    memory_gb: f64,
-    #[serde(rename = "kit")]
-    image: Image,
-    #[serde(rename = "sizeGb")]
-    size_gb: f64,
-    #[serde(rename = "rigs")]
-    machine_types: Option<Vec<MachineTypeId>>,
-    #[serde(rename = "yard")]
-    zone: Option<Zone>,
-    #[serde(rename = "oneZone")]
-    one_zone: bool,
-    spread: bool,
-    #[serde(rename = "loaners")]
-    spot: bool,
-    #[serde(rename = "expectS")]
-    estimate_s: f64,
-    #[serde(rename = "markS")]
-    checkpoint_s: f64,
-    #[serde(rename = "stashS")]
-    save_s: f64,
-    #[serde(rename = "dueS")]
-    due_s: Option<f64>,
-}
-
-/// Why a submission is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a submission is not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// 400
+    /// The body is not a job; HTTP status 400.
+    #[error("{0}")]
     Malformed(String),
-    /// 422
+    /// The job can't ever run; HTTP status 422.
+    #[error("{0}")]
     NeverRuns(String),
 }
 
-/// A submission that is not taken, and the job that it is about if that could be read: one that is known
+impl Refusal {
+    fn malformed(reason: &str) -> Self {
+        Self::Malformed(reason.to_string())
+    }
+}
+
+/// A submission that is not accepted, and the job that it is about if that could be read: a known job
 /// is answered with its state, whatever else its user sends.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("submission refused: {why}")]
 pub struct Refused {
+    /// The job, if the body has a well-formed id.
     pub id: Option<JobId>,
+    /// Why it is refused.
+    #[source]
     pub why: Refusal,
 }
 
-#[derive(Deserialize)]
-struct OnlyId {
-    id: String,
-}
-
-/// Reads a submission; a refusal names the first field that is wrong.
-pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), Refused> {
-    if body.len() > LARGEST_BODY {
-        let why = Refusal::Malformed("the body is larger than 64 KiB".into());
-        return Err(Refused { id: None, why });
-    }
-    read(body).map_err(|why| {
-        let id = serde_json::from_slice::<OnlyId>(body).ok().map(|b| b.id);
-        let id = id.filter(|id| JobId::well_formed(id));
-        Refused {
-            id: id.map(|id| id.as_str().into()),
-            why,
-        }
-    })
-}
-
-fn read(body: &[u8]) -> Result<(JobId, JobSpec), Refusal> {
-    let malformed = |reason: &str| Refusal::Malformed(reason.to_string());
-    let mut json = serde_json::Deserializer::from_slice(body);
-    let b: SubmitBody = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-        let field = e.path().to_string();
-        let reason = e.into_inner().to_string();
-        // A field that is missing or doubled is named by the reason.
-        Refusal::Malformed(match field.as_str() {
-            "." => reason,
-            field => format!("{field}: {reason}"),
-        })
-    })?;
-    json.end().map_err(|e| Refusal::Malformed(e.to_string()))?;
-    if !JobId::well_formed(&b.id) {
-        return Err(malformed("id: must be job- and digits"));
-    }
-    if b.tasks == 0 || b.tasks > MOST_TASKS {
-        return Err(malformed("picks: must lie between 1 and 100000"));
-    }
-    let amounts = [
-        ("vcpus", b.vcpus),
-        ("accelerators", b.accelerators),
-        ("memoryGb", b.memory_gb),
-        ("sizeGb", b.size_gb),
-        ("expectS", b.estimate_s),
-        ("markS", b.checkpoint_s),
-        ("stashS", b.save_s),
-        ("dueS", b.due_s.unwrap_or(0.0)),
-    ];
-    for (field, amount) in amounts {
-        if !(0.0..=LARGEST_AMOUNT).contains(&amount) {
-            return Err(Refusal::Malformed(format!("{field}: out of range")));
-        }
-    }
-    let names = [
-        ("lot", b.class.as_str()),
-        ("kit", b.image.as_str()),
-        ("crew", b.team.as_str()),
-    ];
-    for (field, name) in names {
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(Refusal::Malformed(format!(
-                "{field}: must have 1 to 256 bytes"
-            )));
-        }
-    }
-    let spec = JobSpec {
-        class: b.class,
-        team: b.team,
-        kind: b.kind,
-        priority: b.priority,
-        tasks: b.tasks as u32,
-        resources: Resources {
-            cpus: b.vcpus,
-            gpus: b.accelerators,
-            memory_gb: b.memory_gb,
-        },
-        image: b.image,
-        image_gb: b.size_gb,
-        machine_types: b.machine_types,
-        zone: b.zone,
-        one_zone: b.one_zone,
-        spread: b.spread,
-        spot: b.spot,
-        estimate_s: b.estimate_s,
-        checkpoint_s: b.checkpoint_s,
-        save_s: b.save_s,
-        due_s: b.due_s,
-    };
-    Ok((b.id.as_str().into(), spec))
-}
-
-/// Whether the job can ever run; drops the allowed types that don't exist, so that the record
-/// stays small whatever the user listed.
-pub fn admit(
-    mut spec: JobSpec,
-    settings: &Settings,
-    type_specs: &[MachineTypeSpec],
-) -> Result<JobSpec, Refusal> {
-    let never = |reason: String| Err(Refusal::NeverRuns(reason));
-    let Some(team) = settings.team(&spec.team) else {
-        return never(format!("crew: no team is called {}", spec.team));
-    };
-    if let Some(machine_types) = &mut spec.machine_types {
-        machine_types.retain(|machine_type| type_specs.iter().any(|f| f.id == *machine_type));
-        machine_types.dedup();
-    }
-    let roomy = type_specs
-        .iter()
-        .filter(|f| spec.resources.fits_in(f.resources));
-    let places = roomy.flat_map(|f| f.zones.iter().map(move |zone| (&f.id, zone)));
-    let places = places.filter(|(machine_type, zone)| spec.allows(machine_type, zone, false));
-    let zones: BTreeSet<&Zone> = places.map(|(_, zone)| zone).collect();
-    if zones.is_empty() {
-        return never("a task fits no allowed machine type".into());
-    }
-    let in_one = spec.one_zone || zones.len() == 1;
-    if spec.kind != JobKind::Array && spec.spread && in_one && spec.zone_share() < spec.tasks {
-        return never("spread: all tasks would have to be in one zone".into());
-    }
-    let at_once = match spec.kind {
-        JobKind::Array => 1,
-        JobKind::Gang | JobKind::Service => spec.tasks,
-    };
-    if !crate::quota::within(spec.resources.times(f64::from(at_once)), team) {
-        return never(format!(
-            "the job needs more than the limit of {}",
-            spec.team
-        ));
-    }
-    Ok(spec)
-}
-
+/// What users see of a job's progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStage {
+    /// No task is on a machine.
     Queued,
+    /// Tasks are on machines.
     Running,
+    /// All tasks are done.
     Done,
+    /// The job was cancelled, and no task of it is on any machine.
     Aborted,
 }
 
+/// The state of a job, as users are told.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobState {
+    /// The job's id.
     pub id: JobId,
+    /// How far it is.
     pub stage: JobStage,
+    /// How many tasks are done.
     pub done: u32,
+    /// How many tasks are on machines.
     pub running: u32,
 }
 
+/// Whether a job's state won't change any more.
 pub fn is_final(state: &JobState) -> bool {
     matches!(state.stage, JobStage::Done | JobStage::Aborted)
 }
 
-/// What a user is told.
+/// The answer to a user's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
+    /// The job was submitted by this request.
     Accepted(JobId),
+    /// The state of a job that was known before.
     State(JobState),
+    /// The body is not a job, and why.
     Malformed(String),
+    /// The job can't ever run, and why.
     NeverRuns(String),
+    /// There is no such job.
     Unknown,
     /// Not now: come back after this many seconds.
     Later(u32),
 }
 
 impl Response {
+    /// Asks the user to come back soon.
+    #[must_use]
     pub fn later() -> Self {
         Response::Later(1)
     }
--- /dev/null
+++ b/src/jobs/api/submission.rs
@@ -0,0 +1,183 @@
+//! Parses submissions, and names the first field that is wrong.
+
+use serde::Deserialize;
+
+use super::{Refusal, Refused};
+use crate::jobs::{JobKind, JobSpec, PriorityClass};
+use crate::types::{Image, JobId, MachineTypeId, Resources, Team, Zone};
+
+/// The largest request body, in bytes.
+pub const LARGEST_BODY: usize = 64 * 1024;
+/// Tasks of a job, at most.
+const MAX_TASKS: u64 = 100_000;
+/// Bytes of a name, at most.
+const MAX_NAME_BYTES: usize = 256;
+/// Larger amounts are surely mistakes, and would not add up exactly.
+const MAX_AMOUNT: f64 = 1e12;
+
+/// A submission's body. Fields that are not listed are ignored.
+#[derive(Deserialize)]
+struct SubmitBody {
+    id: String,
+    #[serde(rename = "lot")]
+    class: String,
+    #[serde(rename = "crew")]
+    team: Team,
+    #[serde(rename = "shape")]
+    kind: JobKind,
+    #[serde(rename = "rank")]
+    priority: PriorityClass,
+    #[serde(rename = "picks")]
+    tasks: u64,
+    vcpus: f64,
+    accelerators: f64,
+    #[serde(rename = "memoryGb")]
+    memory_gb: f64,
+    #[serde(rename = "kit")]
+    image: Image,
+    #[serde(rename = "sizeGb")]
+    size_gb: f64,
+    #[serde(rename = "rigs")]
+    machine_types: Option<Vec<MachineTypeId>>,
+    #[serde(rename = "yard")]
+    zone: Option<Zone>,
+    #[serde(rename = "oneZone")]
+    one_zone: bool,
+    spread: bool,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "expectS")]
+    estimate_s: f64,
+    #[serde(rename = "markS")]
+    checkpoint_s: f64,
+    #[serde(rename = "stashS")]
+    save_s: f64,
+    #[serde(rename = "dueS")]
+    due_s: Option<f64>,
+}
+
+/// The id alone, of a body that is wrong otherwise.
+#[derive(Deserialize)]
+struct OnlyId {
+    id: String,
+}
+
+/// Parses a submission.
+///
+/// # Errors
+/// A refusal that names the first field that is wrong, with the job's id if that is well formed.
+pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), Refused> {
+    if body.len() > LARGEST_BODY {
+        let why = Refusal::malformed("the body is larger than 64 KiB");
+        return Err(Refused { id: None, why });
+    }
+    let checked = deserialize(body).and_then(|submission| {
+        submission.check()?;
+        Ok(submission)
+    });
+    match checked {
+        Ok(submission) => Ok(submission.into()),
+        Err(why) => Err(Refused {
+            id: parse_id(body),
+            why,
+        }),
+    }
+}
+
+fn parse_id(body: &[u8]) -> Option<JobId> {
+    let OnlyId { id } = serde_json::from_slice(body).ok()?;
+    JobId::well_formed(&id).then(|| id.as_str().into())
+}
+
+fn deserialize(body: &[u8]) -> Result<SubmitBody, Refusal> {
+    let mut json = serde_json::Deserializer::from_slice(body);
+    let submission = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        let field = error.path().to_string();
+        let reason = error.into_inner().to_string();
+        // A field that is missing or doubled is named by the reason.
+        Refusal::Malformed(match field.as_str() {
+            "." => reason,
+            field => format!("{field}: {reason}"),
+        })
+    })?;
+    json.end()
+        .map_err(|error| Refusal::Malformed(error.to_string()))?;
+    Ok(submission)
+}
+
+impl SubmitBody {
+    fn check(&self) -> Result<(), Refusal> {
+        if !JobId::well_formed(&self.id) {
+            return Err(Refusal::malformed("id: must be job- and digits"));
+        }
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
+            return Err(Refusal::malformed("picks: must lie between 1 and 100000"));
+        }
+        self.check_amounts()?;
+        self.check_names()
+    }
+
+    fn check_amounts(&self) -> Result<(), Refusal> {
+        let amounts = [
+            ("vcpus", self.vcpus),
+            ("accelerators", self.accelerators),
+            ("memoryGb", self.memory_gb),
+            ("sizeGb", self.size_gb),
+            ("expectS", self.estimate_s),
+            ("markS", self.checkpoint_s),
+            ("stashS", self.save_s),
+            ("dueS", self.due_s.unwrap_or(0.0)),
+        ];
+        for (field, amount) in amounts {
+            if !(0.0..=MAX_AMOUNT).contains(&amount) {
+                return Err(Refusal::Malformed(format!("{field}: out of range")));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_names(&self) -> Result<(), Refusal> {
+        let names = [
+            ("lot", self.class.as_str()),
+            ("kit", self.image.as_str()),
+            ("crew", self.team.as_str()),
+        ];
+        for (field, name) in names {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                let reason = format!("{field}: must have 1 to 256 bytes");
+                return Err(Refusal::Malformed(reason));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The job that a checked body describes.
+impl From<SubmitBody> for (JobId, JobSpec) {
+    fn from(body: SubmitBody) -> Self {
+        let spec = JobSpec {
+            class: body.class,
+            team: body.team,
+            kind: body.kind,
+            priority: body.priority,
+            tasks: body.tasks as u32,
+            resources: Resources {
+                cpus: body.vcpus,
+                gpus: body.accelerators,
+                memory_gb: body.memory_gb,
+            },
+            image: body.image,
+            image_gb: body.size_gb,
+            machine_types: body.machine_types,
+            zone: body.zone,
+            one_zone: body.one_zone,
+            spread: body.spread,
+            spot: body.spot,
+            estimate_s: body.estimate_s,
+            checkpoint_s: body.checkpoint_s,
+            save_s: body.save_s,
+            due_s: body.due_s,
+        };
+        (body.id.as_str().into(), spec)
+    }
+}
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -1,9 +1,9 @@
-//! Tasks that left their machines, on their way to the controller that writes their job.
+//! Forwards departures of tasks to the controller that owns their job.
 //!
-//! A job's tasks stand on the machines of several holders, and each of them used to write what it
-//! saw itself: several changes for what fits one, and half of them overtaken by each other. So the
-//! holder tells the job's home, which writes for all. What the home can't do, or does not in time,
-//! the holder still writes itself.
+//! A job's tasks run on machines of several shard holders. If each holder wrote what it sees itself,
+//! that would cost several transactions where one is enough, and half of them would conflict. So a
+//! holder forwards departures to the job's owner, which writes for all holders. What the owner can't
+//! write, or does not write in time, the holder still writes itself.
 
 use std::collections::BTreeMap;
 
@@ -13,120 +13,141 @@
 use crate::peers::TaskDeparture;
 use crate::types::{Attempt, ControllerId, FencingToken, JobId, Millis};
 
-/// What was told is told again after this long: a message may be lost.
-const AGAIN: Millis = Millis(4_000);
-/// A message of this many fits a frame by far.
-const MOST: usize = 2_000;
+/// A departure that the records don't show is sent again after this long: a message may be lost.
+const RESEND_INTERVAL: Millis = Millis(4_000);
+/// Departures in one message, at most; a message of this size fits a frame by far.
+const MAX_DEPARTURES: usize = 2_000;
 
-/// A job with more noted changes than this is looked over only so often: each look goes through all
-/// of them, and an array of 25,000 tasks has some in every heartbeat.
-const MANY: usize = 100;
-const LOOK_EVERY: Millis = Millis(400);
+/// Jobs with more noted changes than this are scanned at most every `SCAN_INTERVAL`: each scan goes
+/// through all changes, and an array of 25,000 tasks has some in every heartbeat.
+const MAX_UNTHROTTLED_CHANGES: usize = 100;
+const SCAN_INTERVAL: Millis = Millis(400);
 
+/// The last scan of a job with many noted changes.
 #[derive(Debug, Default)]
-pub struct CompletionForwarder {
-    /// Jobs with many changes, when they were looked over last, and whether there is more since.
-    looked: HashMap<JobId, (Millis, bool)>,
-    forwarded_at: HashMap<JobId, BTreeMap<u32, (Attempt, Millis)>>,
-    outbox: BTreeMap<ControllerId, Vec<TaskDeparture>>,
+struct Scan {
+    /// When it was.
+    at: Millis,
+    /// Whether another scan was deferred since.
+    deferred: bool,
 }
 
-/// What is told of a change, if it is one that another may write: evidence of its holder.
-fn forwarded_at(
-    id: &JobId,
-    index: u32,
-    change: &TaskChange,
-    token: impl Fn(u32) -> Option<FencingToken>,
-) -> Option<TaskDeparture> {
-    let (attempt, token, done) = match change {
-        TaskChange::Finish { attempt } => (*attempt, token(index)?, true),
-        TaskChange::Release {
-            attempt,
-            evidence: Evidence::Holder(token),
-        } => (*attempt, *token, false),
-        TaskChange::Release { .. } | TaskChange::Place(_) => return None,
-    };
-    Some(TaskDeparture {
-        job: id.to_string(),
-        index,
-        attempt: attempt.0,
-        token: token.0,
-        done,
-    })
+/// What was forwarded for each task of a job: the attempt that left, and when it was last sent.
+type ForwardedTasks = BTreeMap<u32, (Attempt, Millis)>;
+
+/// Departures on their way to the owners of their jobs.
+#[derive(Debug, Default)]
+pub struct CompletionForwarder {
+    /// The last scans of jobs with many noted changes.
+    scans: HashMap<JobId, Scan>,
+    /// What was forwarded, and perhaps not written yet.
+    forwarded: HashMap<JobId, ForwardedTasks>,
+    /// What is to be sent, by owner.
+    outbox: BTreeMap<ControllerId, Vec<TaskDeparture>>,
 }
 
 impl CompletionForwarder {
-    /// Whether a look at the job's changes can wait; it comes up again in `due`.
-    pub fn waits(&mut self, job: &Job, now: Millis) -> bool {
-        if job.changes.len() <= MANY {
+    /// Whether a scan of the job's changes is put off; `due_scans` returns the job later.
+    pub fn defers_scan(&mut self, job: &Job, now: Millis) -> bool {
+        if job.changes.len() <= MAX_UNTHROTTLED_CHANGES {
             return false;
         }
-        let (last, more) = self.looked.entry(job.id.clone()).or_default();
-        let waits = *last > Millis(0) && now.since(*last) < LOOK_EVERY;
-        if !waits {
-            *last = now;
+        let scan = self.scans.entry(job.id.clone()).or_default();
+        let defers = scan.at > Millis(0) && now.since(scan.at) < SCAN_INTERVAL;
+        if !defers {
+            scan.at = now;
         }
-        *more = waits;
-        waits
+        scan.deferred = defers;
+        defers
     }
 
-    /// Jobs whose look has waited long enough.
-    pub fn due(&mut self, now: Millis) -> Vec<JobId> {
+    /// Jobs whose scan has been put off long enough.
+    pub fn due_scans(&mut self, now: Millis) -> Vec<JobId> {
         let mut due = Vec::new();
-        self.looked.retain(|job, (last, more)| {
-            let over = now.since(*last) >= LOOK_EVERY;
-            if over && *more {
+        self.scans.retain(|job, scan| {
+            let expired = now.since(scan.at) >= SCAN_INTERVAL;
+            if expired && scan.deferred {
                 due.push(job.clone());
             }
-            !over
+            !expired
         });
         due
     }
 
-    /// Tells `owner` of all that is noted of a job. False if not all of it can be written there;
-    /// then nothing is told.
-    pub fn tell(
+    /// Forwards all noted changes of a job to its owner. Returns false, and forwards none, if one of
+    /// them is not for the owner to write. `held_token`: the token under which this controller holds
+    /// the shard of a task's machine.
+    pub fn forward(
         &mut self,
         owner: &ControllerId,
         job: &Job,
-        token: impl Fn(u32) -> Option<FencingToken>,
+        held_token: impl Fn(u32) -> Option<FencingToken>,
         now: Millis,
     ) -> bool {
-        let changes = job.changes.iter();
-        let all: Option<Vec<TaskDeparture>> = changes
-            .map(|(index, change)| forwarded_at(&job.id, *index, change, &token))
+        let departures: Option<Vec<TaskDeparture>> = job
+            .changes
+            .iter()
+            .map(|(index, change)| departure(&job.id, *index, change, &held_token))
             .collect();
-        let Some(all) = all else { return false };
-        let known = self.forwarded_at.entry(job.id.clone()).or_default();
+        let Some(departures) = departures else {
+            return false;
+        };
+        let forwarded = self.forwarded.entry(job.id.clone()).or_default();
         let outbox = self.outbox.entry(owner.clone()).or_default();
-        for left in all {
-            let attempt = Attempt(left.attempt);
-            let again = known
-                .get(&left.index)
-                .is_none_or(|(of, at)| *of != attempt || now.since(*at) >= AGAIN);
-            if again && outbox.len() < MOST {
-                known.insert(left.index, (attempt, now));
-                outbox.push(left);
+        for departure in departures {
+            let attempt = Attempt(departure.attempt);
+            let is_due = forwarded
+                .get(&departure.index)
+                .is_none_or(|(of, at)| *of != attempt || now.since(*at) >= RESEND_INTERVAL);
+            if is_due && outbox.len() < MAX_DEPARTURES {
+                forwarded.insert(departure.index, (attempt, now));
+                outbox.push(departure);
             }
         }
         true
     }
 
-    /// What is to be sent, by home.
-    pub fn take(&mut self) -> BTreeMap<ControllerId, Vec<TaskDeparture>> {
+    /// Takes what is to be sent, by owner.
+    #[must_use]
+    pub fn take_outbox(&mut self) -> BTreeMap<ControllerId, Vec<TaskDeparture>> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The jobs of which something was told and nothing came yet; `pending` says of which that
-    /// still holds.
-    pub fn pending(&mut self, pending: impl Fn(&JobId) -> bool) -> Vec<JobId> {
-        self.forwarded_at.retain(|job, _| pending(job));
-        self.forwarded_at.keys().cloned().collect()
+    /// The jobs of which something was forwarded and is not written yet, by `unwritten`. The others
+    /// are forgotten.
+    pub fn retain_unwritten(&mut self, unwritten: impl Fn(&JobId) -> bool) -> Vec<JobId> {
+        self.forwarded.retain(|job, _| unwritten(job));
+        self.forwarded.keys().cloned().collect()
     }
 }
 
+/// The departure that a noted change stands for. `None` if the owner can't write it: a placement, or a
+/// departure that is not proved by the holder of the machine's shard.
+fn departure(
+    id: &JobId,
+    index: u32,
+    change: &TaskChange,
+    held_token: impl Fn(u32) -> Option<FencingToken>,
+) -> Option<TaskDeparture> {
+    let (attempt, token, done) = match change {
+        TaskChange::Finish { attempt } => (*attempt, held_token(index)?, true),
+        TaskChange::Release {
+            attempt,
+            evidence: Evidence::Holder(token),
+        } => (*attempt, *token, false),
+        TaskChange::Release { .. } | TaskChange::Place(_) => return None,
+    };
+    Some(TaskDeparture {
+        job: id.to_string(),
+        index,
+        attempt: attempt.0,
+        token: token.0,
+        done,
+    })
+}
+
 impl TaskDeparture {
-    /// What the home notes, if the records still say that the task is on that machine.
+    /// The change that the owner notes, if the records still have the task on that machine.
     pub fn change(&self) -> TaskChange {
         let attempt = Attempt(self.attempt);
         if self.done {
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -5,22 +5,28 @@
 /// noted: the processor was at its share for minutes. No change is left without a look.
 #[test]
 fn a_job_with_many_changes_is_looked_over_only_so_often() {
-    for (count, looks) in [(MANY as u32, 20), (MANY as u32 + 1, 5)] {
+    for (count, looks) in [
+        (MAX_UNTHROTTLED_CHANGES as u32, 20),
+        (MAX_UNTHROTTLED_CHANGES as u32 + 1, 5),
+    ] {
         let (mut jobs, id) = jobs(4 * count, &[]);
         for index in 0..count {
             let attempt = Attempt(1);
             jobs.want(&id, index, TaskChange::Finish { attempt });
         }
         let job = jobs.get(&id).unwrap();
-        let mut ends = CompletionForwarder::default();
+        let mut forwarder = CompletionForwarder::default();
         let mut looked = 0;
         // Twenty reports in two seconds.
         for step in 1..=20 {
-            looked += u32::from(!ends.waits(job, Millis(step * 100)));
+            looked += u32::from(!forwarder.defers_scan(job, Millis(step * 100)));
         }
         assert_eq!(looked, looks, "{count} changes");
-        let left = ends.due(Millis(2_500));
-        assert_eq!(left.len(), usize::from(count as usize > MANY));
-        assert!(ends.due(Millis(3_000)).is_empty(), "once");
+        let left = forwarder.due_scans(Millis(2_500));
+        assert_eq!(
+            left.len(),
+            usize::from(count as usize > MAX_UNTHROTTLED_CHANGES)
+        );
+        assert!(forwarder.due_scans(Millis(3_000)).is_empty(), "once");
     }
 }
--- a/src/jobs/crash_loop.rs
+++ b/src/jobs/crash_loop.rs
@@ -1,9 +1,9 @@
-//! What failures tell of a job, and what they do not tell of a machine.
+//! Tells jobs that fail on every machine from machines that fail every task.
 //!
-//! A faulty machine fails every task; a job that was submitted with a mistake fails on every
-//! machine, until its user cancels it. A job that failed on several machines and succeeded on none
-//! is suspect: its failures no longer speak against machines, and it is tried one task at a time,
-//! with a wait that doubles. It is never given up, and one success clears it.
+//! A faulty machine fails every task; a job that was submitted with a mistake fails on every machine
+//! until its user cancels it. A job that failed on several machines and succeeded on none is
+//! crash-looping: its failures no longer count against machines, and it is tried one task at a time
+//! with exponential backoff. It is never given up, and one success clears it.
 
 use std::collections::BTreeSet;
 
@@ -12,35 +12,45 @@
 use super::JobKind;
 use crate::types::{JobId, MachineId, Millis};
 
-/// A job is suspect once it failed on this many machines.
-const SUSPECT_AFTER: usize = 2;
-/// A service's replicas never complete, so no success clears it: more has to speak against it.
-const SERVICE_SUSPECT_AFTER: usize = 4;
-/// The first wait of a suspect job, and the longest.
-const FIRST: Millis = Millis(2_000);
-const MOST: Millis = Millis(45_000);
-/// What failed longer ago says nothing: a service runs for days, and meets a faulty machine now and
-/// then.
-const FORGET: Millis = Millis(300_000);
-/// Machines that are remembered of a job.
-const MOST_MACHINES: usize = 8;
+/// A job is crash-looping once it failed on this many machines.
+const MAX_FAILED_MACHINES: usize = 2;
+/// The same for a service. Its replicas never complete, so no success clears it: it takes more to
+/// suspect it.
+const MAX_FAILED_MACHINES_SERVICE: usize = 4;
+/// The first backoff of a crash-looping job; each further one is twice as long.
+const MIN_BACKOFF: Millis = Millis(2_000);
+/// The longest backoff.
+const MAX_BACKOFF: Millis = Millis(45_000);
+/// The backoff is doubled this often at most, which is far beyond `MAX_BACKOFF`.
+const MAX_DOUBLINGS: u32 = 16;
+/// Failures longer ago than this don't count: a service runs for days, and meets a faulty machine now
+/// and then.
+const FAILURE_LIFETIME: Millis = Millis(300_000);
+/// Machines that are remembered for each job.
+const MAX_REMEMBERED_MACHINES: usize = 8;
 
+/// The failures of one job since its last success.
 #[derive(Debug, Default)]
 struct CrashLoop {
+    /// The machines that it failed on.
     failed_on: BTreeSet<MachineId>,
-    suspect: bool,
-    waits: u32,
+    is_crash_looping: bool,
+    /// How many backoffs there were.
+    backoffs: u32,
+    /// When the present backoff ends.
     not_before: Millis,
-    last: Millis,
+    last_failure: Millis,
 }
 
+/// The failures of all jobs.
 #[derive(Debug, Default)]
 pub struct CrashLoopTracker {
     jobs: HashMap<JobId, CrashLoop>,
 }
 
 impl CrashLoopTracker {
-    /// A task of the job failed on a machine. True if the job is suspect since this failure.
+    /// Records that a task of the job failed on a machine. Returns true if the job is crash-looping
+    /// since this failure.
     pub fn failed(
         &mut self,
         job: &JobId,
@@ -48,59 +58,69 @@
         machine_id: &MachineId,
         now: Millis,
     ) -> bool {
-        let trial = self.jobs.entry(job.clone()).or_default();
-        if now.since(trial.last) > FORGET {
-            *trial = CrashLoop::default();
+        let crash_loop = self.jobs.entry(job.clone()).or_default();
+        if now.since(crash_loop.last_failure) > FAILURE_LIFETIME {
+            *crash_loop = CrashLoop::default();
         }
-        trial.last = now;
-        if trial.failed_on.len() < MOST_MACHINES {
-            trial.failed_on.insert(machine_id.clone());
+        crash_loop.last_failure = now;
+        if crash_loop.failed_on.len() < MAX_REMEMBERED_MACHINES {
+            crash_loop.failed_on.insert(machine_id.clone());
         }
-        let enough = match kind {
-            JobKind::Service => SERVICE_SUSPECT_AFTER,
-            JobKind::Array | JobKind::Gang => SUSPECT_AFTER,
+        let max_failed_machines = match kind {
+            JobKind::Service => MAX_FAILED_MACHINES_SERVICE,
+            JobKind::Array | JobKind::Gang => MAX_FAILED_MACHINES,
         };
-        let was = trial.suspect;
-        trial.suspect |= trial.failed_on.len() >= enough;
-        // All tasks that were started together fail together: that is one try.
-        if trial.suspect && now >= trial.not_before {
-            let doubled = FIRST.0.saturating_mul(1 << trial.waits.min(16));
-            trial.not_before = now + Millis(doubled.min(MOST.0));
-            trial.waits += 1;
+        let was_crash_looping = crash_loop.is_crash_looping;
+        crash_loop.is_crash_looping |= crash_loop.failed_on.len() >= max_failed_machines;
+        // All tasks that were started together fail together, which counts as one attempt.
+        if crash_loop.is_crash_looping && now >= crash_loop.not_before {
+            crash_loop.not_before = now + backoff(crash_loop.backoffs);
+            crash_loop.backoffs += 1;
         }
-        trial.suspect && !was
+        crash_loop.is_crash_looping && !was_crash_looping
     }
 
-    /// A task of the job completed somewhere: whatever failed, it was not the job.
+    /// Records that a task of the job completed on some machine: the job is sound.
     pub fn succeeded(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
+    /// Whether a job is crash-looping.
     pub fn suspect(&self, job: &JobId) -> bool {
-        self.jobs.get(job).is_some_and(|trial| trial.suspect)
+        self.jobs
+            .get(job)
+            .is_some_and(|crash_loop| crash_loop.is_crash_looping)
     }
 
-    /// A machine turned out to be quarantined: what failed there does not speak against jobs any more.
+    /// Records that a machine is quarantined: failures on it don't count against jobs any more.
     pub fn quarantined(&mut self, machine_id: &MachineId, now: Millis) {
-        for trial in self.jobs.values_mut() {
-            if trial.failed_on.remove(machine_id) {
-                trial.suspect &= trial.failed_on.len() >= SUSPECT_AFTER;
-                trial.not_before = now;
+        for crash_loop in self.jobs.values_mut() {
+            if crash_loop.failed_on.remove(machine_id) {
+                crash_loop.is_crash_looping &= crash_loop.failed_on.len() >= MAX_FAILED_MACHINES;
+                crash_loop.not_before = now;
             }
         }
     }
 
-    /// When a suspect job may be tried again.
+    /// When a crash-looping job may be tried again; `None` for other jobs.
     pub fn not_before(&self, job: &JobId) -> Option<Millis> {
-        let trial = self.jobs.get(job).filter(|trial| trial.suspect)?;
-        Some(trial.not_before)
+        let crash_loop = self.jobs.get(job).filter(|c| c.is_crash_looping)?;
+        Some(crash_loop.not_before)
     }
 
-    /// Forgets jobs that are over.
+    /// Forgets jobs that are not active.
     pub fn retain(&mut self, active: impl Fn(&JobId) -> bool) {
         self.jobs.retain(|job, _| active(job));
     }
 }
 
+/// The backoff that follows `earlier` others.
+fn backoff(earlier: u32) -> Millis {
+    let doubled = MIN_BACKOFF
+        .0
+        .saturating_mul(1 << earlier.min(MAX_DOUBLINGS));
+    Millis(doubled.min(MAX_BACKOFF.0))
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,9 @@
-//! Jobs: what users ask for, how it is recorded in the state service, and a cache of all records.
+//! Jobs: what users ask for, how it is recorded in the key-value store, and a cache of all records.
+//!
+//! The types here are what the rest of the controller knows of a job. [`api`] is what users send and
+//! are told, [`record`] the form of the records, [`cache`] all jobs with what they use, [`cancel`] the
+//! users who wait for the end of a job, [`crash_loop`] the jobs that fail everywhere, and
+//! [`completion_forwarding`] what shard holders tell the owner of a job.
 
 pub mod api;
 pub mod cache;
@@ -13,10 +18,11 @@
     AgentEpoch, Attempt, Image, MachineId, MachineTypeId, Resources, ShardId, Team, Zone,
 };
 
+/// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks; each runs to completion.
     #[serde(rename = "sweep")]
     Array,
     /// All tasks run at the same time or none does.
@@ -30,52 +36,73 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
+    /// Runs on what the others leave.
     BestEffort,
+    /// The usual priority.
     Normal,
+    /// May preempt lower priorities.
     Urgent,
+    /// Goes before everything else.
     Critical,
 }
 
 /// What a user asked for, checked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The class of jobs that service-level objectives are set for.
     #[serde(rename = "lot")]
     pub class: String,
+    /// The team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: Team,
+    /// How the tasks belong together.
     #[serde(rename = "shape")]
     pub kind: JobKind,
+    /// Which jobs go first.
     #[serde(rename = "rank")]
     pub priority: PriorityClass,
+    /// Number of tasks.
     #[serde(rename = "picks")]
     pub tasks: u32,
-    /// What each task takes.
+    /// What each task needs.
     #[serde(rename = "room")]
     pub resources: Resources,
+    /// The image that each task runs.
     #[serde(rename = "kit")]
     pub image: Image,
+    /// Size of the image, in GB.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// Allowed machine types; none: any.
+    /// Allowed machine types; `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "rigs")]
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "yard")]
     pub zone: Option<Zone>,
+    /// Whether all tasks must be in the same zone.
     pub one_zone: bool,
+    /// Whether at most half of the tasks may be in one zone.
     pub spread: bool,
-    /// Whether spot machines will do.
+    /// Whether tasks may run on spot machines.
     pub spot: bool,
+    /// How long a task runs, as the user expects, in seconds.
     pub estimate_s: f64,
+    /// Seconds between checkpoints; zero: a task that stops loses all its work.
     pub checkpoint_s: f64,
+    /// How long a task takes to save a checkpoint when it is asked to stop, in seconds.
     pub save_s: f64,
+    /// Seconds after submission by which the job should be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
 }
 
+/// Checkpoints less than this many saving times apart make killing a task as cheap as evicting it.
+const CHEAP_CHECKPOINT_RATIO: f64 = 3.0;
+
 impl JobSpec {
+    /// Whether tasks may run on machines of this type in this zone; `spot`: on spot machines.
     pub fn allows(&self, machine_type: &MachineTypeId, zone: &Zone, spot: bool) -> bool {
         self.machine_types
             .as_ref()
@@ -84,49 +111,57 @@
             && (self.spot || !spot)
     }
 
-    /// Whether its tasks give way to urgent work without much loss.
+    /// Whether its tasks can be preempted by urgent jobs without much loss.
     pub fn yields(&self) -> bool {
         self.priority < PriorityClass::Urgent
             && self.checkpoint_s > 0.0
             && self.kind == JobKind::Array
     }
 
-    /// Whether stopping a task at once wastes about as little as letting it save: what it did since
-    /// its last checkpoint, against the time to save during which its room is of no use.
+    /// Whether killing a task wastes about as little as a graceful eviction: the work since its last
+    /// checkpoint, against the time to save, during which its resources are of no use.
     pub fn cheap_to_kill(&self) -> bool {
-        self.checkpoint_s > 0.0 && self.checkpoint_s <= 3.0 * self.save_s
+        self.checkpoint_s > 0.0 && self.checkpoint_s <= CHEAP_CHECKPOINT_RATIO * self.save_s
     }
 
-    /// With `spread`, the most tasks that may be in one zone.
+    /// With `spread`, how many tasks may be in one zone.
     pub fn zone_share(&self) -> u32 {
         self.tasks.div_ceil(2)
     }
 }
 
-/// Where a task was put, as committed.
+/// Where a task was placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
+    /// The machine.
     pub machine_id: MachineId,
+    /// The machine's shard.
     pub shard: ShardId,
+    /// The epoch of the machine's agent; after a restart it has lost the task.
     pub agent_epoch: AgentEpoch,
+    /// Which start of the task this is.
     pub attempt: Attempt,
 }
 
-/// What the record says of a task.
+/// What the records say of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// On no machine; `tried` is the highest attempt so far.
+    /// On no machine.
     Waiting {
+        /// The highest attempt so far.
         tried: Attempt,
     },
     /// On this machine, or on its way there, or not yet proven gone from it.
     Placed(Placement),
+    /// Complete.
     Done,
 }
 
 impl Task {
+    /// A task that was never placed.
     pub const FRESH: Task = Task::Waiting { tried: Attempt(0) };
 
+    /// Where the task is placed, if it is.
     pub fn placement(&self) -> Option<&Placement> {
         match self {
             Task::Placed(placement) => Some(placement),
@@ -135,12 +170,16 @@
     }
 }
 
+/// How far a job is, by its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
+    /// Its tasks wait, run or are done.
     Active,
-    /// Its user has cancelled it, and is told so once no task of it is left anywhere.
+    /// Its user has cancelled it, and is answered once no task of it is left on any machine.
     Aborting,
+    /// All tasks are done.
     Done,
+    /// It was cancelled, and no task of it is left.
     Aborted,
 }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,24 +1,30 @@
-//! How jobs are written in the state service: one record a job, and its tasks in pages of runs.
+//! How jobs are written in the key-value store: one record per job, and its tasks in run-length
+//! encoded pages.
 //!
 //! A page that does not exist stands for tasks that were never placed, so a job of 100,000 tasks
-//! costs one record until it starts. Alike neighbours share one run.
+//! costs one record until it starts. Neighbouring tasks in the same state share one run.
 
 use serde::{Deserialize, Serialize};
 
 use super::{JobSpec, Phase, Placement, Task};
 use crate::types::{AgentEpoch, Attempt, ControllerId, JobId, MachineId, ShardId};
 
+/// Prefix of the keys of job records.
 pub const JOBS: &str = "jt/job/";
+/// Prefix of the keys of task pages.
 pub const PAGES: &str = "jt/task/";
 
+/// The key of a job's record.
 pub fn job_key(job: &JobId) -> String {
     format!("{JOBS}{job}")
 }
 
+/// The key of a page of a job's tasks.
 pub fn page_key(job: &JobId, page: u32) -> String {
     format!("{PAGES}{job}/{page}")
 }
 
+/// The job and the page that a key names; `None` if it is not the key of a page.
 pub fn parse_page_key(key: &str) -> Option<(JobId, u32)> {
     let (job, page) = key.strip_prefix(PAGES)?.rsplit_once('/')?;
     Some((job.into(), page.parse().ok()?))
@@ -27,19 +33,23 @@
 /// A job's own record. `spec` is dropped once the job is over and no task of it is left anywhere.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// How far the job is.
     pub phase: Phase,
-    /// The controller that took the job and tries to place it first.
+    /// The controller that accepted the job. It tries to place it first, and writes the completions
+    /// that other holders forward.
     #[serde(rename = "home")]
     pub owner: ControllerId,
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per page.
     pub page: u32,
+    /// What the user asked for; `None` once the job is finished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
 
 impl JobRecord {
+    /// Number of pages, whether they exist or not.
     pub fn pages(&self) -> u32 {
         self.tasks.div_ceil(self.page.max(1))
     }
@@ -60,15 +70,26 @@
     }
 }
 
-/// The most bytes that one placed task can take in a page, besides its names.
-const TASK_BYTES: usize = 64;
-
-/// Tasks per page so that a page always fits one value.
+/// Bytes that one placed task takes in a page, besides the names of its machine and zone, at most.
+const MAX_TASK_BYTES: usize = 64;
+/// Bytes that the name of a machine takes.
+const MACHINE_NAME_BYTES: usize = 24;
+/// Tasks of a page, at most.
+const MAX_PAGE_TASKS: usize = 128;
+/// The part of a value that a page may fill.
+const MAX_VALUE_FILL: f64 = 0.9;
+
+/// Tasks per page so that a page always fits one value of `value_kb` KiB. `longest_zone`: bytes of the
+/// longest name of a zone.
 pub fn page_size(value_kb: f64, longest_zone: usize) -> u32 {
-    let bytes = (value_kb * 1024.0 * 0.9) as usize;
-    (bytes / (TASK_BYTES + 24 + longest_zone)).clamp(1, 128) as u32
+    let bytes = (value_kb * 1024.0 * MAX_VALUE_FILL) as usize;
+    let tasks = bytes / (MAX_TASK_BYTES + MACHINE_NAME_BYTES + longest_zone);
+    tasks.clamp(1, MAX_PAGE_TASKS) as u32
 }
 
+/// Neighbouring tasks in the same state, as written in a page. The stored form is
+/// `[{"w":[count, tried]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`.
+
 #[derive(Serialize, Deserialize)]
 enum Run {
     #[serde(rename = "w")]
@@ -79,6 +100,7 @@
     Placed(MachineId, String, u64, u64),
 }
 
+/// Encodes the tasks of a page.
 pub fn encode_page(tasks: &[Task]) -> String {
     let mut runs: Vec<Run> = Vec::new();
     for task in tasks {
@@ -89,34 +111,34 @@
             (Task::Done, Some(Run::Done(count))) => *count += 1,
             (Task::Waiting { tried }, _) => runs.push(Run::Waiting(1, tried.0)),
             (Task::Done, _) => runs.push(Run::Done(1)),
-            (Task::Placed(p), _) => runs.push(Run::Placed(
-                p.machine_id.clone(),
-                p.shard.to_string(),
-                p.agent_epoch.0,
-                p.attempt.0,
+            (Task::Placed(placement), _) => runs.push(Run::Placed(
+                placement.machine_id.clone(),
+                placement.shard.to_string(),
+                placement.agent_epoch.0,
+                placement.attempt.0,
             )),
         }
     }
     serde_json::to_string(&runs).unwrap_or_default()
 }
 
+/// Decodes a page of `len` tasks; `None` if it is invalid or of another length.
 pub fn decode_page(text: &str, len: u32) -> Option<Vec<Task>> {
     let runs: Vec<Run> = serde_json::from_str(text).ok()?;
-    let mut tasks = Vec::with_capacity(len as usize);
+    let len = len as usize;
+    let mut tasks = Vec::with_capacity(len);
     for run in runs {
-        let remaining = (len as usize).checked_sub(tasks.len())?;
+        // A count in a record is not trusted to allocate more than a page.
+        let remaining = len.checked_sub(tasks.len())?;
         match run {
             Run::Waiting(count, tried) => {
-                let task = Task::Waiting {
-                    tried: Attempt(tried),
-                };
-                tasks.extend(std::iter::repeat_n(task, remaining.min(count as usize)));
+                let tried = Attempt(tried);
+                let count = remaining.min(count as usize);
+                tasks.extend(std::iter::repeat_n(Task::Waiting { tried }, count));
             }
             Run::Done(count) => {
-                tasks.extend(std::iter::repeat_n(
-                    Task::Done,
-                    remaining.min(count as usize),
-                ));
+                let count = remaining.min(count as usize);
+                tasks.extend(std::iter::repeat_n(Task::Done, count));
             }
             Run::Placed(machine_id, shard, agent_epoch, attempt) => {
                 tasks.push(Task::Placed(Placement {
@@ -124,11 +146,11 @@
                     shard: ShardId::parse(&shard)?,
                     agent_epoch: AgentEpoch(agent_epoch),
                     attempt: Attempt(attempt),
-                }))
+                }));
             }
         }
     }
-    (tasks.len() == len as usize).then_some(tasks)
+    (tasks.len() == len).then_some(tasks)
 }
 
 #[cfg(test)]
