--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -70,6 +70,7 @@
 }
 
 impl Commits {
+    /// Nothing noted, nothing in flight, and no write allowed before the first plan.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             noted_jobs: Vec::new(),
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -11,13 +11,16 @@
 /// A page of tasks as last read.
 #[derive(Debug)]
 pub(super) struct Page {
+    /// The version of its record.
     pub(super) version: Revision,
+    /// Its tasks, in order.
     pub(super) tasks: Vec<Task>,
     /// How many of the tasks wait.
     waiting: usize,
 }
 
 impl Page {
+    /// A page with these tasks.
     pub(super) fn new(version: Revision, tasks: Vec<Task>) -> Self {
         let is_waiting = |task: &&Task| matches!(task, Task::Waiting { .. });
         let waiting = tasks.iter().filter(is_waiting).count();
@@ -240,6 +243,7 @@
 }
 
 impl FinishedJob {
+    /// What users are told of the job; `id`: its id.
     pub(super) fn state(&self, id: &JobId) -> JobState {
         let stage = match self.phase {
             Phase::Aborted => JobStage::Aborted,
