--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -70,6 +70,7 @@
 }
 
 impl Commits {
+    /// Nothing noted, nothing in flight, and no write allowed before the first plan.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             noted_jobs: Vec::new(),
@@ -97,7 +98,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         if job.writing != Writing::Idle
             || job.changes.is_empty()
-            || self.commits.completions.waits(job, self.now)
+            || self.commits.completions.defers_scan(job, self.now)
         {
             return;
         }
--- /dev/null
+++ b/src/jobs/api/mod.rs
@@ -0,0 +1,112 @@
+//! The users' interface: what submissions must look like, and the answers.
+//!
+//! [`submission`] parses a request body into a [`JobSpec`](super::JobSpec), [`feasibility`] checks
+//! that the job can ever run, and this module has the answers. HTTP itself is in `http_server`.
+
+mod feasibility;
+mod submission;
+
+use serde::Serialize;
+use thiserror::Error;
+
+use crate::types::JobId;
+pub use feasibility::admit;
+pub use submission::{LARGEST_BODY, parse};
+
+/// Why a submission is not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum Refusal {
+    /// The body is not a job; HTTP status 400.
+    #[error("{0}")]
+    Malformed(String),
+    /// The job can't ever run; HTTP status 422.
+    #[error("{0}")]
+    NeverRuns(String),
+}
+
+impl Refusal {
+    fn malformed(reason: &str) -> Self {
+        Self::Malformed(reason.to_string())
+    }
+}
+
+/// A submission that is not accepted, and the job that it is about if that could be read: a known job
+/// is answered with its state, whatever else its user sends.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("submission refused: {why}")]
+pub struct Refused {
+    /// The job, if the body has a well-formed id.
+    pub id: Option<JobId>,
+    /// Why it is refused.
+    #[source]
+    pub why: Refusal,
+}
+
+/// What users see of a job's progress.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum JobStage {
+    /// No task is on a machine.
+    Queued,
+    /// Tasks are on machines.
+    Running,
+    /// All tasks are done.
+    Done,
+    /// The job was cancelled, and no task of it is on any machine.
+    Aborted,
+}
+
+/// The state of a job, as users are told.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct JobState {
+    /// The job's id.
+    pub id: JobId,
+    /// How far it is.
+    pub stage: JobStage,
+    /// How many tasks are done.
+    pub done: u32,
+    /// How many tasks are on machines.
+    pub running: u32,
+}
+
+/// Whether a job's state won't change any more.
+pub fn is_final(state: &JobState) -> bool {
+    matches!(state.stage, JobStage::Done | JobStage::Aborted)
+}
+
+/// The answer to a user's request.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Response {
+    /// The job was submitted by this request.
+    Accepted(JobId),
+    /// The state of a job that was known before.
+    State(JobState),
+    /// The body is not a job, and why.
+    Malformed(String),
+    /// The job can't ever run, and why.
+    NeverRuns(String),
+    /// There is no such job.
+    Unknown,
+    /// Not now: come back after this many seconds.
+    Later(u32),
+}
+
+impl Response {
+    /// Asks the user to come back soon.
+    #[must_use]
+    pub fn later() -> Self {
+        Response::Later(1)
+    }
+}
+
+impl From<Refusal> for Response {
+    fn from(refusal: Refusal) -> Self {
+        match refusal {
+            Refusal::Malformed(reason) => Response::Malformed(reason),
+            Refusal::NeverRuns(reason) => Response::NeverRuns(reason),
+        }
+    }
+}
+
+#[cfg(test)]
+pub mod tests;
