--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -1,65 +1,89 @@
-//! Amounts of what quotas govern.
+//! Amounts of the resources that quotas govern.
 
 use serde::{Deserialize, Serialize};
 
-/// Sums of decimal amounts are compared with this much slack.
+/// Tolerance of comparisons, in CPUs or GPUs: sums of decimal amounts carry rounding errors.
 pub const SLACK: f64 = 1e-6;
 
-/// CPUs and GPUs.
+/// A number of CPUs and a number of GPUs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Amount {
+    /// Number of CPUs.
     pub cpus: f64,
+    /// Number of GPUs.
     pub gpus: f64,
 }
 
 impl Amount {
+    /// No CPUs and no GPUs.
     pub const ZERO: Amount = Amount {
         cpus: 0.0,
         gpus: 0.0,
     };
 
+    /// An amount of so many CPUs and GPUs.
+    #[must_use]
     pub fn new(cpus: f64, gpus: f64) -> Self {
         Self { cpus, gpus }
     }
 
+    /// CPUs and GPUs, in this order, for loops over the kinds of resources.
+    #[must_use]
     pub fn each(self) -> [f64; 2] {
         [self.cpus, self.gpus]
     }
 
-    fn zip(self, other: Amount, f: impl Fn(f64, f64) -> f64) -> Amount {
+    fn zip(self, other: Amount, combine: impl Fn(f64, f64) -> f64) -> Amount {
         Amount {
-            cpus: f(self.cpus, other.cpus),
-            gpus: f(self.gpus, other.gpus),
+            cpus: combine(self.cpus, other.cpus),
+            gpus: combine(self.gpus, other.gpus),
         }
     }
 
+    /// The sum of both.
+    #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
         self.zip(other, |a, b| a + b)
     }
 
-    /// What is left of it, at least nothing.
+    /// What is left of it after `other` is taken away, at least zero.
+    #[must_use]
     pub fn minus(self, other: Amount) -> Amount {
         self.zip(other, |a, b| (a - b).max(0.0))
     }
 
+    /// Both numbers multiplied by a factor.
+    #[must_use]
     pub fn times(self, factor: f64) -> Amount {
         self.zip(self, |a, _| a * factor)
     }
 
+    /// The smaller of both, for each kind of resource.
+    #[must_use]
     pub fn least(self, other: Amount) -> Amount {
         self.zip(other, f64::min)
     }
 
+    /// Whether there are neither CPUs nor GPUs.
+    #[must_use]
     pub fn is_zero(self) -> bool {
         self.cpus <= 0.0 && self.gpus <= 0.0
     }
 
-    /// The smaller of it and a limit, of which 0 means none.
+    /// The smaller of the amount and a limit, of which 0 means no limit.
+    #[must_use]
     pub fn capped(self, limit: Amount) -> Amount {
-        self.zip(limit, |a, most| if most > 0.0 { a.min(most) } else { a })
+        self.zip(limit, |amount, limit| {
+            if limit > 0.0 {
+                amount.min(limit)
+            } else {
+                amount
+            }
+        })
     }
 
-    /// The tighter of two limits, of which 0 means none.
+    /// The tighter of two limits, of which 0 means no limit.
+    #[must_use]
     pub fn tighter(self, other: Amount) -> Amount {
         self.zip(other, |a, b| match (a > 0.0, b > 0.0) {
             (true, true) => a.min(b),
--- a/crates/hierarchical-quota/src/divide.rs
+++ b/crates/hierarchical-quota/src/divide.rs
@@ -1,39 +1,64 @@
-//! How a node's share is divided among its children: what each is guaranteed first, the rest by
-//! weighted dominant-resource fairness, nobody more than it wants.
+//! How a node's entitlement is divided among its children: first what each is guaranteed, then the
+//! rest by weighted dominant-resource fairness, and nobody gets more than it demands.
+//!
+//! Amounts are looped over by kind of resource: index 0 is CPUs, index 1 is GPUs.
 
 use crate::amount::Amount;
 
+/// The kinds of resources by index.
+const KINDS: [usize; 2] = [0, 1];
+
+/// Halvings of the level until the amount left undivided is negligible: a double has 52 bits of
+/// fraction.
+const MAX_HALVINGS: usize = 60;
+
+/// A kind of resource counts as used up when this part of the pool or less is left, and a demand as
+/// met when it lacks no more than this.
+const EXHAUSTED: f64 = 1e-9;
+
+/// Relative rounding error that is allowed when a sum is compared with the pool.
+const POOL_TOLERANCE: f64 = 1e-12;
+
 /// What one child brings into a division.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
-    /// What its guarantees give it, whatever the others want.
+    /// What its guarantees give it, whatever the others demand.
     pub floor: Amount,
     /// All that it could use.
     pub demand: Amount,
+    /// Its weight among its siblings.
     pub weight: f64,
 }
 
 impl Claim {
-    fn at(&self, part: f64) -> Amount {
-        self.floor.plus(self.demand.minus(self.floor).times(part))
+    /// The amount at a fraction of the way from the floor to the demand.
+    fn at(&self, fraction: f64) -> Amount {
+        self.floor
+            .plus(self.demand.minus(self.floor).times(fraction))
     }
 
-    /// How far on the way from its floor to its demand a child is at a level: its largest share of
-    /// any amount divided, over its weight.
-    fn part(&self, level: f64, pool: [f64; 2]) -> f64 {
+    /// The fraction of the way from its floor to its demand that a child has at a level. The level
+    /// is its dominant share, the largest part of any kind of resource in the pool, over its
+    /// weight.
+    fn fraction_at(&self, level: f64, pool: [f64; 2]) -> f64 {
         let (floor, demand) = (self.floor.each(), self.demand.each());
-        let mut part: f64 = 1.0;
-        for (r, pool) in pool.into_iter().enumerate() {
-            let more = demand[r] - floor[r];
-            if pool.is_finite() && more > 0.0 {
-                part = part.min((level * self.weight * pool - floor[r]) / more);
+        let mut fraction: f64 = 1.0;
+        for (kind, pool) in pool.into_iter().enumerate() {
+            let distance = demand[kind] - floor[kind];
+            if pool.is_finite() && distance > 0.0 {
+                fraction = fraction.min((level * self.weight * pool - floor[kind]) / distance);
             }
         }
-        part.max(0.0)
+        fraction.max(0.0)
     }
 
-    /// The level at which it has all it wants.
-    fn full(&self, pool: [f64; 2]) -> f64 {
+    /// The amount that a child has at a level.
+    fn amount_at(&self, level: f64, pool: [f64; 2]) -> Amount {
+        self.at(self.fraction_at(level, pool))
+    }
+
+    /// The level at which its demand is met.
+    fn full_level(&self, pool: [f64; 2]) -> f64 {
         let demand = self.demand.each();
         let shares = pool
             .into_iter()
@@ -44,120 +69,148 @@
     }
 }
 
-/// Halvings of the level until what is left undivided is next to nothing.
-const HALVINGS: usize = 60;
-
-/// Divides a pool. `governed`: which amounts are divided at all; of the others everybody has what
-/// it wants. The floors fit in the pool.
+/// Divides a pool among the claims and returns the amount of each.
+///
+/// `governed` tells for CPUs and GPUs whether they are divided at all; of what is not, everybody
+/// gets its demand. The floors must fit in the pool.
+#[must_use]
 pub fn divide(pool: Amount, governed: [bool; 2], claims: &[Claim]) -> Vec<Amount> {
     let amounts = pool.each();
-    let size = [0, 1].map(|r| {
-        if governed[r] {
-            amounts[r]
+    let pool = KINDS.map(|kind| {
+        if governed[kind] {
+            amounts[kind]
         } else {
             f64::INFINITY
         }
     });
-    let mut given: Vec<Amount> = claims.iter().map(|c| c.floor).collect();
-    // Those whose way on needs an amount that is used up have all they get.
+    let given = fill(pool, governed, claims);
+    given
+        .into_iter()
+        .zip(claims)
+        .map(|(amount, claim)| {
+            let [cpus, gpus] = KINDS.map(|kind| {
+                if governed[kind] {
+                    amount.each()[kind]
+                } else {
+                    claim.demand.each()[kind]
+                }
+            });
+            Amount::new(cpus, gpus)
+        })
+        .collect()
+}
+
+/// Raises the level of all children together. When a kind of resource is used up, those that need
+/// more of it keep what they have, and the others go on.
+fn fill(pool: [f64; 2], governed: [bool; 2], claims: &[Claim]) -> Vec<Amount> {
+    let mut given: Vec<Amount> = claims.iter().map(|claim| claim.floor).collect();
     let mut open: Vec<usize> = (0..claims.len()).collect();
     let mut level = 0.0;
     while !open.is_empty() {
-        let (reached, full) = raise(level, size, claims, &given, &open);
-        level = reached;
+        let raised = raise(level, pool, claims, &given, &open);
+        level = raised.level;
         for index in &open {
-            given[*index] = claims[*index].at(claims[*index].part(level, size));
+            given[*index] = claims[*index].amount_at(level, pool);
         }
-        if full {
+        if raised.all_met {
             break;
         }
-        let left = left_of(size, &given);
-        let stuck = |index: &usize| {
-            let (claim, now) = (&claims[*index], given[*index].each());
-            let wants = |r: usize| claim.demand.each()[r] - now[r] > 1e-9;
-            [0, 1]
-                .into_iter()
-                .any(|r| governed[r] && left[r] <= size[r] * 1e-9 && wants(r))
+        let left = left_in(pool, &given);
+        let is_stuck = |index: usize| {
+            let (demand, now) = (claims[index].demand.each(), given[index].each());
+            KINDS.into_iter().any(|kind| {
+                governed[kind]
+                    && left[kind] <= pool[kind] * EXHAUSTED
+                    && demand[kind] - now[kind] > EXHAUSTED
+            })
         };
         let before = open.len();
-        open.retain(|index| !stuck(index) && given[*index] != claims[*index].demand);
+        open.retain(|index| !is_stuck(*index) && given[*index] != claims[*index].demand);
         if open.len() == before {
             break;
         }
     }
-    let whole = |(index, amount): (usize, Amount)| {
-        let pick = |r: usize| {
-            let (mine, all) = (amount.each()[r], claims[index].demand.each()[r]);
-            if governed[r] { mine } else { all }
-        };
-        Amount::new(pick(0), pick(1))
-    };
-    given.into_iter().enumerate().map(whole).collect()
+    given
 }
 
-fn left_of(size: [f64; 2], given: &[Amount]) -> [f64; 2] {
-    let used = given.iter().fold(Amount::ZERO, |sum, a| sum.plus(*a));
-    [0, 1].map(|r| size[r] - used.each()[r])
+/// What is left of the pool.
+fn left_in(pool: [f64; 2], given: &[Amount]) -> [f64; 2] {
+    let used = given
+        .iter()
+        .fold(Amount::ZERO, |sum, amount| sum.plus(*amount));
+    KINDS.map(|kind| pool[kind] - used.each()[kind])
 }
 
-/// The highest level at which what the open children get still fits, and whether that is all they
-/// want. Children whose share does not change between the bounds any more are summed up once, so
-/// each halving looks at those that are left.
-fn raise(
-    from: f64,
-    size: [f64; 2],
-    claims: &[Claim],
-    given: &[Amount],
-    open: &[usize],
-) -> (f64, bool) {
-    let mut is_open = vec![false; claims.len()];
-    open.iter().for_each(|index| is_open[*index] = true);
-    let closed = given.iter().zip(&is_open).filter(|(_, open)| !**open);
-    let mut fixed = closed.fold(Amount::ZERO, |sum, (a, _)| sum.plus(*a));
-    let fits = |sum: Amount| {
-        let sum = sum.each();
-        [0, 1]
-            .into_iter()
-            .all(|r| sum[r] <= size[r] * (1.0 + 1e-12))
-    };
+/// The level that the open children were raised to.
+struct Raised {
+    level: f64,
+    /// Their demands are met.
+    all_met: bool,
+}
+
+/// Finds the highest level at which what the open children get fits in the pool, by bisection.
+/// Children whose amount is the same at both bounds are summed up once, so that each halving looks
+/// only at the others.
+fn raise(from: f64, pool: [f64; 2], claims: &[Claim], given: &[Amount], open: &[usize]) -> Raised {
+    let mut fixed = sum_of_closed(given, open);
     let total = |fixed: Amount, moving: &[usize], level: f64| {
         moving.iter().fold(fixed, |sum, index| {
-            let claim = &claims[*index];
-            sum.plus(claim.at(claim.part(level, size)))
+            sum.plus(claims[*index].amount_at(level, pool))
         })
     };
-    let full = open.iter().map(|i| claims[*i].full(size));
+    let full = open.iter().map(|index| claims[*index].full_level(pool));
     let (mut low, mut high) = (from, full.fold(from, f64::max));
-    if fits(total(fixed, open, high)) {
-        return (high, true);
+    if fits(total(fixed, open, high), pool) {
+        return Raised {
+            level: high,
+            all_met: true,
+        };
     }
     let mut moving = open.to_vec();
-    for _ in 0..HALVINGS {
+    for _ in 0..MAX_HALVINGS {
         let middle = (low + high) / 2.0;
-        if fits(total(fixed, &moving, middle)) {
+        if fits(total(fixed, &moving, middle), pool) {
             low = middle;
             moving.retain(|index| {
-                let there = claims[*index].part(middle, size) >= 1.0;
-                if there {
+                let is_met = claims[*index].fraction_at(middle, pool) >= 1.0;
+                if is_met {
                     fixed = fixed.plus(claims[*index].at(1.0));
                 }
-                !there
+                !is_met
             });
         } else {
             high = middle;
             moving.retain(|index| {
-                let still = claims[*index].part(middle, size) <= 0.0;
-                if still {
+                let at_floor = claims[*index].fraction_at(middle, pool) <= 0.0;
+                if at_floor {
                     fixed = fixed.plus(claims[*index].floor);
                 }
-                !still
+                !at_floor
             });
         }
         if moving.is_empty() {
             break;
         }
     }
-    (low, false)
+    Raised {
+        level: low,
+        all_met: false,
+    }
+}
+
+/// What the children have that are not open any more.
+fn sum_of_closed(given: &[Amount], open: &[usize]) -> Amount {
+    let mut is_open = vec![false; given.len()];
+    open.iter().for_each(|index| is_open[*index] = true);
+    let closed = given.iter().zip(&is_open).filter(|(_, open)| !**open);
+    closed.fold(Amount::ZERO, |sum, (amount, _)| sum.plus(*amount))
+}
+
+fn fits(sum: Amount, pool: [f64; 2]) -> bool {
+    let sum = sum.each();
+    KINDS
+        .into_iter()
+        .all(|kind| sum[kind] <= pool[kind] * (1.0 + POOL_TOLERANCE))
 }
 
 #[cfg(test)]
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -1,6 +1,14 @@
-//! Nested quotas. A tree of organisations, members and teams, each with a guarantee, a limit and a
-//! weight; unused share is lent down the tree and among siblings, and reclaimed. All of it pure
-//! decisions: no I/O, no clock, no randomness, the same input gives the same answer.
+//! Nested quotas: a tree of organisations, members and teams, each with a guarantee, a limit and a
+//! weight. What a node leaves unused is lent to the others and reclaimed when it is needed again.
+//!
+//! - `tree`: the tree as an operator writes it, and as it is checked,
+//! - `divide`: how a node's entitlement is divided among its children,
+//! - `shares`: what each node is entitled to at present, and who may reclaim from whom.
+//!
+//! All of these are pure functions of their input: no I/O, no clock, no randomness. Controllers
+//! with the same tree and demands come to the same decisions.
+
+#![warn(missing_docs)]
 
 mod amount;
 mod divide;
@@ -10,4 +18,4 @@
 pub use amount::Amount;
 pub use divide::{Claim, divide};
 pub use shares::{Shares, Wanted};
-pub use tree::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeSpec};
+pub use tree::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeProblem, TreeSpec};
--- a/crates/hierarchical-quota/src/shares.rs
+++ b/crates/hierarchical-quota/src/shares.rs
@@ -1,7 +1,7 @@
 //! What each node of a tree is entitled to at present, and who may reclaim from whom.
 //!
-//! Demand goes up the tree, what is guaranteed comes down it. Both are worked out anew only where
-//! something changed, a few times a second at the most; a decision looks at one path.
+//! Demands are summed up the tree, and entitlements divided down it. Both are recomputed only where
+//! something changed, a few times a second at most; a decision looks at a single path of the tree.
 
 use std::sync::Arc;
 
@@ -9,46 +9,52 @@
 use crate::divide::{Claim, divide};
 use crate::tree::{NodeIx, Tree};
 
+/// What is known of a node.
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
-    /// What the teams below could use, as far as limits let them.
+struct NodeState {
+    /// What the teams below could use, within the limits.
     demand: Amount,
-    /// What guarantees give it, whatever others want.
+    /// What guarantees give it, whatever others demand.
     floor: Amount,
-    /// What it is entitled to: its floor and what others leave unused.
+    /// What it is entitled to: its floor and its part of what others leave unused.
     entitled: Amount,
-    /// Its children's claims, or what it has to divide, changed.
+    /// Its children's claims, or its own entitlement, have changed since it was last divided.
     dirty: bool,
-    /// Since when a leaf's demand is less than what counts.
-    less_since: Option<u64>,
-    /// The largest demand since then.
-    most: Amount,
+    /// Since when a leaf's actual demand is less than `demand`, in milliseconds.
+    lower_since: Option<u64>,
+    /// The largest actual demand since then.
+    highest_since: Amount,
 }
 
-/// The shares of a tree. Times are milliseconds of a steady clock.
+/// The entitlements of a tree's nodes. Times are milliseconds of a monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Shares {
     tree: Arc<Tree>,
-    nodes: Vec<State>,
-    /// By root: which amounts it governs.
+    /// By node.
+    nodes: Vec<NodeState>,
+    /// By node: whether CPUs and GPUs are governed, that is, whether its root is guaranteed any.
     governed: Vec<[bool; 2]>,
 }
 
-/// What a task, or all tasks of a gang, would take.
+/// What work would take if it were placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
+    /// All of it: one task, or all tasks of a gang.
     pub total: Amount,
+    /// One task of it.
     pub task: Amount,
 }
 
 impl Shares {
+    /// Entitlements without any demand.
+    #[must_use]
     pub fn new(tree: Arc<Tree>) -> Self {
-        let nodes = vec![State::default(); tree.nodes.len()];
+        let nodes = vec![NodeState::default(); tree.nodes.len()];
         let governed = tree
             .all()
             .map(|ix| {
-                let held = tree.node(tree.root(ix)).guarantee.each();
-                [held[0] > 0.0, held[1] > 0.0]
+                let guarantee = tree.node(tree.root(ix)).guarantee.each();
+                guarantee.map(|amount| amount > 0.0)
             })
             .collect();
         Self {
@@ -58,13 +64,14 @@
         }
     }
 
+    /// The tree.
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
 
-    /// Bytes that the tree and its shares take, names included, about.
+    /// About how many bytes the tree and its entitlements take in memory, names included.
     pub fn bytes(&self) -> usize {
-        let node = size_of::<State>() + size_of::<crate::tree::Node>() + size_of::<[bool; 2]>();
+        let node = size_of::<NodeState>() + size_of::<crate::tree::Node>() + size_of::<[bool; 2]>();
         let names = self.tree.nodes.iter().map(|node| {
             // A team's name is kept twice: in its node and in the index of leaves.
             let team = node.team.as_ref().map_or(0, |team| 2 * team.len() + 40);
@@ -73,145 +80,181 @@
         self.nodes.len() * node + names.sum::<usize>()
     }
 
+    /// What a node is entitled to at present.
     pub fn entitled(&self, ix: NodeIx) -> Amount {
         self.nodes[ix.at()].entitled
     }
 
+    /// What the teams below a node could use, within the limits.
     pub fn demand(&self, ix: NodeIx) -> Amount {
         self.nodes[ix.at()].demand
     }
 
-    /// Notes what a leaf could use now. More counts at once; less counts once it has been less for
-    /// the tree's hold time, so that a team whose jobs come one after the other keeps its share in
-    /// between.
+    /// Sets what a leaf could use at the time `now`. A higher demand counts at once, a lower one
+    /// after it has been lower for the tree's hold time: a team whose jobs come one after the other
+    /// keeps its entitlement in between.
     pub fn set_demand(&mut self, leaf: NodeIx, amount: Amount, now: u64) {
         let hold = self.tree.hold_ms;
         let limit = self.tree.node(leaf).limit;
         let state = &mut self.nodes[leaf.at()];
         let amount = amount.capped(limit);
-        let more = amount.cpus >= state.demand.cpus && amount.gpus >= state.demand.gpus;
-        let counts = if more {
-            state.less_since = None;
+        let is_higher = amount.cpus >= state.demand.cpus && amount.gpus >= state.demand.gpus;
+        let counted = if is_higher {
+            state.lower_since = None;
             amount
         } else {
-            let since = *state.less_since.get_or_insert(now);
+            let since = *state.lower_since.get_or_insert(now);
             if since == now {
-                state.most = amount;
+                state.highest_since = amount;
             }
-            state.most = Amount {
-                cpus: state.most.cpus.max(amount.cpus),
-                gpus: state.most.gpus.max(amount.gpus),
+            state.highest_since = Amount {
+                cpus: state.highest_since.cpus.max(amount.cpus),
+                gpus: state.highest_since.gpus.max(amount.gpus),
             };
             if now - since < hold {
                 return;
             }
-            state.less_since = None;
-            std::mem::take(&mut state.most)
+            state.lower_since = None;
+            std::mem::take(&mut state.highest_since)
         };
-        if counts != state.demand {
-            state.demand = counts;
+        if counted != state.demand {
+            state.demand = counted;
             state.dirty = true;
         }
     }
 
-    /// Works out what changed. Returns the leaves that are entitled to more than before.
+    /// Recomputes the entitlements where something changed. Returns the leaves that are entitled
+    /// to more than before.
     pub fn refresh(&mut self) -> Vec<NodeIx> {
         let tree = self.tree.clone();
-        for ix in (0..tree.nodes.len()).rev() {
-            if !self.nodes[ix].dirty {
-                continue;
-            }
-            let node = &tree.nodes[ix];
-            let (base, sum) = if node.children.is_empty() {
-                (Amount::ZERO, self.nodes[ix].demand)
-            } else {
-                let below = node.children.iter().map(|child| &self.nodes[child.at()]);
-                below.fold((Amount::ZERO, Amount::ZERO), |(base, sum), state| {
-                    (base.plus(state.floor), sum.plus(state.demand))
-                })
-            };
-            let demand = sum.capped(node.limit);
-            let base = base.least(demand);
-            let floor = up_to(base, demand, node.guarantee, self.governed[ix]);
-            let state = &mut self.nodes[ix];
-            if node.children.is_empty() {
-                state.dirty = false;
-            }
-            (state.demand, state.floor) = (demand, floor);
-            if let Some(parent) = node.parent {
-                self.nodes[parent.at()].dirty = true;
-            } else {
-                self.nodes[ix].entitled = floor;
-            }
+        for ix in tree.all().rev() {
+            self.sum_up(&tree, ix);
         }
         let mut raised = Vec::new();
-        for ix in 0..tree.nodes.len() {
-            let node = &tree.nodes[ix];
-            if !std::mem::take(&mut self.nodes[ix].dirty) || node.children.is_empty() {
-                if node.parent.is_none() && node.children.is_empty() {
-                    self.nodes[ix].entitled = self.nodes[ix].floor;
-                }
+        for ix in tree.all() {
+            self.divide_among_children(&tree, ix, &mut raised);
+        }
+        raised
+    }
+
+    /// Recomputes a node's demand and floor from its children, whose own are up to date.
+    fn sum_up(&mut self, tree: &Tree, ix: NodeIx) {
+        if !self.nodes[ix.at()].dirty {
+            return;
+        }
+        let node = tree.node(ix);
+        let (base, sum) = if node.children.is_empty() {
+            (Amount::ZERO, self.nodes[ix.at()].demand)
+        } else {
+            let below = node.children.iter().map(|child| &self.nodes[child.at()]);
+            below.fold((Amount::ZERO, Amount::ZERO), |(base, sum), state| {
+                (base.plus(state.floor), sum.plus(state.demand))
+            })
+        };
+        let demand = sum.capped(node.limit);
+        let base = base.least(demand);
+        let floor = up_to(base, demand, node.guarantee, self.governed[ix.at()]);
+        let state = &mut self.nodes[ix.at()];
+        if node.children.is_empty() {
+            state.dirty = false;
+        }
+        (state.demand, state.floor) = (demand, floor);
+        match node.parent {
+            Some(parent) => self.nodes[parent.at()].dirty = true,
+            None => state.entitled = floor,
+        }
+    }
+
+    /// Divides a node's entitlement, which is up to date, among its children. Adds the leaves that
+    /// are entitled to more than before to `raised`.
+    fn divide_among_children(&mut self, tree: &Tree, ix: NodeIx, raised: &mut Vec<NodeIx>) {
+        let node = tree.node(ix);
+        let dirty = std::mem::take(&mut self.nodes[ix.at()].dirty);
+        if node.children.is_empty() {
+            if node.parent.is_none() {
+                self.nodes[ix.at()].entitled = self.nodes[ix.at()].floor;
+            }
+            return;
+        }
+        if !dirty {
+            return;
+        }
+        let claim = |child: &NodeIx| Claim {
+            floor: self.nodes[child.at()].floor,
+            demand: self.nodes[child.at()].demand,
+            weight: tree.node(*child).weight,
+        };
+        let claims: Vec<Claim> = node.children.iter().map(claim).collect();
+        let given = divide(
+            self.nodes[ix.at()].entitled,
+            self.governed[ix.at()],
+            &claims,
+        );
+        for (child, amount) in node.children.iter().zip(given) {
+            let state = &mut self.nodes[child.at()];
+            let before = state.entitled;
+            if before == amount {
                 continue;
             }
-            let claim = |child: &NodeIx| Claim {
-                floor: self.nodes[child.at()].floor,
-                demand: self.nodes[child.at()].demand,
-                weight: tree.node(*child).weight,
-            };
-            let claims: Vec<Claim> = node.children.iter().map(claim).collect();
-            let given = divide(self.nodes[ix].entitled, self.governed[ix], &claims);
-            for (child, amount) in node.children.iter().zip(given) {
-                let state = &mut self.nodes[child.at()];
-                let before = state.entitled;
-                if before == amount {
-                    continue;
-                }
-                state.entitled = amount;
-                if !tree.node(*child).children.is_empty() {
-                    state.dirty = true;
-                } else if amount.cpus > before.cpus + SLACK || amount.gpus > before.gpus + SLACK {
-                    raised.push(*child);
-                }
+            state.entitled = amount;
+            if !tree.node(*child).children.is_empty() {
+                state.dirty = true;
+            } else if amount.cpus > before.cpus + SLACK || amount.gpus > before.gpus + SLACK {
+                raised.push(*child);
             }
         }
-        raised
     }
 
-    fn each(&self, ix: NodeIx) -> impl Iterator<Item = usize> + use<> {
+    /// The kinds of resources that a node governs: 0 for CPUs, 1 for GPUs.
+    fn governed_kinds(&self, ix: NodeIx) -> impl Iterator<Item = usize> + use<> {
         let governed = self.governed[ix.at()];
-        [0, 1].into_iter().filter(move |r| governed[*r])
+        [0, 1].into_iter().filter(move |kind| governed[*kind])
     }
 
-    /// Whether work is within what a node is entitled to, to the nearest task: of a team, such work
-    /// goes first, and may reclaim what others borrowed. A node that uses nothing may have one task
-    /// that is larger than all of its share: else it would never run.
+    /// Whether work is within what a node is entitled to, rounded to the nearest task. Such work of
+    /// a team goes first, and may reclaim what others borrowed.
+    ///
+    /// A node that uses nothing may have one task that is larger than its whole entitlement, which
+    /// otherwise would never run.
+    #[must_use]
     pub fn within(&self, ix: NodeIx, used: Amount, wanted: Wanted) -> bool {
         let entitled = self.entitled(ix).each();
         let (used, total, task) = (used.each(), wanted.total.each(), wanted.task.each());
-        let alone = wanted.total == wanted.task;
-        let mut governed = false;
-        let all = self.each(ix).filter(|r| total[*r] > 0.0).all(|r| {
-            governed = true;
-            let nearest = used[r] + total[r] - task[r] / 2.0 <= entitled[r] + SLACK;
-            nearest || alone && used[r] <= SLACK && entitled[r] > SLACK
-        });
-        governed && all
+        let is_single_task = wanted.total == wanted.task;
+        let mut any_governed = false;
+        let all_within = self
+            .governed_kinds(ix)
+            .filter(|kind| total[*kind] > 0.0)
+            .all(|kind| {
+                any_governed = true;
+                let nearest = used[kind] + total[kind] - task[kind] / 2.0;
+                let is_first_task = is_single_task && used[kind] <= SLACK && entitled[kind] > SLACK;
+                nearest <= entitled[kind] + SLACK || is_first_task
+            });
+        any_governed && all_within
     }
 
-    /// Whether a node stays nearer to its share, or above it, without a task; less `gives`, which
-    /// it has to give up for a task that is larger than the share of its owner.
-    fn spares(&self, ix: NodeIx, used: Amount, task: Amount, gives: Amount) -> bool {
+    /// Whether a node is still at its entitlement, rounded to the nearest task, or beyond it after
+    /// one of its tasks is stopped. `conceded` is what it has to give up beyond that, for a task
+    /// that is larger than the whole entitlement of its team.
+    fn can_spare(&self, ix: NodeIx, used: Amount, task: Amount, conceded: Amount) -> bool {
         let entitled = self.entitled(ix).each();
-        let (used, task, gives) = (used.each(), task.each(), gives.each());
-        self.each(ix).filter(|r| task[*r] > 0.0).any(|r| {
-            let only = used[r] <= task[r] + SLACK && entitled[r] > SLACK;
-            !only && used[r] - task[r] / 2.0 + gives[r] > entitled[r] + SLACK
-        })
+        let (used, task, conceded) = (used.each(), task.each(), conceded.each());
+        self.governed_kinds(ix)
+            .filter(|kind| task[*kind] > 0.0)
+            .any(|kind| {
+                let is_only_task = used[kind] <= task[kind] + SLACK && entitled[kind] > SLACK;
+                let nearest = used[kind] - task[kind] / 2.0 + conceded[kind];
+                !is_only_task && nearest > entitled[kind] + SLACK
+            })
     }
 
-    /// Whether a task of one team may be stopped for work of another. Seen from where their ways
-    /// part, the one's branch must be within its share and the other's beyond it; so is the other
-    /// team itself. `used`: what a node's teams use at present.
+    /// Whether a task of the leaf `from` may be stopped for work of the leaf `by`. `used` returns
+    /// what the teams below a node use at present.
+    ///
+    /// Below the lowest common ancestor of both, the branch of `by` must be within its entitlement
+    /// and that of `from` beyond its own; so must the leaf `from` itself.
+    #[must_use]
     pub fn may_reclaim(
         &self,
         from: NodeIx,
@@ -220,48 +263,48 @@
         wanted: Wanted,
         used: impl Fn(NodeIx) -> Amount,
     ) -> bool {
-        let gives = if used(by).is_zero() && wanted.total == wanted.task {
+        let conceded = if used(by).is_zero() && wanted.total == wanted.task {
             wanted.task.minus(self.entitled(by))
         } else {
             Amount::ZERO
         };
-        if !self.spares(from, used(from), task, gives) {
+        if !self.can_spare(from, used(from), task, conceded) {
             return false;
         }
-        match self.tree.parting(by, from) {
-            Some((mine, its)) => {
-                self.within(mine, used(mine), wanted)
-                    && (its == from || self.spares(its, used(its), task, gives))
-            }
-            None => false,
-        }
+        let Some((branch_of_by, branch_of_from)) = self.tree.parting(by, from) else {
+            return false;
+        };
+        self.within(branch_of_by, used(branch_of_by), wanted)
+            && (branch_of_from == from
+                || self.can_spare(branch_of_from, used(branch_of_from), task, conceded))
     }
 
-    /// How far a team is beyond its share, as a part of what its root holds: the largest of its
-    /// amounts.
+    /// How far a leaf that uses so much is beyond its entitlement, as a part of what its root is
+    /// guaranteed: the largest part of any kind of resource, at least 0.
+    #[must_use]
     pub fn over(&self, leaf: NodeIx, used: Amount) -> f64 {
-        let held = self.tree.node(self.tree.root(leaf)).guarantee.each();
+        let root = self.tree.node(self.tree.root(leaf)).guarantee.each();
         let (used, entitled) = (used.each(), self.entitled(leaf).each());
-        self.each(leaf)
-            .map(|r| (used[r] - entitled[r]) / held[r])
+        self.governed_kinds(leaf)
+            .map(|kind| (used[kind] - entitled[kind]) / root[kind])
             .fold(0.0, f64::max)
     }
 }
 
-/// On the way from `base` to `demand`, as far as the guarantee reaches.
+/// The point on the way from `base` to `demand` that the guarantee reaches.
 fn up_to(base: Amount, demand: Amount, guarantee: Amount, governed: [bool; 2]) -> Amount {
-    let (from, to, held) = (base.each(), demand.each(), guarantee.each());
     if guarantee.is_zero() {
         return base;
     }
-    let mut part: f64 = 1.0;
-    for r in 0..2 {
-        let more = to[r] - from[r];
-        if governed[r] && more > 0.0 {
-            part = part.min((held[r] - from[r]).max(0.0) / more);
+    let (from, to, guaranteed) = (base.each(), demand.each(), guarantee.each());
+    let mut fraction: f64 = 1.0;
+    for kind in 0..2 {
+        let distance = to[kind] - from[kind];
+        if governed[kind] && distance > 0.0 {
+            fraction = fraction.min((guaranteed[kind] - from[kind]).max(0.0) / distance);
         }
     }
-    base.plus(demand.minus(base).times(part))
+    base.plus(demand.minus(base).times(fraction))
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -0,0 +1,106 @@
+//! The checked tree of quotas, and ways through it.
+//!
+//! An operator's file is read into a [`TreeSpec`], and built into a [`Tree`] that is consistent
+//! with itself and with the platform's teams.
+
+mod build;
+mod error;
+mod parse;
+mod spec;
+
+use std::collections::HashMap;
+
+pub use self::error::{TreeError, TreeProblem};
+pub use self::spec::{NodeSpec, Outer, TreeNote, TreeSpec};
+use crate::amount::Amount;
+
+/// The index of a node in its tree.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct NodeIx(pub u32);
+
+impl NodeIx {
+    pub(crate) fn at(self) -> usize {
+        self.0 as usize
+    }
+}
+
+/// A node of a checked tree.
+#[derive(Clone, Debug)]
+pub struct Node {
+    /// Its name, unique in the tree.
+    pub name: String,
+    /// The node above it; a root has none.
+    pub parent: Option<NodeIx>,
+    /// The nodes below it, in the order of the file.
+    pub children: Vec<NodeIx>,
+    /// The platform's team that a leaf stands for.
+    pub team: Option<String>,
+    /// What it is guaranteed: for a leaf at least what the platform guarantees its team, for others
+    /// at least the sum of the children's.
+    pub guarantee: Amount,
+    /// What it may use at most, for a leaf also by the platform's limit; 0 means no limit.
+    pub limit: Amount,
+    /// The limit by the tree alone, without the platform's; 0 means no limit.
+    pub own_limit: Amount,
+    /// Its weight among its siblings.
+    pub weight: f64,
+    /// Number of nodes above it.
+    pub depth: u32,
+}
+
+/// A checked tree, or several beside each other.
+#[derive(Clone, Debug, Default)]
+pub struct Tree {
+    /// Of two trees the one with the higher revision is active.
+    pub revision: u64,
+    /// How long demand that falls still counts, in milliseconds.
+    pub hold_ms: u64,
+    /// All nodes; parents come before their children.
+    pub nodes: Vec<Node>,
+    /// The leaves by the team that they stand for.
+    leaves: HashMap<String, NodeIx>,
+}
+
+impl Tree {
+    /// The node with this index.
+    pub fn node(&self, ix: NodeIx) -> &Node {
+        &self.nodes[ix.at()]
+    }
+
+    /// The leaf that stands for a team.
+    pub fn leaf(&self, team: &str) -> Option<NodeIx> {
+        self.leaves.get(team).copied()
+    }
+
+    /// All nodes, parents before their children.
+    pub fn all(&self) -> impl DoubleEndedIterator<Item = NodeIx> + use<> {
+        (0..self.nodes.len() as u32).map(NodeIx)
+    }
+
+    /// A node, its parent, and so on up to its root.
+    pub fn path(&self, ix: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
+        std::iter::successors(Some(ix), |at| self.node(*at).parent)
+    }
+
+    /// The root above a node.
+    pub fn root(&self, ix: NodeIx) -> NodeIx {
+        self.path(ix).last().unwrap_or(ix)
+    }
+
+    /// The children of the lowest common ancestor of two nodes that are on the ways to them, or
+    /// the roots above them if they have no common ancestor. `None`: one is above the other.
+    pub fn parting(&self, a: NodeIx, b: NodeIx) -> Option<(NodeIx, NodeIx)> {
+        let (mut a, mut b) = (a, b);
+        while self.node(a).depth > self.node(b).depth {
+            a = self.node(a).parent?;
+        }
+        while self.node(b).depth > self.node(a).depth {
+            b = self.node(b).parent?;
+        }
+        while a != b && self.node(a).parent != self.node(b).parent {
+            a = self.node(a).parent?;
+            b = self.node(b).parent?;
+        }
+        (a != b).then_some((a, b))
+    }
+}
--- /dev/null
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -0,0 +1,192 @@
+//! Stopping work beyond a lowered limit.
+//!
+//! A new tree may lower a limit below what runs. Each controller then stops its part of the excess
+//! in the shards that it holds, the least valuable tasks first. The stopped tasks wait until the
+//! limit has room for them again.
+
+use std::cmp::Ordering;
+use std::collections::BTreeSet;
+
+use super::super::Controller;
+use crate::jobs::PriorityClass;
+use crate::jobs::cache::Job;
+use crate::quota;
+use crate::quota::reclaim::overuse_steps;
+use crate::settings::TeamSettings;
+use crate::types::{MachineId, Millis, Resources, ShardId, TaskId, Team};
+use crate::workers::reconcile::Stop;
+
+/// How often usage is compared with the limits. It exceeds them only after a new tree, and the
+/// tasks that were stopped last have to be seen stopping first.
+const EXCESS_CHECK_INTERVAL: Millis = Millis(2_000);
+
+/// Excess below this many CPUs or GPUs is a rounding error.
+const EXCESS_TOLERANCE: f64 = 1e-6;
+
+/// Divisor in place of a usage of zero.
+const MIN_USED: f64 = 1e-9;
+
+/// A task that may be stopped because its team is over its limit.
+struct ExcessTask {
+    task: TaskId,
+    /// Tasks of services are stopped last.
+    service: bool,
+    /// How far the team is over its entitlement, in steps; the furthest over is stopped first.
+    overuse_steps: i64,
+    /// The lowest priority is stopped first.
+    priority: PriorityClass,
+    /// Seconds of machine time that stopping it wastes; the least is stopped first.
+    waste_s: f64,
+}
+
+impl ExcessTask {
+    /// The order in which tasks are stopped.
+    fn stop_order(&self, other: &Self) -> Ordering {
+        self.service
+            .cmp(&other.service)
+            .then(other.overuse_steps.cmp(&self.overuse_steps))
+            .then(self.priority.cmp(&other.priority))
+            .then(self.waste_s.total_cmp(&other.waste_s))
+            .then(self.task.cmp(&other.task))
+    }
+}
+
+/// A shard's part of a team's excess.
+struct ShardExcess {
+    /// What still has to be stopped, less what is being stopped already.
+    remaining: Resources,
+    /// The tasks to choose from.
+    tasks: Vec<ExcessTask>,
+}
+
+impl Controller {
+    /// Stops tasks of the teams and nodes that use more than their limit in the tree.
+    pub(super) fn stop_excess(&mut self) {
+        let due = self.now.since(self.quota.excess_checked_at) >= EXCESS_CHECK_INTERVAL;
+        if !due || self.quota.hierarchy.force().is_none() || !self.may_place() {
+            return;
+        }
+        self.quota.excess_checked_at = self.now;
+        for team in self.quota.hierarchy.limited() {
+            let used = self.jobs.usage(&team.name);
+            if !quota::within(used, &team) {
+                self.stop_excess_of(&team, used);
+            }
+        }
+    }
+
+    /// Stops a team's excess in the shards that this controller holds, in each for its part of the
+    /// team's usage.
+    fn stop_excess_of(&mut self, team: &TeamSettings, used: Resources) {
+        let cpus = excess_amount(team.cpus_max, used.cpus);
+        let gpus = excess_amount(team.gpus_max, used.gpus);
+        for shard in self.held_shards_of(team) {
+            let used_here = self.jobs.used_in(&team.name, &shard);
+            let part = Resources {
+                cpus: cpus * used_here.cpus / used.cpus.max(MIN_USED),
+                gpus: gpus * used_here.gpus / used.gpus.max(MIN_USED),
+                memory_gb: 0.0,
+            };
+            let mut excess = self.shard_excess(team, &shard, part);
+            excess.tasks.sort_by(ExcessTask::stop_order);
+            let machine_ids = self.stop_tasks(excess);
+            if !machine_ids.is_empty() {
+                tracing::info!(team = %team.name, %shard, ?machine_ids, "stopping tasks over lowered limit");
+            }
+            for machine_id in machine_ids {
+                self.push_commands(&machine_id);
+            }
+        }
+    }
+
+    fn held_shards_of(&self, team: &TeamSettings) -> Vec<ShardId> {
+        self.jobs
+            .shards_of(&team.name)
+            .filter(|shard| self.membership.leases.holds(shard, &self.me).is_some())
+            .cloned()
+            .collect()
+    }
+
+    /// The tasks of a shard that count for a team's limit and may be stopped. What is being stopped
+    /// already is subtracted from `part`, the shard's part of the excess.
+    fn shard_excess(&self, team: &TeamSettings, shard: &ShardId, part: Resources) -> ShardExcess {
+        let mut remaining = part;
+        let mut tasks = Vec::new();
+        for job in self.jobs.iter().filter(|job| job.active()) {
+            let limits = self.quota.hierarchy.limits(&job.spec.team);
+            if !limits.iter().any(|limit| limit.name == team.name) {
+                continue;
+            }
+            let placed = job
+                .placements()
+                .filter(|(_, placement)| placement.shard == *shard);
+            for (index, _) in placed {
+                let task = TaskId {
+                    job: job.id.clone(),
+                    index,
+                };
+                if self.scheduler.stops.contains_key(&task) {
+                    remaining = remaining.minus(job.spec.resources);
+                } else if !job.whole_gang() && !job.changes.contains_key(&index) {
+                    tasks.push(self.excess_task(job, task));
+                }
+            }
+        }
+        ShardExcess { remaining, tasks }
+    }
+
+    fn excess_task(&self, job: &Job, task: TaskId) -> ExcessTask {
+        ExcessTask {
+            task,
+            service: job.spec.kind == crate::jobs::JobKind::Service,
+            overuse_steps: self.team_overuse_steps(&job.spec.team),
+            priority: job.spec.priority,
+            waste_s: self.waste(job),
+        }
+    }
+
+    /// How far a team is over its entitlement, in steps; 0 without a tree.
+    fn team_overuse_steps(&self, team: &Team) -> i64 {
+        let Some(tree) = self.quota.hierarchy.force() else {
+            return 0;
+        };
+        tree.leaf(team).map_or(0, |leaf| {
+            let used = self.jobs.standing(team).into();
+            overuse_steps(tree, leaf, used)
+        })
+    }
+
+    /// Marks tasks as stopping, in their order, until the excess is gone. Returns their machines.
+    fn stop_tasks(&mut self, excess: ShardExcess) -> BTreeSet<MachineId> {
+        let mut remaining = excess.remaining;
+        let mut machine_ids = BTreeSet::new();
+        for ExcessTask { task, .. } in excess.tasks {
+            if remaining.cpus <= EXCESS_TOLERANCE && remaining.gpus <= EXCESS_TOLERANCE {
+                break;
+            }
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            let Some(placement) = job.task(task.index).placement() else {
+                continue;
+            };
+            remaining = remaining.minus(job.spec.resources);
+            machine_ids.insert(placement.machine_id.clone());
+            let stop = Stop {
+                attempt: placement.attempt,
+                save: !job.spec.cheap_to_kill(),
+            };
+            self.scheduler.stops.insert(task, stop);
+        }
+        machine_ids
+    }
+}
+
+/// How far an amount is over a limit, of which 0 means none.
+fn excess_amount(limit: f64, used: f64) -> f64 {
+    if limit > 0.0 {
+        (used - limit).max(0.0)
+    } else {
+        0.0
+    }
+}
--- /dev/null
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -0,0 +1,111 @@
+//! Nested quotas in the controller.
+//!
+//! Whether work is within its team's guarantee or entitlement is decided here; the submodules do
+//! the rest:
+//! - `publication`: writes the operator's tree file to the store and deletes replaced pages,
+//! - `demand`: refreshes the entitlements by the teams' demands and wakes jobs that gained,
+//! - `reclaim`: stops borrowed work for work within its entitlement,
+//! - `reservation`: reserves a machine for a task that needs most of one,
+//! - `excess`: stops work beyond a lowered limit.
+//!
+//! The state is part of `Quota`: [`TreePublication`] and [`ReclaimState`]. The tree itself is
+//! [`HierarchicalQuota`](crate::quota::hierarchical::HierarchicalQuota).
+
+mod demand;
+mod excess;
+mod publication;
+mod reclaim;
+mod reservation;
+
+use hierarchical_quota::Wanted;
+
+pub(super) use self::publication::TreePublication;
+pub(super) use self::reclaim::ReclaimState;
+use super::Controller;
+use super::quota_allocation::Quota;
+use crate::jobs::JobKind;
+use crate::jobs::cache::Job;
+use crate::queue::ClusterEvent;
+use crate::quota;
+use crate::types::{JobId, Resources, Revision, Team};
+
+impl Quota {
+    /// Whether a team is in the active tree.
+    pub(super) fn in_tree(&self, team: &Team) -> bool {
+        let tree = self.hierarchy.force();
+        tree.is_some_and(|tree| tree.leaf(team).is_some())
+    }
+}
+
+impl Controller {
+    /// Refreshes the entitlements, stops work beyond a lowered limit, and publishes the tree file.
+    pub(super) fn refresh_quota_tree(&mut self) {
+        self.refresh_entitlements();
+        self.stop_excess();
+        self.publish_tree();
+    }
+
+    /// Applies a watch event of a tree record: its new content, or `None` if it was deleted.
+    pub(super) fn apply_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
+        if self.quota.hierarchy.apply(key, data, version) {
+            self.jobs.regroup(self.quota.hierarchy.groups());
+            self.quota.reclaim = ReclaimState::default();
+            self.wake(ClusterEvent::NewTree);
+        }
+    }
+
+    /// Whether a job's next task, or all tasks of a gang, are within its team's guarantee on the
+    /// platform or its entitlement in the tree.
+    pub(super) fn guaranteed(&self, job: &Job) -> bool {
+        self.within_flat_guarantee(job) || self.within_entitlement(job)
+    }
+
+    fn within_flat_guarantee(&self, job: &Job) -> bool {
+        let name = &job.spec.team;
+        let used = self.jobs.usage(name).plus(resources_at_once(job));
+        let team = self.settings.team(name);
+        team.is_some_and(|team| quota::guaranteed(used, team))
+    }
+
+    fn within_entitlement(&self, job: &Job) -> bool {
+        let name = &job.spec.team;
+        let Some(tree) = self.quota.hierarchy.force() else {
+            return false;
+        };
+        tree.leaf(name).is_some_and(|leaf| {
+            let used = self.jobs.standing(name).into();
+            tree.shares.within(leaf, used, wanted(job))
+        })
+    }
+
+    /// Whether a team is in the active tree.
+    pub(super) fn in_tree(&self, team: &Team) -> bool {
+        self.quota.in_tree(team)
+    }
+
+    /// Whether a parked job may become placeable because the team `freed` uses less.
+    pub(super) fn team_helps(&self, freed: &Team, id: &JobId) -> bool {
+        let job = self.jobs.get(id);
+        job.is_some_and(|job| self.quota.hierarchy.related(freed, &job.spec.team))
+    }
+}
+
+/// What has to be placed at once for a job to make progress: a task of an array, or all tasks.
+fn resources_at_once(job: &Job) -> Resources {
+    let tasks = match job.spec.kind {
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => job.record.tasks,
+    };
+    job.spec.resources.times(f64::from(tasks))
+}
+
+/// The same in the form that entitlements are checked with.
+fn wanted(job: &Job) -> Wanted {
+    Wanted {
+        total: resources_at_once(job).into(),
+        task: job.spec.resources.into(),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/hierarchical_quota/publication.rs
@@ -0,0 +1,107 @@
+//! Publishing the operator's tree file: writing it to the store, and deleting replaced trees.
+
+use super::super::calls::CallPurpose;
+use super::super::{Controller, quota_allocation::Quota};
+use crate::quota::hierarchical::{HEAD, PendingTreeWrite, TreeStatus};
+use crate::store::{CallClass, StoreResponse, Transaction};
+use crate::types::Millis;
+
+/// How often the file is compared with the store, and written if it is newer. An operator changes
+/// the tree a few times a day at most.
+const PUBLICATION_INTERVAL: Millis = Millis(2_000);
+
+/// The most pages in one transaction. With values of 8 KiB it stays below 64 KiB.
+const MAX_PAGES_PER_TRANSACTION: usize = 6;
+
+/// Progress of writing the tree file to the store.
+#[derive(Default)]
+pub(in crate::controller) struct TreePublication {
+    /// When the file was last compared with the store.
+    checked_at: Millis,
+    /// The status of the file that was last logged.
+    logged_status: TreeStatus,
+    /// A transaction that writes or deletes tree records is in flight.
+    write_in_flight: bool,
+}
+
+impl TreePublication {
+    /// Logs the status of the file if it has changed.
+    fn log_status(&mut self, status: TreeStatus) {
+        if status == self.logged_status {
+            return;
+        }
+        self.logged_status = status;
+        match status {
+            TreeStatus::Differs => tracing::error!(
+                "quota tree file conflicts with the active tree of the same revision: raise its revision"
+            ),
+            TreeStatus::Old => tracing::info!("quota tree file is older than the active one"),
+            TreeStatus::New => tracing::info!("quota tree offered"),
+            TreeStatus::None | TreeStatus::InForce => {}
+        }
+    }
+}
+
+impl Quota {
+    /// The transaction that brings the store closer to having the file's tree, and only that. It
+    /// is empty if there is nothing to do. Only the leader deletes replaced pages. `max_changes` is
+    /// what the store accepts in a transaction.
+    fn tree_transaction(&self, max_changes: usize, is_leader: bool) -> Transaction {
+        let mut txn = Transaction::default();
+        let max_pages = max_changes.min(MAX_PAGES_PER_TRANSACTION);
+        match self.hierarchy.pending_write(max_pages) {
+            PendingTreeWrite::Pages(pages) => {
+                for (key, text) in pages {
+                    txn.require(key.clone(), self.hierarchy.page_version(&key));
+                    txn.put_text(key, text, None);
+                }
+            }
+            PendingTreeWrite::Head(text, version) => {
+                txn.require(HEAD.into(), version);
+                txn.put_text(HEAD.into(), text, None);
+            }
+            PendingTreeWrite::Nothing if is_leader => {
+                for key in self.hierarchy.obsolete_pages().take(max_changes) {
+                    txn.require(key.clone(), self.hierarchy.page_version(key));
+                    txn.drop_key(key.clone());
+                }
+            }
+            PendingTreeWrite::Nothing => {}
+        }
+        txn
+    }
+}
+
+impl Controller {
+    /// Writes the next part of the tree file to the store if it is newer than the tree there.
+    pub(super) fn publish_tree(&mut self) {
+        if self.now.since(self.quota.tree_publication.checked_at) < PUBLICATION_INTERVAL
+            || !self.store_sync.synced
+            || !self.may_place()
+        {
+            return;
+        }
+        self.quota.tree_publication.checked_at = self.now;
+        let status = self.quota.hierarchy.tree_status();
+        self.quota.tree_publication.log_status(status);
+        if self.quota.tree_publication.write_in_flight {
+            return;
+        }
+        let max_changes = self.settings.deployment.state.txn_ops;
+        let txn = self.quota.tree_transaction(max_changes, self.is_leading());
+        if !txn.changes.is_empty() {
+            self.quota.tree_publication.write_in_flight = true;
+            self.transact(CallClass::Rest, txn, CallPurpose::Tree);
+        }
+    }
+
+    /// Handles the answer to a transaction that wrote tree records.
+    pub(in crate::controller) fn on_tree(&mut self, answer: &StoreResponse) {
+        let publication = &mut self.quota.tree_publication;
+        publication.write_in_flight = false;
+        // The next part follows at once, as long as the store accepts them.
+        if matches!(answer, StoreResponse::Committed(_)) {
+            publication.checked_at = Millis(0);
+        }
+    }
+}
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -1,12 +1,14 @@
 use super::*;
+use crate::controller::Effect;
 use crate::controller::commits::tests::controller;
 use crate::jobs::api::{parse, tests::body};
+use crate::jobs::cache::TaskChange;
 use crate::jobs::{Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::hierarchical::HierarchicalQuota;
+use crate::quota::hierarchical::{HEAD, HierarchicalQuota, PendingTreeWrite};
 use crate::settings::TeamSettings;
-use crate::store::StoreCall;
-use crate::types::{AgentEpoch, Attempt, ShardId};
+use crate::store::{StoreCall, Transaction};
+use crate::types::{AgentEpoch, Attempt, Millis, ShardId};
 use hierarchical_quota::TreeSpec;
 
 /// A controller that leads, has one job of eight tasks, and a tree in force at revision 11 that
@@ -33,7 +35,7 @@
     controller.apply(LEADER, Some(r#"{"leader":"n0","permit":1}"#), Revision(9));
     let mut revision = 9;
     loop {
-        let changes = match controller.quota.hierarchy.owed(1) {
+        let changes = match controller.quota.hierarchy.pending_write(1) {
             PendingTreeWrite::Pages(pages) => pages,
             PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
             PendingTreeWrite::Nothing => break,
--- /dev/null
+++ b/src/controller/quota_allocation/admission.rs
@@ -0,0 +1,187 @@
+//! Admission of placements against the shards' allocations.
+
+use super::super::Controller;
+use crate::jobs::cache::Job;
+use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, share_key};
+use crate::settings::TeamSettings;
+use crate::store::Transaction;
+use crate::types::ShardId;
+
+impl Controller {
+    /// Whether the cache contains everything that was placed in a shard before its current holder
+    /// acquired it.
+    pub(in crate::controller) fn complete(&self, shard: &ShardId) -> bool {
+        let token = self
+            .membership
+            .leases
+            .shards
+            .get(shard)
+            .map_or(0, |(_, token)| token.0);
+        self.store_sync.applied.0 >= token
+    }
+
+    /// The shards in which the next task of a job would exceed the allocation of its team, or of a
+    /// node above it.
+    ///
+    /// With `raise`, the number of tasks to place, the leader may also place beyond an allocation:
+    /// it raises the allocation in the same transaction, as long as the limit has room for that
+    /// many tasks.
+    pub(in crate::controller) fn full_shards(&self, job: &Job, raise: Option<u32>) -> Vec<ShardId> {
+        let mut full: Vec<ShardId> = Vec::new();
+        for team in self.limits(job) {
+            if raise.is_some_and(|tasks| self.may_raise_for(team, job, tasks)) {
+                continue;
+            }
+            let fits = |shard: &ShardId| {
+                let used = self
+                    .jobs
+                    .used_in(&team.name, shard)
+                    .plus(job.spec.resources);
+                let allocated = self.quota.allocations.share(shard, &team.name);
+                // The leader places in another controller's shard only by raising its allocation.
+                let held_here = self.membership.leases.holds(shard, &self.me).is_some();
+                let usable = (held_here || raise.is_none()) && self.complete(shard);
+                usable && quota::within_share(used, allocated, team)
+            };
+            let shards = self.membership.leases.shards.keys();
+            full.extend(shards.filter(|shard| !fits(shard)).cloned());
+        }
+        full
+    }
+
+    /// Whether the leader may raise a team's allocations by what `tasks` tasks of a job take.
+    fn may_raise_for(&self, team: &TeamSettings, job: &Job, tasks: u32) -> bool {
+        let resources = job.spec.resources.times(f64::from(tasks));
+        self.may_raise()
+            && quota::covers(
+                quota::unallocated(team, &self.planned_allocations(team)),
+                resources,
+            )
+    }
+
+    /// Whether this controller is the leader and knows everything that raising an allocation
+    /// depends on: all that was placed before any allocation last changed, and no change of an
+    /// allocation is in flight or of unknown outcome.
+    pub(super) fn may_raise(&self) -> bool {
+        self.leading().is_some()
+            && self.quota.allocations_in_flight == 0
+            && self.quota.unresolved_allocations.is_empty()
+            && self.store_sync.synced
+            && self.store_sync.applied >= self.store_sync.snapshot_end
+            && self.store_sync.applied >= self.quota.allocations.newest()
+            // Placements conditioned on an earlier tree are all known, and no more can be applied.
+            && self.quota.hierarchy.settled()
+            && self.store_sync.applied >= self.quota.hierarchy.version()
+            && self.membership.leases.shards.keys().all(|shard| self.complete(shard))
+    }
+
+    /// All shards that a team may use something in: allocated, leased, or with tasks of the team.
+    pub(super) fn shards_of_team(&self, team: &TeamSettings) -> Vec<ShardId> {
+        let mut shards: Vec<ShardId> = self.quota.allocations.shards.keys().cloned().collect();
+        shards.extend(self.membership.leases.shards.keys().cloned());
+        shards.extend(self.jobs.shards_of(&team.name).cloned());
+        shards.sort();
+        shards.dedup();
+        shards
+    }
+
+    /// A team's allocation and usage in one shard.
+    pub(super) fn current_allocation(
+        &self,
+        team: &TeamSettings,
+        shard: &ShardId,
+    ) -> ShardAllocation {
+        ShardAllocation {
+            allocated: self.quota.allocations.share(shard, &team.name),
+            used: QuotaAllocation::of(self.jobs.used_in(&team.name, shard)),
+            leased: self.membership.leases.shards.contains_key(shard),
+        }
+    }
+
+    /// A team's allocations in all shards, raised by what is reserved in other controllers' shards
+    /// but not written yet.
+    fn planned_allocations(&self, team: &TeamSettings) -> Vec<ShardAllocation> {
+        let planned = |shard: ShardId| {
+            let current = self.current_allocation(team, &shard);
+            let reserved = self.jobs.reserved_in(&team.name, &shard);
+            let used = self.jobs.used_in(&team.name, &shard).minus(reserved);
+            let ownership = self.ownership(&shard);
+            let allocated = quota::raised(current.allocated, used, reserved, ownership);
+            ShardAllocation {
+                allocated,
+                ..current
+            }
+        };
+        self.shards_of_team(team).into_iter().map(planned).collect()
+    }
+
+    /// Whether this controller holds a shard and knows everything that is placed there.
+    fn ownership(&self, shard: &ShardId) -> ShardOwnership {
+        if self.membership.leases.holds(shard, &self.me).is_some() && self.complete(shard) {
+            ShardOwnership::Local
+        } else {
+            ShardOwnership::Remote
+        }
+    }
+
+    /// Adds to a placement's transaction the conditions and changes that its quota needs: the
+    /// version of each shard's allocation record and, where the leader places beyond an
+    /// allocation, the raised record. `placed` has the number of tasks for each shard.
+    ///
+    /// Returns false if the allocations have changed since the tasks were reserved and no longer
+    /// have room for them.
+    #[must_use]
+    pub(in crate::controller) fn require_shares(
+        &self,
+        job: &Job,
+        txn: &mut Transaction,
+        placed: &[(ShardId, u32)],
+    ) -> bool {
+        if self.limits(job).is_empty() {
+            return true;
+        }
+        placed
+            .iter()
+            .all(|(shard, tasks)| self.require_allocation(job, txn, shard, *tasks))
+    }
+
+    /// The same for the tasks of one shard.
+    fn require_allocation(
+        &self,
+        job: &Job,
+        txn: &mut Transaction,
+        shard: &ShardId,
+        tasks: u32,
+    ) -> bool {
+        let ownership = self.ownership(shard);
+        txn.require(share_key(shard), self.quota.allocations.version(shard));
+        let mut raised_record = None;
+        for team in self.limits(job) {
+            // Reserved tasks count as used already.
+            let used = self.jobs.used_in(&team.name, shard);
+            let allocated = self.quota.allocations.share(shard, &team.name);
+            if ownership == ShardOwnership::Local && quota::within_share(used, allocated, team) {
+                continue;
+            }
+            if !self.may_raise() || !quota::keeps_limit(team, &self.planned_allocations(team)) {
+                return false;
+            }
+            let resources = job.spec.resources.times(f64::from(tasks));
+            let before = used.minus(resources);
+            let record = raised_record.get_or_insert_with(|| self.quota.allocations.record(shard));
+            let raised = quota::raised(allocated, before, resources, ownership);
+            record.insert(team.name.clone(), raised);
+        }
+        if let Some(record) = raised_record {
+            txn.put(share_key(shard), &record);
+        }
+        true
+    }
+
+    /// Adds the version of the active quota tree to a transaction's conditions. The limits that
+    /// the transaction was checked against are those of this tree.
+    pub(in crate::controller) fn require_tree(&self, txn: &mut Transaction) {
+        let version = self.quota.hierarchy.version();
+        txn.require(quota::hierarchical::HEAD.into(), version);
+    }
+}
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -2,11 +2,13 @@
 use crate::controller::Effect;
 use crate::controller::commits::tests::controller_with;
 use crate::jobs::api::{parse, tests::body};
+use crate::jobs::cache::TaskChange;
 use crate::jobs::{JobKind, Placement, Task};
 use crate::lease::LEADER;
+use crate::quota::share_key;
 use crate::settings::tests::settings;
-use crate::store::{Mutation as Write, StoreCall};
-use crate::types::{AgentEpoch, Attempt, FencingToken};
+use crate::store::{Mutation as Write, StoreCall, StoreResponse, Transaction};
+use crate::types::{AgentEpoch, Attempt, FencingToken, Revision};
 
 fn leading(tasks: Vec<Task>) -> (Controller, JobId) {
     leading_with(8.0, 64.0, tasks)
--- /dev/null
+++ b/src/quota/allocation.rs
@@ -0,0 +1,116 @@
+//! The stored allocations: what each team may use in each shard.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::types::{Resources, Revision, ShardId, Team};
+
+/// Prefix of the keys of the shards' allocation records.
+pub const SHARES: &str = "jt/share/";
+
+/// The key of a shard's allocation record.
+pub fn share_key(shard: &ShardId) -> String {
+    format!("{SHARES}{shard}")
+}
+
+/// What a team may use in one shard, of each kind of resource that its limit names.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct QuotaAllocation {
+    /// Number of CPUs.
+    pub cpus: f64,
+    /// Number of GPUs.
+    pub gpus: f64,
+}
+
+impl QuotaAllocation {
+    /// The part of `resources` that quotas govern.
+    pub fn of(resources: Resources) -> Self {
+        Self {
+            cpus: resources.cpus,
+            gpus: resources.gpus,
+        }
+    }
+
+    /// The sum of both, for each kind of resource.
+    pub(super) fn plus(self, other: QuotaAllocation) -> Self {
+        Self {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+        }
+    }
+
+    /// The larger of both, for each kind of resource.
+    pub(super) fn at_least(self, other: QuotaAllocation) -> Self {
+        Self {
+            cpus: self.cpus.max(other.cpus),
+            gpus: self.gpus.max(other.gpus),
+        }
+    }
+}
+
+/// The record of a shard: the allocation of each team that has a limit.
+pub type AllocationRecord = BTreeMap<Team, QuotaAllocation>;
+
+/// A shard's allocation record as it was read from the store.
+#[derive(Clone, Debug, Default)]
+pub struct StoredAllocations {
+    /// The allocation of each team; empty if the record was deleted or is invalid.
+    pub record: AllocationRecord,
+    /// The version of the record, which transactions are conditioned on.
+    pub version: Revision,
+}
+
+/// The allocation records of all shards, as the store has them.
+#[derive(Debug, Default)]
+pub struct QuotaAllocations {
+    /// By shard; a shard without a record has nothing allocated.
+    pub shards: BTreeMap<ShardId, StoredAllocations>,
+}
+
+impl QuotaAllocations {
+    /// Applies a watch event: the new content of a shard's record, or `None` if it was deleted.
+    /// Returns whether it is newer than what was known.
+    pub fn apply(&mut self, shard: ShardId, data: Option<&str>, version: Revision) -> bool {
+        if self.version(&shard) >= version {
+            return false;
+        }
+        let record = data.and_then(|text| serde_json::from_str(text).ok());
+        let record = record.unwrap_or_default();
+        self.shards
+            .insert(shard, StoredAllocations { record, version });
+        true
+    }
+
+    /// The version of a shard's record; 0 if there is none.
+    pub fn version(&self, shard: &ShardId) -> Revision {
+        self.shards
+            .get(shard)
+            .map(|stored| stored.version)
+            .unwrap_or_default()
+    }
+
+    /// What is allocated to a team in a shard.
+    pub fn share(&self, shard: &ShardId, team: &Team) -> QuotaAllocation {
+        let stored = self.shards.get(shard);
+        let allocation = stored.and_then(|stored| stored.record.get(team));
+        allocation.copied().unwrap_or_default()
+    }
+
+    /// A copy of a shard's record; empty if there is none.
+    pub fn record(&self, shard: &ShardId) -> AllocationRecord {
+        self.shards
+            .get(shard)
+            .map(|stored| stored.record.clone())
+            .unwrap_or_default()
+    }
+
+    /// The newest version of any record.
+    pub fn newest(&self) -> Revision {
+        self.shards
+            .values()
+            .map(|stored| stored.version)
+            .max()
+            .unwrap_or_default()
+    }
+}
--- /dev/null
+++ b/src/quota/hierarchical/active.rs
@@ -0,0 +1,153 @@
+//! The active quota tree: its limits and groups by team, and the nodes' entitlements.
+
+use std::sync::Arc;
+
+use hierarchical_quota::{NodeIx, NodeSpec, Shares, Tree, TreeError, TreeProblem, TreeSpec};
+use rustc_hash::FxHashMap as HashMap;
+
+use super::pages::{Head, hash_of};
+use super::{HEAD, flat_limits, group_name, outers};
+use crate::jobs::cache::Groups;
+use crate::settings::TeamSettings;
+use crate::types::{Millis, Resources, Team};
+
+/// The active tree, and what its nodes are entitled to.
+pub struct ActiveTree {
+    /// Entitlements of the nodes by the teams' demands.
+    pub shares: Shares,
+    /// By team: the limits that apply to it, its own first.
+    limits: HashMap<Team, Vec<TeamSettings>>,
+    /// By team: the nodes above it, under their groups' names.
+    groups: Groups,
+    /// By node: the name under which its usage is counted.
+    names: Vec<Team>,
+}
+
+impl ActiveTree {
+    /// Reads a tree from its records. `None`: the tree is switched off.
+    ///
+    /// # Errors
+    ///
+    /// If the pages are not JSON, are not those that the head names, or are not a valid tree.
+    pub(super) fn load(
+        head: &Head,
+        pages: &[&str],
+        teams: &[TeamSettings],
+    ) -> Result<Option<Self>, TreeError> {
+        if !head.enabled {
+            return Ok(None);
+        }
+        let problem = |reason: TreeProblem| TreeError {
+            file: HEAD.into(),
+            field: format!("revision {}", head.revision),
+            reason,
+        };
+        let mut nodes: Vec<NodeSpec> = Vec::new();
+        for text in pages {
+            let page: Vec<NodeSpec> = serde_json::from_str(text)
+                .map_err(|error| problem(TreeProblem::Syntax(error.to_string())))?;
+            nodes.extend(page);
+        }
+        if hash_of(&nodes) != head.hash {
+            return Err(problem(TreeProblem::HashMismatch));
+        }
+        let spec = TreeSpec {
+            revision: head.revision,
+            hold_s: head.hold_ms as f64 / 1e3,
+            enabled: true,
+            nodes,
+        };
+        let tree = spec.adopt(HEAD, &outers(teams))?;
+        Ok(Some(Self::new(Arc::new(tree), teams)))
+    }
+
+    fn new(tree: Arc<Tree>, teams: &[TeamSettings]) -> Self {
+        let names = node_names(&tree);
+        let mut limits: HashMap<Team, Vec<TeamSettings>> = HashMap::default();
+        let mut groups = Groups::default();
+        for team in teams {
+            let Some(leaf) = tree.leaf(team.name.as_str()) else {
+                limits.insert(team.name.clone(), flat_limits(team));
+                continue;
+            };
+            limits.insert(team.name.clone(), path_limits(&tree, leaf, &names));
+            let above = tree.path(leaf).skip(1);
+            let above = above.map(|ix| names[ix.0 as usize].clone()).collect();
+            groups.insert(team.name.clone(), above);
+        }
+        Self {
+            shares: Shares::new(tree),
+            limits,
+            groups,
+            names,
+        }
+    }
+
+    /// The limits that apply to each team, its own first.
+    pub(super) fn limits(&self) -> &HashMap<Team, Vec<TeamSettings>> {
+        &self.limits
+    }
+
+    /// The groups that each team is counted in.
+    pub(super) fn groups(&self) -> &Groups {
+        &self.groups
+    }
+
+    /// The node that stands for a team, if the team is in the tree.
+    pub fn leaf(&self, team: &Team) -> Option<NodeIx> {
+        self.shares.tree().leaf(team.as_str())
+    }
+
+    /// The name under which a node's usage is counted.
+    pub fn name(&self, ix: NodeIx) -> &Team {
+        &self.names[ix.0 as usize]
+    }
+
+    /// Whether a team's usage counts for a node.
+    pub fn counts(&self, team: &Team, ix: NodeIx) -> bool {
+        let leaf = self.leaf(team);
+        leaf.is_some_and(|leaf| self.shares.tree().path(leaf).any(|at| at == ix))
+    }
+
+    /// Takes the teams' demands and recomputes the entitlements. Returns the teams that are
+    /// entitled to more than before.
+    pub(super) fn refresh(
+        &mut self,
+        now: Millis,
+        demands: &HashMap<&Team, Resources>,
+    ) -> Vec<Team> {
+        let tree = self.shares.tree().clone();
+        for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
+            let demand = demands.get(self.name(ix)).copied().unwrap_or_default();
+            self.shares.set_demand(ix, demand.into(), now.0);
+        }
+        let raised = self.shares.refresh();
+        raised.into_iter().map(|ix| self.name(ix).clone()).collect()
+    }
+}
+
+/// The names under which the nodes' usage is counted: a leaf's team, or the group of a node.
+fn node_names(tree: &Tree) -> Vec<Team> {
+    tree.all()
+        .map(|ix| match &tree.node(ix).team {
+            Some(team) => team.as_str().into(),
+            None => group_name(&tree.node(ix).name),
+        })
+        .collect()
+}
+
+/// The limits of a leaf and of the nodes above it, the leaf's first; nodes without one are left
+/// out.
+fn path_limits(tree: &Tree, leaf: NodeIx, names: &[Team]) -> Vec<TeamSettings> {
+    let settings = tree.path(leaf).map(|ix| {
+        let node = tree.node(ix);
+        TeamSettings {
+            name: names[ix.0 as usize].clone(),
+            cpus: node.guarantee.cpus,
+            cpus_max: node.limit.cpus,
+            gpus: node.guarantee.gpus,
+            gpus_max: node.limit.gpus,
+        }
+    });
+    settings.filter(TeamSettings::limited).collect()
+}
--- /dev/null
+++ b/src/quota/hierarchical/mod.rs
@@ -0,0 +1,298 @@
+//! The tree of nested quotas: what the operator's file says, what the store holds, and which tree
+//! is active.
+//!
+//! The tree in the store applies to all controllers alike. A file with a higher revision replaces
+//! it: its pages are written first and the head record last, so that a reader never adopts half a
+//! tree. [`HierarchicalQuota`] owns this state; the controller reads and writes the records.
+
+mod active;
+mod pages;
+
+use hierarchical_quota::{Amount, Outer, Tree, TreeSpec};
+use rustc_hash::FxHashMap as HashMap;
+
+pub use self::active::ActiveTree;
+use self::pages::{Head, PagedTree, StoredPages};
+use crate::jobs::cache::Groups;
+use crate::settings::TeamSettings;
+use crate::types::{Millis, Resources, Revision, Team};
+
+/// The key of the head record, which says which tree is active. Its version is a condition of
+/// every placement.
+pub const HEAD: &str = "jt/tree";
+
+/// Prefix of the keys of the pages, which hold the nodes.
+pub const PAGES: &str = "jt/tree/";
+
+/// The most bytes that the allocation of a team or node takes in a shard's record, besides its
+/// name.
+const ALLOCATION_BYTES: usize = 64;
+
+impl From<Resources> for Amount {
+    fn from(resources: Resources) -> Self {
+        Amount::new(resources.cpus, resources.gpus)
+    }
+}
+
+/// The platform's teams in the form that the tree is checked against.
+pub fn outers(teams: &[TeamSettings]) -> Vec<Outer> {
+    let outer = |team: &TeamSettings| Outer {
+        team: team.name.to_string(),
+        guarantee: Amount::new(team.cpus, team.gpus),
+        limit: Amount::new(team.cpus_max, team.gpus_max),
+    };
+    teams.iter().map(outer).collect()
+}
+
+/// The name under which a node's usage and allocations are counted beside the teams'.
+pub fn group_name(node: &str) -> Team {
+    format!("#{node}").into()
+}
+
+/// The most bytes of a shard's allocation record: every team and node with a limit has an
+/// allocation there.
+pub fn share_bytes(teams: &[TeamSettings], tree: &Tree) -> usize {
+    let teams = teams.iter().filter(|team| team.limited());
+    let nodes = tree.nodes.iter().filter(|node| !node.own_limit.is_zero());
+    let team_names = teams.map(|team| team.name.as_str().len());
+    let node_names = nodes.map(|node| node.name.len());
+    team_names
+        .chain(node_names)
+        .map(|name| name + ALLOCATION_BYTES)
+        .sum()
+}
+
+/// What the controller has to write next so that its file becomes active.
+#[derive(Debug, PartialEq)]
+pub enum PendingTreeWrite {
+    /// Nothing: there is no file, or it is not newer than the active tree.
+    Nothing,
+    /// Pages that are not in the store yet: key and text.
+    Pages(Vec<(String, String)>),
+    /// All pages are in the store: the text of the head, to be written over this version of it.
+    Head(String, Revision),
+}
+
+/// How the file of this controller compares with the tree in the store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum TreeStatus {
+    /// There is no file.
+    #[default]
+    None,
+    /// The store has this tree.
+    InForce,
+    /// The store has a newer tree.
+    Old,
+    /// The store has another tree with the same revision.
+    Differs,
+    /// The file is newer; its tree is being written.
+    New,
+}
+
+/// The tree in the operator's file, the one in the store, and the active one.
+#[derive(Default)]
+pub struct HierarchicalQuota {
+    /// The platform's teams with their own guarantees and limits.
+    teams: Vec<TeamSettings>,
+    /// The tree of this controller's file.
+    file: Option<PagedTree>,
+    /// The newest head record that was read, and its version.
+    head: Option<Head>,
+    head_version: Revision,
+    /// The pages in the store.
+    pages: StoredPages,
+    /// The version of the head that `active` was made from.
+    version: Revision,
+    active: Option<ActiveTree>,
+    /// Without a tree: each team's own limit.
+    flat: HashMap<Team, Vec<TeamSettings>>,
+    /// When entitlements were last recomputed.
+    refreshed_at: Millis,
+}
+
+/// A team's own limit, if it has one.
+fn flat_limits(team: &TeamSettings) -> Vec<TeamSettings> {
+    team.limited().then(|| team.clone()).into_iter().collect()
+}
+
+impl HierarchicalQuota {
+    /// The quota of a controller with these teams and tree file. `value_kb` is the size of the
+    /// store's largest value in KiB.
+    pub fn new(teams: &[TeamSettings], file: Option<&TreeSpec>, value_kb: f64) -> Self {
+        Self {
+            teams: teams.to_vec(),
+            file: file.map(|spec| PagedTree::new(spec, value_kb)),
+            flat: teams
+                .iter()
+                .map(|team| (team.name.clone(), flat_limits(team)))
+                .collect(),
+            ..Self::default()
+        }
+    }
+
+    /// The version of the head that decisions are based on. The store may have a newer one whose
+    /// pages have not all been read: transactions conditioned on this version then fail.
+    pub fn version(&self) -> Revision {
+        self.version
+    }
+
+    /// Whether the newest head that was read is the active one.
+    pub fn settled(&self) -> bool {
+        self.version == self.head_version
+    }
+
+    /// The active tree; `None` if quotas are flat.
+    pub fn force(&self) -> Option<&ActiveTree> {
+        self.active.as_ref()
+    }
+
+    /// The limits that apply to a team, its own first.
+    pub fn limits(&self, team: &Team) -> &[TeamSettings] {
+        let limits = match &self.active {
+            Some(tree) => tree.limits(),
+            None => &self.flat,
+        };
+        limits.get(team).map_or(&[], Vec::as_slice)
+    }
+
+    /// All teams and nodes that have a limit, each once, by name.
+    pub fn limited(&self) -> Vec<TeamSettings> {
+        let teams = self.teams.iter();
+        let mut limited: Vec<TeamSettings> = teams
+            .flat_map(|team| self.limits(&team.name).iter().cloned())
+            .collect();
+        limited.sort_by(|a, b| a.name.cmp(&b.name));
+        limited.dedup_by(|a, b| a.name == b.name);
+        limited
+    }
+
+    /// Whether two teams share a limit, so that usage which one gives up may help the other.
+    pub fn related(&self, a: &Team, b: &Team) -> bool {
+        let applies_to_b = |name: &Team| self.limits(b).iter().any(|limit| limit.name == *name);
+        a == b || self.limits(a).iter().any(|limit| applies_to_b(&limit.name))
+    }
+
+    /// How this controller's file compares with the tree in the store.
+    pub fn tree_status(&self) -> TreeStatus {
+        let Some(file) = &self.file else {
+            return TreeStatus::None;
+        };
+        match &self.head {
+            Some(head) if head.revision > file.head.revision => TreeStatus::Old,
+            Some(head) if head.revision == file.head.revision && *head != file.head => {
+                TreeStatus::Differs
+            }
+            Some(head) if head.revision == file.head.revision => TreeStatus::InForce,
+            _ => TreeStatus::New,
+        }
+    }
+
+    /// What has to be written next so that the file becomes active, at most `max_pages` pages at a
+    /// time.
+    pub fn pending_write(&self, max_pages: usize) -> PendingTreeWrite {
+        let is_new = self.tree_status() == TreeStatus::New;
+        let Some(file) = self.file.as_ref().filter(|_| is_new) else {
+            return PendingTreeWrite::Nothing;
+        };
+        let missing: Vec<(String, String)> = file
+            .keyed_pages()
+            .filter(|(key, _)| !self.pages.by_key.contains_key(key))
+            .take(max_pages)
+            .map(|(key, text)| (key, text.clone()))
+            .collect();
+        if !missing.is_empty() {
+            return PendingTreeWrite::Pages(missing);
+        }
+        // The head is plain data, which always has a JSON form.
+        let head = serde_json::to_string(&file.head).unwrap_or_default();
+        PendingTreeWrite::Head(head, self.head_version)
+    }
+
+    /// The keys of pages that belong to trees which have been replaced.
+    pub fn obsolete_pages(&self) -> impl Iterator<Item = &String> {
+        self.pages.obsolete(self.head.as_ref())
+    }
+
+    /// The version of a page's record; 0 if it is not in the store.
+    pub fn page_version(&self, key: &str) -> Revision {
+        self.pages.version(key)
+    }
+
+    /// Applies a watch event of the head or a page: its new content, or `None` if it was deleted.
+    /// Returns whether that activated another tree.
+    pub fn apply(&mut self, key: &str, data: Option<&str>, version: Revision) -> bool {
+        if key == HEAD {
+            if version <= self.head_version {
+                return false;
+            }
+            self.head_version = version;
+            self.head = data.and_then(|text| serde_json::from_str(text).ok());
+        } else {
+            self.pages.apply(key, data, version);
+        }
+        self.activate()
+    }
+
+    /// Forgets the records before a snapshot read. The active tree stays until the snapshot
+    /// replaces it.
+    pub fn resync(&mut self) {
+        self.head = None;
+        self.head_version = Revision(0);
+        self.version = Revision(0);
+        self.pages = StoredPages::default();
+    }
+
+    /// Activates the tree of the newest head if all its pages are there. An invalid tree is logged
+    /// and leaves the active one as it is.
+    fn activate(&mut self) -> bool {
+        if self.settled() {
+            return false;
+        }
+        let Some(head) = &self.head else {
+            return false;
+        };
+        let Some(texts) = self.pages.texts_of(head) else {
+            return false;
+        };
+        let active = match ActiveTree::load(head, &texts, &self.teams) {
+            Ok(active) => active,
+            Err(error) => {
+                tracing::error!(%error, "quota tree record is invalid");
+                return false;
+            }
+        };
+        let nodes = active
+            .as_ref()
+            .map_or(0, |tree| tree.shares.tree().nodes.len());
+        tracing::info!(revision = head.revision, nodes, "quota tree activated");
+        self.active = active;
+        self.version = self.head_version;
+        true
+    }
+
+    /// The groups that each team is counted in.
+    pub fn groups(&self) -> Groups {
+        let tree = self.active.as_ref();
+        tree.map(|tree| tree.groups().clone()).unwrap_or_default()
+    }
+
+    /// Takes the teams' demands and recomputes the entitlements, at most once in `interval`.
+    /// Returns the teams that are entitled to more than before; `None` if it was too early or
+    /// there is no tree.
+    pub fn refresh<'a>(
+        &mut self,
+        now: Millis,
+        interval: Millis,
+        demands: impl FnOnce() -> HashMap<&'a Team, Resources>,
+    ) -> Option<Vec<Team>> {
+        let tree = self.active.as_mut()?;
+        if now.since(self.refreshed_at) < interval {
+            return None;
+        }
+        self.refreshed_at = now;
+        Some(tree.refresh(now, &demands()))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -1,3 +1,4 @@
+use super::pages::StoredPage;
 use super::*;
 
 fn team(name: &str, gpus: f64, gpus_max: f64) -> TeamSettings {
@@ -30,7 +31,7 @@
 ) -> usize {
     let mut writes = 0;
     loop {
-        let changes = match nested.owed(1) {
+        let changes = match nested.pending_write(1) {
             PendingTreeWrite::Nothing => return writes,
             PendingTreeWrite::Pages(pages) => pages,
             PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
@@ -57,7 +58,7 @@
         write(&mut holds_old, &mut others, &mut revision)
     };
     assert!(first > 2, "{first} writes: pages and a head");
-    assert_eq!(holds_new.standing(), TreeStatus::New);
+    assert_eq!(holds_new.tree_status(), TreeStatus::New);
     assert_eq!(has_none.limits(&"b".into())[0].gpus_max, 8.0);
     let mut others = [&mut holds_old, &mut holds_odd, &mut has_none];
     write(&mut holds_new, &mut others, &mut revision);
@@ -69,14 +70,14 @@
         TreeStatus::None,
     ];
     for (nested, standing) in all.into_iter().zip(standings) {
-        assert_eq!(nested.standing(), standing);
+        assert_eq!(nested.tree_status(), standing);
         assert!(nested.settled());
         assert_eq!(nested.version(), Revision(revision));
         assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
-        assert_eq!(nested.owed(9), PendingTreeWrite::Nothing);
+        assert_eq!(nested.pending_write(9), PendingTreeWrite::Nothing);
     }
     // Its pages are of no more use; those of the tree in force are.
-    assert_eq!(has_none.leftovers().count(), first - 1);
+    assert_eq!(has_none.obsolete_pages().count(), first - 1);
 }
 
 /// Other controllers could not make sense of pages that came back with their keys in another
@@ -86,7 +87,7 @@
     let file = spec(4, 8);
     let (mut writer, mut reader) = (nested(Some(&file)), nested(None));
     write(&mut writer, &mut [], &mut 10);
-    for (key, (text, version)) in writer.pages.clone() {
+    for (key, StoredPage { text, version }) in writer.pages.by_key.clone() {
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
         let other = serde_json::to_string_pretty(&value).unwrap();
         assert_ne!(text, other);
@@ -110,8 +111,8 @@
     assert!(!reader.apply(HEAD, Some(&head), Revision(revision)));
     assert!(!reader.settled());
     assert_eq!(reader.version(), Revision(0));
-    let pages: Vec<_> = writer.pages.clone().into_iter().collect();
-    for (index, (key, (text, version))) in pages.iter().enumerate() {
+    let pages: Vec<_> = writer.pages.by_key.clone().into_iter().collect();
+    for (index, (key, StoredPage { text, version })) in pages.iter().enumerate() {
         let last = index == pages.len() - 1;
         assert_eq!(reader.apply(key, Some(text), *version), last);
     }
@@ -137,7 +138,7 @@
     assert_eq!(nested.limited().len(), 2);
     assert!(nested.related(&"a".into(), &"b".into()));
     let off = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
-    nested.file = Some(paged(&off, 8.0));
+    nested.file = Some(PagedTree::new(&off, 8.0));
     write(&mut nested, &mut [], &mut 100);
     assert!(nested.force().is_none() && nested.limits(&"b".into()).is_empty());
 }
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -1,5 +1,9 @@
-//! Whom to stop so that work within its share of the tree finds room: several tasks' room in one
-//! go, each stop counted before the next is chosen, so that nobody is taken below its share.
+//! Which tasks to stop so that work within its entitlement finds capacity.
+//!
+//! Under a quota tree a team may use more than it is entitled to while others leave capacity
+//! unused, and must give it back when they need it. A [`ReclaimPlanner`] chooses the tasks to stop
+//! for one job. It counts every stop before it chooses the next, so that several stops together
+//! never take a team below its entitlement.
 
 use std::cell::RefCell;
 
@@ -11,111 +15,147 @@
 use crate::preempt::{PreemptionOffer, Site, Victim, cheapest_set, offer};
 use crate::types::{MachineId, Resources, TaskId, Team};
 
-/// How far a borrower is over its share is told apart in steps of this part of the whole: among
-/// those about as far over, waste decides.
-const STEPS: f64 = 64.0;
+/// Overuse is rounded up to steps of this fraction of what the tree's root has: among borrowers
+/// that are about as far over their entitlement, the wasted work decides.
+const OVERUSE_STEPS_PER_ROOT: f64 = 64.0;
 
-/// Room is gathered on a machine where this part of it is free at once.
-const LEAST_GATHERED: f64 = 0.25;
+/// A machine is reserved only if at least this part of the task's resources is available there at
+/// once. On a machine with less, most of the reservation would be spent waiting.
+const MIN_RESERVED_PART: f64 = 0.25;
 
-/// A team, the bits of what its task takes, and how many such are stopped before.
-type Question = (Team, [u64; 2], u32);
+/// Resources that a team is about to gain or lose.
+#[derive(Clone, Debug)]
+pub struct TeamUsage {
+    /// The team.
+    pub team: Team,
+    /// What it gains or loses.
+    pub resources: Resources,
+}
+
+/// Usage that is about to change, by decisions that are not carried out yet.
+#[derive(Clone, Debug, Default)]
+pub struct PendingUsage {
+    /// Capacity that is being made available to jobs of these teams.
+    pub gained: Vec<TeamUsage>,
+    /// Capacity of tasks that are being stopped.
+    pub lost: Vec<TeamUsage>,
+}
 
-/// What the teams use, and what is about to change hands.
+/// A machine to reserve for a task, and the tasks to stop there at once.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MachineReservation {
+    /// The machine.
+    pub machine_id: MachineId,
+    /// Tasks to stop there; the others run to their end.
+    pub victims: Vec<TaskId>,
+}
+
+/// What decides whether a task may be stopped: its team, its size, and how many tasks of the team
+/// and that size are stopped on the same machine before it. Amounts are kept as bits, which are
+/// equal and hashable.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct VictimKey {
+    team: Team,
+    cpus: u64,
+    gpus: u64,
+    stopped_before: u32,
+}
+
+/// Plans which tasks to stop for one job, by the teams' usage and what is about to change in it.
 #[derive(Clone)]
-pub struct Ledger<'a> {
-    force: &'a ActiveTree,
+pub struct ReclaimPlanner<'a> {
+    tree: &'a ActiveTree,
     jobs: &'a JobCache,
-    leaf: NodeIx,
+    /// The job's team and its node.
     team: Team,
+    leaf: NodeIx,
     wanted: Wanted,
-    /// Room that is being made, and room of tasks that are being stopped.
-    coming: Vec<(Team, Resources)>,
-    leaving: Vec<(Team, Resources)>,
-    /// Answers as long as nothing changes: by team, task, and how many of the team's tasks the
-    /// same machine has in line before it.
-    known: RefCell<HashMap<Question, Option<i64>>>,
+    pending: PendingUsage,
+    /// Overuse by victim, as long as no further stop is planned; `None`: must not be stopped.
+    known_overuse: RefCell<HashMap<VictimKey, Option<i64>>>,
 }
 
-impl<'a> Ledger<'a> {
-    /// None: the team is not in the tree.
+impl<'a> ReclaimPlanner<'a> {
+    /// A planner for work of a team that wants so much. `None`: the team is not in the tree.
     pub fn new(
-        force: &'a ActiveTree,
+        tree: &'a ActiveTree,
         jobs: &'a JobCache,
         team: &Team,
-        total: Resources,
-        task: Resources,
-        coming: Vec<(Team, Resources)>,
-        leaving: Vec<(Team, Resources)>,
+        wanted: Wanted,
+        pending: PendingUsage,
     ) -> Option<Self> {
-        let wanted = Wanted {
-            total: total.into(),
-            task: task.into(),
-        };
         Some(Self {
-            force,
+            tree,
             jobs,
-            leaf: force.leaf(team)?,
+            leaf: tree.leaf(team)?,
             team: team.clone(),
             wanted,
-            coming,
-            leaving,
-            known: RefCell::default(),
+            pending,
+            known_overuse: RefCell::default(),
         })
     }
 
-    fn used(&self, ix: NodeIx, also: &[(Team, Resources)]) -> Amount {
-        let sum = |amounts: &[(Team, Resources)]| {
-            let its = amounts
+    /// What the teams below a node use once all that is pending, and `also` stopping these, is
+    /// carried out.
+    fn used(&self, ix: NodeIx, also: &[TeamUsage]) -> Amount {
+        let sum = |usages: &[TeamUsage]| {
+            usages
                 .iter()
-                .filter(|(team, _)| self.force.counts(team, ix));
-            its.fold(Resources::default(), |sum, (_, resources)| {
-                sum.plus(*resources)
-            })
+                .filter(|usage| self.tree.counts(&usage.team, ix))
+                .fold(Resources::default(), |sum, usage| sum.plus(usage.resources))
         };
-        let now = self.jobs.standing(self.force.name(ix));
-        let left = sum(&self.leaving).plus(sum(also));
-        now.plus(sum(&self.coming)).minus(left).into()
+        let now = self.jobs.standing(self.tree.name(ix));
+        let lost = sum(&self.pending.lost).plus(sum(also));
+        now.plus(sum(&self.pending.gained)).minus(lost).into()
     }
 
-    /// Whether one more is within the team's share.
-    fn within(&self) -> bool {
+    /// Whether one more task is within the team's entitlement.
+    fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
-        self.force.shares.within(self.leaf, used, self.wanted)
+        self.tree.shares.within(self.leaf, used, self.wanted)
     }
 
-    /// How far a team is over its share, in steps, if a task of it may be stopped when `before`
-    /// others of the same size are.
-    fn borrowed(&self, team: &Team, resources: Resources, before: u32) -> Option<i64> {
-        let key = (
-            team.clone(),
-            [resources.cpus.to_bits(), resources.gpus.to_bits()],
-            before,
-        );
-        if let Some(known) = self.known.borrow().get(&key) {
+    /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
+    /// `stopped_before` others of the same size. `None`: it must not be stopped.
+    fn reclaimable_overuse(
+        &self,
+        team: &Team,
+        resources: Resources,
+        stopped_before: u32,
+    ) -> Option<i64> {
+        let key = VictimKey {
+            team: team.clone(),
+            cpus: resources.cpus.to_bits(),
+            gpus: resources.gpus.to_bits(),
+            stopped_before,
+        };
+        if let Some(known) = self.known_overuse.borrow().get(&key) {
             return *known;
         }
-        let from = self.force.leaf(team)?;
-        let also = vec![(team.clone(), resources.times(f64::from(before)))];
+        let from = self.tree.leaf(team)?;
+        let also = [TeamUsage {
+            team: team.clone(),
+            resources: resources.times(f64::from(stopped_before)),
+        }];
         let used = |ix| self.used(ix, &also);
-        let shares = &self.force.shares;
-        let may = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
-        let over = may.then(|| overuse_steps(self.force, from, used(from)));
-        self.known.borrow_mut().insert(key, over);
-        over
+        let shares = &self.tree.shares;
+        let allowed = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
+        let overuse = allowed.then(|| overuse_steps(self.tree, from, used(from)));
+        self.known_overuse.borrow_mut().insert(key, overuse);
+        overuse
     }
 
-    /// A site with those victims only that may be stopped. Tasks of one team on one machine may all
-    /// be chosen: together they must not take it below its share.
-    fn judge(&self, site: &Site) -> Site {
-        let mut before: HashMap<&Team, u32> = HashMap::default();
+    /// A site with only those victims that may be stopped. All of them may be chosen, so tasks of
+    /// one team are counted one after the other.
+    fn with_allowed_victims(&self, site: &Site) -> Site {
+        let mut stopped: HashMap<&Team, u32> = HashMap::default();
         let mut victims = Vec::with_capacity(site.victims.len());
         for victim in &site.victims {
             let mut over = None;
             if let Some(team) = victim.team.as_ref().filter(|_| !victim.leaving) {
-                let count = before.entry(team).or_default();
-                over = self.borrowed(team, victim.resources, *count);
-                *count += u32::from(over.is_some());
+                let stopped_before = stopped.entry(team).or_default();
+                over = self.reclaimable_overuse(team, victim.resources, *stopped_before);
+                *stopped_before += u32::from(over.is_some());
             }
             if victim.leaving || victim.lower || over.is_some() {
                 victims.push(Victim {
@@ -132,99 +172,144 @@
         }
     }
 
-    /// The cheapest site for one more task, with its stops counted.
-    fn pick(&mut self, resources: Resources, sites: &mut Vec<Site>) -> Option<PreemptionOffer> {
+    /// Takes the cheapest site for one more task out of `sites`, and counts its stops as pending.
+    fn take_cheapest(
+        &mut self,
+        resources: Resources,
+        sites: &mut Vec<Site>,
+    ) -> Option<PreemptionOffer> {
         let offers = sites
             .iter()
-            .filter_map(|site| offer(resources, &self.judge(site)));
+            .filter_map(|site| offer(resources, &self.with_allowed_victims(site)));
         let best = cheapest_set(std::iter::once(offers.collect()), 1)?.pop()?;
-        let at = sites
+        let position = sites
             .iter()
             .position(|site| site.machine_id == best.machine_id)?;
-        let site = sites.swap_remove(at);
+        let site = sites.swap_remove(position);
         for victim in site.victims.iter().filter(|victim| !victim.leaving) {
             if let Some(team) = &victim.team
                 && best.victims.contains(&victim.task)
             {
-                self.leaving.push((team.clone(), victim.resources));
+                self.pending.lost.push(TeamUsage {
+                    team: team.clone(),
+                    resources: victim.resources,
+                });
             }
         }
-        self.known.borrow_mut().clear();
+        self.known_overuse.borrow_mut().clear();
         Some(best)
     }
 
-    /// Where to make room for up to `most` tasks, each on a machine of its own. The first may be
-    /// made room for by priority alone; the others must be within the team's share.
+    /// Where to make room for up to `max_tasks` tasks, each on a machine of its own. The first may
+    /// get room by priority alone; the others must be within the team's entitlement.
     pub fn plan(
         mut self,
         resources: Resources,
         mut sites: Vec<Site>,
-        most: usize,
+        max_tasks: usize,
     ) -> Vec<PreemptionOffer> {
         let mut chosen = Vec::new();
-        while chosen.len() < most && (chosen.is_empty() || self.within()) {
-            let Some(best) = self.pick(resources, &mut sites) else {
+        while chosen.len() < max_tasks && (chosen.is_empty() || self.within_entitlement()) {
+            let Some(best) = self.take_cheapest(resources, &mut sites) else {
                 break;
             };
-            self.coming.push((self.team.clone(), resources));
+            self.pending.gained.push(TeamUsage {
+                team: self.team.clone(),
+                resources,
+            });
             chosen.push(best);
         }
         chosen
     }
 
-    /// For a task that needs most of a machine when no machine's borrowed work makes up its room:
-    /// where most of it is there at once. Borrowed work there stops, and room that comes free is
-    /// kept for a while. `rest_s`: seconds until what is not stopped on a machine has ended; none: too long.
-    pub fn gather(
-        self,
-        resources: Resources,
-        sites: &[Site],
-        rest_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
-    ) -> Option<(MachineId, Vec<TaskId>)> {
-        if !self.within() {
-            return None;
-        }
-        let best = sites.iter().filter_map(|site| {
-            let judged = self.judge(site);
-            let got = judged
-                .victims
-                .iter()
-                .filter(|v| v.leaving || v.over.is_some());
-            let available = got
-                .clone()
-                .fold(site.available, |sum, v| sum.plus(v.resources));
-            let part = available.share_of(resources).min(1.0);
-            let stopped = got.filter(|v| !v.leaving).map(|v| v.task.clone());
-            let stopped: Vec<TaskId> = stopped.collect();
-            let rest = rest_s(site, &stopped)?;
-            (part >= LEAST_GATHERED).then_some((rest, part, &site.machine_id, stopped))
-        });
-        let best = best.min_by(|a, b| {
-            let by_part = b.1.total_cmp(&a.1).then(a.0.total_cmp(&b.0));
-            by_part.then(a.2.cmp(b.2))
-        });
-        best.map(|(_, _, machine_id, stopped)| (machine_id.clone(), stopped))
-    }
-
-    /// Where to make room for all tasks of a gang among these sites, or nowhere. The claim is that
-    /// of the whole gang, so its tasks are not counted as they come.
+    /// Where to make room for all tasks of a gang among these sites, or nowhere. The wanted amount
+    /// is that of the whole gang, so its tasks are not counted one by one.
     pub fn plan_all(
         mut self,
         resources: Resources,
         mut sites: Vec<Site>,
         count: usize,
     ) -> Vec<PreemptionOffer> {
-        let picks = (0..count).map_while(|_| self.pick(resources, &mut sites));
-        let chosen: Vec<PreemptionOffer> = picks.collect();
+        let offers = (0..count).map_while(|_| self.take_cheapest(resources, &mut sites));
+        let chosen: Vec<PreemptionOffer> = offers.collect();
         if chosen.len() == count {
             chosen
         } else {
             Vec::new()
         }
     }
+
+    /// The machine to reserve for a task that needs most of one, when no machine has enough
+    /// borrowed work to stop for it: the one where the largest part of its resources is available
+    /// after borrowed work is stopped, then the one whose other tasks end first.
+    ///
+    /// `remaining_s` returns the seconds until everything that is not stopped on a machine has
+    /// ended; `None` if that takes too long.
+    pub fn plan_reservation(
+        self,
+        resources: Resources,
+        sites: &[Site],
+        remaining_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
+    ) -> Option<MachineReservation> {
+        if !self.within_entitlement() {
+            return None;
+        }
+        let candidates = sites
+            .iter()
+            .filter_map(|site| self.reservation_candidate(resources, site, &remaining_s));
+        let best = candidates.min_by(|a, b| {
+            b.available_part
+                .total_cmp(&a.available_part)
+                .then(a.remaining_s.total_cmp(&b.remaining_s))
+                .then(a.machine_id.cmp(b.machine_id))
+        })?;
+        Some(MachineReservation {
+            machine_id: best.machine_id.clone(),
+            victims: best.victims,
+        })
+    }
+
+    fn reservation_candidate<'s>(
+        &self,
+        resources: Resources,
+        site: &'s Site,
+        remaining_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
+    ) -> Option<ReservationCandidate<'s>> {
+        let site_with_victims = self.with_allowed_victims(site);
+        let freed = site_with_victims
+            .victims
+            .iter()
+            .filter(|victim| victim.leaving || victim.over.is_some());
+        let available = freed
+            .clone()
+            .fold(site.available, |sum, victim| sum.plus(victim.resources));
+        let available_part = available.share_of(resources).min(1.0);
+        let victims: Vec<TaskId> = freed
+            .filter(|victim| !victim.leaving)
+            .map(|victim| victim.task.clone())
+            .collect();
+        let remaining_s = remaining_s(site, &victims)?;
+        (available_part >= MIN_RESERVED_PART).then_some(ReservationCandidate {
+            available_part,
+            remaining_s,
+            machine_id: &site.machine_id,
+            victims,
+        })
+    }
+}
+
+/// A machine that could be reserved.
+struct ReservationCandidate<'a> {
+    /// The part of the task's resources that is available at once.
+    available_part: f64,
+    /// Seconds until the rest is available.
+    remaining_s: f64,
+    machine_id: &'a MachineId,
+    /// Tasks to stop.
+    victims: Vec<TaskId>,
 }
 
-/// How far a leaf that uses so much is over its share, in steps.
-pub fn overuse_steps(force: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
-    (force.shares.over(leaf, used) * STEPS).ceil() as i64
+/// How far a leaf that uses so much is over its entitlement, in steps.
+pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
+    (tree.shares.over(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -38,7 +38,7 @@
             place(&mut rng, &mut used, &share);
             let shards: Vec<ShardAllocation> = (0..6)
                 .map(|b| ShardAllocation {
-                    share: QuotaAllocation {
+                    allocated: QuotaAllocation {
                         cpus: 0.0,
                         gpus: share[b],
                     },
@@ -46,7 +46,7 @@
                         cpus: 0.0,
                         gpus: seen[b],
                     },
-                    live: b != 5,
+                    leased: b != 5,
                 })
                 .collect();
             if rng.random_bool(0.3) && covers(unallocated(&team, &shards), least) {
@@ -56,7 +56,12 @@
                     gpus,
                     ..Resources::default()
                 };
-                let raised = raised(shards[shard].share, resources(seen[shard]), least, false);
+                let raised = raised(
+                    shards[shard].allocated,
+                    resources(seen[shard]),
+                    least,
+                    ShardOwnership::Remote,
+                );
                 share[shard] = raised.gpus;
                 used[shard] += 4.0;
             } else {
