--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -18,6 +18,7 @@
 use crate::jobs::cache::Job;
 use crate::peers::Message;
 use crate::preempt::{self, PreemptionOffer, Site};
+use crate::quota::reclaim::MachineReservation;
 use crate::types::{JobId, MachineId, Millis, TaskId, Zone};
 use crate::workers::reconcile::Stop;
 
@@ -39,7 +40,7 @@
     /// Tasks are stopped: room for one task of the job on each of these machines.
     Preempt(Vec<PreemptionOffer>),
     /// Tasks are stopped on one machine, and the rest of the room comes as other tasks there end.
-    Reclaim(MachineId, Vec<TaskId>),
+    Reclaim(MachineReservation),
 }
 
 /// What the holder of a machine is told when room is to be made there.
@@ -60,9 +61,9 @@
         };
         match self.plan_preemption(job, &scope) {
             Some(PreemptionPlan::Preempt(offers)) => self.preempt_on(id, offers),
-            Some(PreemptionPlan::Reclaim(machine_id, victims)) => {
+            Some(PreemptionPlan::Reclaim(reservation)) => {
                 let requested = matches!(scope, PreemptionScope::On(_));
-                (requested || self.may_gather(id)) && self.gather_on(id, (machine_id, victims))
+                (requested || self.may_gather(id)) && self.gather_on(id, reservation)
             }
             None => false,
         }
@@ -85,8 +86,8 @@
                 };
                 let offers = ledger.clone().plan(resources, sites.clone(), max_tasks);
                 if offers.is_empty() && !matches!(scope, PreemptionScope::Quickest) {
-                    let (machine_id, victims) = self.gather(&job.id, ledger, &sites)?;
-                    return Some(PreemptionPlan::Reclaim(machine_id, victims));
+                    let reservation = self.gather(&job.id, ledger, &sites)?;
+                    return Some(PreemptionPlan::Reclaim(reservation));
                 }
                 offers
             }
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -2,7 +2,7 @@
 
 use jaspertiller::clock::Clock;
 use jaspertiller::fleet::client::Cloud;
-use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage, MachineTypeSpec};
+use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage, MachineTypeSpec, Offer};
 use tokio::sync::mpsc;
 
 use crate::Fixtures;
@@ -70,7 +70,11 @@
     };
     let rent = |spot| CloudCall::Rent {
         request_id: "n1-41-7".into(),
-        offer: ("g8".into(), "a".into(), spot),
+        offer: Offer {
+            machine_type: "g8".into(),
+            zone: "a".into(),
+            spot,
+        },
         count: 5,
     };
     let delete = || CloudCall::Delete(vec!["vm-000231".into(), "vm-000232".into()]);
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -149,7 +149,7 @@
     let rates = |a, b| [("n1".to_string(), a), ("n2".to_string(), b)].into();
     Plan {
         shares: rates(12.5, 3.75),
-        most: rates(14.0, 30.5),
+        upper_bounds: rates(14.0, 30.5),
     }
 }
 
@@ -330,7 +330,7 @@
     for (name, spec) in [("sample", spec), ("switched-off", off)] {
         let mut writer = HierarchicalQuota::new(&teams, Some(&spec), 0.5);
         let mut reader = HierarchicalQuota::new(&teams, None, 0.5);
-        let PendingTreeWrite::Pages(pages) = writer.owed(10) else {
+        let PendingTreeWrite::Pages(pages) = writer.pending_write(10) else {
             panic!("{name}: the pages come first");
         };
         for (at, (key, text)) in pages.iter().enumerate() {
@@ -341,7 +341,7 @@
             let (key, text) = (fixtures.text(&key_of), fixtures.text(&page_of));
             reader.apply(key, Some(text), Revision(5));
         }
-        let PendingTreeWrite::Head(head, version) = writer.owed(10) else {
+        let PendingTreeWrite::Head(head, version) = writer.pending_write(10) else {
             panic!("{name}: the head follows the pages");
         };
         assert_eq!(version, Revision(0));
@@ -349,7 +349,7 @@
         fixtures.writes(&head_of, &head);
         let head = fixtures.text(&head_of);
         writer.apply(HEAD, Some(head), Revision(6));
-        let in_force = writer.standing() == TreeStatus::InForce;
+        let in_force = writer.tree_status() == TreeStatus::InForce;
         fixtures.check(name, "is the writer's own", in_force, true);
         let adopted = reader.apply(HEAD, Some(head), Revision(6));
         fixtures.check(name, "is adopted", adopted, true);
