--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -24,19 +24,19 @@
         sent: Millis,
     },
     /// Ends the lease of the process that had our label before.
-    EndOld,
+    EndOldLease,
     /// Writes our controller record.
     Register,
     /// Takes the leadership.
     Lead,
     /// Assigns shards to controllers, as the leader.
-    Assign,
+    AssignShards,
     /// Reads a page of the snapshot of all records.
-    List,
+    Snapshot,
     /// Waits for changes of records.
     Watch,
     /// Reads the store's revision, for read barriers.
-    Revision,
+    ReadRevision,
     /// Writes a job that a user submitted.
     Submit {
         /// The new job.
@@ -136,7 +136,7 @@
         }
     }
 
-    fn next_tag(&mut self) -> u64 {
+    fn allocate_tag(&mut self) -> u64 {
         self.last_tag += 1;
         self.last_tag
     }
@@ -145,7 +145,7 @@
 impl Controller {
     /// A tag for a new call.
     pub(super) fn tag(&mut self) -> u64 {
-        self.calls.next_tag()
+        self.calls.allocate_tag()
     }
 
     /// Sends a call that writes no records. Its answer comes back to the step that `purpose` names.
@@ -169,7 +169,7 @@
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    /// Takes in an answer of the store: first what it tells about the store and the records, whatever the
+    /// Takes in an answer of the store: first what it shows about the store and the records, whatever the
     /// call was for, then the step that waits for it.
     pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
         let Some((purpose, written)) = self.calls.store.remove(&tag) else {
@@ -196,13 +196,13 @@
         match purpose {
             CallPurpose::Grant { sent } => self.on_lease_granted(sent, answer),
             CallPurpose::Renew { sent } => self.on_lease_renewed(sent, answer),
-            CallPurpose::EndOld => self.on_old_lease_ended(&answer),
+            CallPurpose::EndOldLease => self.on_old_lease_ended(&answer),
             CallPurpose::Register => self.on_registered(&answer),
             CallPurpose::Lead => self.on_leadership_written(&answer),
-            CallPurpose::Assign => self.on_shards_assigned(),
-            CallPurpose::List => self.on_list(answer),
+            CallPurpose::AssignShards => self.on_shards_assigned(),
+            CallPurpose::Snapshot => self.on_snapshot(answer),
             CallPurpose::Watch => self.on_watch(answer),
-            CallPurpose::Revision => self.on_revision(answer),
+            CallPurpose::ReadRevision => self.on_revision(answer),
             CallPurpose::Submit { job } => self.on_submitted(job, answer),
             CallPurpose::Abort { reply, job } => self.on_aborted(reply, job, answer),
             CallPurpose::Changes { job, changes } => self.on_changes(job, changes, answer),
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Membership`] owns what this controller knows of all leases. Each tick, and each answer of the store,
 //! takes the next step that is missing: end the lease of the process before us, obtain a lease, register,
-//! take the leadership if nobody has it, and, as the leader, assign the shards.
+//! take the leadership if it is vacant, and, as the leader, assign the shards.
 
 mod shard_assignment;
 
@@ -68,7 +68,7 @@
 }
 
 impl Controller {
-    /// Takes the next step towards being a registered controller with a lease, or keeps it.
+    /// Takes the next step towards being a registered controller with a lease, or keeps what has been reached.
     pub(super) fn renew_membership(&mut self) {
         if !self.store_sync.synced {
             return self.start_snapshot_read();
@@ -100,7 +100,7 @@
         };
         if self.membership.begin(MembershipStep::EndOldLease) {
             let call = StoreCall::End(lease_id);
-            self.call_store(CallClass::Leases, call, CallPurpose::EndOld);
+            self.call_store(CallClass::Leases, call, CallPurpose::EndOldLease);
         }
     }
 
@@ -147,7 +147,7 @@
         self.transact(CallClass::Leases, txn, CallPurpose::Register);
     }
 
-    /// Takes the leadership if nobody has it, and does the leader's part of membership if we have it.
+    /// Takes the leadership if it is vacant, and does the leader's part of membership if we have it.
     fn maintain_leadership(&mut self) {
         let Some(lease_id) = self.membership.leases.lease_id() else {
             return;
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -70,7 +70,7 @@
         }
         if !txn.changes.is_empty() {
             self.membership.begin(MembershipStep::AssignShards);
-            self.transact(CallClass::Leases, txn, CallPurpose::Assign);
+            self.transact(CallClass::Leases, txn, CallPurpose::AssignShards);
         }
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,8 @@
-//! The controller: a state machine that owns all slices. It takes events and yields effects, and
-//! does no I/O and reads no clock itself, so that tests can drive whole controllers through
-//! crashes and network partitions in virtual time.
+//! The controller: a state machine that takes events and yields effects. It does no I/O and reads no clock
+//! itself, so that tests can drive whole controllers through crashes and network partitions in virtual time.
 //!
-//! [`Controller`] is a sequencer: each of its fields is a component that owns one part of the state,
-//! and the modules here hold the steps that several components take part in.
+//! [`Controller`] is a sequencer: each of its fields is a component that owns one part of the state, and the
+//! modules here hold the steps that several components take part in.
 
 mod admission_plan;
 mod autoscaling;
@@ -57,28 +56,46 @@
 /// One controller of a deployment.
 pub struct Controller {
     settings: Arc<Settings>,
+    /// This controller's own label.
     me: ControllerId,
+    /// The time of the event that is being handled.
     now: Millis,
     rng: SmallRng,
+    /// Effects of the event that is being handled, in order.
     effects: Vec<Effect>,
+    /// Calls to the store and the cloud that are in flight.
     calls: Calls,
+    /// How far the cache of the store is.
     store_sync: StoreSync,
+    /// This controller's lease, and the cached leases of all controllers.
     membership: Membership,
+    /// Partition mode, and the health of zones.
     partition: Partition,
+    /// Whether workers and this controller reach each other.
     contact: WorkerContact,
+    /// All machines that sent a heartbeat to this controller or to a peer.
     machines: HashMap<MachineId, Machine>,
+    /// The cached records of jobs, and changes of them that are not written yet.
     jobs: JobCache,
+    /// The quotas of teams, and their allocation to shards.
     quota: Quota,
+    /// Users' requests that wait for a response.
     requests: UserRequests,
+    /// Which job is placed next, and where.
     scheduler: Scheduler,
+    /// Transactions on jobs that wait or are in flight.
     commits: Commits,
+    /// The fleet of rented machines, used by the leader.
     autoscaler: Autoscaler,
+    /// The latest statuses of the other controllers.
     peers: Peers,
+    /// Counts of what was examined.
     work_counters: WorkCounters,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet. `seed` decides all its random choices.
+    /// A controller with an empty cache. `seed` determines all its random choices.
+    #[must_use]
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         Self {
             me: settings.label.clone(),
@@ -103,7 +120,8 @@
         }
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Handles one event at time `now`, and returns the effects to carry out, in order. A time before that of
+    /// an earlier event counts as that one.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -126,6 +144,7 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// Does what is due by time. The order matters: later steps rest on what earlier ones have found.
     fn on_tick(&mut self) {
         self.renew_membership();
         self.poll_watch();
@@ -147,17 +166,20 @@
         self.reconcile_fleet();
     }
 
-    /// Whether this controller leads, as far as it knows.
+    /// Whether this controller is the leader, as far as it knows.
+    #[must_use]
     pub fn is_leading(&self) -> bool {
         self.leading().is_some()
     }
 
-    /// What this controller looked at since it started.
+    /// Counts of what this controller has examined since it started.
+    #[must_use]
     pub fn work(&self) -> &WorkCounters {
         &self.work_counters
     }
 
-    /// How many machines of its own shards this controller knows.
+    /// How many machines of the shards that it holds this controller knows.
+    #[must_use]
     pub fn machines_held(&self) -> usize {
         let held = |machine: &&Machine| self.token_for(&machine.shard).is_some();
         self.machines.values().filter(held).count()
--- a/src/controller/store_sync/apply/tests.rs
+++ b/src/controller/store_sync/apply/tests.rs
@@ -4,10 +4,10 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::types::Revision;
 
-/// A job's last tasks and its end are written in one transaction. With the job its team was forgotten, so
-/// nobody who waited for the team's limit heard of it: tasks waited for half a minute beside free machines.
+/// A job's last tasks and its end are written in one transaction. The job's team was dropped from the cache with
+/// it, so no job that waited for the team's quota was woken: tasks waited for half a minute beside free machines.
 #[test]
-fn the_end_of_a_job_wakes_who_waits_for_its_team_and_its_room() {
+fn the_end_of_a_job_wakes_jobs_that_wait_for_its_team_or_its_resources() {
     use crate::jobs::record::{JobRecord, job_key};
     use crate::jobs::{JobKind, Phase, Placement};
     use crate::queue::Check;
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -80,7 +80,7 @@
 }
 
 impl WaitingRead {
-    /// Whether a user's request is so old that an answer of its time tells nothing any more.
+    /// Whether a user's request is so old that it must not be answered from a cache of its time.
     fn has_expired(&self, now: Millis) -> bool {
         self.read.is_of_user() && now.since(self.requested_at) > USER_READ_TIMEOUT
     }
@@ -178,7 +178,7 @@
             self.call_store(
                 CallClass::Proofs,
                 StoreCall::ReadRevision,
-                CallPurpose::Revision,
+                CallPurpose::ReadRevision,
             );
         }
     }
--- a/src/controller/store_sync/read_barrier/tests.rs
+++ b/src/controller/store_sync/read_barrier/tests.rs
@@ -5,13 +5,13 @@
 use crate::jobs::api::{Response, parse, tests::body};
 use crate::types::ReplyId;
 
-/// A poll was proved at a revision just before its controller was cut off from the state service. The
-/// cache reached that revision 25 s later, with what the cut had held back, and the poll was
-/// answered by it: a job that its user knew to be done was called queued.
+/// The read barrier of a poll got its revision just before the controller was cut off from the key-value store.
+/// The cache reached that revision 25 s later, after the partition, and the poll was answered from it: a job
+/// that its user knew to be done was reported as queued.
 #[test]
-fn a_proof_tells_nothing_once_others_may_have_told_more() {
+fn a_poll_is_not_answered_from_a_cache_that_reached_its_revision_late() {
     let cases = [
-        // ms from the question until the cache is as new as proved, whether time passes before that
+        // ms from the request until the cache reaches the revision, whether a tick expires reads before, answered
         (1_900, false, true),
         (1_900, true, true),
         (2_100, false, false),
@@ -33,12 +33,12 @@
         }
         controller.store_sync.applied = Revision(22);
         controller.proved();
-        let told = controller.effects.iter().filter_map(|effect| match effect {
+        let answers = controller.effects.iter().filter_map(|effect| match effect {
             Effect::User { response, .. } => Some(matches!(response, Response::State(_))),
             _ => None,
         });
         assert_eq!(
-            told.collect::<Vec<_>>(),
+            answers.collect::<Vec<_>>(),
             [answered],
             "{after_ms} ms, {ticks}"
         );
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -21,12 +21,12 @@
         self.call_store(
             CallClass::Leases,
             StoreCall::List { after: None },
-            CallPurpose::List,
+            CallPurpose::Snapshot,
         );
     }
 
     /// Takes in the answer to a page of the snapshot read.
-    pub(in crate::controller) fn on_list(&mut self, answer: StoreResponse) {
+    pub(in crate::controller) fn on_snapshot(&mut self, answer: StoreResponse) {
         match answer {
             StoreResponse::Page {
                 entries,
@@ -51,7 +51,7 @@
         }
         if more && last.is_some() {
             let call = StoreCall::List { after: last };
-            self.call_store(CallClass::Leases, call, CallPurpose::List);
+            self.call_store(CallClass::Leases, call, CallPurpose::Snapshot);
         } else {
             self.finish_snapshot_read(start);
         }
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -41,9 +41,9 @@
         let circumstances = Circumstances {
             lease_over: lease_over && self.store_sync.synced,
             outage: lease_over && self.outage_is_common(),
-            holds: self.holds_shards(),
+            holds_shards: self.holds_shards(),
         };
-        if self.partition.mode.begins(circumstances, self.now) {
+        if self.partition.mode.update(circumstances, self.now) {
             tracing::info!("partition mode entered");
             // All workers must see the marked token before this controller might crash: only workers
             // that have seen it may be renewed by other controllers then.
@@ -59,8 +59,8 @@
     /// Leaves partition mode, since the store answers again. The shards are given up: under a token that
     /// is marked as partitioned, a worker's silence is no evidence that its lease has expired.
     pub(super) fn leave_partition_mode(&mut self) {
-        if let Some(kept) = self.partition.mode.end(self.now) {
-            tracing::info!(kept_s = kept.secs(), "partition mode left");
+        if let Some(duration) = self.partition.mode.leave(self.now) {
+            tracing::info!(kept_s = duration.secs(), "partition mode left");
             self.membership.old_lease_ended = false;
             self.membership.leases.lose(&self.me);
         }
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -14,10 +14,10 @@
     serde_json::from_value(heartbeat).unwrap()
 }
 
-/// A leader that gave itself a shard knew of that before the watch had brought what was placed
-/// and freed there last: it had a task start that had moved on.
+/// A leader that assigned itself a shard knew that before the watch had brought the last placements there, and
+/// sent the start of a task that had been placed elsewhere since.
 #[test]
-fn a_new_holder_gives_no_commands_before_it_knows_what_was_placed() {
+fn a_new_holder_sends_no_commands_before_its_cache_shows_all_placements() {
     for (applied, starts) in [(29, 0), (30, 1)] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
@@ -47,9 +47,10 @@
     }
 }
 
-/// Under a token that was marked as keeping silence proves nothing, so it is never used again.
+/// Under a token that is marked as partitioned, silence is no evidence that a lease has expired. So the token
+/// is not used again once partition mode is left.
 #[test]
-fn shards_are_given_up_after_machines_were_kept() {
+fn shards_are_given_up_when_partition_mode_is_left() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::FRESH]);
     let held = |c: &Controller| {
@@ -64,10 +65,10 @@
         controller.worker_token(FencingToken(5)),
         WorkerToken::of(FencingToken(5))
     );
-    for (at, keeps) in [(59_000, false), (60_100, false), (61_700, true)] {
+    for (at, entered) in [(59_000, false), (60_100, false), (61_700, true)] {
         controller.now = Millis(at);
         controller.check_partition_mode();
-        assert_eq!(controller.partition.mode.on(), keeps, "at {at}");
+        assert_eq!(controller.partition.mode.on(), entered, "at {at}");
     }
     assert_eq!(
         controller.worker_token(FencingToken(5)),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -11,22 +11,22 @@
 use crate::types::{ControllerId, FencingToken, LeaseId, Millis, Revision, ShardId, Zone};
 
 /// The prefix of controllers' records; the controller's label follows.
-pub const CONTROLLERS: &str = "jt/node/";
+pub const CONTROLLER_PREFIX: &str = "jt/node/";
 /// The key of the leader's record.
 pub const LEADER: &str = "jt/lead";
 /// The prefix of shards' records; the shard follows.
-pub const SHARDS: &str = "jt/block/";
+pub const SHARD_PREFIX: &str = "jt/block/";
 
 /// The key of a controller's own record.
 #[must_use]
 pub fn controller_key(controller: &ControllerId) -> String {
-    format!("{CONTROLLERS}{controller}")
+    format!("{CONTROLLER_PREFIX}{controller}")
 }
 
 /// The key of a shard's record.
 #[must_use]
 pub fn shard_key(shard: &ShardId) -> String {
-    format!("{SHARDS}{shard}")
+    format!("{SHARD_PREFIX}{shard}")
 }
 
 /// A controller's own record.
@@ -214,10 +214,10 @@
         if key == LEADER {
             return self.apply_leader(me, data, version);
         }
-        if let Some(label) = key.strip_prefix(CONTROLLERS) {
+        if let Some(label) = key.strip_prefix(CONTROLLER_PREFIX) {
             return self.apply_controller(label.into(), data, version);
         }
-        let shard = ShardId::parse(key.strip_prefix(SHARDS)?)?;
+        let shard = ShardId::parse(key.strip_prefix(SHARD_PREFIX)?)?;
         self.apply_shard(me, shard, data, FencingToken(version.0))
     }
 
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// A leader back from a cut took a new lease and, until the watch told it of its successor,
-/// acted as leader again: it deleted twelve machines at work.
+/// A leader that was back from a partition took a new lease and, until the watch brought its successor, acted as
+/// leader again: it deleted twelve machines that ran tasks.
 #[test]
 fn losing_our_lease_drops_our_leadership_and_shards_only() {
     let mut leases = Leases {
@@ -109,7 +109,7 @@
     assert_eq!((leases.leads(&n0), leases.holds(&a0, &n0)), (None, None));
     assert_eq!(leases.holds(&a1, &n1), Some(FencingToken(5)));
     assert_eq!(leases.own, OwnLease::None);
-    // What others then do is heard as ever.
+    // Later records of other controllers are applied as before.
     leases.apply(
         &"n9".into(),
         "jt/lead",
@@ -142,15 +142,15 @@
     }
 }
 
-/// A controller that was killed and back at once said `leading` and `holding` with the revisions
-/// of the process before, until its old lease had been ended: it could have rented under names
-/// that were used already, and answered workers under a token it had no right to.
+/// A controller that was killed and restarted at once took itself for the leader and the holder of shards, at the
+/// revisions of the process before, until its old lease had been ended: it could have rented machines under names
+/// that were in use, and answered workers under a fencing token that was not its own.
 #[test]
 fn leadership_and_shards_belong_to_the_process_that_took_them() {
     let me = ControllerId::from("n0");
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
-        // our lease; who held the lease by the record, under which lease; ours, anybody's
+        // our lease; the holder by the record, and under which lease; whether it is us, whether anybody
         (None, "n0", 7, false, false),
         (Some(8), "n0", 7, false, false),
         (Some(8), "n0", 8, true, true),
@@ -177,7 +177,7 @@
     }
 }
 
-/// What a dead process said may come late, and make machines look alive that nobody hears.
+/// A message of a process that has ended may come late, and make silent machines look alive.
 #[test]
 fn a_process_has_ended_once_its_record_is_replaced_or_deleted() {
     let mut leases = Leases::default();
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -30,13 +30,13 @@
     /// expire, so nothing has to be kept.
     pub outage: bool,
     /// We hold shards.
-    pub holds: bool,
+    pub holds_shards: bool,
 }
 
 impl Circumstances {
     /// Whether we are cut off from the store with machines of ours.
     fn indicate_partition(self) -> bool {
-        self.lease_over && !self.outage && self.holds
+        self.lease_over && !self.outage && self.holds_shards
     }
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// Takes in the circumstances at `now`; true if partition mode is entered with them.
-    pub fn begins(&mut self, circumstances: Circumstances, now: Millis) -> bool {
+    pub fn update(&mut self, circumstances: Circumstances, now: Millis) -> bool {
         if !circumstances.indicate_partition() {
             self.suspected = None;
             return false;
@@ -62,7 +62,7 @@
     }
 
     /// Leaves partition mode, and returns how long it lasted; none if it was not on.
-    pub fn end(&mut self, now: Millis) -> Option<Millis> {
+    pub fn leave(&mut self, now: Millis) -> Option<Millis> {
         self.entered.take().map(|entered| now.since(entered))
     }
 }
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -28,20 +28,20 @@
 }
 
 #[test]
-fn a_zone_stands_as_its_machines_are_heard() {
+fn the_health_of_a_zone_follows_its_machines_heartbeats() {
     use ZoneHealth::{Degraded, Healthy, Partitioned, Recovering};
     let cases = [
-        // machines, silent, its controllers too: standing after each
+        // machines, silent, whether its controllers are silent too: health after each
         (vec![(100, 5, false)], vec![Healthy]),
         (vec![(2, 2, true)], vec![Healthy]),
         (vec![(100, 30, false)], vec![Degraded]),
-        // A controller speaks from there, so it is no cut.
+        // A controller of the zone is in contact, so it is no partition.
         (vec![(100, 100, false)], vec![Degraded]),
         (
             vec![(100, 79, true), (100, 80, true)],
             vec![Degraded, Partitioned],
         ),
-        // It is left at another point than entered.
+        // Hysteresis: a state is left at a lower fraction than it is entered.
         (
             vec![
                 (100, 90, true),
@@ -60,7 +60,7 @@
             vec![Degraded, Degraded, Healthy],
         ),
     ];
-    // Machines in contact one way only: a few are replaced, many are a cut, and in a small zone most.
+    // Machines in contact one way only: a few are replaced, many are a partition, and so are most of a small zone's.
     for (machines, one_way, expected) in [
         (4, 2, Degraded),
         (5, 3, Partitioned),
@@ -91,13 +91,13 @@
     }
 }
 
-/// A zone was cut off for 51 s. From the 35th second on its machines were deleted, a hundred a
-/// second, nearly all of them at work.
+/// A zone was cut off for 51 s. From the 35th second on its machines were deleted, a hundred a second, and
+/// nearly all of them ran tasks.
 #[test]
-fn a_silent_zone_is_left_alone_and_then_given_up_in_steps() {
+fn a_partitioned_zone_is_left_alone_and_then_deleted_in_steps() {
     let zone = Zone::from("a");
     let cases = [
-        // silent, its controllers too, given up after 0, 59, 60, 70, 80 and 110 s
+        // silent, its controllers too, deleted after 0, 59, 60, 70, 80 and 110 s
         (10, false, [10, 10, 10, 10, 10, 10]),
         // The bound of half a zone in 30 s holds then.
         (100, true, [0, 0, 2, 4, 8, 54]),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_is_worth_least_goes_first() {
+fn the_cheapest_machines_are_deleted_first() {
     let mut zones = ZoneHealthTracker::default();
     let zone = Zone::from("a");
     zones.observe(&zone, seen(40, 40, true), Millis(0));
@@ -129,10 +129,10 @@
     assert_eq!(gone, expected);
 }
 
-/// The cloud takes a hundred names at a time. All that was given up at once counted against the
-/// bound, and what had not been sent waited for half a minute.
+/// The cloud takes a hundred names at a time. All machines that were chosen at once counted against the bound,
+/// and those whose deletion had not been sent waited for half a minute.
 #[test]
-fn only_what_is_sent_counts_against_the_bound() {
+fn only_deletions_that_are_sent_count_against_the_bound() {
     let mut zones = ZoneHealthTracker::default();
     zones.observe(&Zone::from("a"), seen(1_000, 200, false), Millis(0));
     let mut lost = suspects("a", 200);
