--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -71,7 +71,12 @@
         };
         let urgent = job.spec.priority >= PriorityClass::Urgent;
         let gang = job.whole_gang();
-        if gang && self.leading().is_some() || self.has_cached_capacity(id, MachineScope::Own) {
+        let leading = self.leading().is_some();
+        if gang && leading {
+            // The ordinary cycle looks over the whole fleet already.
+            return false;
+        }
+        if self.has_cached_capacity(id, MachineScope::Own) {
             return false;
         }
         if urgent && self.serve_preemption_request(id) {
@@ -79,7 +84,7 @@
             return true;
         }
         let cached_elsewhere = !gang && self.has_cached_capacity(id, MachineScope::Others);
-        if self.leading().is_none() {
+        if !leading {
             return (cached_elsewhere || urgent) && self.ask_leader_for_faster_start(id, key);
         }
         if cached_elsewhere {
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -79,12 +79,13 @@
         !job.spec.one_zone || machine_ids.iter().all(|other| zone(other) == first_zone)
     }
 
+    /// Whether each of the machines has room for one task of the gang, and is open to it.
     fn all_fit(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
         let raise_for = Some(job.record.tasks);
         let request = PlacementRequest::new(job, self.full_shards(job, raise_for));
         let fits = |machine_id: &MachineId| {
             self.machines.get(machine_id).is_some_and(|machine| {
-                (self.ours(machine) || self.others(machine))
+                self.is_schedulable(machine)
                     && request.allows(machine)
                     && job
                         .spec
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -31,8 +31,8 @@
 /// Writes count as short for this long after they stopped the loop, so that the mode does not
 /// change with each write.
 const WRITE_SHORTAGE_HOLD: Millis = Millis(1_000);
-/// Best-effort jobs avoid empty machines for this long after their submission: then they have to
-/// start.
+/// Best-effort jobs avoid empty machines for this long after this controller first saw them: then
+/// they have to start.
 const MAX_EMPTY_MACHINE_AVOIDANCE: Millis = Millis(30_000);
 
 /// One try to place one task of a job.
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -24,7 +24,7 @@
 }
 
 impl Controller {
-    /// Sees to a job for whose next task, or for which as a gang, no machine of ours will do.
+    /// Decides what follows when no machine of ours will do for a job's next task, or for a gang.
     pub(super) fn handle_unplaced(
         &mut self,
         popped: &PoppedJob,
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -7,13 +7,15 @@
 //! with a job's image are found by a second index. The index gives a shortlist only; who uses it
 //! looks at the machine itself.
 
-use std::cmp::Ordering;
+mod level;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
 use rustc_hash::FxHashMap as HashMap;
 
 use crate::types::{Image, MachineId, MachineTypeId, Resources, ShardId, Zone};
+pub use level::CapacityLevel;
 
 /// Machines that a job allows, or does not allow, as a whole. The order of the fields is the order
 /// in which groups are visited.
@@ -36,97 +38,6 @@
     }
 }
 
-/// What a cycle sees of a machine, except for its images.
-#[derive(Clone, Copy, Debug)]
-pub struct CapacityLevel {
-    available: Resources,
-    /// Allocated to tasks that urgent work can preempt at little loss.
-    preemptible: Resources,
-    /// Images that are being fetched: a further fetch has to share the rate.
-    fetches: usize,
-}
-
-/// Steps in one unit of a resource (core, GPU, GB). Amounts are rounded to steps, so that sums
-/// which differ in their last bits are one level.
-const STEPS_PER_UNIT: f64 = 1e4;
-
-fn rounded(resources: Resources) -> Resources {
-    // Adding zero makes a negative zero a positive one.
-    let round = |amount: f64| (amount * STEPS_PER_UNIT).round() / STEPS_PER_UNIT + 0.0;
-    Resources {
-        cpus: round(resources.cpus),
-        gpus: round(resources.gpus),
-        memory_gb: round(resources.memory_gb),
-    }
-}
-
-impl CapacityLevel {
-    /// The level of a machine with so much available, so much of the rest preemptible at little
-    /// loss, and so many fetches under way.
-    pub fn new(available: Resources, preemptible: Resources, fetches: usize) -> Self {
-        Self {
-            available: rounded(available),
-            preemptible: rounded(preemptible),
-            fetches,
-        }
-    }
-
-    /// What is available on machines of this level, rounded.
-    pub fn available(self) -> Resources {
-        self.available
-    }
-
-    /// The least level at which these resources may be available, in the order by GPUs first.
-    fn least_fitting(resources: Resources) -> Self {
-        Self {
-            available: Resources {
-                cpus: f64::NEG_INFINITY,
-                gpus: resources.gpus - 1.0 / STEPS_PER_UNIT,
-                memory_gb: f64::NEG_INFINITY,
-            },
-            preemptible: Resources::default(),
-            fetches: 0,
-        }
-    }
-
-    /// The amounts in the order in which levels are compared.
-    fn amounts(&self) -> [f64; 6] {
-        let (available, preemptible) = (self.available, self.preemptible);
-        [
-            available.gpus,
-            available.cpus,
-            available.memory_gb,
-            preemptible.gpus,
-            preemptible.cpus,
-            preemptible.memory_gb,
-        ]
-    }
-}
-
-/// GPUs are compared first: levels with too few of them are skipped as a range.
-impl Ord for CapacityLevel {
-    fn cmp(&self, other: &Self) -> Ordering {
-        let pairs = self.amounts().into_iter().zip(other.amounts());
-        let mut orders = pairs.map(|(own, others)| own.total_cmp(&others));
-        let first_difference = orders.find(|order| order.is_ne());
-        first_difference.unwrap_or_else(|| self.fetches.cmp(&other.fetches))
-    }
-}
-
-impl PartialOrd for CapacityLevel {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl PartialEq for CapacityLevel {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other).is_eq()
-    }
-}
-
-impl Eq for CapacityLevel {}
-
 /// A machine's entry in the index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
@@ -302,7 +213,7 @@
         let levels = levels
             .into_iter()
             .flat_map(move |levels| levels.range(from));
-        let fitting = levels.filter(move |(level, _)| resources.fits_in(level.available));
+        let fitting = levels.filter(move |(level, _)| resources.fits_in(level.available()));
         fitting.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
@@ -314,7 +225,7 @@
     pub fn any_too_full(&self, group: &Group, resources: Resources) -> bool {
         let levels = self.all.get(group);
         let mut levels = levels.into_iter().flat_map(|levels| levels.keys());
-        levels.any(|level| !resources.fits_in(level.available))
+        levels.any(|level| !resources.fits_in(level.available()))
     }
 
     /// Classes of a group in which these resources are not available, those with most available
@@ -326,7 +237,7 @@
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.all.get(group).into_iter();
         let levels = levels.flat_map(|levels| levels.iter().rev());
-        let full = levels.filter(move |(level, _)| !resources.fits_in(level.available));
+        let full = levels.filter(move |(level, _)| !resources.fits_in(level.available()));
         full.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
