--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod quota;
 pub mod request_queue;
 pub mod settings;
+pub mod settings_loader;
 pub mod sockets;
 pub mod store;
 pub mod task;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::types::Millis;
 use serde_json::{Value, json};
 
 pub fn settings() -> Value {
