--- a/crates/admission-control/src/gate.rs
+++ b/crates/admission-control/src/gate.rs
@@ -13,7 +13,7 @@
 
 /// Submissions that would wait longer than this are rejected.
 const MAX_WAIT_S: f64 = 1.0;
-/// The part of the allowed changes that submissions surely get.
+/// The part of the allowed changes that submissions are guaranteed.
 const SUBMISSION_PART: f64 = 0.7;
 /// The part of what is accepted that the floors of classes divide while not all is.
 const CLASS_FLOORS: f64 = 0.5;
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -1,5 +1,5 @@
 //! The store's write limit, which all controllers share: what each reports of its demand, and the plan
-//! that divides the limit. Why the sum holds is told in `admission_control::plan`.
+//! that divides the limit. `admission_control::plan` explains why the sum holds.
 
 use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, Rate};
 use rustc_hash::FxHashMap as HashMap;
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -235,7 +235,7 @@
         })
     }
 
-    /// The token under which a shard is held, by whoever holds it.
+    /// The token under which a shard is held, by this controller or another.
     pub(super) fn known_token(&self, shard: &ShardId) -> Option<FencingToken> {
         let shards = &self.membership.leases.shards;
         shards.get(shard).map(|(_, token)| *token)
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -1,7 +1,7 @@
 //! When a job's noted changes are due, and in which lane of the backlog they wait.
 //!
-//! A transaction costs the same whatever it holds, so changes that nobody waits for are gathered,
-//! longer while writes are scarce. The decision is a pure function of the job and the write pressure.
+//! A transaction costs the same whatever it holds, so changes that no user or task waits for are
+//! gathered, longer while writes are scarce. The decision is a pure function of the job and the write pressure.
 
 use crate::admission::backlog::Lane;
 use crate::jobs::cache::{Job, TaskChange};
@@ -130,3 +130,6 @@
         (false, true) => GATHER_INTERVAL_SCARCE,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/commits/turn/tests.rs
@@ -0,0 +1,155 @@
+use super::*;
+use crate::jobs::cache::tests::jobs;
+use crate::jobs::cache::{Evidence, JobCache};
+use crate::jobs::{Phase, Placement, Task};
+use crate::types::{AgentEpoch, Attempt, JobId, ShardId};
+
+const NOW: Millis = Millis(100_000);
+const ATTEMPT: Attempt = Attempt(1);
+
+fn placement() -> Placement {
+    Placement {
+        machine_id: "vm-1".into(),
+        shard: ShardId::parse("a.0").unwrap(),
+        agent_epoch: AgentEpoch(1),
+        attempt: ATTEMPT,
+    }
+}
+
+fn place() -> TaskChange {
+    TaskChange::Place(placement())
+}
+
+fn finish() -> TaskChange {
+    TaskChange::Finish { attempt: ATTEMPT }
+}
+
+fn release() -> TaskChange {
+    TaskChange::Release {
+        attempt: ATTEMPT,
+        evidence: Evidence::Deleted,
+    }
+}
+
+/// A job of this kind with three tasks, of which the first `placed` are on machines, and with these
+/// changes of its first tasks.
+fn job(
+    kind: JobKind,
+    priority: PriorityClass,
+    placed: usize,
+    changes: &[TaskChange],
+) -> (JobCache, JobId) {
+    let task = |index| {
+        if index < placed {
+            Task::Placed(placement())
+        } else {
+            Task::FRESH
+        }
+    };
+    let (mut jobs, id) = jobs(3, &[(0, (0..3).map(task).collect())]);
+    let job = jobs.get_mut(&id).unwrap();
+    (job.spec.kind, job.spec.priority) = (kind, priority);
+    for (index, change) in changes.iter().enumerate() {
+        jobs.want(&id, index as u32, change.clone());
+    }
+    (jobs, id)
+}
+
+#[test]
+fn the_lane_and_the_due_time_follow_from_the_changes() {
+    use JobKind::{Array, Gang};
+    use PriorityClass::{Normal, Urgent};
+    let at = |offset: i64| Millis(NOW.0.saturating_add_signed(offset));
+    let all = || vec![finish(); 3];
+    type Case = (
+        JobKind,
+        PriorityClass,
+        usize,
+        Vec<TaskChange>,
+        Lane,
+        i64,
+        i64,
+    );
+    let cases: Vec<Case> = vec![
+        // kind, priority, placed, changes, lane, due in ms: normally, and while writes are scarce
+        (Array, Normal, 3, all(), Lane::Completions, 0, 0),
+        (Gang, Normal, 3, vec![finish()], Lane::Completions, 0, 0),
+        (
+            Array,
+            Normal,
+            3,
+            vec![finish()],
+            Lane::Gathered,
+            3_000,
+            45_000,
+        ),
+        (Gang, Normal, 3, vec![release()], Lane::Places, 0, 0),
+        (Gang, Normal, 2, vec![release()], Lane::Places, 400, 400),
+        (
+            Gang,
+            Normal,
+            0,
+            vec![place(); 3],
+            Lane::Completions,
+            -2_000,
+            -2_000,
+        ),
+        (Array, Normal, 0, vec![place()], Lane::Places, 0, 2_500),
+        (Array, Normal, 0, vec![place(); 3], Lane::Places, 0, 0),
+        (Array, Normal, 1, vec![release()], Lane::Places, 0, 0),
+        (
+            Array,
+            Urgent,
+            0,
+            vec![place()],
+            Lane::Places,
+            -2_000,
+            -2_000,
+        ),
+    ];
+    for (kind, priority, placed, changes, lane, normal, scarce) in cases {
+        let (jobs, id) = job(kind, priority, placed, &changes);
+        for (pressure, offset) in [
+            (WritePressure::Normal, normal),
+            (WritePressure::Scarce, scarce),
+        ] {
+            let turn = choose(jobs.get(&id).unwrap(), pressure, || false, NOW);
+            let due = at(offset);
+            let case = format!("{kind:?}, {priority:?}, {placed}, {changes:?}, {pressure:?}");
+            assert_eq!(turn, CommitTurn { lane, due }, "{case}");
+        }
+    }
+}
+
+#[test]
+fn near_a_limit_completions_are_gathered_for_less_time() {
+    let (jobs, id) = job(JobKind::Array, PriorityClass::Normal, 3, &[finish()]);
+    let job = jobs.get(&id).unwrap();
+    let cases = [
+        (WritePressure::Normal, NOW),
+        (WritePressure::Scarce, NOW + GATHER_INTERVAL),
+    ];
+    for (pressure, due) in cases {
+        let lane = Lane::Gathered;
+        let turn = choose(job, pressure, || true, NOW);
+        assert_eq!(turn, CommitTurn { lane, due }, "{pressure:?}");
+    }
+}
+
+#[test]
+fn the_tasks_of_a_cancelled_job_are_waited_for() {
+    let cases = [
+        // noted to have left, of two that are placed
+        (1, NOW + LAST_TASKS_TIMEOUT),
+        (2, NOW - URGENT_HEAD_START),
+    ];
+    for (left, due) in cases {
+        let changes = vec![release(); left];
+        let (mut jobs, id) = job(JobKind::Array, PriorityClass::Normal, 2, &changes);
+        jobs.get_mut(&id).unwrap().record.phase = Phase::Aborting;
+        let job = jobs.get(&id).unwrap();
+        let turn = choose(job, WritePressure::Normal, || false, NOW);
+        let lane = Lane::Completions;
+        assert_eq!(turn, CommitTurn { lane, due }, "{left} of 2");
+    }
+}
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -56,7 +56,7 @@
     Aborted,
 }
 
-/// The state of a job, as users are told.
+/// The state of a job in answers to users.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobState {
     /// The job's id.
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -12,7 +12,7 @@
 const MAX_TASKS: u64 = 100_000;
 /// Bytes of a name, at most.
 const MAX_NAME_BYTES: usize = 256;
-/// Larger amounts are surely mistakes, and would not add up exactly.
+/// Larger amounts can only be mistakes.
 const MAX_AMOUNT: f64 = 1e12;
 
 /// A submission's body. Fields that are not listed are ignored.
--- a/src/jobs/cache/change.rs
+++ b/src/jobs/cache/change.rs
@@ -1,4 +1,4 @@
-//! Changes of tasks that this controller has decided on or seen, and that no record shows yet.
+//! Changes of tasks that this controller has decided on or observed, and that no record shows yet.
 
 use crate::jobs::Placement;
 use crate::types::{Attempt, FencingToken, Revision};
@@ -33,8 +33,8 @@
 /// Why a task is known to be off its machine. A missing heartbeat is no evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Seen by the holder of the machine's shard, under this token: under another, somebody else
-    /// may have started the task since.
+    /// Observed by the holder of the machine's shard under this token. Under another token, another
+    /// controller may have started the task since.
     Holder(FencingToken),
     /// The cloud answered that the machine is deleted.
     Deleted,
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -214,7 +214,7 @@
             && self.placed + self.done < self.record.tasks
     }
 
-    /// What users are told of the job.
+    /// The state in answers to users.
     pub fn state(&self) -> JobState {
         let stage = match self.record.phase {
             Phase::Done => JobStage::Done,
@@ -243,7 +243,7 @@
 }
 
 impl FinishedJob {
-    /// What users are told of the job; `id`: its id.
+    /// The state in answers to users; `id`: the job's id.
     pub(super) fn state(&self, id: &JobId) -> JobState {
         let stage = match self.phase {
             Phase::Aborted => JobStage::Aborted,
--- a/src/jobs/cache/mod.rs
+++ b/src/jobs/cache/mod.rs
@@ -56,7 +56,7 @@
         self.jobs.values()
     }
 
-    /// What users are told of a job, finished or not.
+    /// The state of a job in answers to users, finished or not.
     pub fn state(&self, id: &JobId) -> Option<JobState> {
         self.get(id).map(Job::state).or_else(|| {
             let finished = self.finished.get(id)?;
@@ -109,8 +109,8 @@
         self.usage.teams.total(team)
     }
 
-    /// What a team's tasks use, without those that are known to have left. Limits rest on the
-    /// records; shares follow what is seen.
+    /// What a team's tasks use, without those that are known to have left. Quota limits rest on the
+    /// records, allocations of quota on what is observed.
     pub fn standing(&self, team: &Team) -> Resources {
         self.usage.teams.observed(team)
     }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,9 +1,9 @@
 //! Jobs: what users ask for, how it is recorded in the key-value store, and a cache of all records.
 //!
-//! The types here are what the rest of the controller knows of a job. [`api`] is what users send and
-//! are told, [`record`] the form of the records, [`cache`] all jobs with what they use, [`cancel`] the
+//! The types here are what the rest of the controller knows of a job. [`api`] is the users'
+//! interface, [`record`] the form of the records, [`cache`] all jobs with what they use, [`cancel`] the
 //! users who wait for the end of a job, [`crash_loop`] the jobs that fail everywhere, and
-//! [`completion_forwarding`] what shard holders tell the owner of a job.
+//! [`completion_forwarding`] what shard holders report to the owner of a job.
 
 pub mod api;
 pub mod cache;
