--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Tolerance of comparisons, in CPUs or GPUs: sums of decimal amounts carry rounding errors.
-pub const SLACK: f64 = 1e-6;
+pub const TOLERANCE: f64 = 1e-6;
 
 /// A number of CPUs and a number of GPUs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 
     /// CPUs and GPUs, in this order, for loops over the kinds of resources.
     #[must_use]
-    pub fn each(self) -> [f64; 2] {
+    pub fn to_array(self) -> [f64; 2] {
         [self.cpus, self.gpus]
     }
 
@@ -60,7 +60,7 @@
 
     /// The smaller of both, for each kind of resource.
     #[must_use]
-    pub fn least(self, other: Amount) -> Amount {
+    pub fn min(self, other: Amount) -> Amount {
         self.zip(other, f64::min)
     }
 
--- a/crates/hierarchical-quota/src/shares.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -5,10 +5,13 @@
 
 use std::sync::Arc;
 
-use crate::amount::{Amount, SLACK};
+use crate::amount::{Amount, TOLERANCE};
 use crate::divide::{Claim, divide};
 use crate::tree::{NodeIx, Tree};
 
+/// About how many bytes an entry of the index of leaves takes besides the team's name.
+const INDEX_ENTRY_BYTES: usize = 40;
+
 /// What is known of a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeState {
@@ -53,7 +56,7 @@
         let governed = tree
             .all()
             .map(|ix| {
-                let guarantee = tree.node(tree.root(ix)).guarantee.each();
+                let guarantee = tree.node(tree.root(ix)).guarantee.to_array();
                 guarantee.map(|amount| amount > 0.0)
             })
             .collect();
@@ -74,7 +77,8 @@
         let node = size_of::<NodeState>() + size_of::<crate::tree::Node>() + size_of::<[bool; 2]>();
         let names = self.tree.nodes.iter().map(|node| {
             // A team's name is kept twice: in its node and in the index of leaves.
-            let team = node.team.as_ref().map_or(0, |team| 2 * team.len() + 40);
+            let team = node.team.as_ref();
+            let team = team.map_or(0, |team| 2 * team.len() + INDEX_ENTRY_BYTES);
             node.name.len() + team + node.children.len() * size_of::<NodeIx>()
         });
         self.nodes.len() * node + names.sum::<usize>()
@@ -82,12 +86,12 @@
 
     /// What a node is entitled to at present.
     pub fn entitled(&self, ix: NodeIx) -> Amount {
-        self.nodes[ix.at()].entitled
+        self.nodes[ix.index()].entitled
     }
 
     /// What the teams below a node could use, within the limits.
     pub fn demand(&self, ix: NodeIx) -> Amount {
-        self.nodes[ix.at()].demand
+        self.nodes[ix.index()].demand
     }
 
     /// Sets what a leaf could use at the time `now`. A higher demand counts at once, a lower one
@@ -96,7 +100,7 @@
     pub fn set_demand(&mut self, leaf: NodeIx, amount: Amount, now: u64) {
         let hold = self.tree.hold_ms;
         let limit = self.tree.node(leaf).limit;
-        let state = &mut self.nodes[leaf.at()];
+        let state = &mut self.nodes[leaf.index()];
         let amount = amount.capped(limit);
         let is_higher = amount.cpus >= state.demand.cpus && amount.gpus >= state.demand.gpus;
         let counted = if is_higher {
@@ -139,28 +143,28 @@
 
     /// Recomputes a node's demand and floor from its children, whose own are up to date.
     fn sum_up(&mut self, tree: &Tree, ix: NodeIx) {
-        if !self.nodes[ix.at()].dirty {
+        if !self.nodes[ix.index()].dirty {
             return;
         }
         let node = tree.node(ix);
         let (base, sum) = if node.children.is_empty() {
-            (Amount::ZERO, self.nodes[ix.at()].demand)
+            (Amount::ZERO, self.nodes[ix.index()].demand)
         } else {
-            let below = node.children.iter().map(|child| &self.nodes[child.at()]);
+            let below = node.children.iter().map(|child| &self.nodes[child.index()]);
             below.fold((Amount::ZERO, Amount::ZERO), |(base, sum), state| {
                 (base.plus(state.floor), sum.plus(state.demand))
             })
         };
         let demand = sum.capped(node.limit);
-        let base = base.least(demand);
-        let floor = up_to(base, demand, node.guarantee, self.governed[ix.at()]);
-        let state = &mut self.nodes[ix.at()];
+        let base = base.min(demand);
+        let floor = guaranteed_part(base, demand, node.guarantee, self.governed[ix.index()]);
+        let state = &mut self.nodes[ix.index()];
         if node.children.is_empty() {
             state.dirty = false;
         }
         (state.demand, state.floor) = (demand, floor);
         match node.parent {
-            Some(parent) => self.nodes[parent.at()].dirty = true,
+            Some(parent) => self.nodes[parent.index()].dirty = true,
             None => state.entitled = floor,
         }
     }
@@ -169,10 +173,10 @@
     /// are entitled to more than before to `raised`.
     fn divide_among_children(&mut self, tree: &Tree, ix: NodeIx, raised: &mut Vec<NodeIx>) {
         let node = tree.node(ix);
-        let dirty = std::mem::take(&mut self.nodes[ix.at()].dirty);
+        let dirty = std::mem::take(&mut self.nodes[ix.index()].dirty);
         if node.children.is_empty() {
             if node.parent.is_none() {
-                self.nodes[ix.at()].entitled = self.nodes[ix.at()].floor;
+                self.nodes[ix.index()].entitled = self.nodes[ix.index()].floor;
             }
             return;
         }
@@ -180,18 +184,18 @@
             return;
         }
         let claim = |child: &NodeIx| Claim {
-            floor: self.nodes[child.at()].floor,
-            demand: self.nodes[child.at()].demand,
+            floor: self.nodes[child.index()].floor,
+            demand: self.nodes[child.index()].demand,
             weight: tree.node(*child).weight,
         };
         let claims: Vec<Claim> = node.children.iter().map(claim).collect();
         let given = divide(
-            self.nodes[ix.at()].entitled,
-            self.governed[ix.at()],
+            self.nodes[ix.index()].entitled,
+            self.governed[ix.index()],
             &claims,
         );
         for (child, amount) in node.children.iter().zip(given) {
-            let state = &mut self.nodes[child.at()];
+            let state = &mut self.nodes[child.index()];
             let before = state.entitled;
             if before == amount {
                 continue;
@@ -199,7 +203,8 @@
             state.entitled = amount;
             if !tree.node(*child).children.is_empty() {
                 state.dirty = true;
-            } else if amount.cpus > before.cpus + SLACK || amount.gpus > before.gpus + SLACK {
+            } else if amount.cpus > before.cpus + TOLERANCE || amount.gpus > before.gpus + TOLERANCE
+            {
                 raised.push(*child);
             }
         }
@@ -207,7 +212,7 @@
 
     /// The kinds of resources that a node governs: 0 for CPUs, 1 for GPUs.
     fn governed_kinds(&self, ix: NodeIx) -> impl Iterator<Item = usize> + use<> {
-        let governed = self.governed[ix.at()];
+        let governed = self.governed[ix.index()];
         [0, 1].into_iter().filter(move |kind| governed[*kind])
     }
 
@@ -218,8 +223,12 @@
     /// otherwise would never run.
     #[must_use]
     pub fn within(&self, ix: NodeIx, used: Amount, wanted: Wanted) -> bool {
-        let entitled = self.entitled(ix).each();
-        let (used, total, task) = (used.each(), wanted.total.each(), wanted.task.each());
+        let entitled = self.entitled(ix).to_array();
+        let (used, total, task) = (
+            used.to_array(),
+            wanted.total.to_array(),
+            wanted.task.to_array(),
+        );
         let is_single_task = wanted.total == wanted.task;
         let mut any_governed = false;
         let all_within = self
@@ -228,8 +237,9 @@
             .all(|kind| {
                 any_governed = true;
                 let nearest = used[kind] + total[kind] - task[kind] / 2.0;
-                let is_first_task = is_single_task && used[kind] <= SLACK && entitled[kind] > SLACK;
-                nearest <= entitled[kind] + SLACK || is_first_task
+                let is_first_task =
+                    is_single_task && used[kind] <= TOLERANCE && entitled[kind] > TOLERANCE;
+                nearest <= entitled[kind] + TOLERANCE || is_first_task
             });
         any_governed && all_within
     }
@@ -238,14 +248,15 @@
     /// one of its tasks is stopped. `conceded` is what it has to give up beyond that, for a task
     /// that is larger than the whole entitlement of its team.
     fn can_spare(&self, ix: NodeIx, used: Amount, task: Amount, conceded: Amount) -> bool {
-        let entitled = self.entitled(ix).each();
-        let (used, task, conceded) = (used.each(), task.each(), conceded.each());
+        let entitled = self.entitled(ix).to_array();
+        let (used, task, conceded) = (used.to_array(), task.to_array(), conceded.to_array());
         self.governed_kinds(ix)
             .filter(|kind| task[*kind] > 0.0)
             .any(|kind| {
-                let is_only_task = used[kind] <= task[kind] + SLACK && entitled[kind] > SLACK;
+                let is_only_task =
+                    used[kind] <= task[kind] + TOLERANCE && entitled[kind] > TOLERANCE;
                 let nearest = used[kind] - task[kind] / 2.0 + conceded[kind];
-                !is_only_task && nearest > entitled[kind] + SLACK
+                !is_only_task && nearest > entitled[kind] + TOLERANCE
             })
     }
 
@@ -271,7 +282,7 @@
         if !self.can_spare(from, used(from), task, conceded) {
             return false;
         }
-        let Some((branch_of_by, branch_of_from)) = self.tree.parting(by, from) else {
+        let Some((branch_of_by, branch_of_from)) = self.tree.branches(by, from) else {
             return false;
         };
         self.within(branch_of_by, used(branch_of_by), wanted)
@@ -282,9 +293,9 @@
     /// How far a leaf that uses so much is beyond its entitlement, as a part of what its root is
     /// guaranteed: the largest part of any kind of resource, at least 0.
     #[must_use]
-    pub fn over(&self, leaf: NodeIx, used: Amount) -> f64 {
-        let root = self.tree.node(self.tree.root(leaf)).guarantee.each();
-        let (used, entitled) = (used.each(), self.entitled(leaf).each());
+    pub fn overuse(&self, leaf: NodeIx, used: Amount) -> f64 {
+        let root = self.tree.node(self.tree.root(leaf)).guarantee.to_array();
+        let (used, entitled) = (used.to_array(), self.entitled(leaf).to_array());
         self.governed_kinds(leaf)
             .map(|kind| (used[kind] - entitled[kind]) / root[kind])
             .fold(0.0, f64::max)
@@ -292,11 +303,11 @@
 }
 
 /// The point on the way from `base` to `demand` that the guarantee reaches.
-fn up_to(base: Amount, demand: Amount, guarantee: Amount, governed: [bool; 2]) -> Amount {
+fn guaranteed_part(base: Amount, demand: Amount, guarantee: Amount, governed: [bool; 2]) -> Amount {
     if guarantee.is_zero() {
         return base;
     }
-    let (from, to, guaranteed) = (base.each(), demand.each(), guarantee.each());
+    let (from, to, guaranteed) = (base.to_array(), demand.to_array(), guarantee.to_array());
     let mut fraction: f64 = 1.0;
     for kind in 0..2 {
         let distance = to[kind] - from[kind];
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - `tree`: the tree as an operator writes it, and as it is checked,
 //! - `divide`: how a node's entitlement is divided among its children,
-//! - `shares`: what each node is entitled to at present, and who may reclaim from whom.
+//! - `entitlements`: what each node is entitled to at present, and who may reclaim from whom.
 //!
 //! All of these are pure functions of their input: no I/O, no clock, no randomness. Controllers
 //! with the same tree and demands come to the same decisions.
@@ -12,10 +12,10 @@
 
 mod amount;
 mod divide;
-mod shares;
+mod entitlements;
 mod tree;
 
 pub use amount::Amount;
 pub use divide::{Claim, divide};
-pub use shares::{Shares, Wanted};
+pub use entitlements::{Shares, Wanted};
 pub use tree::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeProblem, TreeSpec};
--- a/crates/hierarchical-quota/src/tree/build.rs
+++ b/crates/hierarchical-quota/src/tree/build.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeProblem, TreeSpec};
-use crate::amount::{Amount, SLACK};
+use crate::amount::{Amount, TOLERANCE};
 
 /// The most levels below a root. A deeper tree is a mistake.
 const MAX_DEPTH: usize = 16;
@@ -164,7 +164,7 @@
     ) -> Result<NodeIx, TreeError> {
         let ix = NodeIx(tree.nodes.len() as u32);
         if let Some(parent) = parent {
-            let above = &mut tree.nodes[parent.at()];
+            let above = &mut tree.nodes[parent.index()];
             if above.team.is_some() {
                 let reason = TreeProblem::ParentIsLeaf(above.name.clone());
                 return Err(self.problem(&spec.name, "parent", reason));
@@ -225,10 +225,10 @@
                 larger
             });
         }
-        if stated > 0.0 && stated + SLACK < platform {
+        if stated > 0.0 && stated + TOLERANCE < platform {
             return Err(TreeProblem::BelowPlatformGuarantee(platform));
         }
-        if limit > 0.0 && stated > limit + SLACK {
+        if limit > 0.0 && stated > limit + TOLERANCE {
             return Err(TreeProblem::AbovePlatformLimit(limit));
         }
         Ok(if stated > 0.0 { stated } else { platform })
@@ -274,14 +274,14 @@
         if self.contradictions == Contradictions::Resolve {
             return Ok(guarantee.max(children));
         }
-        if children > guarantee + SLACK {
+        if children > guarantee + TOLERANCE {
             let reason = TreeProblem::ChildrenExceedGuarantee {
                 guarantee,
                 children,
             };
             return Err(self.problem(&node.name, key, reason));
         }
-        if limit > 0.0 && guarantee > limit + SLACK {
+        if limit > 0.0 && guarantee > limit + TOLERANCE {
             let reason = TreeProblem::LimitBelowGuarantee { limit, guarantee };
             return Err(self.problem(&node.name, &format!("{key}_max"), reason));
         }
@@ -294,7 +294,7 @@
             ("gpus_max", child.own_limit.gpus, node.limit.gpus),
         ];
         for (key, limit, parent_limit) in limits {
-            if parent_limit > 0.0 && limit > parent_limit + SLACK {
+            if parent_limit > 0.0 && limit > parent_limit + TOLERANCE {
                 let reason = TreeProblem::AboveParentLimit {
                     limit,
                     parent_limit,
--- a/crates/hierarchical-quota/src/tree/mod.rs
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -19,7 +19,8 @@
 pub struct NodeIx(pub u32);
 
 impl NodeIx {
-    pub(crate) fn at(self) -> usize {
+    /// Its position in [`Tree::nodes`].
+    pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
 }
@@ -64,7 +65,7 @@
 impl Tree {
     /// The node with this index.
     pub fn node(&self, ix: NodeIx) -> &Node {
-        &self.nodes[ix.at()]
+        &self.nodes[ix.index()]
     }
 
     /// The leaf that stands for a team.
@@ -89,7 +90,7 @@
 
     /// The children of the lowest common ancestor of two nodes that are on the ways to them, or
     /// the roots above them if they have no common ancestor. `None`: one is above the other.
-    pub fn parting(&self, a: NodeIx, b: NodeIx) -> Option<(NodeIx, NodeIx)> {
+    pub fn branches(&self, a: NodeIx, b: NodeIx) -> Option<(NodeIx, NodeIx)> {
         let (mut a, mut b) = (a, b);
         while self.node(a).depth > self.node(b).depth {
             a = self.node(a).parent?;
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -74,7 +74,7 @@
         };
         tree.leaf(name).is_some_and(|leaf| {
             let used = self.jobs.standing(name).into();
-            tree.shares.within(leaf, used, wanted(job))
+            tree.entitlements.within(leaf, used, wanted(job))
         })
     }
 
@@ -86,7 +86,7 @@
     /// Whether a parked job may become placeable because the team `freed` uses less.
     pub(super) fn team_helps(&self, freed: &Team, id: &JobId) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| self.quota.hierarchy.related(freed, &job.spec.team))
+        job.is_some_and(|job| self.quota.hierarchy.share_a_limit(freed, &job.spec.team))
     }
 }
 
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -45,7 +45,7 @@
             controller.apply(&key, Some(&text), Revision(revision));
         }
     }
-    assert_eq!(controller.quota.hierarchy.version(), Revision(11));
+    assert_eq!(controller.quota.hierarchy.active_version(), Revision(11));
     controller.store_sync.applied = Revision(applied);
     controller.effects.clear();
     (controller, id)
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -2,7 +2,7 @@
 
 use super::super::Controller;
 use crate::jobs::cache::Job;
-use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, share_key};
+use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, allocation_key};
 use crate::settings::TeamSettings;
 use crate::store::Transaction;
 use crate::types::ShardId;
@@ -37,11 +37,11 @@
                     .jobs
                     .used_in(&team.name, shard)
                     .plus(job.spec.resources);
-                let allocated = self.quota.allocations.share(shard, &team.name);
+                let allocated = self.quota.allocations.allocation(shard, &team.name);
                 // The leader places in another controller's shard only by raising its allocation.
                 let held_here = self.membership.leases.holds(shard, &self.me).is_some();
                 let usable = (held_here || raise.is_none()) && self.complete(shard);
-                usable && quota::within_share(used, allocated, team)
+                usable && quota::within_allocation(used, allocated, team)
             };
             let shards = self.membership.leases.shards.keys();
             full.extend(shards.filter(|shard| !fits(shard)).cloned());
@@ -52,7 +52,7 @@
     /// Whether the leader may raise a team's allocations by what `tasks` tasks of a job take.
     fn may_raise_for(&self, team: &TeamSettings, job: &Job, tasks: u32) -> bool {
         let resources = job.spec.resources.times(f64::from(tasks));
-        self.may_raise()
+        self.may_raise_allocations()
             && quota::covers(
                 quota::unallocated(team, &self.planned_allocations(team)),
                 resources,
@@ -62,7 +62,7 @@
     /// Whether this controller is the leader and knows everything that raising an allocation
     /// depends on: all that was placed before any allocation last changed, and no change of an
     /// allocation is in flight or of unknown outcome.
-    pub(super) fn may_raise(&self) -> bool {
+    pub(super) fn may_raise_allocations(&self) -> bool {
         self.leading().is_some()
             && self.quota.allocations_in_flight == 0
             && self.quota.unresolved_allocations.is_empty()
@@ -70,8 +70,8 @@
             && self.store_sync.applied >= self.store_sync.snapshot_end
             && self.store_sync.applied >= self.quota.allocations.newest()
             // Placements conditioned on an earlier tree are all known, and no more can be applied.
-            && self.quota.hierarchy.settled()
-            && self.store_sync.applied >= self.quota.hierarchy.version()
+            && self.quota.hierarchy.is_settled()
+            && self.store_sync.applied >= self.quota.hierarchy.active_version()
             && self.membership.leases.shards.keys().all(|shard| self.complete(shard))
     }
 
@@ -92,7 +92,7 @@
         shard: &ShardId,
     ) -> ShardAllocation {
         ShardAllocation {
-            allocated: self.quota.allocations.share(shard, &team.name),
+            allocated: self.quota.allocations.allocation(shard, &team.name),
             used: QuotaAllocation::of(self.jobs.used_in(&team.name, shard)),
             leased: self.membership.leases.shards.contains_key(shard),
         }
@@ -106,7 +106,7 @@
             let reserved = self.jobs.reserved_in(&team.name, &shard);
             let used = self.jobs.used_in(&team.name, &shard).minus(reserved);
             let ownership = self.ownership(&shard);
-            let allocated = quota::raised(current.allocated, used, reserved, ownership);
+            let allocated = quota::raised_allocation(current.allocated, used, reserved, ownership);
             ShardAllocation {
                 allocated,
                 ..current
@@ -154,26 +154,29 @@
         tasks: u32,
     ) -> bool {
         let ownership = self.ownership(shard);
-        txn.require(share_key(shard), self.quota.allocations.version(shard));
+        txn.require(allocation_key(shard), self.quota.allocations.version(shard));
         let mut raised_record = None;
         for team in self.limits(job) {
             // Reserved tasks count as used already.
             let used = self.jobs.used_in(&team.name, shard);
-            let allocated = self.quota.allocations.share(shard, &team.name);
-            if ownership == ShardOwnership::Local && quota::within_share(used, allocated, team) {
+            let allocated = self.quota.allocations.allocation(shard, &team.name);
+            if ownership == ShardOwnership::Local && quota::within_allocation(used, allocated, team)
+            {
                 continue;
             }
-            if !self.may_raise() || !quota::keeps_limit(team, &self.planned_allocations(team)) {
+            if !self.may_raise_allocations()
+                || !quota::keeps_limit(team, &self.planned_allocations(team))
+            {
                 return false;
             }
             let resources = job.spec.resources.times(f64::from(tasks));
             let before = used.minus(resources);
             let record = raised_record.get_or_insert_with(|| self.quota.allocations.record(shard));
-            let raised = quota::raised(allocated, before, resources, ownership);
+            let raised = quota::raised_allocation(allocated, before, resources, ownership);
             record.insert(team.name.clone(), raised);
         }
         if let Some(record) = raised_record {
-            txn.put(share_key(shard), &record);
+            txn.put(allocation_key(shard), &record);
         }
         true
     }
@@ -181,7 +184,7 @@
     /// Adds the version of the active quota tree to a transaction's conditions. The limits that
     /// the transaction was checked against are those of this tree.
     pub(in crate::controller) fn require_tree(&self, txn: &mut Transaction) {
-        let version = self.quota.hierarchy.version();
+        let version = self.quota.hierarchy.active_version();
         txn.require(quota::hierarchical::HEAD.into(), version);
     }
 }
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::{CallPurpose, Controller};
-use crate::quota::{self, AllocationRecord, ShardAllocation, share_key};
+use crate::quota::{self, AllocationRecord, ShardAllocation, allocation_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{Millis, Resources, Revision, ShardId};
 
@@ -16,7 +16,7 @@
     pub(in crate::controller) fn reallocate_quota(&mut self) {
         if self.now.since(self.quota.allocated_at) < REALLOCATION_INTERVAL
             || !self.may_place()
-            || !self.may_raise()
+            || !self.may_raise_allocations()
         {
             return;
         }
@@ -45,7 +45,7 @@
                 .collect();
             let allocations = quota::allocate(&team, min_useful, &current);
             for (shard, allocation) in shards.into_iter().zip(allocations) {
-                if allocation != self.quota.allocations.share(&shard, &team.name) {
+                if allocation != self.quota.allocations.allocation(&shard, &team.name) {
                     records
                         .entry(shard.clone())
                         .or_insert_with(|| self.quota.allocations.record(&shard))
@@ -85,8 +85,11 @@
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            txn.require(share_key(&shard), self.quota.allocations.version(&shard));
-            txn.put(share_key(&shard), &record);
+            txn.require(
+                allocation_key(&shard),
+                self.quota.allocations.version(&shard),
+            );
+            txn.put(allocation_key(&shard), &record);
         }
         txn
     }
--- a/src/quota/allocate.rs
+++ b/src/quota/allocate.rs
@@ -72,7 +72,7 @@
 
 /// Whether a team that uses `resources` in a shard is within its allocation there. Only resources
 /// that the team has a limit on count.
-pub fn within_share(
+pub fn within_allocation(
     resources: Resources,
     allocation: QuotaAllocation,
     team: &TeamSettings,
@@ -202,7 +202,7 @@
 /// An allocation raised for `resources` that are placed where `used` is seen to be used. In a
 /// remote shard the holder may have used the rest of the allocation unseen, so it is not counted
 /// on.
-pub fn raised(
+pub fn raised_allocation(
     allocated: QuotaAllocation,
     used: Resources,
     resources: Resources,
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -10,7 +10,7 @@
 pub const SHARES: &str = "jt/share/";
 
 /// The key of a shard's allocation record.
-pub fn share_key(shard: &ShardId) -> String {
+pub fn allocation_key(shard: &ShardId) -> String {
     format!("{SHARES}{shard}")
 }
 
@@ -91,7 +91,7 @@
     }
 
     /// What is allocated to a team in a shard.
-    pub fn share(&self, shard: &ShardId, team: &Team) -> QuotaAllocation {
+    pub fn allocation(&self, shard: &ShardId, team: &Team) -> QuotaAllocation {
         let stored = self.shards.get(shard);
         let allocation = stored.and_then(|stored| stored.record.get(team));
         allocation.copied().unwrap_or_default()
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -22,7 +22,7 @@
 pub const HEAD: &str = "jt/tree";
 
 /// Prefix of the keys of the pages, which hold the nodes.
-pub const PAGES: &str = "jt/tree/";
+pub const TREE_PAGES_PREFIX: &str = "jt/tree/";
 
 /// The most bytes that the allocation of a team or node takes in a shard's record, besides its
 /// name.
@@ -102,7 +102,7 @@
     /// The pages in the store.
     pages: StoredPages,
     /// The version of the head that `active` was made from.
-    version: Revision,
+    active_version: Revision,
     active: Option<ActiveTree>,
     /// Without a tree: each team's own limit.
     flat: HashMap<Team, Vec<TeamSettings>>,
@@ -132,13 +132,13 @@
 
     /// The version of the head that decisions are based on. The store may have a newer one whose
     /// pages have not all been read: transactions conditioned on this version then fail.
-    pub fn version(&self) -> Revision {
-        self.version
+    pub fn active_version(&self) -> Revision {
+        self.active_version
     }
 
     /// Whether the newest head that was read is the active one.
-    pub fn settled(&self) -> bool {
-        self.version == self.head_version
+    pub fn is_settled(&self) -> bool {
+        self.active_version == self.head_version
     }
 
     /// The active tree; `None` if quotas are flat.
@@ -167,7 +167,7 @@
     }
 
     /// Whether two teams share a limit, so that usage which one gives up may help the other.
-    pub fn related(&self, a: &Team, b: &Team) -> bool {
+    pub fn share_a_limit(&self, a: &Team, b: &Team) -> bool {
         let applies_to_b = |name: &Team| self.limits(b).iter().any(|limit| limit.name == *name);
         a == b || self.limits(a).iter().any(|limit| applies_to_b(&limit.name))
     }
@@ -238,14 +238,14 @@
     pub fn resync(&mut self) {
         self.head = None;
         self.head_version = Revision(0);
-        self.version = Revision(0);
+        self.active_version = Revision(0);
         self.pages = StoredPages::default();
     }
 
     /// Activates the tree of the newest head if all its pages are there. An invalid tree is logged
     /// and leaves the active one as it is.
     fn activate(&mut self) -> bool {
-        if self.settled() {
+        if self.is_settled() {
             return false;
         }
         let Some(head) = &self.head else {
@@ -263,10 +263,10 @@
         };
         let nodes = active
             .as_ref()
-            .map_or(0, |tree| tree.shares.tree().nodes.len());
+            .map_or(0, |tree| tree.entitlements.tree().nodes.len());
         tracing::info!(revision = head.revision, nodes, "quota tree activated");
         self.active = active;
-        self.version = self.head_version;
+        self.active_version = self.head_version;
         true
     }
 
--- a/src/quota/hierarchical/pages.rs
+++ b/src/quota/hierarchical/pages.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use super::PAGES;
+use super::TREE_PAGES_PREFIX;
 use crate::types::Revision;
 
 /// The part of the largest value that a page may fill. The rest is a margin below the store's
@@ -35,7 +35,7 @@
 impl Head {
     /// Prefix of the keys of this tree's pages.
     pub(super) fn page_prefix(&self) -> String {
-        format!("{PAGES}{}-{}/", self.revision, self.hash)
+        format!("{TREE_PAGES_PREFIX}{}-{}/", self.revision, self.hash)
     }
 
     /// The key of a page. Revision and hash in it determine what the page contains.
@@ -163,7 +163,7 @@
     ) -> impl Iterator<Item = &'a String> {
         self.by_key.keys().filter(move |key| {
             let revision = key
-                .strip_prefix(PAGES)
+                .strip_prefix(TREE_PAGES_PREFIX)
                 .and_then(|rest| rest.split('-').next())
                 .and_then(|text| text.parse::<u64>().ok());
             head.is_some_and(|head| {
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -71,8 +71,8 @@
     ];
     for (nested, standing) in all.into_iter().zip(standings) {
         assert_eq!(nested.tree_status(), standing);
-        assert!(nested.settled());
-        assert_eq!(nested.version(), Revision(revision));
+        assert!(nested.is_settled());
+        assert_eq!(nested.active_version(), Revision(revision));
         assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
         assert_eq!(nested.pending_write(9), PendingTreeWrite::Nothing);
     }
@@ -95,7 +95,7 @@
     }
     let head = serde_json::to_string_pretty(writer.head.as_ref().unwrap()).unwrap();
     assert!(reader.apply(HEAD, Some(&head), writer.head_version));
-    assert!(reader.settled());
+    assert!(reader.is_settled());
 }
 
 /// A list brings the head before its pages. What was decided by the tree before must not be
@@ -109,14 +109,14 @@
     let mut reader = nested(None);
     let head = serde_json::to_string(writer.head.as_ref().unwrap()).unwrap();
     assert!(!reader.apply(HEAD, Some(&head), Revision(revision)));
-    assert!(!reader.settled());
-    assert_eq!(reader.version(), Revision(0));
+    assert!(!reader.is_settled());
+    assert_eq!(reader.active_version(), Revision(0));
     let pages: Vec<_> = writer.pages.by_key.clone().into_iter().collect();
     for (index, (key, StoredPage { text, version })) in pages.iter().enumerate() {
         let last = index == pages.len() - 1;
         assert_eq!(reader.apply(key, Some(text), *version), last);
     }
-    assert_eq!(reader.version(), Revision(revision));
+    assert_eq!(reader.active_version(), Revision(revision));
     assert_eq!(reader.limits(&"a".into()).len(), 2);
 }
 
@@ -136,7 +136,7 @@
     assert_eq!(names("a"), ["a 6", "#top 8"]);
     assert_eq!(names("b"), ["#top 8"]);
     assert_eq!(nested.limited().len(), 2);
-    assert!(nested.related(&"a".into(), &"b".into()));
+    assert!(nested.share_a_limit(&"a".into(), &"b".into()));
     let off = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
     nested.file = Some(PagedTree::new(&off, 8.0));
     write(&mut nested, &mut [], &mut 100);
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -18,11 +18,11 @@
 pub mod reclaim;
 
 pub use allocate::{
-    ShardAllocation, ShardOwnership, allocate, covers, keeps_limit, raised, unallocated,
-    within_share,
+    ShardAllocation, ShardOwnership, allocate, covers, keeps_limit, raised_allocation, unallocated,
+    within_allocation,
 };
 pub use allocation::{
-    AllocationRecord, QuotaAllocation, QuotaAllocations, SHARES, StoredAllocations, share_key,
+    AllocationRecord, QuotaAllocation, QuotaAllocations, SHARES, StoredAllocations, allocation_key,
 };
 
 use crate::settings::TeamSettings;
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -101,10 +101,10 @@
         let sum = |usages: &[TeamUsage]| {
             usages
                 .iter()
-                .filter(|usage| self.tree.counts(&usage.team, ix))
+                .filter(|usage| self.tree.is_below(&usage.team, ix))
                 .fold(Resources::default(), |sum, usage| sum.plus(usage.resources))
         };
-        let now = self.jobs.standing(self.tree.name(ix));
+        let now = self.jobs.standing(self.tree.usage_name(ix));
         let lost = sum(&self.pending.lost).plus(sum(also));
         now.plus(sum(&self.pending.gained)).minus(lost).into()
     }
@@ -112,7 +112,7 @@
     /// Whether one more task is within the team's entitlement.
     fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
-        self.tree.shares.within(self.leaf, used, self.wanted)
+        self.tree.entitlements.within(self.leaf, used, self.wanted)
     }
 
     /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
@@ -138,7 +138,7 @@
             resources: resources.times(f64::from(stopped_before)),
         }];
         let used = |ix| self.used(ix, &also);
-        let shares = &self.tree.shares;
+        let shares = &self.tree.entitlements;
         let allowed = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
         let overuse = allowed.then(|| overuse_steps(self.tree, from, used(from)));
         self.known_overuse.borrow_mut().insert(key, overuse);
@@ -311,5 +311,5 @@
 
 /// How far a leaf that uses so much is over its entitlement, in steps.
 pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
-    (tree.shares.over(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
+    (tree.entitlements.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -56,7 +56,7 @@
                     gpus,
                     ..Resources::default()
                 };
-                let raised = raised(
+                let raised = raised_allocation(
                     shards[shard].allocated,
                     resources(seen[shard]),
                     least,
