--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -1,4 +1,5 @@
-//! `tiller-region demo`: a mixed set of jobs on three controllers, of which one is killed.
+//! `tiller-region demo`: runs a mixed set of jobs on three controllers, kills one of them meanwhile, and prints
+//! what came of the jobs and whether the protocol's rules held.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,11 +7,11 @@
 use std::time::Duration;
 
 use cluster_simulator::config::{Config, team};
-use cluster_simulator::live::Shared;
+use cluster_simulator::live::SharedRegion;
 use cluster_simulator::live::controllers::Controllers;
-use cluster_simulator::live::faults::{Fault, Kind, Plan, read_plan};
+use cluster_simulator::live::faults::{Fault, FaultInjector, Kind, Plan, PlannedFault, read_plan};
 use cluster_simulator::live::users::User;
-use cluster_simulator::rules::RULES;
+use cluster_simulator::rules::{RULES, Rules};
 use cluster_simulator::sim::{JobPlan, job};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -21,13 +22,24 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Jobs come over this long.
+/// Milliseconds over which the jobs arrive.
 const ARRIVALS_MS: u64 = 20_000;
-const MOST: Duration = Duration::from_secs(150);
-const READY: Duration = Duration::from_secs(30);
-/// Services are cancelled after running for a while.
-const SERVICE: Duration = Duration::from_secs(15);
+/// Number of jobs: four of each of the six classes.
+const JOBS: usize = 24;
+/// Classes of the jobs, in turn.
+const CLASSES: [&str; 6] = ["score", "train", "serve", "forecast", "pair", "single"];
+/// The run is given up after this long: undisturbed, the jobs are over in a third of it.
+const RUN_TIMEOUT: Duration = Duration::from_secs(150);
+/// How long all controllers together may take to get ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which a controller is asked whether it is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which faults are injected and progress is shown, at the least.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Services end only when they are cancelled: their users do so after this long.
+const SERVICE_DURATION: Duration = Duration::from_secs(15);
 
+/// A small region of two teams, one of them with a quota.
 fn config() -> Config {
     Config {
         teams: vec![team("slotting", 8.0, 16.0), team("forecast", 0.0, 0.0)],
@@ -38,219 +50,219 @@
 
 /// Arrays, gangs and services of two teams.
 fn jobs(rng: &mut SmallRng) -> Vec<JobPlan> {
-    let jobs = (0..24).map(|i| {
-        let run = rng.random_range(3_000..8_000);
-        let team = ["slotting", "forecast"][i % 2];
-        let mut plan = match i % 6 {
-            0 => job(i, team, "sweep", rng.random_range(4..12), 1.0, run),
-            1 => job(i, team, "gang", rng.random_range(1..4), 4.0, run),
-            2 => job(i, team, "standing", 2, 1.0, 0),
-            3 => job(i, team, "sweep", rng.random_range(10..30), 1.0, run),
-            4 => job(i, team, "gang", 2, 2.0, run),
-            _ => job(i, team, "sweep", 1, 2.0, run),
+    let jobs = (0..JOBS).map(|index| {
+        let run_ms = rng.random_range(3_000..8_000);
+        let team = ["slotting", "forecast"][index % 2];
+        let mut plan = match index % CLASSES.len() {
+            0 => job(index, team, "sweep", rng.random_range(4..12), 1.0, run_ms),
+            1 => job(index, team, "gang", rng.random_range(1..4), 4.0, run_ms),
+            2 => job(index, team, "standing", 2, 1.0, 0),
+            3 => job(index, team, "sweep", rng.random_range(10..30), 1.0, run_ms),
+            4 => job(index, team, "gang", 2, 2.0, run_ms),
+            _ => job(index, team, "sweep", 1, 2.0, run_ms),
         };
-        plan.body["lot"] = ["score", "train", "serve", "forecast", "pair", "single"][i % 6].into();
+        plan.body["lot"] = CLASSES[index % CLASSES.len()].into();
         plan.at = Some(rng.random_range(0..ARRIVALS_MS));
         plan
     });
     jobs.collect()
 }
 
+/// The faults without a plan file: the first controller is killed early in the arrivals.
+fn default_plan() -> Plan {
+    vec![PlannedFault {
+        at: Millis(9_000),
+        fault: Fault {
+            kind: Kind::Kill,
+            target: "n0".into(),
+            for_s: 4.0,
+        },
+    }]
+}
+
+/// Runs the demo with the faults of a plan file, or with the default ones. Fails if a rule was broken, a job was
+/// not over in time, or a controller exited by itself.
+///
+/// # Errors
+/// The plan can't be read, or the controllers can't be started.
 pub async fn run(seed: u64, plan: Option<&Path>) -> anyhow::Result<ExitCode> {
     let config = config();
     let plan = match plan {
         Some(path) => read_plan(path, config.controllers)?,
-        None => vec![(
-            Millis(9_000),
-            Fault {
-                kind: Kind::Kill,
-                target: "n0".into(),
-                for_s: 4.0,
-            },
-        )],
+        None => default_plan(),
     };
     let (mut controllers, shared) = Controllers::prepare(&config, seed, None)?;
     tokio::spawn(shared.clone().run());
     controllers.start_all()?;
     let user = User::new(shared.clone(), controllers.addresses.clone());
-    let began = Instant::now();
-    for index in 0..config.controllers {
-        while !user.ready(index).await {
-            if began.elapsed() > READY || !controllers.ended().is_empty() {
-                anyhow::bail!("n{index} does not get ready: {}", controllers.log(index));
-            }
-            tokio::time::sleep(Duration::from_millis(100)).await;
-        }
-    }
+    wait_until_ready(&user, &mut controllers, config.controllers).await?;
     let plans = jobs(&mut SmallRng::seed_from_u64(seed));
-    let mut users = JoinSet::new();
-    for plan in &plans {
-        let cancel = (plan.body["shape"] == "standing").then_some(SERVICE);
-        users.spawn(user.clone().follow(plan.clone(), cancel));
-    }
-    let bar = ProgressBar::new(plans.len() as u64);
-    let style = ProgressStyle::with_template("{elapsed:>4} [{bar:40}] {pos} of {len} jobs {msg}")?;
-    bar.set_style(style.progress_chars("=> "));
-    let mut faults = Faults::new(plan);
-    let began = Instant::now();
-    while !users.is_empty() && began.elapsed() < MOST {
-        let _ = tokio::time::timeout(Duration::from_millis(200), users.join_next()).await;
-        faults.strike(&shared, &mut controllers, began.elapsed())?;
-        bar.set_position((plans.len() - users.len()) as u64);
-        bar.set_message(said(&shared));
-    }
-    user.ask_for_nothing().await;
-    bar.finish();
+    let mut users = send_users(&user, &plans);
+    play(&mut users, plan, &shared, &mut controllers).await?;
+    user.poll_unknown_job().await;
     let unfinished = users.len();
     users.shutdown().await;
-    let by_themselves = controllers.ended();
+    let exited = controllers.exited();
     drop(controllers);
     shared.lock().rules.finish();
     println!("{}", table(&shared));
-    let violations: Vec<String> = {
-        let region = shared.lock();
-        region.rules.violations.iter().cloned().collect()
-    };
-    for rule in RULES {
-        let prefix = format!("{rule}:");
-        let broken: Vec<_> = violations
-            .iter()
-            .filter(|v| v.starts_with(&prefix))
-            .collect();
-        let word = if broken.is_empty() { "kept" } else { "BROKEN" };
-        println!("rule {rule:<14} {word}");
-        broken.iter().for_each(|what| println!("    {what}"));
-    }
+    let rules_hold = print_rules(&shared);
     if unfinished > 0 {
-        println!("{unfinished} jobs were not over after {} s", MOST.as_secs());
+        let timeout_s = RUN_TIMEOUT.as_secs();
+        println!("{unfinished} jobs were not over after {timeout_s} s");
     }
-    for index in &by_themselves {
+    for index in &exited {
         println!("controller n{index} ended by itself");
     }
-    let good = violations.is_empty() && unfinished == 0 && by_themselves.is_empty();
-    Ok(if good {
+    let succeeded = rules_hold && unfinished == 0 && exited.is_empty();
+    Ok(if succeeded {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-fn said(shared: &Shared) -> String {
-    let region = shared.lock();
-    let tasks = region.machines.present(region.now()).count();
-    let alive = region
-        .machines
-        .machine_ids
-        .values()
-        .filter(|m| m.dead.is_none());
-    format!("{tasks} tasks on {} machines", alive.count())
+async fn wait_until_ready(
+    user: &User,
+    controllers: &mut Controllers,
+    count: usize,
+) -> anyhow::Result<()> {
+    let began = Instant::now();
+    for index in 0..count {
+        while !user.is_ready(index).await {
+            if began.elapsed() > READY_TIMEOUT || !controllers.exited().is_empty() {
+                let log = controllers.log_tail(index);
+                anyhow::bail!("n{index} does not get ready: {log}");
+            }
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
+        }
+    }
+    Ok(())
 }
 
-/// A plan under way.
-pub struct Faults {
-    plan: Plan,
-    /// Killed controllers and when they come back.
-    down: Vec<(Duration, usize)>,
+/// Starts a user for each job.
+fn send_users(user: &User, plans: &[JobPlan]) -> JoinSet<()> {
+    let mut users = JoinSet::new();
+    for plan in plans {
+        let is_service = plan.body["shape"] == "standing";
+        let cancel_after = is_service.then_some(SERVICE_DURATION);
+        users.spawn(user.clone().follow(plan.clone(), cancel_after));
+    }
+    users
 }
 
-impl Faults {
-    pub fn new(plan: Plan) -> Self {
-        let down = Vec::new();
-        Self { plan, down }
+/// Injects the planned faults and shows the progress until all users are done or the time is over.
+async fn play(
+    users: &mut JoinSet<()>,
+    plan: Plan,
+    shared: &SharedRegion,
+    controllers: &mut Controllers,
+) -> anyhow::Result<()> {
+    let jobs = users.len();
+    let bar = ProgressBar::new(jobs as u64);
+    let style = ProgressStyle::with_template("{elapsed:>4} [{bar:40}] {pos} of {len} jobs {msg}")?;
+    bar.set_style(style.progress_chars("=> "));
+    let mut faults = FaultInjector::new(plan);
+    let began = Instant::now();
+    while !users.is_empty() && began.elapsed() < RUN_TIMEOUT {
+        // Only the number of users that are left matters.
+        let _ = tokio::time::timeout(TICK_INTERVAL, users.join_next()).await;
+        faults.advance(shared, controllers, began.elapsed())?;
+        bar.set_position((jobs - users.len()) as u64);
+        bar.set_message(status_line(shared));
     }
+    bar.finish();
+    Ok(())
+}
 
-    pub fn strike(
-        &mut self,
-        shared: &Shared,
-        controllers: &mut Controllers,
-        now: Duration,
-    ) -> anyhow::Result<()> {
-        let time = Millis(now.as_millis() as u64);
-        while self.plan.first().is_some_and(|(at, _)| *at <= time) {
-            let (_, fault) = self.plan.remove(0);
-            if let Err(why) = self.one(&fault, shared, controllers, now) {
-                eprintln!("a fault of the plan is passed over: {why}");
-            }
-        }
-        let (due, down) = std::mem::take(&mut self.down)
-            .into_iter()
-            .partition(|(back, _)| *back <= now);
-        self.down = down;
-        due.into_iter()
-            .try_for_each(|(_, index): (Duration, usize)| controllers.start(index))
+/// Prints for each rule whether it held, and returns whether all did.
+fn print_rules(shared: &SharedRegion) -> bool {
+    let region = shared.lock();
+    let violations = &region.rules.violations;
+    for rule in RULES {
+        let prefix = format!("{rule}:");
+        let broken = violations.iter().filter(|v| v.starts_with(&prefix));
+        let broken: Vec<&String> = broken.collect();
+        let word = if broken.is_empty() { "kept" } else { "BROKEN" };
+        println!("rule {rule:<14} {word}");
+        broken.iter().for_each(|what| println!("    {what}"));
     }
+    violations.is_empty()
+}
 
-    pub fn one(
-        &mut self,
-        fault: &Fault,
-        shared: &Shared,
-        controllers: &mut Controllers,
-        now: Duration,
-    ) -> Result<(), String> {
-        fault.strike(shared, controllers)?;
-        let index = fault.target.strip_prefix('n').and_then(|n| n.parse().ok());
-        if let (Kind::Kill, Some(index)) = (fault.kind, index) {
-            self.down.retain(|(_, other)| *other != index);
-            let back = now + Duration::from_secs_f64(fault.for_s);
-            self.down.push((back, index));
-        }
-        Ok(())
-    }
+/// How much runs at present.
+fn status_line(shared: &SharedRegion) -> String {
+    let region = shared.lock();
+    let tasks = region.machines.present(region.now()).count();
+    let machines = region.machines.machine_ids.values();
+    let up = machines.filter(|machine| machine.dead.is_none()).count();
+    format!("{tasks} tasks on {up} machines")
+}
+
+/// Heads of the table's columns.
+const TABLE_HEAD: [&str; 8] = [
+    "class",
+    "shape",
+    "jobs",
+    "tasks",
+    "done",
+    "cancelled",
+    "wait p50",
+    "wait most",
+];
+
+/// A job of the table.
+struct JobRow<'a> {
+    id: &'a JobId,
+    tasks: u32,
+    kind: JobKind,
 }
 
-/// What ran, by class: how long jobs waited for their first task.
-fn table(shared: &Shared) -> Table {
+/// What ran, by class, and how long jobs waited for their first task.
+fn table(shared: &SharedRegion) -> Table {
     let region = shared.lock();
-    let rules = &region.rules;
-    let mut classes: BTreeMap<String, Vec<(&JobId, u32, JobKind)>> = BTreeMap::new();
+    let mut classes: BTreeMap<String, Vec<JobRow>> = BTreeMap::new();
     for (id, job) in &region.machines.jobs {
         let class = job.spec.class.clone();
-        let its = (id, job.spec.tasks, job.spec.kind);
-        classes.entry(class).or_default().push(its);
+        let (tasks, kind) = (job.spec.tasks, job.spec.kind);
+        classes
+            .entry(class)
+            .or_default()
+            .push(JobRow { id, tasks, kind });
     }
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::UTF8_BORDERS_ONLY);
-    table.set_header([
-        "class",
-        "shape",
-        "jobs",
-        "tasks",
-        "done",
-        "cancelled",
-        "wait p50",
-        "wait most",
-    ]);
+    table.set_header(TABLE_HEAD);
     for (class, jobs) in classes {
-        let mut waits: Vec<f64> = jobs
-            .iter()
-            .filter_map(|(id, ..)| {
-                let (from, to) = (rules.submitted.get(*id)?, rules.first_start.get(*id)?);
-                Some(to.since(*from).secs())
-            })
-            .collect();
-        waits.sort_by(f64::total_cmp);
-        let seconds = |wait: Option<&f64>| wait.map_or("-".into(), |s| format!("{s:.1} s"));
-        let kind = match jobs.first().map(|(.., kind)| *kind) {
-            Some(JobKind::Gang) => "gang",
-            Some(JobKind::Service) => "service",
-            _ => "array",
-        };
-        let count = |known: &dyn Fn(&JobId) -> bool| {
-            jobs.iter().filter(|(id, ..)| known(id)).count().to_string()
-        };
-        table.add_row([
-            class,
-            kind.into(),
-            jobs.len().to_string(),
-            jobs.iter()
-                .map(|(_, tasks, _)| tasks)
-                .sum::<u32>()
-                .to_string(),
-            count(&|id| rules.done.contains(id)),
-            count(&|id| rules.aborted.contains_key(id)),
-            seconds(waits.get(waits.len() / 2)),
-            seconds(waits.last()),
-        ]);
+        table.add_row(cells(class, &jobs, &region.rules));
     }
     table
 }
+
+fn cells(class: String, jobs: &[JobRow], rules: &Rules) -> [String; 8] {
+    let wait_s = |job: &JobRow| {
+        let submitted = rules.submitted.get(job.id)?;
+        let started = rules.first_start.get(job.id)?;
+        Some(started.since(*submitted).secs())
+    };
+    let mut waits: Vec<f64> = jobs.iter().filter_map(wait_s).collect();
+    waits.sort_by(f64::total_cmp);
+    let seconds = |wait: Option<&f64>| wait.map_or("-".into(), |s| format!("{s:.1} s"));
+    let kind = match jobs.first().map(|job| job.kind) {
+        Some(JobKind::Gang) => "gang",
+        Some(JobKind::Service) => "service",
+        _ => "array",
+    };
+    let done = jobs.iter().filter(|job| rules.done.contains(job.id));
+    let cancelled = jobs.iter().filter(|job| rules.aborted.contains_key(job.id));
+    [
+        class,
+        kind.into(),
+        jobs.len().to_string(),
+        jobs.iter().map(|job| job.tasks).sum::<u32>().to_string(),
+        done.count().to_string(),
+        cancelled.count().to_string(),
+        seconds(waits.get(waits.len() / 2)),
+        seconds(waits.last()),
+    ]
+}
--- a/crates/simulator/src/live/control.rs
+++ b/crates/simulator/src/live/control.rs
@@ -1,4 +1,7 @@
-//! Where faults are asked for, and where users upload what their jobs are.
+//! The region's control interface over HTTP: requests for faults, and users' uploads of job descriptions.
+//!
+//! Uploads go into the shared region here. Faults go to whoever holds the controllers' processes, through
+//! the channel that [`serve`] returns.
 
 use std::net::SocketAddr;
 
@@ -9,33 +12,83 @@
 use tokio::sync::{mpsc, oneshot};
 use warp::http::Method;
 
-use super::Shared;
-use super::faults::Fault;
-use super::http::{self, Reaction, Request};
+use super::SharedRegion;
+use super::faults::{Fault, FaultError};
+use super::http::{self, Request, Response};
 use crate::machines::Description;
 
-/// Beside what the controllers are told, how long a task runs; left out: as long as expected.
+/// The part of an uploaded description that controllers ignore.
 #[derive(Deserialize)]
-struct Runs {
+struct RunTimeBody {
+    /// Seconds that each task runs; left out: as long as the job's estimate.
     #[serde(rename = "runS", default)]
     run_s: Option<f64>,
 }
 
-fn error(status: u16, why: impl ToString) -> Reaction {
-    (status, Some(json!({"error": why.to_string()})))
+/// A request for a fault, with the channel for its outcome.
+pub struct FaultRequest {
+    /// The fault to inject.
+    pub fault: Fault,
+    /// Receives the outcome, which is then answered over HTTP.
+    pub reply: oneshot::Sender<Result<(), FaultError>>,
 }
 
-/// A user uploads a job's description: the workers fetch it when they start its tasks.
-fn upload(shared: &Shared, body: &[u8]) -> Reaction {
-    let runs: Runs = match serde_json::from_slice(body) {
-        Ok(runs) => runs,
-        Err(why) => return error(400, why),
+/// Serves `POST /faults` and `POST /jobs` on an address of its own, which it returns with the requested faults.
+///
+/// # Errors
+/// No listener can be opened.
+pub fn serve(
+    shared: &SharedRegion,
+) -> std::io::Result<(SocketAddr, mpsc::UnboundedReceiver<FaultRequest>)> {
+    let listener = http::listen()?;
+    let address = listener.local_addr()?;
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let shared = shared.clone();
+    tokio::spawn(http::serve(listener, move |request| {
+        handle(shared.clone(), sender.clone(), request)
+    }));
+    Ok((address, receiver))
+}
+
+async fn handle(
+    shared: SharedRegion,
+    sender: mpsc::UnboundedSender<FaultRequest>,
+    request: Request,
+) -> Response {
+    match (&request.method, request.path.as_str()) {
+        (&Method::POST, "/faults") => request_fault(&sender, &request.body).await,
+        (&Method::POST, "/jobs") => upload(&shared, &request.body),
+        _ => Response::error(404, "POST /faults and POST /jobs are all there is"),
+    }
+}
+
+/// Passes a fault on and waits for its outcome.
+async fn request_fault(sender: &mpsc::UnboundedSender<FaultRequest>, body: &[u8]) -> Response {
+    let fault = match serde_json::from_slice::<Fault>(body) {
+        Ok(fault) => fault,
+        Err(error) => return Response::error(400, error),
+    };
+    let (reply, outcome) = oneshot::channel();
+    // A closed channel drops the reply, which is answered with 503 below.
+    let _ = sender.send(FaultRequest { fault, reply });
+    match outcome.await {
+        Ok(Ok(())) => Response::ok(json!({})),
+        Ok(Err(error)) => Response::error(422, error),
+        Err(_) => Response::error(503, "the region is ending"),
+    }
+}
+
+/// Stores a job's description: the workers fetch it when they start the job's tasks.
+fn upload(shared: &SharedRegion, body: &[u8]) -> Response {
+    let run_time: RunTimeBody = match serde_json::from_slice(body) {
+        Ok(run_time) => run_time,
+        Err(error) => return Response::error(400, error),
     };
     let (id, spec) = match api::parse(body) {
         Ok(parsed) => parsed,
-        Err(why) => return error(400, format!("{:?}", why.why)),
+        Err(error) => return Response::error(400, format!("{:?}", error.why)),
     };
-    let run = Millis::from_secs(runs.run_s.unwrap_or(spec.estimate_s));
+    let run = Millis::from_secs(run_time.run_s.unwrap_or(spec.estimate_s));
     let region = &mut *shared.lock();
     let now = region.now();
     region.rules.submit(&id, now);
@@ -46,37 +99,5 @@
         broken: false,
     };
     region.machines.jobs.insert(id, description);
-    (201, Some(answer))
-}
-
-pub type Asked = (Fault, oneshot::Sender<Result<(), String>>);
-
-/// Serves `POST /faults` and `POST /jobs` on an address of its own.
-pub fn serve(shared: &Shared) -> std::io::Result<(SocketAddr, mpsc::UnboundedReceiver<Asked>)> {
-    let listener = http::listen()?;
-    let address = listener.local_addr()?;
-    let (inbox, asked) = mpsc::unbounded_channel::<Asked>();
-    let shared = shared.clone();
-    tokio::spawn(http::serve(listener, move |request: Request| {
-        let (inbox, shared) = (inbox.clone(), shared.clone());
-        async move {
-            match (&request.method, request.path.as_str()) {
-                (&Method::POST, "/faults") => {}
-                (&Method::POST, "/jobs") => return upload(&shared, &request.body),
-                _ => return error(404, "POST /faults and POST /jobs are all there is"),
-            }
-            let fault = match serde_json::from_slice::<Fault>(&request.body) {
-                Ok(fault) => fault,
-                Err(why) => return error(400, why),
-            };
-            let (reply, outcome) = oneshot::channel();
-            let _ = inbox.send((fault, reply));
-            match outcome.await {
-                Ok(Ok(())) => (200, Some(json!({}))),
-                Ok(Err(why)) => error(422, why),
-                Err(_) => error(503, "the region is ending"),
-            }
-        }
-    }));
-    Ok((address, asked))
+    Response::json(201, answer)
 }
--- a/crates/simulator/src/live/controllers.rs
+++ b/crates/simulator/src/live/controllers.rs
@@ -1,4 +1,8 @@
-//! Real controllers: processes of the daemon, killed and started again.
+//! The controllers of a live region: processes of the real daemon.
+//!
+//! [`Controllers`] owns the processes and a temporary folder with their settings and logs; both are gone when
+//! it is dropped. The processes run this program's own executable, whose `controller` subcommand is the
+//! daemon's command line.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -7,44 +11,57 @@
 
 use anyhow::Context;
 
-use super::Shared;
+use super::SharedRegion;
 use super::http::listen;
 use crate::config::Config;
 
+/// Lines of a controller's log that are shown when it fails.
+const LOG_TAIL_LINES: usize = 5;
+
+/// The controllers' processes, by the controllers' indices.
 pub struct Controllers {
     folder: PathBuf,
     operator: Option<PathBuf>,
     children: Vec<Option<Child>>,
+    /// Where each controller answers users and workers.
     pub addresses: Vec<SocketAddr>,
 }
 
+/// An address that was free when it was looked for.
 fn free_address() -> std::io::Result<SocketAddr> {
     listen()?.local_addr()
 }
 
+fn settings_path(folder: &Path, index: usize) -> PathBuf {
+    folder.join(format!("n{index}.json"))
+}
+
 impl Controllers {
-    /// Opens the region's services for each controller and writes their settings. The processes
-    /// are this program's own, in its guise as the daemon.
+    /// Serves store and cloud for each controller and writes the controllers' settings. No process is
+    /// started. `operator` is the path of the operator settings that all controllers get.
+    ///
+    /// # Errors
+    /// An address can't be opened or a file can't be written.
     pub fn prepare(
         config: &Config,
         seed: u64,
         operator: Option<&Path>,
-    ) -> anyhow::Result<(Self, Shared)> {
+    ) -> anyhow::Result<(Self, SharedRegion)> {
         let mut addresses = Vec::new();
         for _ in 0..config.controllers {
             addresses.push((free_address()?, free_address()?));
         }
         let public: Vec<SocketAddr> = addresses.iter().map(|(public, _)| *public).collect();
-        let shared = Shared::new(config.clone(), seed, public.clone());
+        let shared = SharedRegion::new(config.clone(), seed, public.clone());
         let folder = std::env::temp_dir().join(format!("tiller-region-{}", std::process::id()));
         fs::create_dir_all(&folder).with_context(|| folder.display().to_string())?;
         for index in 0..config.controllers {
-            let (state, cloud) = (listen()?, listen()?);
-            let (to_state, to_cloud) = (state.local_addr()?, cloud.local_addr()?);
-            let settings = config.settings(index, &addresses, to_cloud, to_state);
-            let file = folder.join(format!("n{index}.json"));
+            let (store, cloud) = (listen()?, listen()?);
+            let (store_address, cloud_address) = (store.local_addr()?, cloud.local_addr()?);
+            let settings = config.settings(index, &addresses, cloud_address, store_address);
+            let file = settings_path(&folder, index);
             fs::write(&file, settings.to_string())?;
-            shared.serve_services(index, state, cloud)?;
+            shared.serve_services(index, store, cloud);
         }
         let controllers = Self {
             folder,
@@ -55,22 +72,32 @@
         Ok((controllers, shared))
     }
 
-    pub fn settings(&self, index: usize) -> PathBuf {
-        self.folder.join(format!("n{index}.json"))
+    /// The file with a controller's settings.
+    #[must_use]
+    pub fn settings_path(&self, index: usize) -> PathBuf {
+        settings_path(&self.folder, index)
+    }
+
+    fn log_path(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("n{index}.log"))
     }
 
+    /// Starts a controller's process, which appends to its log.
+    ///
+    /// # Errors
+    /// The log can't be opened or the process can't be started.
     pub fn start(&mut self, index: usize) -> anyhow::Result<()> {
         let log = fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.folder.join(format!("n{index}.log")))?;
+            .open(self.log_path(index))?;
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("controller").arg("serve").arg("--config");
-        command.arg(self.settings(index));
+        command.arg(self.settings_path(index));
         if let Some(operator) = &self.operator {
             command.arg("--operator").arg(operator);
         }
-        // It ends when this end of the pipe is gone, however this program ends.
+        // The process exits when its end of the pipe closes, so that it never outlives this program.
         command
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
@@ -79,39 +106,46 @@
         Ok(())
     }
 
+    /// Starts the processes of all controllers.
+    ///
+    /// # Errors
+    /// One of them can't be started.
     pub fn start_all(&mut self) -> anyhow::Result<()> {
         (0..self.children.len()).try_for_each(|index| self.start(index))
     }
 
+    /// Kills a controller's process, if it runs, and waits until it is gone.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.children[index].take() {
+            // Both fail only if the process has exited and was waited for.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// The process of a controller, if it runs.
+    /// The process ID of a controller that was started and not killed.
+    #[must_use]
     pub fn pid(&self, index: usize) -> Option<u32> {
         self.children[index].as_ref().map(Child::id)
     }
 
-    /// Controllers that ended by themselves.
-    pub fn ended(&mut self) -> Vec<usize> {
-        let ended = |child: &mut Option<Child>| {
+    /// Controllers whose processes exited without being killed.
+    pub fn exited(&mut self) -> Vec<usize> {
+        let has_exited = |child: &mut Option<Child>| {
             let child = child.as_mut();
             child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
         };
         let children = self.children.iter_mut().enumerate();
-        let ended = children.filter_map(|(index, child)| ended(child).then_some(index));
-        ended.collect()
+        let exited = children.filter_map(|(index, child)| has_exited(child).then_some(index));
+        exited.collect()
     }
 
     /// The last lines of a controller's log.
-    pub fn log(&self, index: usize) -> String {
-        let file = self.folder.join(format!("n{index}.log"));
-        let text = fs::read_to_string(file).unwrap_or_default();
+    #[must_use]
+    pub fn log_tail(&self, index: usize) -> String {
+        let text = fs::read_to_string(self.log_path(index)).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
-        lines[lines.len().saturating_sub(5)..].join("\n")
+        lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
     }
 }
 
--- a/crates/simulator/src/live/faults/tests.rs
+++ b/crates/simulator/src/live/faults/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn a_plan_that_makes_no_sense_is_refused_by_name() {
+fn an_invalid_plan_is_refused_by_name() {
     let good = "[fault 1]\nat_s=9\nkind=kill\ntarget=n1\nfor_s=3\n\
         [fault 2]\nat_s=4\nkind=outage\nfor_s=5\n";
     let plan = parse_plan("f", good, 3).unwrap();
-    assert_eq!(plan[0].1.kind, Kind::Outage);
+    assert_eq!(plan[0].fault.kind, Kind::Outage);
     let cases = [
         ("[default]\nat_s=1\n", "[default]"),
         ("[fault]\nkind=kill\ntarget=n1\n", "[fault] at_s"),
--- a/crates/simulator/src/live/http.rs
+++ b/crates/simulator/src/live/http.rs
@@ -1,47 +1,96 @@
-//! A small JSON server: one handler for all paths.
+//! A small HTTP server for JSON on loopback: one handler answers all paths.
+//!
+//! The simulated store, the cloud, the workers and the control interface all serve through it. It owns no
+//! state.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
 use std::future::Future;
 use std::net::TcpListener;
 
-use serde_json::Value;
+use serde_json::{Value, json};
 use warp::http::{Method, StatusCode};
 use warp::path::FullPath;
 use warp::{Filter, Reply};
 
-pub struct Request {
+/// Bytes of the largest request body that is accepted: the daemon's own requests stay well below 1 MiB.
+const MAX_BODY_BYTES: usize = 1 << 20;
+
+/// A received request.
+pub(super) struct Request {
+    /// The HTTP method.
     pub method: Method,
+    /// The path without its query.
     pub path: String,
+    /// The query's parameters by name.
     pub query: HashMap<String, String>,
+    /// The body as it was received.
     pub body: Vec<u8>,
 }
 
 impl Request {
+    /// A parameter of the query as a number; none if it is missing or no number.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.query.get(key)?.parse().ok()
     }
 }
 
-/// Status and body; no body: an empty one.
-pub type Reaction = (u16, Option<Value>);
+/// What a handler answers.
+pub(super) struct Response {
+    status: u16,
+    body: Option<Value>,
+}
+
+impl Response {
+    /// An answer with a JSON body.
+    pub fn json(status: u16, body: Value) -> Self {
+        Self {
+            status,
+            body: Some(body),
+        }
+    }
+
+    /// Status 200 with a JSON body.
+    pub fn ok(body: Value) -> Self {
+        Self::json(200, body)
+    }
+
+    /// An answer without a body.
+    pub fn empty(status: u16) -> Self {
+        Self { status, body: None }
+    }
+
+    /// A failure, with its reason in the body's `error`.
+    pub fn error(status: u16, reason: impl ToString) -> Self {
+        Self::json(status, json!({"error": reason.to_string()}))
+    }
 
-/// No request body is larger.
-const LARGEST: usize = 1 << 20;
+    /// An unknown status of the handler's becomes 400.
+    fn into_warp(self) -> warp::reply::Response {
+        let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_REQUEST);
+        let body = self.body.map(|body| body.to_string()).unwrap_or_default();
+        warp::reply::with_status(body, status).into_response()
+    }
+}
 
-pub fn listen() -> std::io::Result<TcpListener> {
+/// Opens a listener on a free port of loopback.
+///
+/// # Errors
+/// No port or no file descriptor is left.
+pub(super) fn listen() -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-pub async fn serve<F>(
+/// Answers the requests that arrive at `listener`, until the returned future is dropped.
+pub(super) async fn serve<F>(
     listener: TcpListener,
     handler: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
 ) where
-    F: Future<Output = Reaction> + Send,
+    F: Future<Output = Response> + Send,
 {
-    let all = warp::method()
+    let all_paths = warp::method()
         .and(warp::path::full())
         .and(warp::query::<HashMap<String, String>>())
         .and(warp::body::bytes())
@@ -54,18 +103,16 @@
             };
             let handler = handler.clone();
             async move {
-                let (status, body) = if request.body.len() > LARGEST {
-                    (413, None)
+                let response = if request.body.len() > MAX_BODY_BYTES {
+                    Response::empty(413)
                 } else {
                     handler(request).await
                 };
-                let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
-                let body = body.map(|b| b.to_string()).unwrap_or_default();
-                warp::reply::with_status(body, status).into_response()
+                response.into_warp()
             }
         });
-    let routes =
-        all.recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST.into_response()) });
+    let routes = all_paths
+        .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST.into_response()) });
     if let Ok(listener) = tokio::net::TcpListener::from_std(listener) {
         warp::serve(routes).incoming(listener).run().await;
     }
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -1,4 +1,7 @@
-//! Workers on loopback: their heartbeats, and an address for each where commands arrive.
+//! The workers' side of the protocol on loopback.
+//!
+//! Heartbeats are delivered to the controllers, and each machine that is up serves an address at which
+//! controllers inspect it and send it commands. The machines themselves are in the shared region.
 
 use std::time::Duration;
 
@@ -11,30 +14,42 @@
 use serde_json::{Value, json};
 use warp::http::Method;
 
-use super::Shared;
-use super::http::{self, Reaction, Request};
+use super::http::{self, Request, Response};
+use super::{Region, SharedRegion};
 use crate::machines::Outgoing;
 
-const ANSWER: Duration = Duration::from_secs(4);
+/// How long a worker waits for the answer to a heartbeat, and how long a command to an unreachable machine
+/// goes unanswered.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
+/// Commands as the protocol writes them: the answer to a heartbeat, and the body of a direct request.
 #[derive(Deserialize)]
-struct Orders {
+struct CommandsBody {
     #[serde(rename = "baton")]
     worker_token: Option<WorkerToken>,
     #[serde(rename = "shift")]
     agent_epoch: Option<AgentEpoch>,
-    #[serde(default)]
-    #[serde(rename = "orders")]
+    #[serde(default, rename = "orders")]
     commands: Vec<WorkerCommandBody>,
 }
 
+impl CommandsBody {
+    /// The commands that this version of the protocol knows.
+    fn commands(&self) -> Vec<WorkerCommand> {
+        let known = self.commands.iter().filter_map(WorkerCommandBody::order);
+        known.collect()
+    }
+}
+
+/// The answer of a controller that does not hold the machine's shard.
 #[derive(Deserialize)]
-struct Elsewhere {
+struct RedirectBody {
     #[serde(rename = "foreman")]
     redirect_to: Option<ControllerId>,
 }
 
-fn stage(stage: TaskStage) -> &'static str {
+/// The protocol's word for a stage.
+fn stage_name(stage: TaskStage) -> &'static str {
     match stage {
         TaskStage::Fetching => "pulling",
         TaskStage::Waiting => "gathering",
@@ -44,7 +59,8 @@
     }
 }
 
-fn cause(cause: ExitCause) -> &'static str {
+/// The protocol's word for a cause.
+fn cause_name(cause: ExitCause) -> &'static str {
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped => "stopped",
@@ -57,11 +73,12 @@
     }
 }
 
-/// A report as the protocol writes it.
+/// A heartbeat as the protocol writes it.
+#[must_use]
 pub fn heartbeat_body(heartbeat: &Heartbeat) -> Value {
     let tasks = heartbeat.tasks.iter().map(|task| {
-        json!({"pick": task.task, "try": task.attempt, "stage": stage(task.stage),
-            "cause": task.cause.map(cause), "kept": task.kept})
+        json!({"pick": task.task, "try": task.attempt, "stage": stage_name(task.stage),
+            "cause": task.cause.map(cause_name), "kept": task.kept})
     });
     let tasks: Vec<Value> = tasks.collect();
     json!({"host": heartbeat.machine_id, "address": heartbeat.address, "rig": heartbeat.machine_type,
@@ -70,112 +87,121 @@
         "picks": tasks})
 }
 
-fn commands(bodies: &[WorkerCommandBody]) -> Vec<WorkerCommand> {
-    bodies.iter().filter_map(WorkerCommandBody::order).collect()
-}
-
-/// Carries one heartbeat to the controller and its answer back.
-pub async fn heartbeat(shared: Shared, client: HttpClient, out: Outgoing) {
+/// Delivers one heartbeat to its controller, and the controller's answer to the machine.
+pub(super) async fn deliver(shared: SharedRegion, client: HttpClient, outgoing: Outgoing) {
     let address = {
         let region = shared.lock();
-        let now = region.now();
-        let cut = now < region.trouble.cut[out.node];
-        if cut || !region.machines.reachable(&out.machine_id, now) {
+        if !is_connected(&region, &outgoing) {
             return;
         }
-        region.controllers[out.node]
+        region.controllers[outgoing.node]
     };
-    let bytes = heartbeat_body(&out.heartbeat).to_string().into_bytes();
+    let body = heartbeat_body(&outgoing.heartbeat).to_string().into_bytes();
     let client = client.at(address);
-    let sent = bytes.len();
-    let call = client.call(Method::POST, "/v1/report", bytes, ANSWER).await;
+    let sent = body.len();
+    let call = client.call(Method::POST, "/v1/report", body, RESPONSE_TIMEOUT);
+    let call = call.await;
     let received = call.as_ref().map_or(0, |(_, body)| body.len());
     shared.lock().worker_bytes += (sent + received) as u64;
-    let answer = match call {
-        Ok((200, body)) => match serde_json::from_slice::<Orders>(&body) {
-            Ok(Orders {
-                worker_token: Some(worker_token),
-                commands: bodies,
-                ..
-            }) => HeartbeatResponse::Commands {
-                worker_token,
-                commands: commands(&bodies),
-            },
-            _ => return,
-        },
-        Ok((421, body)) => {
-            let redirect_to = serde_json::from_slice::<Elsewhere>(&body).ok();
-            HeartbeatResponse::Redirect(redirect_to.and_then(|f| f.redirect_to))
-        }
-        _ => HeartbeatResponse::RetryLater,
+    let response = match call {
+        Ok((status, body)) => parse_response(status, &body),
+        Err(_) => Some(HeartbeatResponse::RetryLater),
+    };
+    let Some(response) = response else {
+        return;
     };
     let region = &mut *shared.lock();
+    if is_connected(region, &outgoing) {
+        let now = region.now();
+        region.machines.answered(&outgoing, response, now);
+    }
+}
+
+/// Whether messages pass between a heartbeat's machine and its controller.
+fn is_connected(region: &Region, outgoing: &Outgoing) -> bool {
     let now = region.now();
-    if now >= region.trouble.cut[out.node] && region.machines.reachable(&out.machine_id, now) {
-        region.machines.answered(&out, answer, now);
+    !region.faults.is_cut_off(outgoing.node, now)
+        && region.machines.reachable(&outgoing.machine_id, now)
+}
+
+/// What a controller's answer to a heartbeat says; none if it can't be read.
+fn parse_response(status: u16, body: &[u8]) -> Option<HeartbeatResponse> {
+    match status {
+        200 => {
+            let body: CommandsBody = serde_json::from_slice(body).ok()?;
+            Some(HeartbeatResponse::Commands {
+                worker_token: body.worker_token?,
+                commands: body.commands(),
+            })
+        }
+        421 => {
+            let redirect = serde_json::from_slice::<RedirectBody>(body).ok();
+            let redirect_to = redirect.and_then(|redirect| redirect.redirect_to);
+            Some(HeartbeatResponse::Redirect(redirect_to))
+        }
+        _ => Some(HeartbeatResponse::RetryLater),
     }
 }
 
-/// Every machine that is up has an address; one that is gone has none.
-pub fn keep_listeners(shared: &Shared) {
+/// Opens a server for each machine that came up, and closes those of machines that are gone.
+pub(super) fn update_listeners(shared: &SharedRegion) {
     let region = &mut *shared.lock();
     for (machine_id, machine) in &mut region.machines.machine_ids {
-        let known = region.listeners.contains_key(machine_id);
+        let is_served = region.listeners.contains_key(machine_id);
         if machine.dead.is_some() {
-            if let Some(listener) = region.listeners.remove(machine_id) {
-                listener.abort();
+            if let Some(server) = region.listeners.remove(machine_id) {
+                server.abort();
             }
-        } else if !known && let Ok(listener) = http::listen() {
+        } else if !is_served && let Ok(listener) = http::listen() {
             if let Ok(address) = listener.local_addr() {
                 machine.address = address.to_string();
             }
-            let (shared, its) = (shared.clone(), machine_id.clone());
-            let serving = http::serve(listener, move |request| {
-                worker(shared.clone(), its.clone(), request)
+            let (shared, served_id) = (shared.clone(), machine_id.clone());
+            let server = http::serve(listener, move |request| {
+                handle(shared.clone(), served_id.clone(), request)
             });
             region
                 .listeners
-                .insert(machine_id.clone(), tokio::spawn(serving));
+                .insert(machine_id.clone(), tokio::spawn(server));
         }
     }
 }
 
-async fn worker(shared: Shared, machine_id: MachineId, request: Request) -> Reaction {
+/// Answers a controller's request to a worker, with the worker's heartbeat as body.
+async fn handle(shared: SharedRegion, machine_id: MachineId, request: Request) -> Response {
     let reachable = {
         let region = shared.lock();
         region.machines.reachable(&machine_id, region.now())
     };
     if !reachable {
-        tokio::time::sleep(ANSWER).await;
-        return (503, None);
+        tokio::time::sleep(RESPONSE_TIMEOUT).await;
+        return Response::empty(503);
     }
     let region = &mut *shared.lock();
-    let now = region.now();
     region.worker_bytes += request.body.len() as u64;
-    let mut status = 200;
-    match (&request.method, request.path.as_str()) {
-        (&Method::GET, "/inspect") => {}
-        (&Method::POST, "/do") => match serde_json::from_slice::<Orders>(&request.body) {
-            Ok(Orders {
-                worker_token: Some(worker_token),
-                agent_epoch: Some(agent_epoch),
-                commands: bodies,
-            }) => {
-                let machines = &mut region.machines;
-                if !machines.direct(
-                    &machine_id,
-                    worker_token,
-                    agent_epoch,
-                    commands(&bodies),
-                    now,
-                ) {
-                    status = 409;
-                }
-            }
-            _ => status = 400,
-        },
-        _ => return (404, None),
+    let status = match (&request.method, request.path.as_str()) {
+        (&Method::GET, "/inspect") => 200,
+        (&Method::POST, "/do") => execute(region, &machine_id, &request.body),
+        _ => return Response::empty(404),
+    };
+    match region.machines.heartbeat(&machine_id) {
+        Some(heartbeat) => Response::json(status, heartbeat_body(&heartbeat)),
+        None => Response::empty(status),
     }
-    let heartbeat = region.machines.heartbeat(&machine_id);
-    (status, heartbeat.as_ref().map(heartbeat_body))
+}
+
+/// Executes the commands of a direct request. Returns the HTTP status: 409 if the worker's token or epoch
+/// refuses them.
+fn execute(region: &mut Region, machine_id: &MachineId, body: &[u8]) -> u16 {
+    let Ok(body) = serde_json::from_slice::<CommandsBody>(body) else {
+        return 400;
+    };
+    let (Some(worker_token), Some(agent_epoch)) = (body.worker_token, body.agent_epoch) else {
+        return 400;
+    };
+    let (commands, now) = (body.commands(), region.now());
+    let accepted = region
+        .machines
+        .direct(machine_id, worker_token, agent_epoch, commands, now);
+    if accepted { 200 } else { 409 }
 }
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -14,7 +14,7 @@
 use super::limits::memory_granted_mb;
 use super::measure::{Outcome, ProcessSample, Second, histogram, record};
 use super::{ScaleSettings, load};
-use crate::live::Shared;
+use crate::live::SharedRegion;
 use crate::live::controllers::Controllers;
 use crate::live::users::User;
 use crate::rules::Told;
@@ -64,7 +64,7 @@
 pub async fn run(settings: &ScaleSettings, progress: Progress<'_>) -> anyhow::Result<Outcome> {
     let config = settings.config();
     let (controllers, shared) = Controllers::prepare(&config, settings.seed, None)?;
-    shared.lock().check_every = CHECK_RULES_EVERY;
+    shared.lock().check_interval = CHECK_RULES_EVERY;
     let stand_ins = tokio::spawn(shared.clone().run());
     let mut run = Run::new(settings, controllers, shared);
     run.controllers.start_all()?;
@@ -79,7 +79,7 @@
 struct Run<'a> {
     settings: &'a ScaleSettings,
     controllers: Controllers,
-    shared: Shared,
+    shared: SharedRegion,
     user: User,
     times: SharedTimes,
     began: Instant,
@@ -107,7 +107,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(settings: &'a ScaleSettings, controllers: Controllers, shared: Shared) -> Self {
+    fn new(settings: &'a ScaleSettings, controllers: Controllers, shared: SharedRegion) -> Self {
         let user = User::new(shared.clone(), controllers.addresses.clone());
         let times = Times {
             submissions: histogram(),
@@ -140,11 +140,11 @@
     async fn wait_until_ready(&mut self) -> anyhow::Result<()> {
         let began = Instant::now();
         for index in 0..self.settings.controllers as usize {
-            while !self.user.ready(index).await {
-                if began.elapsed() > READY || !self.controllers.ended().is_empty() {
+            while !self.user.is_ready(index).await {
+                if began.elapsed() > READY || !self.controllers.exited().is_empty() {
                     anyhow::bail!(
                         "n{index} does not get ready: {}",
-                        self.controllers.log(index)
+                        self.controllers.log_tail(index)
                     );
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -195,10 +195,10 @@
 
     fn strike(&mut self) -> anyhow::Result<()> {
         let now = self.began.elapsed();
-        for index in self.controllers.ended() {
+        for index in self.controllers.exited() {
             if !self.ended.contains(&index) {
                 self.ended.push(index);
-                let last = self.controllers.log(index);
+                let last = self.controllers.log_tail(index);
                 self.happened(format!("n{index} ended by itself: {last}"));
             }
         }
