--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -36,42 +36,49 @@
     /// Writes the shards whose holder differs from the desired one, as the leader since `lead`. What does
     /// not fit into one transaction is written with the next.
     pub(super) fn assign_shards(&mut self, lead: Revision) {
-        if self
-            .membership
-            .in_flight
-            .contains(&MembershipStep::AssignShards)
-        {
+        let step = MembershipStep::AssignShards;
+        if self.membership.in_flight.contains(&step) {
             return;
         }
+        let txn = self.assignment_transaction(lead);
+        if !txn.changes.is_empty() {
+            self.membership.begin(step);
+            self.transact(CallClass::Leases, txn, CallPurpose::AssignShards);
+        }
+    }
+
+    fn assignment_transaction(&self, lead: Revision) -> Transaction {
         let zones = &self.settings.deployment.zones;
         let shards_per_zone = self.settings.operator.blocks_per_zone;
         let controllers = &self.membership.leases.controllers;
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
         for (shard, holder) in lease::desired_assignment(zones, shards_per_zone, controllers) {
-            let present = self.membership.leases.shards.get(&shard);
-            if present.is_some_and(|(current, _)| *current == holder) {
-                continue;
-            }
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            let Some((record, holder_version)) = controllers.get(&holder) else {
-                continue;
-            };
-            let assignment = Assignment {
-                shard_version: present.map_or(Revision(0), |(_, token)| Revision(token.0)),
-                shard,
-                holder,
-                holder_version: *holder_version,
-                lease_id: record.lease_id,
-            };
-            assignment.write_to(&mut txn);
+            if let Some(assignment) = self.assignment(shard, holder) {
+                assignment.write_to(&mut txn);
+            }
         }
-        if !txn.changes.is_empty() {
-            self.membership.begin(MembershipStep::AssignShards);
-            self.transact(CallClass::Leases, txn, CallPurpose::AssignShards);
+        txn
+    }
+
+    /// The record that makes `holder` the holder of a shard; none if it is already.
+    fn assignment(&self, shard: ShardId, holder: ControllerId) -> Option<Assignment> {
+        let leases = &self.membership.leases;
+        let present = leases.shards.get(&shard);
+        if present.is_some_and(|(current, _)| *current == holder) {
+            return None;
         }
+        let (record, holder_version) = leases.controllers.get(&holder)?;
+        Some(Assignment {
+            shard_version: present.map_or(Revision(0), |(_, token)| Revision(token.0)),
+            shard,
+            holder,
+            holder_version: *holder_version,
+            lease_id: record.lease_id,
+        })
     }
 
     /// The transaction that assigns shards was answered; its records came with it or with the watch.
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -318,7 +318,17 @@
             }
         }
     }
-    for shard in remaining {
+    assign_to_fewest(remaining, &mut shard_counts, &mut assignment);
+    assignment
+}
+
+/// Assigns shards one by one to the controller that holds the fewest then.
+fn assign_to_fewest(
+    shards: Vec<ShardId>,
+    shard_counts: &mut BTreeMap<&ControllerId, u32>,
+    assignment: &mut BTreeMap<ShardId, ControllerId>,
+) {
+    for shard in shards {
         let fewest = shard_counts
             .iter_mut()
             .min_by_key(|(controller, count)| (**count, **controller));
@@ -327,7 +337,6 @@
             assignment.insert(shard, (*controller).clone());
         }
     }
-    assignment
 }
 
 /// Controllers that can hold shards: those that receive heartbeats, or all if none does.
--- a/src/types.rs
+++ b/src/types.rs
@@ -6,6 +6,18 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Makes the debug form of a type the same as its displayed form, so that log lines show plain names.
+macro_rules! debug_as_display {
+    ($name:ident) => {
+        impl fmt::Debug for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                fmt::Display::fmt(self, f)
+            }
+        }
+    };
+}
+
+/// Defines a cheaply cloned name, written as a string on the wire and in records.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -40,11 +52,7 @@
                 f.write_str(&self.0)
             }
         }
-        impl fmt::Debug for $name {
-            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str(&self.0)
-            }
-        }
+        debug_as_display!($name);
     };
 }
 
@@ -87,6 +95,7 @@
     }
 }
 
+/// Defines a number that counts or identifies something, written as a number on the wire and in records.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -228,11 +237,7 @@
     }
 }
 
-impl fmt::Debug for TaskId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fmt::Display::fmt(self, f)
-    }
-}
+debug_as_display!(TaskId);
 
 /// A shard of machines, written `a.0`: the part of a zone's machines that one controller at a time holds and
 /// places tasks on.
@@ -262,11 +267,7 @@
     }
 }
 
-impl fmt::Debug for ShardId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fmt::Display::fmt(self, f)
-    }
-}
+debug_as_display!(ShardId);
 
 /// Amounts of resources: what a task requests, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
