--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -3,7 +3,7 @@
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller};
 use crate::jobs::Phase;
-use crate::jobs::api::{JobState, Response, is_final};
+use crate::jobs::api::{JobState, Response};
 use crate::jobs::record::{JobRecord, job_key};
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, ReplyId};
@@ -13,7 +13,7 @@
     /// answered after a read barrier.
     pub(super) fn on_abort(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
-            Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
+            Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
             Some(_) => self.abort_known(reply, job),
             None => self.ask_fresh(PendingRead::Abort { reply, job }),
         }
@@ -57,7 +57,7 @@
     /// Answers users whose cancelled jobs are over.
     pub(super) fn tell_cancelled(&mut self) {
         let jobs = &self.jobs;
-        let final_state = |id: &JobId| jobs.state(id).filter(is_final);
+        let final_state = |id: &JobId| jobs.state(id).filter(JobState::is_final);
         let cancellations = &mut self.requests.cancellations;
         let finished = cancellations.take_finished(|id| final_state(id).is_some());
         let answers: Vec<(ReplyId, JobState)> = finished
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -9,7 +9,7 @@
 
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller, Effect};
-use crate::jobs::api::{self, Refusal, Refused, Response, is_final};
+use crate::jobs::api::{self, Refusal, Refused, Response};
 use crate::jobs::cancel::PendingCancellations;
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
@@ -158,7 +158,7 @@
     /// Handles a poll of a job's state. Final states don't change, so only others need a read barrier.
     pub(super) fn on_poll(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
-            Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
+            Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
             _ => self.ask_fresh(PendingRead::State { reply, job }),
         }
     }
@@ -179,7 +179,7 @@
             }
             PendingRead::Abort { reply, job } => match self.jobs.state(&job) {
                 None => self.tell(reply, Response::Unknown),
-                Some(state) if is_final(&state) => self.tell(reply, Response::State(state)),
+                Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
                 Some(_) => self.abort_known(reply, job),
             },
             PendingRead::Clear { job } => self.clear(&job),
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -69,9 +69,11 @@
     pub running: u32,
 }
 
-/// Whether a job's state won't change any more.
-pub fn is_final(state: &JobState) -> bool {
-    matches!(state.stage, JobStage::Done | JobStage::Aborted)
+impl JobState {
+    /// Whether the state won't change any more.
+    pub fn is_final(&self) -> bool {
+        matches!(self.stage, JobStage::Done | JobStage::Aborted)
+    }
 }
 
 /// The answer to a user's request.
--- a/src/jobs/crash_loop/tests.rs
+++ b/src/jobs/crash_loop/tests.rs
@@ -6,7 +6,7 @@
 fn a_job_that_fails_on_several_machines_is_tried_ever_more_seldom() {
     let job = JobId::from("job-1");
     let machine_ids: Vec<MachineId> = (0..4).map(|i| format!("vm-{i}").as_str().into()).collect();
-    // Shape, where it failed, suspect.
+    // Kind, where it failed, crash-looping.
     let cases: [(JobKind, &[usize], bool); 5] = [
         (JobKind::Array, &[0], false),
         (JobKind::Array, &[0, 0, 0], false),
@@ -15,40 +15,40 @@
         (JobKind::Service, &[0, 1, 2, 3], true),
     ];
     for (kind, failed, suspect) in cases {
-        let mut trials = CrashLoopTracker::default();
+        let mut tracker = CrashLoopTracker::default();
         for index in failed {
-            trials.failed(&job, kind, &machine_ids[*index], Millis(5));
+            tracker.failed(&job, kind, &machine_ids[*index], Millis(5));
         }
-        assert_eq!(trials.suspect(&job), suspect, "{kind:?} on {failed:?}");
-        assert_eq!(trials.not_before(&job).is_some(), suspect);
-        trials.succeeded(&job);
-        assert!(!trials.suspect(&job), "one success clears it");
+        assert_eq!(tracker.suspect(&job), suspect, "{kind:?} on {failed:?}");
+        assert_eq!(tracker.not_before(&job).is_some(), suspect);
+        tracker.succeeded(&job);
+        assert!(!tracker.suspect(&job), "one success clears it");
     }
-    let mut trials = CrashLoopTracker::default();
+    let mut tracker = CrashLoopTracker::default();
     for (machine_id, at) in [(0, 5), (1, 5), (2, 6), (0, 9)] {
-        trials.failed(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
+        tracker.failed(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
     }
     // It was the machines after all.
     for (quarantined, suspect) in [(2, true), (1, false), (0, false)] {
-        trials.quarantined(&machine_ids[quarantined], Millis(20));
-        assert_eq!(trials.suspect(&job), suspect, "{quarantined} is sick");
+        tracker.quarantined(&machine_ids[quarantined], Millis(20));
+        assert_eq!(tracker.suspect(&job), suspect, "{quarantined} is sick");
     }
     // A service meets a faulty machine every ten minutes.
-    let mut trials = CrashLoopTracker::default();
+    let mut tracker = CrashLoopTracker::default();
     for (round, machine_id) in machine_ids.iter().enumerate() {
         let at = Millis(5 + 600_000 * round as u64);
-        trials.failed(&job, JobKind::Service, machine_id, at);
+        tracker.failed(&job, JobKind::Service, machine_id, at);
     }
-    assert!(!trials.suspect(&job));
-    let mut trials = CrashLoopTracker::default();
+    assert!(!tracker.suspect(&job));
+    let mut tracker = CrashLoopTracker::default();
     let mut now = Millis(1_000);
     let mut waits = Vec::new();
     for round in 0..8 {
         for machine_id in &machine_ids[..2] {
-            let newly = trials.failed(&job, JobKind::Array, machine_id, now);
+            let newly = tracker.failed(&job, JobKind::Array, machine_id, now);
             assert_eq!(newly, round == 0 && *machine_id == machine_ids[1]);
         }
-        let next = trials.not_before(&job).unwrap();
+        let next = tracker.not_before(&job).unwrap();
         waits.push(next.since(now).0 / 1_000);
         now = next;
     }
