--- a/src/cli.rs
+++ b/src/cli.rs
@@ -96,7 +96,7 @@
         .enable_all()
         .build()
         .map_err(anyhow::Error::from)
-        .and_then(|runtime| runtime.block_on(daemon::run(settings)));
+        .and_then(|runtime| Ok(runtime.block_on(daemon::run(settings))?));
     if let Err(error) = ended {
         tracing::error!(%error, "HTTP server failed");
         eprintln!("jaspertiller: {error:#}");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod queue;
 pub mod quota;
 pub mod request_queue;
+pub mod requests;
 pub mod settings;
 pub mod settings_loader;
 pub mod sockets;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -173,7 +173,7 @@
     pub sockets: usize,
 }
 
-/// The least `txn_ops` with which every transaction of a controller fits.
+/// Least `txn_ops` that is accepted, in conditions and changes.
 const MIN_TRANSACTION_OPS: usize = 4;
 
 impl Settings {
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -1,5 +1,4 @@
-//! The actor that owns the connections of our server: it lets them in within the budget, and ends
-//! those that only stand there.
+//! The actor that owns the connections of the server: it accepts them within the budget and closes idle ones.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -12,41 +11,47 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::{Id, JoinSet};
+use tokio::task::{Id, JoinError, JoinSet};
 
-use super::{ConnectionClass, ConnectionPressure, IdleTimeouts, Ledger};
+use super::{ConnectionClass, ConnectionPressure, ConnectionTable, IdleTimeouts};
 use crate::clock::Clock;
 
-/// A request's head has to come within this time, whatever the connection did before.
-const HEAD: Duration = Duration::from_secs(30);
-/// A connection that is ended gets so long to send what it has.
-const LAST: Duration = Duration::from_secs(1);
-const SWEEP: Duration = Duration::from_millis(500);
-/// After the system refused a connection.
-const REFUSED: Duration = Duration::from_millis(50);
-
-/// What a connection tells the door.
-enum Told {
-    Asked(Id, ConnectionClass),
-    Answered(Id),
+/// The head of a request must be complete within this time, whatever the connection did before.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// A connection that is closed for being idle may finish its response within this time.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two searches for idle connections; short against the idle timeouts.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after the system refused a connection, which it does again at once while its sockets are used up.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
+/// Notices of connections that wait for the acceptor; a connection waits with its request until there is room.
+const NOTICE_BACKLOG: usize = 256;
+
+/// What a connection tells the acceptor.
+enum Notice {
+    RequestStarted(Id, ConnectionClass),
+    RequestFinished(Id),
 }
 
-struct Door {
+struct Acceptor {
     clock: Clock,
-    ledger: Ledger<Id>,
-    ends: HashMap<Id, oneshot::Sender<()>>,
+    table: ConnectionTable<Id>,
+    /// By which a connection is told to close.
+    shutdowns: HashMap<Id, oneshot::Sender<()>>,
+    /// The connections; they end with the acceptor.
     tasks: JoinSet<()>,
     pressure: watch::Sender<ConnectionPressure>,
-    turned_away: u64,
+    /// Connections that were not accepted since the last idle check.
+    rejected: u64,
 }
 
-/// Serves connections, `most` of them at a time. `busy` is the answer when there is no room for
-/// users' requests.
+/// Serves at most `max_connections` at a time, for ever. `busy` is the response when there is no room for users'
+/// requests.
 pub async fn serve<S, B>(
     listener: TcpListener,
     service: S,
     busy: fn() -> Response<B>,
-    most: usize,
+    max_connections: usize,
     idle_timeouts: IdleTimeouts,
     clock: Clock,
 ) where
@@ -60,107 +65,126 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // A connection tells one thing at a time and waits until it is taken.
-    let (tell, mut told) = mpsc::channel(256);
-    let mut door = Door {
-        clock,
-        ledger: Ledger::new(most, idle_timeouts),
-        ends: HashMap::new(),
-        tasks: JoinSet::new(),
-        pressure: watch::Sender::new(ConnectionPressure::default()),
-        turned_away: 0,
-    };
-    let mut sweep = tokio::time::interval(SWEEP);
-    sweep.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let (sender, mut notices) = mpsc::channel(NOTICE_BACKLOG);
+    let mut acceptor = Acceptor::new(max_connections, idle_timeouts, clock);
+    let mut idle_checks = tokio::time::interval(IDLE_CHECK_INTERVAL);
+    idle_checks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             biased;
-            Some(ended) = door.tasks.join_next_with_id(), if !door.tasks.is_empty() => {
-                door.closed(match ended {
-                    Ok((id, ())) => id,
-                    Err(error) => error.id(),
-                });
+            Some(ended) = acceptor.tasks.join_next_with_id(), if !acceptor.tasks.is_empty() => {
+                acceptor.on_closed(&ended);
             }
-            Some(told) = told.recv() => door.hear(told),
-            _ = sweep.tick() => door.sweep(),
+            Some(notice) = notices.recv() => acceptor.on_notice(notice),
+            _ = idle_checks.tick() => acceptor.close_idle(),
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if door.ledger.admits() => {
-                    let (end, ended) = oneshot::channel();
-                    let gate = Gate {
-                        tell: tell.clone(),
-                        pressure: door.pressure.subscribe(),
-                    };
-                    let talk = converse(stream, service.clone(), gate, ended, busy);
-                    let id = door.tasks.spawn(talk).id();
-                    door.opened(id, end);
+                Ok((stream, _)) if acceptor.table.admits() => {
+                    let (shutdown, on_shutdown) = oneshot::channel();
+                    let link = acceptor.link(sender.clone());
+                    let connection =
+                        serve_connection(stream, service.clone(), link, on_shutdown, busy);
+                    let id = acceptor.tasks.spawn(connection).id();
+                    acceptor.on_opened(id, shutdown);
                 }
-                // Whoever it is finds another controller sooner than we find room.
-                Ok(_) => door.turned_away += 1,
+                // The client finds another controller sooner than there is room here.
+                Ok(_) => acceptor.rejected += 1,
                 Err(error) => {
                     tracing::error!(%error, "connection accept failed");
-                    tokio::time::sleep(REFUSED).await;
+                    tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             },
         }
-        door.publish();
+        acceptor.publish_pressure();
     }
 }
 
-impl Door {
-    fn opened(&mut self, id: Id, end: oneshot::Sender<()>) {
-        self.ledger.opened(id, self.clock.now());
-        self.ends.insert(id, end);
+impl Acceptor {
+    fn new(max_connections: usize, idle_timeouts: IdleTimeouts, clock: Clock) -> Self {
+        Self {
+            clock,
+            table: ConnectionTable::new(max_connections, idle_timeouts),
+            shutdowns: HashMap::new(),
+            tasks: JoinSet::new(),
+            pressure: watch::Sender::new(ConnectionPressure::default()),
+            rejected: 0,
+        }
+    }
+
+    fn link(&self, notices: mpsc::Sender<Notice>) -> AcceptorLink {
+        AcceptorLink {
+            notices,
+            pressure: self.pressure.subscribe(),
+        }
+    }
+
+    fn on_opened(&mut self, id: Id, shutdown: oneshot::Sender<()>) {
+        self.table.opened(id, self.clock.now());
+        self.shutdowns.insert(id, shutdown);
     }
 
-    fn closed(&mut self, id: Id) {
-        self.ledger.closed(id);
-        self.ends.remove(&id);
+    fn on_closed(&mut self, ended: &Result<(Id, ()), JoinError>) {
+        let id = match ended {
+            Ok((id, ())) => *id,
+            Err(error) => error.id(),
+        };
+        self.table.closed(id);
+        self.shutdowns.remove(&id);
     }
 
-    fn hear(&mut self, told: Told) {
+    fn on_notice(&mut self, notice: Notice) {
         let now = self.clock.now();
-        match told {
-            Told::Asked(id, class) => self.ledger.asked(id, class, now),
-            Told::Answered(id) => self.ledger.answered(id, now),
+        match notice {
+            Notice::RequestStarted(id, class) => self.table.request_started(id, class, now),
+            Notice::RequestFinished(id) => self.table.request_finished(id, now),
         }
     }
 
-    /// Lets all connections know what they have to know of each other.
-    fn publish(&mut self) {
-        let pressure = self.ledger.pressure();
-        self.pressure.send_if_modified(|known| {
-            let changed = *known != pressure;
-            *known = pressure;
+    fn publish_pressure(&mut self) {
+        let pressure = self.table.pressure();
+        self.pressure.send_if_modified(|published| {
+            let changed = *published != pressure;
+            *published = pressure;
             changed
         });
     }
 
-    fn sweep(&mut self) {
-        for id in self.ledger.idle(self.clock.now()) {
-            if let Some(end) = self.ends.remove(&id) {
-                // It may have ended just now.
-                let _ = end.send(());
+    fn close_idle(&mut self) {
+        for id in self.table.idle(self.clock.now()) {
+            if let Some(shutdown) = self.shutdowns.remove(&id) {
+                // The connection may have ended just now.
+                let _ = shutdown.send(());
             }
         }
-        if self.turned_away > 0 {
-            let open = self.ledger.len();
-            tracing::info!(open, turned_away = self.turned_away, "connections rejected");
-            self.turned_away = 0;
+        if self.rejected > 0 {
+            let open = self.table.len();
+            tracing::info!(open, turned_away = self.rejected, "connections rejected");
+            self.rejected = 0;
         }
     }
 }
 
-#[derive(Clone)]
-struct Gate {
-    tell: mpsc::Sender<Told>,
+/// What connects a connection with the acceptor.
+struct AcceptorLink {
+    notices: mpsc::Sender<Notice>,
     pressure: watch::Receiver<ConnectionPressure>,
 }
 
-async fn converse<S, B>(
+impl AcceptorLink {
+    async fn notify(&self, notice: Notice) {
+        // Can't fail: the acceptor owns the task of this connection.
+        let _ = self.notices.send(notice).await;
+    }
+
+    fn pressure(&self) -> ConnectionPressure {
+        *self.pressure.borrow()
+    }
+}
+
+async fn serve_connection<S, B>(
     stream: TcpStream,
     service: S,
-    gate: Gate,
-    ended: oneshot::Receiver<()>,
+    link: AcceptorLink,
+    on_shutdown: oneshot::Receiver<()>,
     busy: fn() -> Response<B>,
 ) where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible> + Send + Sync,
@@ -168,41 +192,41 @@
     B: hyper::body::Body + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // Answers are small; one that waits for more would wait for the other side's acknowledgement.
+    // Responses are small: with Nagle's algorithm they would wait for the client's acknowledgement. If it can't be
+    // turned off, they are only slower.
     let _ = stream.set_nodelay(true);
     let id = tokio::task::id();
     let service = service_fn(|request: Request<Incoming>| {
         let class = ConnectionClass::of(request.uri().path());
-        let full = class == ConnectionClass::User && gate.pressure.borrow().users_full;
-        let asked = (!full).then(|| service.call(request));
-        let gate = &gate;
+        let refused = class == ConnectionClass::User && link.pressure().users_full;
+        let response = (!refused).then(|| service.call(request));
+        let link = &link;
         async move {
-            // The door ends only with the process.
-            let _ = gate.tell.send(Told::Asked(id, class)).await;
-            let mut response = match asked {
-                Some(asked) => asked.await?,
+            link.notify(Notice::RequestStarted(id, class)).await;
+            let mut response = match response {
+                Some(response) => response.await?,
                 None => busy(),
             };
-            if full || gate.pressure.borrow().closes(class) {
+            if refused || link.pressure().closes(class) {
                 let headers = response.headers_mut();
                 headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            let _ = gate.tell.send(Told::Answered(id)).await;
+            link.notify(Notice::RequestFinished(id)).await;
             Ok::<_, Infallible>(response)
         }
     });
     let mut connection = std::pin::pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD)
+            .header_read_timeout(HEAD_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service)
     );
-    // How a connection ends is of no interest here.
+    // Errors of a connection are the client's: it closed early, or sent no HTTP.
     tokio::select! {
         _ = connection.as_mut() => {}
-        _ = ended => {
+        _ = on_shutdown => {
             connection.as_mut().graceful_shutdown();
-            let _ = tokio::time::timeout(LAST, connection).await;
+            let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, connection).await;
         }
     }
 }
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -1,15 +1,16 @@
 use super::*;
+use crate::types::Millis;
 
-fn ledger(most: usize) -> Ledger<u32> {
-    Ledger::new(most, IdleTimeouts::for_heartbeats_every(Millis(5_000)))
+fn table(most: usize) -> ConnectionTable<u32> {
+    ConnectionTable::new(most, IdleTimeouts::for_heartbeats_every(Millis(5_000)))
 }
 
-fn open(ledger: &mut Ledger<u32>, keys: std::ops::Range<u32>, class: ConnectionClass) {
+fn open(table: &mut ConnectionTable<u32>, keys: std::ops::Range<u32>, class: ConnectionClass) {
     for key in keys {
-        assert!(ledger.admits(), "connection {key}");
-        ledger.opened(key, Millis(0));
-        ledger.asked(key, class, Millis(0));
-        ledger.answered(key, Millis(0));
+        assert!(table.admits(), "connection {key}");
+        table.opened(key, Millis(0));
+        table.request_started(key, class, Millis(0));
+        table.request_finished(key, Millis(0));
     }
 }
 
@@ -20,59 +21,59 @@
     for (sockets, members) in [(40, 0), (64, 2), (300, 2), (1_800, 2), (3_352, 8)] {
         let budget = Budget::new(sockets, members);
         // Each connection out to a peer, and what is under way to state service and cloud.
-        let all = budget.server + budget.direct + budget.peers + members + OWN / 2;
+        let all = budget.server + budget.direct + budget.peers + members + budget::OWN_SOCKETS / 2;
         assert!(all * 10 <= sockets * 9, "{sockets}: {budget:?}");
     }
 }
 
 #[test]
 fn users_give_way_to_workers_and_workers_connections_to_room() {
-    let mut ledger = ledger(100);
-    open(&mut ledger, 0..64, ConnectionClass::Heartbeat);
-    assert_eq!(ledger.pressure(), ConnectionPressure::default());
-    open(&mut ledger, 100..101, ConnectionClass::User);
-    let tight = ledger.pressure();
+    let mut table = table(100);
+    open(&mut table, 0..64, ConnectionClass::Heartbeat);
+    assert_eq!(table.pressure(), ConnectionPressure::default());
+    open(&mut table, 100..101, ConnectionClass::User);
+    let tight = table.pressure();
     assert!(tight.closes(ConnectionClass::User) && !tight.closes(ConnectionClass::Heartbeat));
-    open(&mut ledger, 64..75, ConnectionClass::Heartbeat);
-    assert!(ledger.pressure().closes(ConnectionClass::Heartbeat));
-    assert!(!ledger.pressure().closes(ConnectionClass::Probe) && !ledger.pressure().users_full);
-    let mut ledger = super::tests::ledger(100);
-    open(&mut ledger, 0..41, ConnectionClass::User);
-    assert!(ledger.pressure().users_full);
-    ledger.closed(7);
-    ledger.asked(8, ConnectionClass::Heartbeat, Millis(1));
-    assert!(!ledger.pressure().users_full);
+    open(&mut table, 64..75, ConnectionClass::Heartbeat);
+    assert!(table.pressure().closes(ConnectionClass::Heartbeat));
+    assert!(!table.pressure().closes(ConnectionClass::Probe) && !table.pressure().users_full);
+    let mut table = super::tests::table(100);
+    open(&mut table, 0..41, ConnectionClass::User);
+    assert!(table.pressure().users_full);
+    table.closed(7);
+    table.request_started(8, ConnectionClass::Heartbeat, Millis(1));
+    assert!(!table.pressure().users_full);
 }
 
 /// Half-open connections, and some that send a byte a second.
 #[test]
 fn connections_that_ask_nothing_take_a_part_only_and_not_for_long() {
-    let mut ledger = ledger(100);
+    let mut table = table(100);
     for key in 0..30 {
-        assert!(ledger.admits());
-        ledger.opened(key, Millis(0));
+        assert!(table.admits());
+        table.opened(key, Millis(0));
     }
-    assert!(!ledger.admits());
-    ledger.asked(0, ConnectionClass::Heartbeat, Millis(4_000));
-    assert!(ledger.admits());
+    assert!(!table.admits());
+    table.request_started(0, ConnectionClass::Heartbeat, Millis(4_000));
+    assert!(table.admits());
     let cases = [(5_000, 0), (5_001, 29), (33_000, 29), (34_001, 30)];
     for (at, idle) in cases {
-        assert_eq!(ledger.idle(Millis(at)).len(), idle, "at {at}");
+        assert_eq!(table.idle(Millis(at)).len(), idle, "at {at}");
     }
-    ledger.answered(0, Millis(10_000));
-    assert_eq!(ledger.idle(Millis(35_000)).len(), 29);
-    assert_eq!(ledger.idle(Millis(35_001)).len(), 30);
+    table.request_finished(0, Millis(10_000));
+    assert_eq!(table.idle(Millis(35_000)).len(), 29);
+    assert_eq!(table.idle(Millis(35_001)).len(), 30);
 }
 
 #[test]
 fn when_it_is_full_idle_users_go_first() {
-    let mut ledger = ledger(100);
-    open(&mut ledger, 0..20, ConnectionClass::User);
-    open(&mut ledger, 20..84, ConnectionClass::Heartbeat);
-    assert!(ledger.idle(Millis(7_000)).is_empty());
-    open(&mut ledger, 84..100, ConnectionClass::Heartbeat);
-    assert!(!ledger.admits());
-    let mut idle = ledger.idle(Millis(7_000));
+    let mut table = table(100);
+    open(&mut table, 0..20, ConnectionClass::User);
+    open(&mut table, 20..84, ConnectionClass::Heartbeat);
+    assert!(table.idle(Millis(7_000)).is_empty());
+    open(&mut table, 84..100, ConnectionClass::Heartbeat);
+    assert!(!table.admits());
+    let mut idle = table.idle(Millis(7_000));
     idle.sort();
     assert_eq!(idle, (0..20).collect::<Vec<_>>());
 }
