--- a/crates/simulator/src/scale/limits.rs
+++ b/crates/simulator/src/scale/limits.rs
@@ -1,64 +1,75 @@
-//! What a run needs of this machine, against what is granted. No limit is changed.
+//! What a run needs of this machine's open files, ports and memory, against what is granted. No limit is changed.
 
 use std::fs;
 
 use super::ScaleSettings;
 
-/// Open files of this program beside those of workers.
-const OTHER_FILES: u64 = 2_000;
-/// Memory of a controller, and of a hollow worker with its connections, at the most.
+/// Open files and ports that a run needs beside those of its workers.
+const OTHER_SOCKETS: u64 = 2_000;
+/// Megabytes of a controller, at the most.
 const CONTROLLER_MB: u64 = 250;
+/// Kilobytes of a simulated worker with its connections, at the most.
 const WORKER_KB: u64 = 250;
+/// Megabytes of this program beside its workers.
 const OTHER_MB: u64 = 500;
-/// Of this machine's memory a run may take this part.
-const PART_OF_MEMORY: u64 = 2;
+/// A run may take one of so many equal parts of this machine's memory.
+const MEMORY_DIVISOR: u64 = 2;
 
-/// Something that a run needs.
+/// A resource that a run needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
+    /// The resource, in the plural.
     pub what: &'static str,
+    /// The estimate of what the run needs.
     pub needed: u64,
+    /// What this machine grants; the largest number if that is unknown.
     pub granted: u64,
 }
 
 impl Limit {
-    pub fn enough(&self) -> bool {
+    /// Whether the run's need is granted.
+    #[must_use]
+    pub fn is_sufficient(&self) -> bool {
         self.needed <= self.granted
     }
 }
 
-/// Everything that a run needs, and what there is of it.
+/// All limits of a run.
+#[must_use]
 pub fn check_limits(settings: &ScaleSettings) -> Vec<Limit> {
     let machines = settings.machines;
+    let controllers_mb = settings.controllers * CONTROLLER_MB;
     vec![
-        // Of each worker a listener, and connections: 2.7 in all were the most that were seen at 6,900.
+        // Each worker has a listener and connections. At 6,900 workers 2.7 open files a worker were the most
+        // that a run had in all.
         Limit {
             what: "open files",
-            needed: machines * 5 / 2 + OTHER_FILES,
+            needed: machines * 5 / 2 + OTHER_SOCKETS,
             granted: open_files().unwrap_or(u64::MAX),
         },
-        // A listener and a connection, and what closed connections hold for a while.
+        // Each worker has a listener and a connection, and closed connections hold their port for a while.
         Limit {
             what: "ports",
-            needed: machines * 3 + OTHER_FILES,
+            needed: machines * 3 + OTHER_SOCKETS,
             granted: ports().unwrap_or(u64::MAX),
         },
         Limit {
             what: "megabytes",
-            needed: settings.controllers * CONTROLLER_MB + machines * WORKER_KB / 1_000 + OTHER_MB,
+            needed: controllers_mb + machines * WORKER_KB / 1_000 + OTHER_MB,
             granted: memory_granted_mb().unwrap_or(u64::MAX),
         },
     ]
 }
 
-/// The part of this machine's memory that a run may take.
+/// Megabytes of this machine's memory that a run may take; none if the kernel does not say.
 pub(super) fn memory_granted_mb() -> Option<u64> {
     let text = fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
     let kilobytes: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
-    Some(kilobytes / 1_024 / PART_OF_MEMORY)
+    Some(kilobytes / 1_024 / MEMORY_DIVISOR)
 }
 
+/// Open files that a process may have.
 fn open_files() -> Option<u64> {
     let text = fs::read_to_string("/proc/self/limits").ok()?;
     let line = text
@@ -67,6 +78,7 @@
     line.split_whitespace().nth(3)?.parse().ok()
 }
 
+/// Ports that outgoing connections and listeners on any port may use.
 fn ports() -> Option<u64> {
     let text = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").ok()?;
     let mut bounds = text.split_whitespace();
--- a/crates/simulator/src/scale/load.rs
+++ b/crates/simulator/src/scale/load.rs
@@ -1,6 +1,8 @@
 //! The jobs of a scale run, by counts and a seed: a standing load of services, arrays and gangs, one burst
 //! of short tasks, and urgent single tasks throughout.
 
+use std::ops::Range;
+
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -9,33 +11,120 @@
 use super::settings::team_name;
 use crate::sim::{JobPlan, job};
 
-pub(super) const CLASSES: [&str; 5] = ["serve", "batch", "train", "burst", "urgent"];
-/// Processors of a replica, and of another task of the standing load.
+/// The classes of the jobs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Class {
+    /// Services.
+    Serve,
+    /// Arrays of the standing load.
+    Batch,
+    /// Gangs.
+    Train,
+    /// The burst's short arrays.
+    Burst,
+    /// Single tasks.
+    Urgent,
+}
+
+/// All classes, in the order in which the deployment names them.
+pub(super) const CLASSES: [Class; 5] = [
+    Class::Serve,
+    Class::Batch,
+    Class::Train,
+    Class::Burst,
+    Class::Urgent,
+];
+
+impl Class {
+    /// The class's name in the deployment.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Serve => "serve",
+            Self::Batch => "batch",
+            Self::Train => "train",
+            Self::Burst => "burst",
+            Self::Urgent => "urgent",
+        }
+    }
+
+    /// The priority class of its jobs, as the protocol names it.
+    fn priority(self) -> &'static str {
+        match self {
+            Self::Serve => "critical",
+            Self::Train | Self::Urgent => "urgent",
+            Self::Burst | Self::Batch => "normal",
+        }
+    }
+
+    /// Processors of a task.
+    fn cpus(self) -> f64 {
+        match self {
+            Self::Serve => REPLICA_CPUS,
+            Self::Train | Self::Batch => TASK_CPUS,
+            Self::Urgent => URGENT_CPUS,
+            Self::Burst => BURST_CPUS,
+        }
+    }
+
+    /// Whether its tasks use GPUs.
+    fn uses_gpus(self) -> bool {
+        !matches!(self, Self::Burst | Self::Urgent)
+    }
+}
+
+/// Processors of a service's replica.
 const REPLICA_CPUS: f64 = 5.0;
+/// Processors of another task of the standing load.
 const TASK_CPUS: f64 = 4.0;
+/// Processors of a task of the burst: small enough to run beside a full standing load.
 const BURST_CPUS: f64 = 0.25;
-/// Processors of a task of the standing load in the mean.
-pub(super) const MEAN_CPUS: f64 = SERVICES * REPLICA_CPUS + (1.0 - SERVICES) * TASK_CPUS;
-/// Parts of the running tasks that are services, and arrays; the rest are gangs.
-const SERVICES: f64 = 0.6;
-const ARRAYS: f64 = 0.3;
+/// Processors of an urgent task.
+const URGENT_CPUS: f64 = 1.0;
+/// Mean processors of a task of the standing load.
+pub(super) const MEAN_CPUS: f64 = SERVICE_SHARE * REPLICA_CPUS + (1.0 - SERVICE_SHARE) * TASK_CPUS;
+/// Memory of a task in GB for each processor.
+const MEMORY_GB_PER_CPU: f64 = 2.0;
+/// A task that uses GPUs asks for a machine's GPUs divided by this: five such tasks fit a machine.
+const GPU_TASKS_PER_MACHINE: f64 = 5.0;
+/// Size of a job's image in GB.
+const IMAGE_GB: f64 = 0.3;
+/// Images that jobs share.
+const IMAGES: u64 = 60;
+
+/// Share of services among the running tasks of the standing load.
+const SERVICE_SHARE: f64 = 0.6;
+/// Share of arrays' tasks; the rest are gangs.
+const ARRAY_SHARE: f64 = 0.3;
+/// Replicas of a service.
 const REPLICAS: u32 = 3;
+/// Tasks of an array of the standing load.
 const ARRAY_TASKS: u32 = 20;
+/// Tasks of a gang: one of these.
 const GANG_TASKS: [u32; 6] = [1, 2, 4, 8, 16, 32];
-/// What tasks of arrays and gangs run.
-const ARRAY_MS: std::ops::Range<u64> = 30_000..90_000;
-const GANG_MS: std::ops::Range<u64> = 60_000..120_000;
-/// The first jobs come within this long.
+/// Milliseconds that tasks of arrays run.
+const ARRAY_RUN_MS: Range<u64> = 30_000..90_000;
+/// Milliseconds that tasks of gangs run.
+const GANG_RUN_MS: Range<u64> = 60_000..120_000;
+/// Milliseconds within which the standing load's first jobs arrive.
 const RAMP_MS: u64 = 15_000;
+
+/// Tasks of an array of the burst.
 const BURST_TASKS: u32 = 40;
+/// Milliseconds that the burst's tasks run.
 const BURST_RUN_MS: u64 = 5_000;
-const URGENT_EVERY_MS: u64 = 250;
-const IMAGES: u64 = 60;
+/// Milliseconds between two urgent jobs.
+const URGENT_INTERVAL_MS: u64 = 250;
+/// Milliseconds that urgent tasks run.
+const URGENT_RUN_MS: u64 = 3_000;
+/// Milliseconds that the tasks of the largest gang run.
+const LARGEST_GANG_RUN_MS: u64 = 20_000;
 
-/// Parts of the run's time at which things happen.
-pub(super) const BURST_AT: f64 = 0.45;
-pub(super) const LARGE_GANG_AT: f64 = 0.36;
+/// Part of the run's time at which the burst begins.
+const BURST_AT: f64 = 0.45;
+/// Part of the run's time at which the largest gang is sent: before the burst.
+const LARGEST_GANG_AT: f64 = 0.36;
 
+/// The load while it is made.
 struct Load<'a> {
     settings: &'a ScaleSettings,
     rng: SmallRng,
@@ -43,97 +132,121 @@
 }
 
 impl Load<'_> {
-    fn add(&mut self, class: &str, kind: &str, tasks: u32, run_ms: u64, at: u64) {
+    /// Adds a job of a random team with a random image. `kind` is the protocol's word for the job's kind,
+    /// `at_ms` the time at which it is sent.
+    fn add(&mut self, class: Class, kind: &str, tasks: u32, run_ms: u64, at_ms: u64) {
         let index = self.plans.len();
         let team = team_name(self.rng.random_range(0..self.settings.teams));
-        let gpus = match class {
-            "burst" | "urgent" => 0.0,
-            _ => self.settings.gpus_a_machine() / 5.0,
+        let gpus = if class.uses_gpus() {
+            self.settings.gpus_per_machine() / GPU_TASKS_PER_MACHINE
+        } else {
+            0.0
         };
         let mut plan = job(index, &team, kind, tasks, gpus, run_ms);
-        let (priority, cpus) = match class {
-            "serve" => ("critical", REPLICA_CPUS),
-            "train" => ("urgent", TASK_CPUS),
-            "urgent" => ("urgent", 1.0),
-            "burst" => ("normal", BURST_CPUS),
-            _ => ("normal", TASK_CPUS),
-        };
-        plan.body["lot"] = class.into();
-        plan.body["rank"] = priority.into();
+        let cpus = class.cpus();
+        plan.body["lot"] = class.name().into();
+        plan.body["rank"] = class.priority().into();
         plan.body["vcpus"] = json!(cpus);
-        plan.body["memoryGb"] = json!(cpus * 2.0);
+        plan.body["memoryGb"] = json!(cpus * MEMORY_GB_PER_CPU);
         plan.body["kit"] = format!("img-{}", self.rng.random_range(0..IMAGES)).into();
         plan.body["loaners"] = json!(false);
-        plan.body["sizeGb"] = json!(0.3);
-        plan.at = Some(at);
+        plan.body["sizeGb"] = json!(IMAGE_GB);
+        plan.at = Some(at_ms);
         self.plans.push(plan);
     }
 
-    fn standing(&mut self) {
-        let (tasks, end) = (self.settings.tasks as f64, self.settings.seconds * 1_000);
-        for _ in 0..(tasks * SERVICES / f64::from(REPLICAS)) as u64 {
-            let at = self.rng.random_range(0..RAMP_MS);
-            self.add("serve", "standing", REPLICAS, 0, at);
+    fn run_ms(&self) -> u64 {
+        self.settings.seconds * 1_000
+    }
+
+    /// Services that run for the whole run.
+    fn add_services(&mut self) {
+        let tasks = self.settings.tasks as f64;
+        for _ in 0..(tasks * SERVICE_SHARE / f64::from(REPLICAS)) as u64 {
+            let at_ms = self.rng.random_range(0..RAMP_MS);
+            self.add(Class::Serve, "standing", REPLICAS, 0, at_ms);
         }
-        // As many arrays and gangs as keep their part of the tasks running.
-        let mean = |range: &std::ops::Range<u64>| (range.start + range.end) as f64 / 2.0;
-        let arrays = tasks * ARRAYS / f64::from(ARRAY_TASKS);
-        let again = arrays * end as f64 / mean(&ARRAY_MS);
-        for number in 0..again as u64 {
-            let at = self.arrival(number as f64 / arrays, end);
-            let run = self.rng.random_range(ARRAY_MS);
-            self.add("batch", "sweep", ARRAY_TASKS, run, at);
+    }
+
+    /// As many arrays as keep their share of the tasks running.
+    fn add_arrays(&mut self) {
+        let (tasks, end_ms) = (self.settings.tasks as f64, self.run_ms());
+        let running = tasks * ARRAY_SHARE / f64::from(ARRAY_TASKS);
+        let jobs = running * end_ms as f64 / mean(&ARRAY_RUN_MS);
+        for number in 0..jobs as u64 {
+            let at_ms = self.arrival_ms(number as f64 / running, end_ms);
+            let run_ms = self.rng.random_range(ARRAY_RUN_MS);
+            self.add(Class::Batch, "sweep", ARRAY_TASKS, run_ms, at_ms);
         }
-        let each = GANG_TASKS.iter().sum::<u32>() as f64 / GANG_TASKS.len() as f64;
-        let gangs = tasks * (1.0 - SERVICES - ARRAYS) / each;
-        let again = gangs * end as f64 / mean(&GANG_MS);
-        for number in 0..again as u64 {
-            let at = self.arrival(number as f64 / gangs, end);
-            let run = self.rng.random_range(GANG_MS);
+    }
+
+    /// As many gangs as keep their share of the tasks running.
+    fn add_gangs(&mut self) {
+        let (tasks, end_ms) = (self.settings.tasks as f64, self.run_ms());
+        let mean_tasks = GANG_TASKS.iter().sum::<u32>() as f64 / GANG_TASKS.len() as f64;
+        let running = tasks * (1.0 - SERVICE_SHARE - ARRAY_SHARE) / mean_tasks;
+        let jobs = running * end_ms as f64 / mean(&GANG_RUN_MS);
+        for number in 0..jobs as u64 {
+            let at_ms = self.arrival_ms(number as f64 / running, end_ms);
+            let run_ms = self.rng.random_range(GANG_RUN_MS);
             let size = self.rng.random_range(0..GANG_TASKS.len());
-            let most = self.settings.gang as u32;
-            self.add("train", "gang", GANG_TASKS[size].min(most), run, at);
+            let max_tasks = self.settings.gang as u32;
+            let gang_tasks = GANG_TASKS[size].min(max_tasks);
+            self.add(Class::Train, "gang", gang_tasks, run_ms, at_ms);
         }
     }
 
-    /// The first fill of a class comes while the fleet is built, the rest spread over the run.
-    fn arrival(&mut self, fills: f64, end: u64) -> u64 {
+    /// When a job of the standing load is sent: the first fill of its class while the fleet is built, the rest
+    /// spread over the run. `fills` is how often the jobs before it fill the class's share.
+    fn arrival_ms(&mut self, fills: f64, end_ms: u64) -> u64 {
         if fills < 1.0 {
             self.rng.random_range(0..RAMP_MS)
         } else {
-            self.rng.random_range(RAMP_MS..end)
+            self.rng.random_range(RAMP_MS..end_ms)
         }
     }
 
-    fn burst(&mut self) {
+    fn add_burst(&mut self) {
         let settings = self.settings;
-        let at = (settings.seconds as f64 * BURST_AT * 1e3) as u64;
+        let begin_ms = (settings.seconds as f64 * BURST_AT * 1e3) as u64;
         let tasks = settings.burst_starts * settings.burst_s;
         for _ in 0..tasks.div_ceil(u64::from(BURST_TASKS)) {
-            let later = self.rng.random_range(0..settings.burst_s * 1_000);
-            self.add("burst", "sweep", BURST_TASKS, BURST_RUN_MS, at + later);
+            let offset_ms = self.rng.random_range(0..settings.burst_s * 1_000);
+            let at_ms = begin_ms + offset_ms;
+            self.add(Class::Burst, "sweep", BURST_TASKS, BURST_RUN_MS, at_ms);
         }
     }
 
-    fn urgent(&mut self) {
-        let end = self.settings.seconds * 1_000;
-        for at in (RAMP_MS * 2..end).step_by(URGENT_EVERY_MS as usize) {
-            self.add("urgent", "sweep", 1, 3_000, at);
+    /// Urgent tasks throughout, once the fleet is built.
+    fn add_urgent_tasks(&mut self) {
+        for at_ms in (RAMP_MS * 2..self.run_ms()).step_by(URGENT_INTERVAL_MS as usize) {
+            self.add(Class::Urgent, "sweep", 1, URGENT_RUN_MS, at_ms);
         }
-        let at = (self.settings.seconds as f64 * LARGE_GANG_AT * 1e3) as u64;
-        self.add("train", "gang", self.settings.gang as u32, 20_000, at);
     }
+
+    fn add_largest_gang(&mut self) {
+        let at_ms = (self.settings.seconds as f64 * LARGEST_GANG_AT * 1e3) as u64;
+        let tasks = self.settings.gang as u32;
+        self.add(Class::Train, "gang", tasks, LARGEST_GANG_RUN_MS, at_ms);
+    }
+}
+
+fn mean(range: &Range<u64>) -> f64 {
+    (range.start + range.end) as f64 / 2.0
 }
 
-/// All jobs of a run, each with the time at which it is meant to be sent.
+/// All jobs of a run, each with the time at which it is meant to be sent. The same settings give the same jobs.
 pub(super) fn jobs(settings: &ScaleSettings) -> Vec<JobPlan> {
     let mut load = Load {
         settings,
         rng: SmallRng::seed_from_u64(settings.seed),
         plans: Vec::new(),
     };
-    load.standing();
-    load.burst();
-    load.urgent();
+    load.add_services();
+    load.add_arrays();
+    load.add_gangs();
+    load.add_burst();
+    load.add_urgent_tasks();
+    load.add_largest_gang();
     load.plans
 }
--- a/crates/simulator/src/scale/settings.rs
+++ b/crates/simulator/src/scale/settings.rs
@@ -1,14 +1,14 @@
-//! What a scale run plays, read from INI and flags, and the region it makes of it.
+//! What a scale run plays, read from INI and flags, and the region that it makes of it.
 
 use std::path::Path;
 
 use ini::Ini;
-use jaspertiller::settings::{SettingsError, problem, read_file};
+use jaspertiller::settings::{SettingsError, TeamSettings, problem, read_file};
 use jaspertiller::types::{Millis, Resources, Zone};
 
 use crate::config::{Config, StateLimits, team};
 
-/// The operators' target, at part 1 (`docs/CAPACITY.md`).
+/// The target of `docs/CAPACITY.md` in full.
 const TARGET: ScaleSettings = ScaleSettings {
     machines: 6_900,
     accelerators: 15_000,
@@ -26,33 +26,46 @@
     state_value_kb: 16,
     faults: true,
 };
-/// A deployment has at least so many controllers.
-const LEAST_CONTROLLERS: u64 = 3;
-/// Processors of a machine: room for four tasks of the standing load, and for a burst beside them.
-const CPUS: f64 = 20.0;
-const MEMORY_GB: f64 = 128.0;
+/// The fewest controllers of a part of the target: a deployment has no fewer.
+const MIN_CONTROLLERS: u64 = 3;
+/// The fewest zones of a part of the target: one is lost in the run.
+const MIN_ZONES: u64 = 2;
+/// Processors of a machine: they hold four tasks of the standing load, and a burst beside them.
+const MACHINE_CPUS: f64 = 20.0;
+/// Memory of a machine: beyond what its tasks ask for, so that processors are what is scarce.
+const MACHINE_MEMORY_GB: f64 = 128.0;
 
 /// Counts and rates of a scale run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScaleSettings {
+    /// Machines that the cloud can rent out.
     pub machines: u64,
+    /// GPUs of all machines together.
     pub accelerators: u64,
+    /// Controller processes.
     pub controllers: u64,
+    /// Zones, over which machines and controllers are spread.
     pub zones: u64,
+    /// Teams that submit jobs.
     pub teams: u64,
     /// Tasks that run when nothing bursts.
     pub tasks: u64,
-    /// Task starts a second that a burst asks for, and for how many seconds.
+    /// Task starts a second that a burst asks for.
     pub burst_starts: u64,
+    /// Seconds that a burst lasts.
     pub burst_s: u64,
     /// Tasks of the largest gang.
     pub gang: u64,
+    /// Length of the run in seconds.
     pub seconds: u64,
+    /// Seed of the load and of the stand-ins.
     pub seed: u64,
-    /// What the state service grants a second.
+    /// Requests a second that the store grants.
     pub state_requests: u64,
+    /// Changes a second that the store grants.
     pub state_changes: u64,
-    /// The largest value that it takes: shares of 230 teams with limits need more than 8 KiB.
+    /// Kilobytes of the largest value that the store takes: the quota allocations of 230 teams with limits need
+    /// more than 8.
     pub state_value_kb: u64,
     /// Whether controllers are killed and a zone is lost.
     pub faults: bool,
@@ -77,38 +90,60 @@
     }
 }
 
-type Field = fn(&mut ScaleSettings) -> &mut u64;
-
-/// Keys of the section `[scale]`: name, smallest and largest value, and where it goes.
-const KEYS: &[(&str, u64, u64, Field)] = &[
-    ("machines", 1, 20_000, |s| &mut s.machines),
-    ("accelerators", 1, 160_000, |s| &mut s.accelerators),
-    ("controllers", 1, 99, |s| &mut s.controllers),
-    ("zones", 1, 64, |s| &mut s.zones),
-    ("teams", 1, 5_000, |s| &mut s.teams),
-    ("tasks", 1, 200_000, |s| &mut s.tasks),
-    ("burst_starts", 1, 20_000, |s| &mut s.burst_starts),
-    ("burst_s", 1, 60, |s| &mut s.burst_s),
-    ("gang", 1, 1_024, |s| &mut s.gang),
-    ("seconds", 30, 600, |s| &mut s.seconds),
-    ("seed", 0, u64::MAX, |s| &mut s.seed),
-    ("state_requests", 50, 1_000_000, |s| &mut s.state_requests),
-    ("state_changes", 20, 1_000_000, |s| &mut s.state_changes),
-    ("state_value_kb", 1, 1_024, |s| &mut s.state_value_kb),
+/// A key of the section `[scale]`.
+struct Key {
+    name: &'static str,
+    min: u64,
+    max: u64,
+    field: fn(&mut ScaleSettings) -> &mut u64,
+}
+
+const fn key(
+    name: &'static str,
+    min: u64,
+    max: u64,
+    field: fn(&mut ScaleSettings) -> &mut u64,
+) -> Key {
+    Key {
+        name,
+        min,
+        max,
+        field,
+    }
+}
+
+/// All keys of the section `[scale]`, with their smallest and largest values.
+const KEYS: &[Key] = &[
+    key("machines", 1, 20_000, |s| &mut s.machines),
+    key("accelerators", 1, 160_000, |s| &mut s.accelerators),
+    key("controllers", 1, 99, |s| &mut s.controllers),
+    key("zones", 1, 64, |s| &mut s.zones),
+    key("teams", 1, 5_000, |s| &mut s.teams),
+    key("tasks", 1, 200_000, |s| &mut s.tasks),
+    key("burst_starts", 1, 20_000, |s| &mut s.burst_starts),
+    key("burst_s", 1, 60, |s| &mut s.burst_s),
+    key("gang", 1, 1_024, |s| &mut s.gang),
+    key("seconds", 30, 600, |s| &mut s.seconds),
+    key("seed", 0, u64::MAX, |s| &mut s.seed),
+    key("state_requests", 50, 1_000_000, |s| &mut s.state_requests),
+    key("state_changes", 20, 1_000_000, |s| &mut s.state_changes),
+    key("state_value_kb", 1, 1_024, |s| &mut s.state_value_kb),
 ];
+/// The only section of the file.
 const SECTION: &str = "scale";
-/// A controller and this program: no run has more processes.
-const MOST_PROCESSES: u64 = 100;
+/// The controllers and this program: a run may have no more processes.
+const MAX_PROCESSES: u64 = 100;
 
 impl ScaleSettings {
-    /// A part of the operators' target: all counts but those of the gang and of time.
+    /// The target with all counts multiplied by `part`, except the gang's tasks and times.
+    #[must_use]
     pub fn part_of_target(part: f64) -> Self {
         let scaled = |count: u64| ((count as f64 * part).round() as u64).max(1);
         Self {
             machines: scaled(TARGET.machines),
             accelerators: scaled(TARGET.accelerators),
-            controllers: scaled(TARGET.controllers).max(LEAST_CONTROLLERS),
-            zones: scaled(TARGET.zones).max(2),
+            controllers: scaled(TARGET.controllers).max(MIN_CONTROLLERS),
+            zones: scaled(TARGET.zones).max(MIN_ZONES),
             teams: scaled(TARGET.teams),
             tasks: scaled(TARGET.tasks),
             burst_starts: scaled(TARGET.burst_starts),
@@ -119,24 +154,27 @@
         }
     }
 
-    /// Reads the section `[scale]` of a file over what is set.
+    /// Overwrites the settings with those of a file's section `[scale]`.
+    ///
+    /// # Errors
+    /// The file can't be read, or has an unknown key or an invalid value.
     pub fn read(&mut self, path: &Path) -> Result<(), SettingsError> {
         let file = path.display().to_string();
         let text = read_file(path)?;
-        self.take_ini(&file, &text)
+        self.apply_ini(&file, &text)
     }
 
-    /// The same from text.
-    pub fn take_ini(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
+    /// Does the same with a file's text; `file` is its name in errors.
+    ///
+    /// # Errors
+    /// The text is no INI, or has an unknown key or an invalid value.
+    pub fn apply_ini(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
         let ini = Ini::load_from_str(text).map_err(|e| problem(file, "file", e.to_string()))?;
         for (section, entries) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, text) in entries.iter() {
                 let field = format!("[{section}] {key}");
-                let known = KEYS
-                    .iter()
-                    .find(|known| section == SECTION && known.0 == key);
-                if known.is_none() {
+                if section != SECTION || !KEYS.iter().any(|known| known.name == key) {
                     return Err(problem(file, &field, "unknown key"));
                 }
                 let value = text.trim().parse();
@@ -147,65 +185,75 @@
         Ok(())
     }
 
-    /// Sets one key, within its bounds.
+    /// Sets one key; `file` is where the value stands, for errors.
+    ///
+    /// # Errors
+    /// The key is unknown, or the value is out of the key's bounds.
     pub fn set(&mut self, file: &str, key: &str, value: u64) -> Result<(), SettingsError> {
         let field = format!("[{SECTION}] {key}");
-        let known = KEYS.iter().find(|known| known.0 == key);
-        let (_, least, most, slot) = known.ok_or_else(|| problem(file, &field, "unknown key"))?;
-        if !(*least..=*most).contains(&value) {
-            let reason = format!("must lie between {least} and {most}");
+        let known = KEYS.iter().find(|known| known.name == key);
+        let known = known.ok_or_else(|| problem(file, &field, "unknown key"))?;
+        let (min, max) = (known.min, known.max);
+        if !(min..=max).contains(&value) {
+            let reason = format!("must lie between {min} and {max}");
             return Err(problem(file, &field, reason));
         }
-        *slot(self) = value;
+        *(known.field)(self) = value;
         Ok(())
     }
 
-    /// Whether the counts go together.
+    /// Checks that the counts fit each other; `file` is where they stand, for errors.
+    ///
+    /// # Errors
+    /// There are too many processes, too many tasks for the machines, or a zone is smaller than the gang.
     pub fn check(&self, file: &str) -> Result<(), SettingsError> {
         let refuse =
             |key: &str, reason: String| Err(problem(file, &format!("[{SECTION}] {key}"), reason));
-        if self.controllers + 1 > MOST_PROCESSES {
-            let reason = format!(
-                "{} processes; {MOST_PROCESSES} at most",
-                self.controllers + 1
-            );
+        let processes = self.controllers + 1;
+        if processes > MAX_PROCESSES {
+            let reason = format!("{processes} processes; {MAX_PROCESSES} at most");
             return refuse("controllers", reason);
         }
-        let resources = (self.machines as f64 * CPUS / super::load::MEAN_CPUS) as u64;
-        if self.tasks > resources {
-            let reason = format!("{} machines have room for {resources}", self.machines);
+        let max_tasks = (self.machines as f64 * MACHINE_CPUS / super::load::MEAN_CPUS) as u64;
+        if self.tasks > max_tasks {
+            let reason = format!("{} machines have room for {max_tasks}", self.machines);
             return refuse("tasks", reason);
         }
-        if self.gang > self.machines / self.zones {
-            let each = self.machines / self.zones;
-            let reason = format!("must fit in one zone, which has {each} machines");
+        let zone_machines = self.machines / self.zones;
+        if self.gang > zone_machines {
+            let reason = format!("must fit in one zone, which has {zone_machines} machines");
             return refuse("gang", reason);
         }
         Ok(())
     }
 
-    pub(super) fn gpus_a_machine(&self) -> f64 {
+    /// GPUs of one machine, as a mean.
+    pub(super) fn gpus_per_machine(&self) -> f64 {
         self.accelerators as f64 / self.machines as f64
     }
 
-    /// The region that is played.
-    pub fn config(&self) -> Config {
-        let zones = (0..self.zones).map(|zone| Zone::from(format!("zone-{zone:02}")));
+    /// The teams: each has an equal part of the GPUs guaranteed, and every other one a limit well above that.
+    fn team_settings(&self) -> Vec<TeamSettings> {
+        let guaranteed = self.accelerators as f64 / self.teams as f64;
+        let limit = (guaranteed * 8.0).max(64.0);
         let teams = (0..self.teams).map(|index| {
-            // Every other team has a limit, well above its part.
-            let part = self.accelerators as f64 / self.teams as f64;
-            let most = if index % 2 == 0 {
-                0.0
-            } else {
-                (part * 8.0).max(64.0)
-            };
-            team(&team_name(index), part, most)
+            // A limit of 0 is none.
+            let limit = if index % 2 == 0 { 0.0 } else { limit };
+            team(&team_name(index), guaranteed, limit)
         });
+        teams.collect()
+    }
+
+    /// The region that is played. Times are those of the target, quotas those of its controllers.
+    #[must_use]
+    pub fn config(&self) -> Config {
+        let zones = (0..self.zones).map(|zone| Zone::from(format!("zone-{zone:02}")));
+        let classes = super::load::CLASSES.map(|class| class.name().to_string());
         let mut config = Config {
             controllers: self.controllers as usize,
             zones: zones.collect(),
-            classes: super::load::CLASSES.iter().map(|c| c.to_string()).collect(),
-            teams: teams.collect(),
+            classes: classes.to_vec(),
+            teams: self.team_settings(),
             capacity: self.machines as u32,
             list_lag: Millis(4_000),
             state: StateLimits {
@@ -222,9 +270,9 @@
         config.timing.gang_peer = Millis(5_000);
         config.timing.cancel = Millis(46_000);
         config.machine_type.resources = Resources {
-            cpus: CPUS,
-            gpus: self.gpus_a_machine(),
-            memory_gb: MEMORY_GB,
+            cpus: MACHINE_CPUS,
+            gpus: self.gpus_per_machine(),
+            memory_gb: MACHINE_MEMORY_GB,
         };
         config.machine_type.boot = Millis(2_000);
         config.machine_type.fetch_gb_per_s = 2.0;
@@ -236,6 +284,7 @@
     }
 }
 
+/// The name of a team by its index.
 pub(super) fn team_name(index: u64) -> String {
     format!("team-{index:03}")
 }
--- a/crates/simulator/src/scale/settings/tests.rs
+++ b/crates/simulator/src/scale/settings/tests.rs
@@ -13,7 +13,7 @@
     ];
     for (text, key, reason) in cases {
         let mut settings = ScaleSettings::default();
-        let taken = settings.take_ini("scale.ini", text);
+        let taken = settings.apply_ini("scale.ini", text);
         let refused = taken.and_then(|()| settings.check("scale.ini"));
         let refused = refused.expect_err(text).to_string();
         assert!(refused.starts_with("scale.ini: "), "{refused}");
