--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -51,7 +51,7 @@
             .calls
             .store
             .values()
-            .filter(|(_, written)| !written.is_empty())
+            .filter(|call| !call.written.is_empty())
             .count();
         let waiting = unanswered_writes + self.commits.backlog.overdue(self.now);
         let obeys = if self.obeys_plan() {
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -92,9 +92,6 @@
     pub(super) data: Option<String>,
 }
 
-/// The records that a transaction writes or deletes; none for calls that only read.
-pub(super) type WrittenRecords = Vec<WrittenRecord>;
-
 impl From<&Mutation> for WrittenRecord {
     fn from(mutation: &Mutation) -> Self {
         match mutation {
@@ -115,13 +112,22 @@
     written.iter().any(|record| record.key.starts_with(SHARES))
 }
 
+/// A call to the key-value store that is not answered yet.
+#[derive(Debug)]
+pub(super) struct StoreCallInFlight {
+    /// What it is for.
+    pub(super) purpose: CallPurpose,
+    /// The records that it writes; none if it only reads.
+    pub(super) written: Vec<WrittenRecord>,
+}
+
 /// Calls in flight, by the tag that their response carries.
 #[derive(Debug)]
 pub(super) struct Calls {
     /// The tag of the latest call; each call has its own.
     last_tag: u64,
-    /// What each call to the key-value store is for, and the records that it writes.
-    pub(super) store: HashMap<u64, (CallPurpose, WrittenRecords)>,
+    /// Calls to the key-value store.
+    pub(super) store: HashMap<u64, StoreCallInFlight>,
     /// Calls to the cloud.
     pub(super) cloud: HashMap<u64, CloudCall>,
 }
@@ -151,20 +157,23 @@
     /// Sends a call that writes no records. Its answer comes back to the step that `purpose` names.
     pub(super) fn call_store(&mut self, class: CallClass, call: StoreCall, purpose: CallPurpose) {
         let tag = self.tag();
-        self.calls.store.insert(tag, (purpose, Vec::new()));
+        let written = Vec::new();
+        let in_flight = StoreCallInFlight { purpose, written };
+        self.calls.store.insert(tag, in_flight);
         self.effects.push(Effect::Store { tag, class, call });
     }
 
     /// Sends a transaction. Its records are applied to the cache as soon as it is known to be committed.
     pub(super) fn transact(&mut self, class: CallClass, txn: Transaction, purpose: CallPurpose) {
         let tag = self.tag();
-        let written: WrittenRecords = txn.changes.iter().map(WrittenRecord::from).collect();
+        let written: Vec<WrittenRecord> = txn.changes.iter().map(WrittenRecord::from).collect();
         if writes_quota_allocation(&written) {
             self.quota.allocations_in_flight += 1;
         }
         self.commits.admission.wrote(written.len());
         tracing::debug!(?purpose, changes = written.len(), "transaction sent");
-        self.calls.store.insert(tag, (purpose, written));
+        let in_flight = StoreCallInFlight { purpose, written };
+        self.calls.store.insert(tag, in_flight);
         let call = StoreCall::Transaction(txn);
         self.effects.push(Effect::Store { tag, class, call });
     }
@@ -172,7 +181,7 @@
     /// Takes in an answer of the store: first what it shows about the store and the records, whatever the
     /// call was for, then the step that waits for it.
     pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
-        let Some((purpose, written)) = self.calls.store.remove(&tag) else {
+        let Some(StoreCallInFlight { purpose, written }) = self.calls.store.remove(&tag) else {
             return;
         };
         if writes_quota_allocation(&written) {
