--- a/crates/hierarchical-quota/src/entitlements.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -56,7 +56,7 @@
         let governed = tree
             .all()
             .map(|ix| {
-                let guarantee = tree.node(tree.root(ix)).guarantee.to_array();
+                let guarantee = tree.node(tree.root(ix)).guarantee.each();
                 guarantee.map(|amount| amount > 0.0)
             })
             .collect();
@@ -223,12 +223,8 @@
     /// otherwise would never run.
     #[must_use]
     pub fn within(&self, ix: NodeIx, used: Amount, wanted: Wanted) -> bool {
-        let entitled = self.entitled(ix).to_array();
-        let (used, total, task) = (
-            used.to_array(),
-            wanted.total.to_array(),
-            wanted.task.to_array(),
-        );
+        let entitled = self.entitled(ix).each();
+        let (used, total, task) = (used.each(), wanted.total.each(), wanted.task.each());
         let is_single_task = wanted.total == wanted.task;
         let mut any_governed = false;
         let all_within = self
@@ -248,8 +244,8 @@
     /// one of its tasks is stopped. `conceded` is what it has to give up beyond that, for a task
     /// that is larger than the whole entitlement of its team.
     fn can_spare(&self, ix: NodeIx, used: Amount, task: Amount, conceded: Amount) -> bool {
-        let entitled = self.entitled(ix).to_array();
-        let (used, task, conceded) = (used.to_array(), task.to_array(), conceded.to_array());
+        let entitled = self.entitled(ix).each();
+        let (used, task, conceded) = (used.each(), task.each(), conceded.each());
         self.governed_kinds(ix)
             .filter(|kind| task[*kind] > 0.0)
             .any(|kind| {
@@ -294,8 +290,8 @@
     /// guaranteed: the largest part of any kind of resource, at least 0.
     #[must_use]
     pub fn overuse(&self, leaf: NodeIx, used: Amount) -> f64 {
-        let root = self.tree.node(self.tree.root(leaf)).guarantee.to_array();
-        let (used, entitled) = (used.to_array(), self.entitled(leaf).to_array());
+        let root = self.tree.node(self.tree.root(leaf)).guarantee.each();
+        let (used, entitled) = (used.each(), self.entitled(leaf).each());
         self.governed_kinds(leaf)
             .map(|kind| (used[kind] - entitled[kind]) / root[kind])
             .fold(0.0, f64::max)
@@ -307,7 +303,7 @@
     if guarantee.is_zero() {
         return base;
     }
-    let (from, to, guaranteed) = (base.to_array(), demand.to_array(), guarantee.to_array());
+    let (from, to, guaranteed) = (base.each(), demand.each(), guarantee.each());
     let mut fraction: f64 = 1.0;
     for kind in 0..2 {
         let distance = to[kind] - from[kind];
--- a/crates/hierarchical-quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -82,8 +82,8 @@
         for ix in tree.all() {
             let (node, mine) = (tree.node(ix), shares.entitled(ix));
             // Nobody is entitled to more than its limit, or than it wants.
-            for ((got, limit), demand) in mine.to_array().iter().zip(node.limit.to_array())
-                .zip(shares.demand(ix).to_array()) {
+            for ((got, limit), demand) in mine.each().iter().zip(node.limit.each())
+                .zip(shares.demand(ix).each()) {
                 prop_assert!(limit == 0.0 || *got <= limit + NEAR, "{} over its limit", node.name);
                 prop_assert!(*got <= demand + NEAR, "{} has more than it wants", node.name);
             }
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -74,7 +74,7 @@
         };
         tree.leaf(name).is_some_and(|leaf| {
             let used = self.jobs.standing(name).into();
-            tree.entitlements.within(leaf, used, wanted(job))
+            tree.shares.within(leaf, used, wanted(job))
         })
     }
 
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -2,7 +2,7 @@
 
 use super::super::Controller;
 use crate::jobs::cache::Job;
-use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, allocation_key};
+use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, share_key};
 use crate::settings::TeamSettings;
 use crate::store::Transaction;
 use crate::types::ShardId;
@@ -154,7 +154,7 @@
         tasks: u32,
     ) -> bool {
         let ownership = self.ownership(shard);
-        txn.require(allocation_key(shard), self.quota.allocations.version(shard));
+        txn.require(share_key(shard), self.quota.allocations.version(shard));
         let mut raised_record = None;
         for team in self.limits(job) {
             // Reserved tasks count as used already.
@@ -176,7 +176,7 @@
             record.insert(team.name.clone(), raised);
         }
         if let Some(record) = raised_record {
-            txn.put(allocation_key(shard), &record);
+            txn.put(share_key(shard), &record);
         }
         true
     }
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -12,7 +12,7 @@
 use super::super::store_sync::PendingRead;
 use super::Quota;
 use crate::jobs::cache::{TaskChange, Writing};
-use crate::quota::allocation_key;
+use crate::quota::share_key;
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, Revision, ShardId};
 
@@ -61,8 +61,8 @@
     /// Rewrites a shard's allocation record unchanged, which gives it a new version.
     fn rewrite_allocation(&self, shard: &ShardId) -> Transaction {
         let mut txn = Transaction::default();
-        txn.require(allocation_key(shard), self.allocations.version(shard));
-        txn.put(allocation_key(shard), &self.allocations.record(shard));
+        txn.require(share_key(shard), self.allocations.version(shard));
+        txn.put(share_key(shard), &self.allocations.record(shard));
         txn
     }
 
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::{CallPurpose, Controller};
-use crate::quota::{self, AllocationRecord, ShardAllocation, allocation_key};
+use crate::quota::{self, AllocationRecord, ShardAllocation, share_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{Millis, Resources, Revision, ShardId};
 
@@ -85,11 +85,8 @@
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            txn.require(
-                allocation_key(&shard),
-                self.quota.allocations.version(&shard),
-            );
-            txn.put(allocation_key(&shard), &record);
+            txn.require(share_key(&shard), self.quota.allocations.version(&shard));
+            txn.put(share_key(&shard), &record);
         }
         txn
     }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -5,7 +5,7 @@
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{JobKind, Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::allocation_key;
+use crate::quota::share_key;
 use crate::settings::tests::settings;
 use crate::store::{Mutation as Write, StoreCall, StoreResponse, Transaction};
 use crate::types::{AgentEpoch, Attempt, FencingToken, Revision};
@@ -78,11 +78,11 @@
         assert_eq!(controller.may_raise_allocations(), !unsure, "{name}");
         controller.now = Millis(9_000);
         controller.resolve_unknown_transactions();
-        let rewritten = written(&controller).contains(&allocation_key(&shard));
+        let rewritten = written(&controller).contains(&share_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
         controller.quota.allocations_in_flight = 0;
         // The watch shows that the share has changed: the deal was carried out before, or never is.
-        controller.apply(&allocation_key(&shard), Some("{}"), Revision(31));
+        controller.apply(&share_key(&shard), Some("{}"), Revision(31));
         controller.resolve_unknown_transactions();
         assert!(controller.may_raise_allocations(), "{name}");
     }
@@ -106,7 +106,7 @@
     controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
     controller.resolve_unknown_transactions();
-    let b = allocation_key(&ShardId::parse("b.0").unwrap());
+    let b = share_key(&ShardId::parse("b.0").unwrap());
     assert_eq!(written(&controller), [b]);
 }
 
@@ -165,7 +165,7 @@
         let team = controller.jobs.get(&id).unwrap().spec.team.clone();
         for (shard, gpus) in [(&a, other), (&b, share)] {
             let record = format!("{{\"{team}\":{{\"cpus\":0.0,\"gpus\":{gpus:?}}}}}");
-            controller.apply(&allocation_key(shard), Some(&record), Revision(21));
+            controller.apply(&share_key(shard), Some(&record), Revision(21));
         }
         for index in 0..tasks {
             let change = TaskChange::Place(placement("vm-b", "b.0"));
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -10,7 +10,7 @@
 pub const SHARES: &str = "jt/share/";
 
 /// The key of a shard's allocation record.
-pub fn allocation_key(shard: &ShardId) -> String {
+pub fn share_key(shard: &ShardId) -> String {
     format!("{SHARES}{shard}")
 }
 
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -14,7 +14,7 @@
 /// The active tree, and what its nodes are entitled to.
 pub struct ActiveTree {
     /// Entitlements of the nodes by the teams' demands.
-    pub entitlements: Shares,
+    pub shares: Shares,
     /// By team: the limits that apply to it, its own first.
     limits: HashMap<Team, Vec<TeamSettings>>,
     /// By team: the nodes above it, under their groups' names.
@@ -76,7 +76,7 @@
             groups.insert(team.name.clone(), above);
         }
         Self {
-            entitlements: Shares::new(tree),
+            shares: Shares::new(tree),
             limits,
             groups,
             names,
@@ -95,7 +95,7 @@
 
     /// The node that stands for a team, if the team is in the tree.
     pub fn leaf(&self, team: &Team) -> Option<NodeIx> {
-        self.entitlements.tree().leaf(team.as_str())
+        self.shares.tree().leaf(team.as_str())
     }
 
     /// The name under which a node's usage is counted.
@@ -106,7 +106,7 @@
     /// Whether a team's leaf is a node or below it, so that its usage counts there.
     pub fn is_below(&self, team: &Team, ix: NodeIx) -> bool {
         let leaf = self.leaf(team);
-        leaf.is_some_and(|leaf| self.entitlements.tree().path(leaf).any(|at| at == ix))
+        leaf.is_some_and(|leaf| self.shares.tree().path(leaf).any(|at| at == ix))
     }
 
     /// Takes the teams' demands and recomputes the entitlements. Returns the teams that are
@@ -116,15 +116,15 @@
         now: Millis,
         demands: &HashMap<&Team, Resources>,
     ) -> Vec<Team> {
-        let tree = self.entitlements.tree().clone();
+        let tree = self.shares.tree().clone();
         for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
             let demand = demands
                 .get(self.usage_name(ix))
                 .copied()
                 .unwrap_or_default();
-            self.entitlements.set_demand(ix, demand.into(), now.0);
+            self.shares.set_demand(ix, demand.into(), now.0);
         }
-        let raised = self.entitlements.refresh();
+        let raised = self.shares.refresh();
         raised
             .into_iter()
             .map(|ix| self.usage_name(ix).clone())
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -263,7 +263,7 @@
         };
         let nodes = active
             .as_ref()
-            .map_or(0, |tree| tree.entitlements.tree().nodes.len());
+            .map_or(0, |tree| tree.shares.tree().nodes.len());
         tracing::info!(revision = head.revision, nodes, "quota tree activated");
         self.active = active;
         self.active_version = self.head_version;
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -22,7 +22,7 @@
     within_allocation,
 };
 pub use allocation::{
-    AllocationRecord, QuotaAllocation, QuotaAllocations, SHARES, StoredAllocations, allocation_key,
+    AllocationRecord, QuotaAllocation, QuotaAllocations, SHARES, StoredAllocations, share_key,
 };
 
 use crate::settings::TeamSettings;
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -112,7 +112,7 @@
     /// Whether one more task is within the team's entitlement.
     fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
-        self.tree.entitlements.within(self.leaf, used, self.wanted)
+        self.tree.shares.within(self.leaf, used, self.wanted)
     }
 
     /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
@@ -138,7 +138,7 @@
             resources: resources.times(f64::from(stopped_before)),
         }];
         let used = |ix| self.used(ix, &also);
-        let shares = &self.tree.entitlements;
+        let shares = &self.tree.shares;
         let allowed = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
         let overuse = allowed.then(|| overuse_steps(self.tree, from, used(from)));
         self.known_overuse.borrow_mut().insert(key, overuse);
@@ -311,5 +311,5 @@
 
 /// How far a leaf that uses so much is over its entitlement, in steps.
 pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
-    (tree.entitlements.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
+    (tree.shares.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
