--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,6 @@
-//! The command line.
+//! The command line: reads the settings, starts the log, and runs the daemon or the check.
+//!
+//! Exit status 2 means that the settings can't be used; any other failure is 1.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -41,6 +43,8 @@
 
 /// Exit status for settings that can't be used.
 const BAD_SETTINGS: u8 = 2;
+/// Environment variable that sets the log's level.
+const LOG_LEVEL: &str = "LOG_LEVEL";
 
 fn log_level(text: &str) -> Option<LevelFilter> {
     match text {
@@ -52,9 +56,9 @@
 }
 
 fn start_logging() {
-    let text = std::env::var("LOG_LEVEL").unwrap_or_default();
+    let text = std::env::var(LOG_LEVEL).unwrap_or_default();
     let level = log_level(&text).unwrap_or(LevelFilter::ERROR);
-    // The server calls every connection that a user or a cut ends early an error.
+    // The HTTP libraries log an error for every connection that its client or a partition ends early.
     let targets = Targets::new()
         .with_default(level)
         .with_target("warp::server", LevelFilter::OFF)
@@ -72,6 +76,7 @@
     }
 }
 
+/// Runs the command line of this process.
 pub fn main() -> ExitCode {
     run(std::env::args_os())
 }
@@ -92,14 +97,19 @@
         print!("{}", settings.summary());
         return ExitCode::SUCCESS;
     }
-    let ended = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(anyhow::Error::from)
-        .and_then(|runtime| Ok(runtime.block_on(daemon::run(settings))?));
-    if let Err(error) = ended {
+    if let Err(error) = serve(settings) {
         tracing::error!(%error, "HTTP server failed");
         eprintln!("jaspertiller: {error:#}");
     }
+    // A daemon runs until it is killed, so that any end is a failure.
     ExitCode::FAILURE
 }
+
+/// The controller is one actor, and the I/O around it is light: one thread suffices.
+fn serve(settings: Settings) -> anyhow::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    runtime.block_on(daemon::run(settings))?;
+    Ok(())
+}
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,26 +1,45 @@
-//! One HTTP client for the state service and the cloud: bounded bodies, and a failure that tells
-//! whether the request can have been executed.
+//! The HTTP client for the store, the cloud and workers: bounded bodies, and a failure that tells whether the request
+//! may have been executed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::client::legacy::{Client, Error as ClientError};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// No answer of the services we call is larger than this.
-const LARGEST_BODY: usize = 16 << 20;
+/// Largest body of a response, in bytes: more than any of the services sends.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// A connection must be made within this time; less than any caller's limit, so that the failure is known to be
+/// [`Failure::NotSent`].
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Idle connections are closed after this time.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why there is no response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
     /// No connection was made, so nothing was executed.
+    #[error("the request was not sent")]
     NotSent,
     /// The request may have been executed, or may be executed later.
+    #[error("it is unknown whether the request was executed")]
     Unknown,
 }
 
+impl From<ClientError> for Failure {
+    fn from(error: ClientError) -> Self {
+        if error.is_connect() {
+            Failure::NotSent
+        } else {
+            Failure::Unknown
+        }
+    }
+}
+
+/// Connections to one address, which clones share.
 #[derive(Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
@@ -28,31 +47,34 @@
 }
 
 impl HttpClient {
-    /// Keeps connections for the next request.
+    /// A client that keeps connections for the next request.
+    #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        Self::keeping(address, usize::MAX)
+        Self::with_max_idle(address, usize::MAX)
     }
 
-    /// Has no more connections than requests under way.
+    /// A client that has no more connections than requests in flight.
+    #[must_use]
     pub fn without_idle(address: SocketAddr) -> Self {
-        Self::keeping(address, 0)
+        Self::with_max_idle(address, 0)
     }
 
-    fn keeping(address: SocketAddr, idle: usize) -> Self {
+    fn with_max_idle(address: SocketAddr, max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_millis(1_500)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_secs(20))
-            .pool_max_idle_per_host(idle)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         let base = format!("http://{address}");
         Self { inner, base }
     }
 
-    /// The same client, for another address.
+    /// A client for another address that shares the connections and the settings of this one.
+    #[must_use]
     pub fn at(&self, address: SocketAddr) -> Self {
         Self {
             inner: self.inner.clone(),
@@ -60,6 +82,10 @@
         }
     }
 
+    /// Sends a JSON body, and returns the status and the body of the response.
+    ///
+    /// # Errors
+    /// There is no complete response within `limit`.
     pub async fn call(
         &self,
         method: http::Method,
@@ -74,15 +100,9 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| Failure::NotSent)?;
         let exchange = async {
-            let response = self.inner.request(request).await.map_err(|error| {
-                if error.is_connect() {
-                    Failure::NotSent
-                } else {
-                    Failure::Unknown
-                }
-            })?;
+            let response = self.inner.request(request).await?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), LARGEST_BODY)
+            let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await
                 .map_err(|_| Failure::Unknown)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The `jaspertiller` program; everything it does is in the library.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
