--- a/crates/simulator/src/cut_report.rs
+++ b/crates/simulator/src/cut_report.rs
@@ -1,10 +1,10 @@
-//! `tiller-region cuts`: cuts of a zone, with and without what keeps it, and their page.
+//! `tiller-region cuts`: plays cuts of a zone, kept and given up, and shows their table and their page.
 
 use std::path::Path;
 use std::process::ExitCode;
 
 use anyhow::Context;
-use cluster_simulator::cuts::{FROM_S, Inside, Played, play};
+use cluster_simulator::cuts::{Case, FROM_S, Inside, Played, Policy, play};
 use comfy_table::Table;
 use indicatif::ProgressBar;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
@@ -12,23 +12,25 @@
 
 use crate::report::{Line, STYLE, figure};
 
+/// Seconds that the cuts last.
 const DURATIONS_S: [u64; 3] = [20, 60, 120];
+/// Machines of the regions.
 const SIZES: [u32; 3] = [10, 20, 40];
-/// The size whose plots are shown.
-const SHOWN: u32 = 20;
+/// The size whose plots are on the page.
+const PLOTTED_SIZE: u32 = 20;
+/// Seed of all cuts.
+const SEED: u64 = 1;
 
+/// Plays all cases, prints the table and writes the page to `page`. Fails if a rule was broken.
+///
+/// # Errors
+/// The page can't be drawn or written.
 pub fn run(page: Option<&Path>) -> anyhow::Result<ExitCode> {
-    let cases = Inside::ALL.into_iter().flat_map(|inside| {
-        let sizes = SIZES
-            .into_iter()
-            .flat_map(|size| DURATIONS_S.map(|s| (size, s)));
-        sizes.flat_map(move |(size, for_s)| [false, true].map(|kept| (inside, for_s, size, kept)))
-    });
-    let cases: Vec<_> = cases.collect();
+    let cases = cases();
     let bar = ProgressBar::new(cases.len() as u64);
     let mut all = Vec::new();
-    for (inside, for_s, size, kept) in cases {
-        all.push(play(inside, for_s, size, kept, 1));
+    for case in cases {
+        all.push(play(case, SEED));
         bar.inc(1);
     }
     bar.finish_and_clear();
@@ -40,8 +42,8 @@
     }
     println!("{table}");
     for played in &all {
-        for broken in &played.broken {
-            println!("{}: {broken}", cells(played).join(", "));
+        for violation in &played.violations {
+            println!("{}: {violation}", cells(played).join(", "));
         }
     }
     if let Some(path) = page {
@@ -49,10 +51,29 @@
         std::fs::write(path, text).with_context(|| path.display().to_string())?;
         println!("wrote {}", path.display());
     }
-    let broken = all.iter().any(|played| !played.broken.is_empty());
+    let broken = all.iter().any(|played| !played.violations.is_empty());
     Ok(ExitCode::from(u8::from(broken)))
 }
 
+/// Every combination, in the order of the table.
+fn cases() -> Vec<Case> {
+    let mut cases = Vec::new();
+    for inside in Inside::ALL {
+        for machines in SIZES {
+            for for_s in DURATIONS_S {
+                cases.extend([Policy::GiveUp, Policy::Keep].map(|policy| Case {
+                    inside,
+                    for_s,
+                    machines,
+                    policy,
+                }));
+            }
+        }
+    }
+    cases
+}
+
+/// Heads of the table's columns.
 const HEAD: [&str; 8] = [
     "cut of a zone (simulated)",
     "for, s",
@@ -64,42 +85,46 @@
     "a cancellation is told after, s",
 ];
 
-fn manner(kept: bool) -> &'static str {
-    if kept { "kept" } else { "given up" }
+fn policy_name(policy: Policy) -> &'static str {
+    match policy {
+        Policy::Keep => "kept",
+        Policy::GiveUp => "given up",
+    }
 }
 
 fn cells(played: &Played) -> [String; 8] {
+    let case = played.case;
+    let told = played.told_s.map(|seconds| format!("{seconds:.1}"));
     [
-        played.inside.name().into(),
-        played.for_s.to_string(),
-        played.machines.to_string(),
-        manner(played.kept).into(),
+        case.inside.name().into(),
+        case.for_s.to_string(),
+        case.machines.to_string(),
+        policy_name(case.policy).into(),
         played.in_zone.to_string(),
         played.deleted.to_string(),
         played.expired.to_string(),
-        played
-            .told_s
-            .map_or("not told".into(), |s| format!("{s:.1}")),
+        told.unwrap_or_else(|| "not told".into()),
     ]
 }
 
 /// Tasks that run in the zone: with it kept (blue), and given up (orange).
 fn plot(played: &[&Played]) -> anyhow::Result<String> {
-    let samples = played.iter().flat_map(|p| &p.running);
-    let highest = samples.clone().map(|(_, inside, _)| *inside).max();
-    let end = samples.map(|(at, ..)| *at).max().unwrap_or(FROM_S + 1);
-    let marks: Vec<u64> = played.iter().map(|p| FROM_S + p.for_s).collect();
+    let samples = played.iter().flat_map(|played| &played.running);
+    let highest = samples.clone().map(|sample| sample.in_zone).max();
+    let end = samples.map(|sample| sample.at_s).max();
+    let end = end.unwrap_or(FROM_S + 1);
+    let ends = played.iter().map(|played| FROM_S + played.case.for_s);
+    let marks: Vec<u64> = ends.collect();
     let line = |played: &&Played| Line {
-        color: if played.kept {
-            RGBColor(30, 90, 160)
-        } else {
-            RGBColor(200, 90, 20)
+        color: match played.case.policy {
+            Policy::Keep => RGBColor(30, 90, 160),
+            Policy::GiveUp => RGBColor(200, 90, 20),
         },
         width: 2,
         points: played
             .running
             .iter()
-            .map(|(at, inside, _)| (*at, *inside as f64))
+            .map(|sample| (sample.at_s, sample.in_zone as f64))
             .collect(),
     };
     let lines = played.iter().map(line).collect();
@@ -107,12 +132,16 @@
     figure(FROM_S..end, highest, "tasks", &marks, lines)
 }
 
+/// The page of all cases, which needs no network.
 fn html_page(all: &[Played]) -> anyhow::Result<Markup> {
     let mut figures = Vec::new();
     for inside in Inside::ALL {
         for for_s in DURATIONS_S {
-            let of = |p: &&Played| p.inside == inside && p.for_s == for_s && p.machines == SHOWN;
-            let shown: Vec<&Played> = all.iter().filter(of).collect();
+            let is_plotted = |played: &&Played| {
+                let case = played.case;
+                case.inside == inside && case.for_s == for_s && case.machines == PLOTTED_SIZE
+            };
+            let shown: Vec<&Played> = all.iter().filter(is_plotted).collect();
             figures.push((inside, for_s, plot(&shown)?));
         }
     }
@@ -142,7 +171,7 @@
                 @for (inside, for_s, svg) in &figures {
                     figure {
                         (PreEscaped(svg))
-                        figcaption { (inside.name()) ", cut off for " (for_s) " s, at most " (SHOWN) " machines" }
+                        figcaption { (inside.name()) ", cut off for " (for_s) " s, at most " (PLOTTED_SIZE) " machines" }
                     }
                 }
             }
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -1,32 +1,45 @@
-//! A replay of a zone that is cut off, in virtual time: what becomes of its machines, their tasks,
-//! and of users who cancel. Simulated.
+//! A zone that loses its network, in virtual time: what becomes of its machines and their tasks, and of users
+//! who cancel jobs meanwhile. All is simulated.
 
-use jaspertiller::types::{Millis, Zone};
+use jaspertiller::types::{MachineId, Millis, Zone};
 
 use crate::config::Config;
 use crate::sim::{JobPlan, World, ZoneCut, job};
 
-/// The cut begins.
+/// Second at which the cut begins: the load stands by then.
 pub const FROM_S: u64 = 60;
-/// What is looked at ends so long after the cut.
+/// Seconds that are played after the cut.
 const AFTER_S: u64 = 90;
-const CUT: &str = "b";
-/// The controller in the zone.
-const INSIDE: usize = 1;
+/// Seconds from the beginning of the cut to the cancellation of a service in the zone.
+const CANCEL_AFTER_S: u64 = 10;
+/// The zone that is cut off.
+const ZONE: &str = "b";
+/// The index of the controller in the zone.
+const ZONE_CONTROLLER: usize = 1;
+/// Seconds from the beginning of the cut to an early crash: before the controller has marked its workers.
+const EARLY_CRASH_AFTER_S: u64 = 3;
+/// Seconds from the beginning of the cut to a late crash: after the controller has marked its workers.
+const LATE_CRASH_AFTER_S: u64 = 12;
+/// Milliseconds that a crashed controller stays down.
+const DOWN_MS: u64 = 3_000;
+/// How long controllers answer in a zone that is given up.
+const GIVEN_UP_KEEP: Millis = Millis(14_000);
 
 /// What happens to the zone's controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inside {
+    /// It keeps running.
     Stays,
-    /// Before it has marked its workers.
+    /// It crashes before it has marked its workers.
     CrashesAtOnce,
-    /// After that.
+    /// It crashes after it has marked its workers.
     CrashesLater,
-    /// The zone has none.
+    /// The zone has no controller.
     None,
 }
 
 impl Inside {
+    /// All cases, in the order of the report.
     pub const ALL: [Inside; 4] = [
         Inside::Stays,
         Inside::CrashesLater,
@@ -34,6 +47,8 @@
         Inside::None,
     ];
 
+    /// The case as the report calls it.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Inside::Stays => "its controller stays",
@@ -44,94 +59,152 @@
     }
 }
 
-/// How a cut went.
-pub struct Played {
+/// Whether the cut-off zone's machines are kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Policy {
+    /// Controllers keep the zone's machines, with the operator's default settings.
+    Keep,
+    /// Controllers answer for a short time only, and nothing is held back: the nearest to how it was before
+    /// zones were kept.
+    GiveUp,
+}
+
+/// One cut to play.
+#[derive(Clone, Copy, Debug)]
+pub struct Case {
+    /// What happens to the zone's controller.
     pub inside: Inside,
+    /// Seconds that the cut lasts.
     pub for_s: u64,
+    /// Machines that the cloud can rent out, in all zones.
     pub machines: u32,
-    pub kept: bool,
-    /// The zone's machines when the cut began, and how many of them were deleted at work.
+    /// Whether the zone is kept.
+    pub policy: Policy,
+}
+
+/// The tasks that run at one second.
+#[derive(Clone, Copy, Debug)]
+pub struct RunningTasks {
+    /// Second of the run.
+    pub at_s: u64,
+    /// Tasks in the zone.
     pub in_zone: usize,
+    /// Tasks in all zones.
+    pub all: usize,
+}
+
+/// The result of one cut.
+pub struct Played {
+    /// What was played.
+    pub case: Case,
+    /// Machines with tasks in the zone when the cut began.
+    pub in_zone: usize,
+    /// Machines that were deleted while they had tasks.
     pub deleted: u64,
-    /// Workers of them whose lease ran out.
+    /// Machines of `in_zone` whose workers' leases expired.
     pub expired: usize,
-    /// Tasks that run in the zone, and in all, second by second.
-    pub running: Vec<(u64, usize, usize)>,
-    /// How long the user of a service in the zone waits, who cancels 10 s into the cut.
+    /// Tasks that run, second by second.
+    pub running: Vec<RunningTasks>,
+    /// Seconds until the user who cancels a service in the zone is told that it is over; none if never.
     pub told_s: Option<f64>,
-    pub broken: Vec<String>,
+    /// The protocol's rules that were broken, and how.
+    pub violations: Vec<String>,
 }
 
-/// Plays one cut. Without `kept`, controllers answer for 14 s and nothing is held back: nearest to
-/// how it was before zones were kept.
-pub fn play(inside: Inside, for_s: u64, machines: u32, kept: bool, seed: u64) -> Played {
+/// Plays one cut.
+#[must_use]
+pub fn play(case: Case, seed: u64) -> Played {
+    let mut world = World::new(config(case), seed, jobs(case.machines));
+    if case.policy == Policy::GiveUp {
+        world.operate(|operator| (operator.keep, operator.hold) = (GIVEN_UP_KEEP, Millis(0)));
+    }
+    world.run_until(FROM_S * 1_000);
+    let zone = Zone::from(ZONE);
+    let busy = busy_machines(&world, &zone);
+    cut(&mut world, case);
+    let cancelled = world.jobs[0].id();
+    world.abort_at((FROM_S + CANCEL_AFTER_S) * 1_000, 0);
+    let seconds = FROM_S..FROM_S + case.for_s + AFTER_S;
+    let running = seconds.map(|at_s| {
+        world.run_until(at_s * 1_000);
+        running_tasks(&world, &zone, at_s)
+    });
+    let running = running.collect();
+    let expired = |(machine_id, agent_epoch): &&(MachineId, u64)| {
+        world.machines.machine_ids[machine_id].agent_epoch > *agent_epoch
+    };
+    let told_at = world.rules.aborted.get(&cancelled);
+    Played {
+        case,
+        in_zone: busy.len(),
+        deleted: world.cloud.deleted_at_work,
+        expired: busy.iter().filter(expired).count(),
+        running,
+        told_s: told_at.map(|at| at.secs() - (FROM_S + CANCEL_AFTER_S) as f64),
+        violations: world.rules.violations.into_iter().collect(),
+    }
+}
+
+fn config(case: Case) -> Config {
     let mut config = Config {
-        controllers: if inside == Inside::None { 1 } else { 3 },
-        capacity: machines,
+        controllers: if case.inside == Inside::None { 1 } else { 3 },
+        capacity: case.machines,
         ..Config::default()
     };
     config.timing.heartbeat = Millis(5_000);
     config.timing.lease = Millis(26_000);
     config.timing.cancel = Millis(46_000);
-    let services = machines as usize;
-    let plan = |(index, kind, tasks, run_ms): (usize, &str, u32, u64)| JobPlan {
+    config
+}
+
+/// A service for each machine, and an array for every second one.
+fn jobs(machines: u32) -> Vec<JobPlan> {
+    let count = machines as usize;
+    let plan = |index: usize, kind: &str, tasks: u32, run_ms: u64| JobPlan {
         at: Some(2_000 + 200 * index as u64),
         ..job(index, "large", kind, tasks, 1.0, run_ms)
     };
-    let standing = (0..services).map(|i| (i, "standing", 2, 0));
-    let arrays = (0..services / 2).map(|i| (services + i, "sweep", 4, 25_000));
-    let jobs: Vec<JobPlan> = standing.chain(arrays).map(plan).collect();
-    let mut world = World::new(config, seed, jobs);
-    if !kept {
-        world.operate(|operator| (operator.keep, operator.hold) = (Millis(14_000), Millis(0)));
-    }
-    world.run_until(FROM_S * 1_000);
-    let zone = Zone::from(CUT);
-    let machine_ids = world.machines.machine_ids.iter();
-    let up = machine_ids.filter(|(_, m)| m.zone == zone && m.dead.is_none() && !m.tasks.is_empty());
-    let up: Vec<_> = up
-        .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
-        .collect();
+    let services = (0..count).map(|index| plan(index, "standing", 2, 0));
+    let arrays = (count..count + count / 2).map(|index| plan(index, "sweep", 4, 25_000));
+    services.chain(arrays).collect()
+}
+
+/// Machines of a zone that are up and have tasks, with their agent epochs.
+fn busy_machines(world: &World, zone: &Zone) -> Vec<(MachineId, u64)> {
+    let machines = world.machines.machine_ids.iter();
+    let busy = machines.filter(|(_, machine)| {
+        machine.zone == *zone && machine.dead.is_none() && !machine.tasks.is_empty()
+    });
+    busy.map(|(machine_id, machine)| (machine_id.clone(), machine.agent_epoch))
+        .collect()
+}
+
+/// Schedules the cut, and the crash of the zone's controller.
+fn cut(world: &mut World, case: Case) {
     world.zone_cuts.push(ZoneCut {
-        zone: zone.clone(),
+        zone: Zone::from(ZONE),
         since: FROM_S * 1_000,
-        until: (FROM_S + for_s) * 1_000,
+        until: (FROM_S + case.for_s) * 1_000,
         hold: true,
     });
-    match inside {
-        Inside::CrashesAtOnce => world.crash(INSIDE, (FROM_S + 3) * 1_000, 3_000),
-        Inside::CrashesLater => world.crash(INSIDE, (FROM_S + 12) * 1_000, 3_000),
-        Inside::Stays | Inside::None => {}
-    }
-    let cancelled = world.jobs[0].id();
-    world.abort_at((FROM_S + 10) * 1_000, 0);
-    let mut running = Vec::new();
-    for at_s in FROM_S..FROM_S + for_s + AFTER_S {
-        world.run_until(at_s * 1_000);
-        let present = world.machines.present(Millis(at_s * 1_000));
-        let zones =
-            present.map(|(machine_id, _)| world.machines.machine_ids[machine_id].zone == zone);
-        let (inside, all) = zones.fold((0, 0), |(n, all), here| (n + usize::from(here), all + 1));
-        running.push((at_s, inside, all));
-    }
-    let expired = |(machine_id, agent_epoch): &&(_, u64)| {
-        let machine = &world.machines.machine_ids[machine_id];
-        machine.agent_epoch > *agent_epoch
+    let crash_after_s = match case.inside {
+        Inside::CrashesAtOnce => EARLY_CRASH_AFTER_S,
+        Inside::CrashesLater => LATE_CRASH_AFTER_S,
+        Inside::Stays | Inside::None => return,
     };
-    Played {
-        inside,
-        for_s,
-        machines,
-        kept,
-        in_zone: up.len(),
-        deleted: world.cloud.deleted_at_work,
-        expired: up.iter().filter(expired).count(),
-        running,
-        told_s: world
-            .rules
-            .aborted
-            .get(&cancelled)
-            .map(|at| at.secs() - (FROM_S + 10) as f64),
-        broken: world.rules.violations.into_iter().collect(),
+    world.crash(ZONE_CONTROLLER, (FROM_S + crash_after_s) * 1_000, DOWN_MS);
+}
+
+fn running_tasks(world: &World, zone: &Zone, at_s: u64) -> RunningTasks {
+    let mut running = RunningTasks {
+        at_s,
+        in_zone: 0,
+        all: 0,
+    };
+    for (machine_id, _) in world.machines.present(Millis(at_s * 1_000)) {
+        let is_in_zone = world.machines.machine_ids[machine_id].zone == *zone;
+        running.in_zone += usize::from(is_in_zone);
+        running.all += 1;
     }
+    running
 }
--- a/crates/simulator/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region slopes`: the table and the CSV of what controllers cost by size.
+//! `tiller-region slopes`: plays the sizes, and prints the table and writes the CSV of what controllers cost.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -9,6 +9,7 @@
 use cluster_simulator::slopes::{Played, Role, Size, play};
 use comfy_table::Table;
 
+/// Heads of the table's columns.
 const TABLE_HEAD: [&str; 9] = [
     "machines (simulated)",
     "role",
@@ -21,11 +22,16 @@
     "KB/s sent",
 ];
 
+/// Columns of the CSV. The first says that all figures are simulated.
 const CSV_HEAD: &str = "simulated,machines,controllers,zones,teams,seed,seconds,role,holds,what,kind,count,bytes,micros";
 
-/// Characters that are shown of what was broken: a record may be in it.
-const MOST_SHOWN: usize = 160;
+/// Characters of a violation that are shown: it may quote a whole record.
+const MAX_VIOLATION_CHARS: usize = 160;
 
+/// Plays each size with a seed, prints the table and writes the CSV. Fails if a rule was broken.
+///
+/// # Errors
+/// The CSV can't be written.
 pub fn run(
     sizes: impl Iterator<Item = Size>,
     seed: u64,
@@ -42,9 +48,9 @@
             table.add_row(cells(&played, role));
         }
         write_csv(&mut text, &played, seed)?;
-        for what in &played.broken {
-            let what: String = what.chars().take(MOST_SHOWN).collect();
-            println!("{} machines, broken: {what}", size.machines);
+        for violation in &played.violations {
+            let shown: String = violation.chars().take(MAX_VIOLATION_CHARS).collect();
+            println!("{} machines, broken: {shown}", size.machines);
             broken = true;
         }
         eprintln!("played {} machines", size.machines);
@@ -61,15 +67,21 @@
     if role.leads { "leader" } else { "other" }
 }
 
-fn kilobytes_a_second(played: &Played, role: &Role, direction: Direction) -> f64 {
+/// Kilobytes a second that a controller received or sent.
+fn kilobytes_per_second(played: &Played, role: &Role, direction: Direction) -> f64 {
     let traffic = role.meter.traffic.iter();
-    let bytes = traffic.filter(|((way, _), _)| *way == direction);
+    let bytes = traffic.filter(|((of, _), _)| *of == direction);
     let bytes: u64 = bytes.map(|(_, traffic)| traffic.bytes).sum();
     bytes as f64 / played.size.seconds as f64 / 1e3
 }
 
 fn cells(played: &Played, role: &Role) -> [String; 9] {
-    let events: u64 = role.meter.handling.values().map(|h| h.events).sum();
+    let events: u64 = role
+        .meter
+        .handling
+        .values()
+        .map(|handling| handling.events)
+        .sum();
     let micros = role.meter.busy().as_secs_f64() * 1e6;
     let rate = |count: u64| format!("{:.1}", count as f64 / played.size.seconds as f64);
     [
@@ -82,58 +94,51 @@
         format!("{:.1}", micros / events.max(1) as f64),
         format!(
             "{:.0}",
-            kilobytes_a_second(played, role, Direction::Received)
+            kilobytes_per_second(played, role, Direction::Received)
         ),
-        format!("{:.0}", kilobytes_a_second(played, role, Direction::Sent)),
+        format!("{:.0}", kilobytes_per_second(played, role, Direction::Sent)),
     ]
 }
 
+/// Adds the lines of one size: totals of the region, then the counts of each controller.
 fn write_csv(text: &mut String, played: &Played, seed: u64) -> std::fmt::Result {
-    let size = played.size;
     let Size {
         controllers,
         zones,
         teams,
+        seconds,
         ..
-    } = size;
+    } = played.size;
     let machines = played.machines;
-    let seconds = size.seconds;
-    let start = format!("yes,{machines},{controllers},{zones},{teams},{seed},{seconds}");
-    writeln!(
-        text,
-        "{start},all,{machines},total,starts,{},,",
-        played.starts
-    )?;
-    writeln!(
-        text,
-        "{start},all,{machines},total,changes,{},,",
-        played.written
-    )?;
-    writeln!(
-        text,
-        "{start},all,{machines},total,tasks,{},,",
-        played.tasks
-    )?;
+    let run = format!("yes,{machines},{controllers},{zones},{teams},{seed},{seconds}");
+    let totals = [
+        ("starts", played.starts),
+        ("changes", played.written),
+        ("tasks", played.tasks as u64),
+    ];
+    for (name, count) in totals {
+        writeln!(text, "{run},all,{machines},total,{name},{count},,")?;
+    }
     for role in &played.roles {
-        let (name, holds) = (role_name(role), role.machines);
-        for ((direction, kind), traffic) in &role.meter.traffic {
-            let (messages, bytes) = (traffic.messages, traffic.bytes);
-            let way = direction.word();
-            writeln!(
-                text,
-                "{start},{name},{holds},{way},{kind},{messages},{bytes},"
-            )?;
-        }
-        for (what, count) in &role.work {
-            writeln!(text, "{start},{name},{holds},looked at,{what},{count},,")?;
-        }
-        for (kind, handling) in &role.meter.handling {
-            let (events, micros) = (handling.events, handling.time.as_micros());
-            writeln!(
-                text,
-                "{start},{name},{holds},handled,{kind},{events},,{micros}"
-            )?;
-        }
+        let start = format!("{run},{},{}", role_name(role), role.machines);
+        write_role(text, &start, role)?;
+    }
+    Ok(())
+}
+
+/// Adds the lines of one controller; `start` is what they all begin with.
+fn write_role(text: &mut String, start: &str, role: &Role) -> std::fmt::Result {
+    for ((direction, kind), traffic) in &role.meter.traffic {
+        let (messages, bytes) = (traffic.messages, traffic.bytes);
+        let word = direction.word();
+        writeln!(text, "{start},{word},{kind},{messages},{bytes},")?;
+    }
+    for (name, count) in &role.work {
+        writeln!(text, "{start},looked at,{name},{count},,")?;
+    }
+    for (kind, handling) in &role.meter.handling {
+        let (events, micros) = (handling.events, handling.time.as_micros());
+        writeln!(text, "{start},handled,{kind},{events},,{micros}")?;
     }
     Ok(())
 }
