--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,5 @@
-//! `tiller-region contention`: the replay of contention, and its page.
+//! `tiller-region contention`: plays the replays of contention, and shows their table and their page. Also the
+//! figures and the style that the other reports' pages share.
 
 use std::ops::Range;
 use std::path::Path;
@@ -14,11 +15,26 @@
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::prelude::*;
 
+/// The style sheet of all pages.
 pub const STYLE: &str = "body{font-family:sans-serif;max-width:70em;margin:2em auto;color:#222}\
     table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;\
     border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}\
     figure{margin:1em 0}figcaption{font-size:90%;color:#555}";
 
+/// Seed of the replays that the page plots.
+const PLOTTED_SEED: u64 = 1;
+/// Space above the highest point of a plot, as a factor.
+const PLOT_HEADROOM: f64 = 1.1;
+/// The least height of a plot in GPUs, before the space above.
+const MIN_PLOT_GPUS: f64 = 4.0;
+/// Width and height of a figure in pixels.
+const FIGURE_SIZE: (u32, u32) = (960, 220);
+
+/// Plays every kind of replay with the seeds from 1 on, prints the table and writes the page to `page`. Fails if a
+/// rule was broken.
+///
+/// # Errors
+/// The page can't be drawn or written.
 pub fn run(seeds: u64, page: Option<&Path>) -> anyhow::Result<ExitCode> {
     let count = Kind::ALL.len() as u64 * seeds;
     let bar = ProgressBar::new(count);
@@ -45,18 +61,25 @@
     Ok(ExitCode::from(u8::from(broken)))
 }
 
+/// One kind of replay in the table, over all seeds.
 struct Row {
     name: &'static str,
+    /// Samples outside of the tolerance, of `settled` samples.
     outside: usize,
     settled: usize,
-    worst: f64,
+    /// GPUs by which a sample was furthest beyond its tolerance.
+    worst_gpus: f64,
+    /// The longest reclaim.
     longest: String,
-    lost: f64,
-    used: f64,
+    /// Seconds of lost run time, as a mean of the seeds.
+    lost_s: f64,
+    /// GPU seconds that were used, as a mean of the seeds.
+    used_gpu_s: f64,
+    /// Changes of the store, as a mean of the seeds.
     changes: u64,
 }
 
-/// One row a kind, over all seeds.
+/// The rows of all kinds.
 fn rows(replays: &[Replay]) -> Vec<Row> {
     let of = |kind: Kind| replays.iter().filter(move |replay| replay.kind == kind);
     let row = |kind: Kind| {
@@ -69,16 +92,17 @@
             name: kind.name(),
             outside: of(kind).map(Replay::outside).sum(),
             settled: of(kind).map(Replay::settled).sum(),
-            worst: worst.fold(0.0, f64::max),
+            worst_gpus: worst.fold(0.0, f64::max),
             longest: longest.map_or("not in every phase".into(), |s| format!("{s} s")),
-            lost: of(kind).map(|r| r.lost_s).sum::<f64>() / seeds,
-            used: of(kind).map(|r| r.used).sum::<f64>() / seeds,
+            lost_s: of(kind).map(|r| r.lost_s).sum::<f64>() / seeds,
+            used_gpu_s: of(kind).map(|r| r.used).sum::<f64>() / seeds,
             changes: of(kind).map(|r| r.changes).sum::<u64>() / seeds as u64,
         }
     };
     Kind::ALL.into_iter().map(row).collect()
 }
 
+/// Heads of the table's columns.
 const HEAD: [&str; 7] = [
     "replay (simulated)",
     "samples outside",
@@ -90,14 +114,14 @@
 ];
 
 fn cells(row: &Row) -> [String; 7] {
-    let part = row.outside as f64 * 100.0 / row.settled.max(1) as f64;
+    let percent = row.outside as f64 * 100.0 / row.settled.max(1) as f64;
     [
         row.name.into(),
-        format!("{} of {} ({part:.2}%)", row.outside, row.settled),
-        format!("{:.1}", row.worst.max(0.0)),
+        format!("{} of {} ({percent:.2}%)", row.outside, row.settled),
+        format!("{:.1}", row.worst_gpus.max(0.0)),
         row.longest.clone(),
-        format!("{:.0}", row.lost),
-        format!("{:.0}", row.used),
+        format!("{:.0}", row.lost_s),
+        format!("{:.0}", row.used_gpu_s),
         row.changes.to_string(),
     ]
 }
@@ -112,14 +136,21 @@
     table
 }
 
-/// One line of a figure: its color, how wide, and its points by second.
+/// One line of a figure.
 pub struct Line {
+    /// Its color.
     pub color: RGBColor,
+    /// Its width in pixels.
     pub width: u32,
+    /// Its points: second and value.
     pub points: Vec<(u64, f64)>,
 }
 
-/// A figure over seconds, as SVG; `marks` are seconds that a thin line stands at.
+/// Draws a figure over seconds as SVG, with a thin vertical line at each of the seconds `marks`. `unit` is the
+/// vertical axis' label.
+///
+/// # Errors
+/// The figure can't be drawn.
 pub fn figure(
     seconds: Range<u64>,
     highest: f64,
@@ -129,7 +160,7 @@
 ) -> anyhow::Result<String> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, (960, 220)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, FIGURE_SIZE).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
@@ -154,7 +185,7 @@
 /// A level's share against what it is entitled to.
 fn plot(level: &Level) -> anyhow::Result<String> {
     let highest = level.samples.iter().map(|s| s.share.max(s.entitled));
-    let highest = highest.fold(4.0, f64::max) * 1.1;
+    let highest = highest.fold(MIN_PLOT_GPUS, f64::max) * PLOT_HEADROOM;
     let start = level.samples.first().map_or(0, |s| s.at_s);
     let marks: Vec<u64> = phases().map(|(at, _)| at).collect();
     let points = |of: fn(&Sample) -> f64| level.samples.iter().map(|s| (s.at_s, of(s))).collect();
@@ -173,15 +204,25 @@
     figure(start..end_s(), highest, "GPUs", &marks, lines)
 }
 
+/// A replay with the plots of its levels.
+struct PlottedReplay<'a> {
+    replay: &'a Replay,
+    levels: Vec<(&'a Level, String)>,
+}
+
+fn plot_replay(replay: &Replay) -> anyhow::Result<PlottedReplay<'_>> {
+    let levels = replay.levels.iter();
+    let levels: anyhow::Result<Vec<(&Level, String)>> =
+        levels.map(|level| Ok((level, plot(level)?))).collect();
+    let levels = levels?;
+    Ok(PlottedReplay { replay, levels })
+}
+
+/// The page of all replays, which needs no network.
 fn html_page(replays: &[Replay]) -> anyhow::Result<Markup> {
-    let report = Config::default().timing.heartbeat.secs();
-    let shown: Vec<&Replay> = replays.iter().filter(|replay| replay.seed == 1).collect();
-    let mut plots = Vec::new();
-    for replay in &shown {
-        let figures: anyhow::Result<Vec<(&Level, String)>> =
-            replay.levels.iter().map(|l| Ok((l, plot(l)?))).collect();
-        plots.push((*replay, figures?));
-    }
+    let plotted = replays.iter().filter(|replay| replay.seed == PLOTTED_SEED);
+    let plotted: anyhow::Result<Vec<PlottedReplay>> = plotted.map(plot_replay).collect();
+    let plotted = plotted?;
     Ok(html! {
         (DOCTYPE)
         html lang="en" {
@@ -192,16 +233,7 @@
             }
             body {
                 h1 { "Contention under nested quotas" }
-                p {
-                    "Simulated: three controllers in virtual time, 16 machines of 4 GPUs, a tree of "
-                    "three levels and eight teams. A sample is the mean of one second of one node, taken "
-                    (SETTLE_S) " s or more after demand last changed; it is outside if the node's "
-                    "share is off from what the tree entitles it to by more than "
-                    (TOLERANCE * 100.0) "% of its parent's guarantee, or one task if that is "
-                    "larger. Work saves in " (STASH_S) " s, workers report every " (report)
-                    " s. Reclaim: from a change of demand until every node is within its tolerance "
-                    "for three seconds."
-                }
+                (method())
                 table {
                     tr { @for head in HEAD { th { (head) } } }
                     @for row in rows(replays) {
@@ -212,22 +244,43 @@
                 ol { @for (at, name) in phases() { li { "from " (at) " s: " (name) } } }
                 h2 { "The tree" }
                 pre { (contention::TREE) }
-                @for (replay, figures) in &plots {
-                    h2 { (replay.kind.name()) ", seed " (replay.seed) }
-                    @for (level, svg) in figures {
-                        figure {
-                            (PreEscaped(svg))
-                            figcaption {
-                                b { (level.name) }
-                                ": share (blue) against entitlement (orange); off by "
-                                (format!("{:.1}", level.worst)) " at the most once settled, "
-                                (format!("{:.1}", level.allowed)) " allowed; " (level.outside)
-                                " of " (level.settled) " samples outside"
-                            }
-                        }
-                    }
+                @for plotted in &plotted {
+                    h2 { (plotted.replay.kind.name()) ", seed " (plotted.replay.seed) }
+                    @for (level, svg) in &plotted.levels { (level_figure(level, svg)) }
                 }
             }
         }
     })
 }
+
+/// The paragraph that says how the figures were taken.
+fn method() -> Markup {
+    let heartbeat_s = Config::default().timing.heartbeat.secs();
+    html! {
+        p {
+            "Simulated: three controllers in virtual time, 16 machines of 4 GPUs, a tree of "
+            "three levels and eight teams. A sample is the mean of one second of one node, taken "
+            (SETTLE_S) " s or more after demand last changed; it is outside if the node's "
+            "share is off from what the tree entitles it to by more than "
+            (TOLERANCE * 100.0) "% of its parent's guarantee, or one task if that is "
+            "larger. Work saves in " (STASH_S) " s, workers report every " (heartbeat_s)
+            " s. Reclaim: from a change of demand until every node is within its tolerance "
+            "for three seconds."
+        }
+    }
+}
+
+fn level_figure(level: &Level, svg: &str) -> Markup {
+    html! {
+        figure {
+            (PreEscaped(svg))
+            figcaption {
+                b { (level.name) }
+                ": share (blue) against entitlement (orange); off by "
+                (format!("{:.1}", level.worst)) " at the most once settled, "
+                (format!("{:.1}", level.allowed)) " allowed; " (level.outside)
+                " of " (level.settled) " samples outside"
+            }
+        }
+    }
+}
