--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -1,3 +1,7 @@
+use tokio::net::TcpListener;
+
+use super::incoming::serve_incoming;
+use super::outgoing::run_outgoing;
 use super::*;
 
 /// After a cut the other end may be gone while frames are still taken: found in a zone cut
@@ -6,19 +10,19 @@
 async fn a_connection_without_acknowledgements_is_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (sender, messages) = mpsc::channel(BACKLOG);
-    tokio::spawn(speak("n0".into(), address, messages));
-    let (unable_to_report, _) = listener.accept().await.unwrap();
+    let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    tokio::spawn(run_outgoing("n0".into(), address, messages));
+    let (unresponsive, _) = listener.accept().await.unwrap();
     for job in ["job-1", "job-2"] {
         let job = job.to_string();
         sender.send(Message::Unplaced { job }).await.unwrap();
     }
-    let (inbox, mut heard) = mpsc::channel(BACKLOG);
+    let (inbox, mut heard) = mpsc::channel(MAX_QUEUED_MESSAGES);
     tokio::spawn(async move {
-        // The first connection stays open and mute.
-        let _mute = unable_to_report;
+        // The first connection stays open and is never read.
+        let _unresponsive = unresponsive;
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(hear(stream, inbox.clone()));
+            tokio::spawn(serve_incoming(stream, inbox.clone()));
         }
     });
     let job = "job-3".to_string();
