--- /dev/null
+++ b/src/controller/heartbeats/answer.rs
@@ -0,0 +1,157 @@
+//! The response to a heartbeat: commands from the holder of the machine's shard, else a redirect.
+
+use crate::controller::Controller;
+use crate::queue::ClusterEvent;
+use crate::types::{FencingToken, MachineId, Millis, ShardId, WorkerToken};
+use crate::workers::direct_channel::starts;
+use crate::workers::reachability::HeartbeatObservation;
+use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
+use crate::workers::{Machine, shard_of};
+
+/// An agent epoch that ends within this part of the lease after an answer of ours shows that the
+/// worker did not receive the answer.
+const ANSWERED_EPOCH_LEASE_FRACTION: f64 = 0.75;
+/// A worker's clock may be this much slower than ours.
+const CLOCK_RATE_ALLOWANCE: f64 = 1.05;
+/// Seconds that a worker's timers may be late when they end an agent epoch.
+const EPOCH_END_MARGIN_S: f64 = 2.0;
+
+/// What a heartbeat was worth to us.
+enum HeartbeatOutcome {
+    /// It was sent before one that we know already.
+    Outdated,
+    /// It replaced what was known of the machine.
+    Applied {
+        /// The machine could take new tasks under our token before.
+        was_schedulable: bool,
+    },
+}
+
+impl Controller {
+    pub(in crate::controller) fn answer_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+    ) -> HeartbeatResponse {
+        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let shard = shard_of(&heartbeat.machine_id, &heartbeat.zone, shards_per_zone);
+        let Some(token) = self.token_for(&shard) else {
+            return self.answer_for_other_holder(&shard, heartbeat.worker_token);
+        };
+        let worker_token = self.worker_token(token);
+        if heartbeat.worker_token > worker_token {
+            // Another controller holds this shard under a higher token, though we have not
+            // learned of it yet.
+            return HeartbeatResponse::Redirect(None);
+        }
+        if !self.may_answer() {
+            return HeartbeatResponse::RetryLater;
+        }
+        // A holder that has not yet read what was placed before its time gives no commands: a task
+        // that has left the machine since would start there once more.
+        let complete = self.complete(&shard);
+        let commands = match self.record_heartbeat(shard, token, &heartbeat) {
+            HeartbeatOutcome::Applied { was_schedulable } if complete => {
+                self.commands_in_answer(&heartbeat.machine_id, token, was_schedulable)
+            }
+            HeartbeatOutcome::Applied { .. } | HeartbeatOutcome::Outdated => Vec::new(),
+        };
+        HeartbeatResponse::Commands {
+            worker_token,
+            commands,
+        }
+    }
+
+    /// The response to a worker whose shard we do not hold.
+    fn answer_for_other_holder(
+        &self,
+        shard: &ShardId,
+        worker_token: WorkerToken,
+    ) -> HeartbeatResponse {
+        if let Some(renewed) = self.renew_for_partitioned_holder(shard, worker_token) {
+            return renewed;
+        }
+        match self.membership.leases.shards.get(shard) {
+            Some((holder, _)) => HeartbeatResponse::Redirect(Some(holder.clone())),
+            None => HeartbeatResponse::RetryLater,
+        }
+    }
+
+    /// Takes a heartbeat in, and probes the machine at once if nothing proves that our commands
+    /// reach it.
+    fn record_heartbeat(
+        &mut self,
+        shard: ShardId,
+        token: FencingToken,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatOutcome {
+        let (now, silence) = (self.now, self.silence());
+        let lease_s = self.settings.deployment.workers.lease_s;
+        let answered_epoch_min = Millis::from_secs(lease_s * ANSWERED_EPOCH_LEASE_FRACTION);
+        let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + EPOCH_END_MARGIN_S);
+        let machine = self
+            .machines
+            .entry(heartbeat.machine_id.clone())
+            .or_insert_with(|| {
+                Machine::new(
+                    heartbeat.machine_id.clone(),
+                    heartbeat.machine_type.clone(),
+                    heartbeat.zone.clone(),
+                    heartbeat.spot,
+                    shard,
+                    self.me.clone(),
+                )
+            });
+        // Our answer may renew the worker's lease whatever the heartbeat's age.
+        let previous_answer = machine.answered.replace((token, now));
+        if !machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
+            return HeartbeatOutcome::Outdated;
+        }
+        let was_schedulable = machine.fit_under(token, now, silence);
+        let answered_just_now = previous_answer
+            .is_some_and(|(under, at)| under == token && now.since(at) < answered_epoch_min);
+        let observation = HeartbeatObservation {
+            agent_epoch: heartbeat.agent_epoch,
+            after_silence: now.since(machine.heard) > silence,
+            epoch_ended_early: heartbeat.agent_epoch > machine.agent_epoch && answered_just_now,
+            starts_shown: machine.shows_piggybacked_start(heartbeat),
+        };
+        machine
+            .reachability
+            .observe_heartbeat(observation, lease, now);
+        machine.reported = now;
+        machine.apply_heartbeat(heartbeat, now, &self.me);
+        machine.confirm_token(token, now);
+        if !machine.reachability.is_confirmed() {
+            self.probe(&heartbeat.machine_id);
+        }
+        HeartbeatOutcome::Applied { was_schedulable }
+    }
+
+    /// The commands that the response to a newer heartbeat carries.
+    fn commands_in_answer(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        was_schedulable: bool,
+    ) -> Vec<WorkerCommand> {
+        let (now, silence) = (self.now, self.silence());
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return Vec::new();
+        };
+        if machine.worker_token.token() < token {
+            // The worker's first heartbeat to us: it sees our token in the answer and reports again
+            // at once.
+            return Vec::new();
+        }
+        machine.direct.set_validity(token, machine.agent_epoch);
+        machine.direct.piggybacked_starts.clear();
+        if machine.fit(now, silence) && !was_schedulable {
+            self.wake(ClusterEvent::Machine(machine_id.clone()));
+        }
+        let commands = self.reconcile_machine(machine_id, token);
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.direct.piggybacked_starts = starts(&commands).collect();
+        }
+        commands
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeats/contact.rs
@@ -0,0 +1,93 @@
+//! A controller that receives no heartbeats gives its shards up until it reaches workers again.
+
+use crate::controller::{Controller, Effect};
+use crate::types::Millis;
+use crate::workers::Machine;
+
+/// How often a controller without heartbeats asks a worker for its state.
+const INSPECTION_INTERVAL: Millis = Millis(2_000);
+/// Added to the silence limit before the absence of all heartbeats counts: one machine may be
+/// silent for a reason of its own, and giving up shards is expensive.
+const NO_HEARTBEATS_MARGIN: Millis = Millis(2_000);
+/// With fewer machines that should report, their silence says nothing of this controller.
+const MIN_EXPECTED_MACHINES: usize = 2;
+/// A machine counts as expected if it was heard within this many times the limit: one that was
+/// silent long before the others has failed by itself.
+const EXPECTED_CONTACT_FACTOR: u64 = 4;
+
+impl Controller {
+    /// A controller that none of its workers reaches gives its shards up, and takes some again
+    /// once it reaches workers.
+    pub(in crate::controller) fn check_worker_contact(&mut self) {
+        if self.contact.receives_heartbeats {
+            self.release_shards_without_contact();
+        } else {
+            self.inspect_one_worker();
+        }
+    }
+
+    /// Asks the worker that was heard last whether it can be reached.
+    fn inspect_one_worker(&mut self) {
+        if self.now.since(self.contact.last_inspection) < INSPECTION_INTERVAL {
+            return;
+        }
+        self.contact.last_inspection = self.now;
+        let target = self
+            .machines
+            .values()
+            .filter(|machine| !self.autoscaler.fleet.gone.contains(&machine.machine_id))
+            .max_by_key(|machine| machine.heard)
+            .and_then(|machine| Some((machine.machine_id.clone(), machine.address?)));
+        if let Some((machine_id, address)) = target {
+            self.effects.push(Effect::Inspect {
+                machine_id,
+                address,
+            });
+        }
+    }
+
+    fn release_shards_without_contact(&mut self) {
+        let limit = self.silence() + NO_HEARTBEATS_MARGIN;
+        let expected = self
+            .machines
+            .values()
+            .filter(|machine| self.expects_heartbeat(machine, limit))
+            .count();
+        if expected >= MIN_EXPECTED_MACHINES
+            && self.now.since(self.contact.last_heartbeat) > limit
+            && !self.no_controller_receives_heartbeats()
+        {
+            tracing::info!(expected, "no heartbeats received, releasing shards");
+            self.contact.begin_shard_release(self.now);
+        }
+    }
+
+    /// Whether a machine has reported to us, should go on to do so, and did until lately.
+    fn expects_heartbeat(&self, machine: &Machine, limit: Millis) -> bool {
+        let moved_at = self.membership.shard_moved_at.get(&machine.shard);
+        machine.answered.is_some()
+            && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+            && self.token_for(&machine.shard).is_some()
+            && moved_at.is_none_or(|at| self.now.since(*at) > limit)
+            && self.now.since(machine.heard).0 < EXPECTED_CONTACT_FACTOR * limit.0
+    }
+
+    /// Whether every other controller has said lately that it receives no heartbeats either. Then
+    /// the workers are unable to report, and no other holder would do better with our shards.
+    fn no_controller_receives_heartbeats(&self) -> bool {
+        let members = &self.settings.members;
+        let receives_none = |label| {
+            self.recent_status(label)
+                .is_some_and(|peer| !peer.receives_heartbeats)
+        };
+        !members.is_empty() && members.iter().all(|member| receives_none(&member.label))
+    }
+
+    /// Takes in whether the worker that was asked for its state answered.
+    pub(in crate::controller) fn on_inspected(&mut self, answered: bool) {
+        if answered && !self.contact.receives_heartbeats {
+            tracing::info!("workers reachable again");
+            self.contact.restore(self.now);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -0,0 +1,151 @@
+//! Commands that a worker gets without waiting for its next heartbeat, and its answers to them.
+
+use std::net::SocketAddr;
+
+use rustc_hash::FxHashSet as HashSet;
+
+use crate::controller::{CommandReply, Controller, Effect};
+use crate::queue::ClusterEvent;
+use crate::types::{Attempt, FencingToken, MachineId, TaskId};
+use crate::workers::Machine;
+use crate::workers::wire::{Heartbeat, WorkerCommand};
+
+/// Where commands may be sent directly, and the token that fences them.
+struct DirectTarget {
+    address: SocketAddr,
+    token: FencingToken,
+}
+
+impl Controller {
+    /// Sends a worker its starts and stops without waiting for its heartbeat.
+    pub(in crate::controller) fn push_commands(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        let Some(DirectTarget { address, token }) = self.direct_target(machine) else {
+            return;
+        };
+        let commands = without_forgotten(self.reconciled(machine, token).commands);
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        if commands.is_empty() || machine.direct.in_flight {
+            machine.direct.resend |= !commands.is_empty();
+            return;
+        }
+        let agent_epoch = machine.agent_epoch;
+        machine.direct.set_validity(token, agent_epoch);
+        machine.direct.begin(&commands);
+        let (machine_id, worker_token) = (machine_id.clone(), self.worker_token(token));
+        self.effects.push(Effect::Direct {
+            machine_id,
+            address,
+            worker_token,
+            agent_epoch,
+            commands,
+        });
+    }
+
+    /// Commands go directly only to a worker that has seen our token and was heard just now: a
+    /// start that stays without an answer ties its task to the machine.
+    fn direct_target(&self, machine: &Machine) -> Option<DirectTarget> {
+        let token = self.token_for(&machine.shard)?;
+        let address = machine.address?;
+        let answered = machine.answered.is_some_and(|(under, _)| under == token);
+        let allowed = machine.worker_token.token() == token
+            && self.complete(&machine.shard)
+            && answered
+            && machine.reachability.is_confirmed()
+            && self.now.since(machine.heard) <= self.silence()
+            && self.may_answer();
+        allowed.then_some(DirectTarget { address, token })
+    }
+
+    /// Ends a direct exchange; `answer` is `None` if it stays open whether the commands were, or
+    /// will be, executed.
+    pub(in crate::controller) fn on_direct(
+        &mut self,
+        machine_id: &MachineId,
+        answer: Option<CommandReply>,
+    ) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        let exchange = machine.direct.end();
+        let Some(answer) = answer else { return };
+        machine.direct.acknowledge(&exchange.starts);
+        let shard = machine.shard.clone();
+        if let (Some(heartbeat), Some(token)) = (answer.heartbeat, self.token_for(&shard)) {
+            self.apply_direct_heartbeat(machine_id, token, &heartbeat);
+        }
+        if exchange.resend {
+            self.push_commands(machine_id);
+        }
+    }
+
+    /// Takes in the heartbeat that a worker answered direct commands with, if it is newer than
+    /// what is known.
+    fn apply_direct_heartbeat(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        heartbeat: &Heartbeat,
+    ) {
+        let (now, silence) = (self.now, self.silence());
+        let unable_to_report = self.is_unable_to_report(machine_id);
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        if heartbeat.machine_id != *machine_id
+            || heartbeat.worker_token.token() > token
+            || !machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence)
+        {
+            return;
+        }
+        let was_schedulable = machine.fit_under(token, now, silence);
+        if unable_to_report {
+            machine.reachability.mark_heartbeats_lost(now);
+        } else {
+            machine.reachability.prove();
+        }
+        if heartbeat.agent_epoch != machine.agent_epoch {
+            // The lease of an agent epoch that we did not know of runs from when it began, not from
+            // when we answered a heartbeat last.
+            machine.token_confirmed = None;
+        }
+        machine.apply_heartbeat(heartbeat, now, &self.me);
+        machine.confirm_token(token, now);
+        if machine.worker_token.token() != token {
+            return;
+        }
+        machine.direct.set_validity(token, heartbeat.agent_epoch);
+        if machine.fit(now, silence) && !was_schedulable {
+            self.wake(ClusterEvent::Machine(machine_id.clone()));
+        }
+        if unable_to_report {
+            self.evacuate_unable_to_report(machine_id);
+        }
+        let commands = self.reconcile_machine(machine_id, token);
+        if unable_to_report {
+            self.stop_where_unable_to_report(machine_id, token, commands);
+        }
+    }
+}
+
+/// The commands that may be sent directly. An attempt is forgotten, and one that waited alone is
+/// started once more, only by the answer to a heartbeat: direct commands may come minutes late.
+fn without_forgotten(mut commands: Vec<WorkerCommand>) -> Vec<WorkerCommand> {
+    let forgotten: HashSet<(TaskId, Attempt)> = commands
+        .iter()
+        .filter_map(|command| match command {
+            WorkerCommand::Forget { task, attempt } => Some((task.clone(), *attempt)),
+            _ => None,
+        })
+        .collect();
+    commands.retain(|command| match command {
+        WorkerCommand::Forget { .. } => false,
+        WorkerCommand::Start { task, attempt } => !forgotten.contains(&(task.clone(), *attempt)),
+        WorkerCommand::Stop { .. } => true,
+    });
+    commands
+}
--- /dev/null
+++ b/src/controller/heartbeats/liveness.rs
@@ -0,0 +1,89 @@
+//! How long machines have been silent, judged by the controller that receives their heartbeats.
+
+use crate::controller::Controller;
+use crate::controller::peer_messages::PeerStatus;
+use crate::types::{ControllerId, MachineId, Millis, ShardId, Zone};
+
+/// Machines that have been silent for this many times the limit are no evidence of the network's
+/// state: they failed some time ago.
+const RECENT_SILENCE_FACTOR: u64 = 8;
+/// A zone's network counts as sound only if at least this many other machines are heard.
+const MIN_HEARD_MACHINES: usize = 2;
+
+/// How long a machine has been silent, and its shard has had the same holder.
+pub(in crate::controller) struct Silence {
+    /// Time since its last sign of life, to whichever controller.
+    pub since_heard: Millis,
+    /// Time since its shard last changed hands.
+    pub held: Millis,
+}
+
+impl Silence {
+    /// Whether the worker's lease has expired, whichever controller it reported to before.
+    pub fn outlasts(&self, lease: Millis) -> bool {
+        self.since_heard.min(self.held) > lease
+    }
+}
+
+impl Controller {
+    /// The last status of another controller, if it arrived just now.
+    pub(in crate::controller) fn recent_status(
+        &self,
+        controller: &ControllerId,
+    ) -> Option<&PeerStatus> {
+        self.peers.recent_status(controller, self.now)
+    }
+
+    /// When any controller last received a sign of life of a machine, as far as we know; 0: never.
+    pub(in crate::controller) fn last_heard(&self, machine_id: &MachineId) -> Millis {
+        let known = self.machines.get(machine_id).map(|machine| machine.heard);
+        let heard = known.or_else(|| self.contact.relayed_heartbeats.get(machine_id).copied());
+        heard.unwrap_or_default()
+    }
+
+    /// How long a machine has been silent, as its shard's holder sees it; only the holder receives
+    /// its heartbeats. `None` if the holder receives no heartbeats at all, since it can't tell
+    /// either, or if nobody holds the shard.
+    pub(in crate::controller) fn silent_for(
+        &self,
+        machine_id: &MachineId,
+        shard: &ShardId,
+    ) -> Option<Silence> {
+        let (holder, _) = self.membership.leases.shards.get(shard)?;
+        if !self.holder_receives_heartbeats(holder) {
+            return None;
+        }
+        let moved_at = self.membership.shard_moved_at.get(shard);
+        Some(Silence {
+            since_heard: self.now.since(self.last_heard(machine_id)),
+            held: moved_at.map_or(self.now, |at| self.now.since(*at)),
+        })
+    }
+
+    fn holder_receives_heartbeats(&self, holder: &ControllerId) -> bool {
+        if *holder == self.me {
+            return self.contact.is_current(self.now, self.silence());
+        }
+        self.recent_status(holder)
+            .is_some_and(|peer| peer.receives_heartbeats)
+    }
+
+    /// Whether most other machines of the zone are heard: then the machine itself is silent, and
+    /// not the network to its zone.
+    pub(in crate::controller) fn zone_speaks(&self, machine_id: &MachineId, zone: &Zone) -> bool {
+        let limit = self.silence();
+        let others: Vec<Millis> = self
+            .machines
+            .values()
+            .filter(|machine| {
+                machine.zone == *zone
+                    && machine.machine_id != *machine_id
+                    && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+            })
+            .map(|machine| self.now.since(machine.heard))
+            .filter(|silent| silent.0 < RECENT_SILENCE_FACTOR * limit.0)
+            .collect();
+        let heard = others.iter().filter(|silent| **silent <= limit).count();
+        heard >= MIN_HEARD_MACHINES && heard * 3 >= others.len() * 2
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeats/observation.rs
@@ -0,0 +1,155 @@
+//! What a machine's newest heartbeat proves of its tasks, and the changes of records that follow.
+
+use std::collections::BTreeSet;
+
+use crate::controller::Controller;
+use crate::fleet::MachineTypeSpec;
+use crate::jobs::cache::{Job, TaskChange};
+use crate::queue::ClusterEvent;
+use crate::types::{FencingToken, JobId, MachineId, Millis};
+use crate::workers::reconcile::{Reconciliation, reconcile};
+use crate::workers::wire::{ExitCause, TaskStage, WorkerCommand};
+use crate::workers::{FETCH_TIMEOUT_FACTOR, Machine, TaskObservation};
+
+/// A start that was refused for lack of resources shows that the machine holds more than we know;
+/// its next heartbeats tell what.
+const REFUSED_START_PAUSE: Millis = Millis(3_000);
+
+impl Controller {
+    /// Draws from a machine's newest heartbeat what it still proves.
+    pub(in crate::controller) fn look_again(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        if let Some(token) = self.token_for(&machine.shard)
+            && self.complete(&machine.shard)
+        {
+            // The commands ride on the answer to the next heartbeat.
+            let _ = self.reconcile_machine(machine_id, token);
+        }
+    }
+
+    /// Compares a machine's newest heartbeat with the records, has the records changed as it
+    /// proves, and returns the commands for the worker.
+    pub(super) fn reconcile_machine(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+    ) -> Vec<WorkerCommand> {
+        self.record_image_use(machine_id);
+        self.drain_warned(machine_id);
+        let Some(machine) = self.machines.get(machine_id) else {
+            return Vec::new();
+        };
+        let outcome = self.reconciled(machine, token);
+        self.record_task_results(machine_id, &outcome);
+        self.attribute_failures(machine_id, &outcome.failures);
+        if !outcome.changes.is_empty() {
+            self.note_changes(outcome.changes);
+            self.wake(ClusterEvent::Freed(machine_id.clone()));
+        }
+        outcome.commands
+    }
+
+    /// A machine's newest heartbeat against the records, without any effect.
+    pub(super) fn reconciled(&self, machine: &Machine, token: FencingToken) -> Reconciliation {
+        let may_be_fetching = |job: &Job| self.may_be_fetching(job);
+        reconcile(
+            machine,
+            token,
+            &self.jobs,
+            &self.scheduler.stops,
+            may_be_fetching,
+        )
+    }
+
+    /// Whether tasks of a gang may still be fetching its image, wherever they were placed.
+    fn may_be_fetching(&self, job: &Job) -> bool {
+        let rates = self.autoscaler.type_specs.iter().map(MachineTypeSpec::rate);
+        let slowest_rate = rates.fold(f64::MAX, f64::min);
+        let fetch_s = job.spec.image_gb / slowest_rate;
+        let gang_wait_s = self.settings.deployment.workers.gang_wait_s;
+        let limit = Millis::from_secs(gang_wait_s + FETCH_TIMEOUT_FACTOR * fetch_s);
+        job.whole_gang() && self.now.since(job.settled) < limit
+    }
+
+    /// Updates the machine's own state by how tasks ended on it.
+    fn record_task_results(&mut self, machine_id: &MachineId, outcome: &Reconciliation) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        if outcome.successes > 0 {
+            machine.record_success();
+        }
+        let no_room = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::NoRoom;
+        if outcome.failures.iter().any(no_room) {
+            machine.starts_paused_until = self.now + REFUSED_START_PAUSE;
+        }
+    }
+
+    /// Failures of the tasks themselves count against job or machine; refused starts only send the
+    /// job back to the queue.
+    fn attribute_failures(&mut self, machine_id: &MachineId, failures: &[(JobId, ExitCause)]) {
+        let mut failed = BTreeSet::new();
+        for (job, cause) in failures {
+            tracing::debug!(%job, %machine_id, ?cause, "task failed");
+            if *cause == ExitCause::Error {
+                failed.insert(job.clone());
+            } else {
+                self.scheduler.failed_jobs.insert(job.clone());
+            }
+        }
+        self.tasks_failed(failed, machine_id);
+    }
+
+    /// Requests changes of tasks and commits them job by job. Changes of one job stand together.
+    pub(in crate::controller) fn note_changes(&mut self, changes: Vec<(JobId, u32, TaskChange)>) {
+        let mut jobs: Vec<JobId> = Vec::new();
+        for (job, index, change) in changes {
+            self.jobs.want(&job, index, change);
+            if jobs.last() != Some(&job) {
+                jobs.push(job);
+            }
+        }
+        for job in jobs {
+            self.commit(&job);
+        }
+    }
+
+    /// A task past its fetch shows that its image is in the machine's cache.
+    fn record_image_use(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        let cache_gb = self
+            .type_spec(&machine.machine_type)
+            .map_or(f64::MAX, |spec| spec.cache_gb);
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        let fetched = machine.tasks.iter().filter(|(_, task)| has_image(task));
+        let images: Vec<_> = fetched
+            .filter_map(|(task, _)| self.jobs.get(&task.job))
+            .map(|job| (&job.spec.image, job.spec.image_gb))
+            .collect();
+        for (image, gb) in images {
+            if let Some(coming) = machine.coming.get(image) {
+                let took_s = self.now.since(coming.last_used).secs();
+                let others = machine.coming.len() - 1;
+                tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "image fetched");
+            }
+            if machine.note_image(image, gb, cache_gb, self.now) {
+                self.scheduler.candidates.touched.push(machine_id.clone());
+            }
+        }
+    }
+}
+
+/// Whether a task as reported has its image in its machine's cache.
+fn has_image(task: &TaskObservation) -> bool {
+    match task.stage {
+        TaskStage::Fetching => false,
+        TaskStage::Exited => matches!(task.cause, Some(ExitCause::Done | ExitCause::Stopped)),
+        TaskStage::Waiting | TaskStage::Running | TaskStage::Saving => true,
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -0,0 +1,91 @@
+//! Service replicas move off machines that are being drained, one at a time.
+
+use crate::controller::Controller;
+use crate::jobs::JobKind;
+use crate::jobs::cache::Job;
+use crate::types::{Attempt, MachineId, Millis, TaskId};
+use crate::workers::Machine;
+use crate::workers::reconcile::Stop;
+
+/// Each move costs its replica a moment; one at a time keeps the service as a whole up.
+const MIGRATION_INTERVAL: Millis = Millis(20_000);
+/// A replica that just started stays where it is for this long, so that it serves between moves.
+const MIN_REPLICA_AGE: Millis = Millis(40_000);
+
+/// A replica that is to be stopped, so that it is placed elsewhere.
+struct Migration {
+    task: TaskId,
+    attempt: Attempt,
+    machine_id: MachineId,
+}
+
+impl Controller {
+    /// Stops replicas on machines that are being drained, if another machine has resources for them
+    /// and their image, so that they run again at once.
+    pub(super) fn move_replicas(&mut self) {
+        if self.now.since(self.scheduler.replica_moved_at) < MIGRATION_INTERVAL {
+            return;
+        }
+        let migrations: Vec<Migration> = self
+            .machines
+            .values()
+            .filter(|machine| self.autoscaler.drains.contains(&machine.machine_id))
+            .filter(|machine| self.token_for(&machine.shard).is_some())
+            .filter_map(|machine| self.migration_from(machine))
+            .collect();
+        for migration in migrations {
+            let Migration {
+                task,
+                attempt,
+                machine_id,
+            } = migration;
+            tracing::info!(?task, %machine_id, "replica migration started");
+            let save = false;
+            self.scheduler.stops.insert(task, Stop { attempt, save });
+            self.push_commands(&machine_id);
+            self.scheduler.replica_moved_at = self.now;
+        }
+    }
+
+    /// The first replica on a machine that can run elsewhere.
+    fn migration_from(&self, machine: &Machine) -> Option<Migration> {
+        let mut placed = self.jobs.on_machine(&machine.machine_id);
+        placed.find_map(|(id, index)| {
+            let job = self.jobs.get(id)?;
+            let placement = job.task(*index).placement()?;
+            let task = TaskId {
+                job: id.clone(),
+                index: *index,
+            };
+            let movable = self.is_settled_service(job)
+                && !self.scheduler.stops.contains_key(&task)
+                && self
+                    .machines
+                    .values()
+                    .any(|target| self.can_take_replica(target, job, machine));
+            movable.then(|| Migration {
+                task,
+                attempt: placement.attempt,
+                machine_id: machine.machine_id.clone(),
+            })
+        })
+    }
+
+    fn is_settled_service(&self, job: &Job) -> bool {
+        job.spec.kind == JobKind::Service
+            && job.active()
+            && self.now.since(job.settled) > MIN_REPLICA_AGE
+    }
+
+    fn can_take_replica(&self, target: &Machine, job: &Job, source: &Machine) -> bool {
+        // A service with several replicas is spread over zones, so each stays in its own.
+        let zone_kept = job.record.tasks == 1 || target.zone == source.zone;
+        (self.ours(target) || self.others(target))
+            && target.images.contains_key(&job.spec.image)
+            && zone_kept
+            && job
+                .spec
+                .allows(&target.machine_type, &target.zone, target.spot)
+            && job.spec.resources.fits_in(self.available(target))
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeats/sweep.rs
@@ -0,0 +1,138 @@
+//! The periodic pass over all machines: expired leases, finished stops, machines that are gone.
+
+use crate::controller::Controller;
+use crate::fleet::fetch_rate;
+use crate::jobs::cache::{Evidence, TaskChange};
+use crate::types::{FencingToken, JobId, Millis};
+use crate::workers::Machine;
+
+const SWEEP_INTERVAL: Millis = Millis(1_000);
+/// A job that was forwarded to us and stays unknown for this long is forgotten: the watch brings
+/// records well within it.
+const FORWARDED_EARLY_TTL: Millis = Millis(10_000);
+/// A machine without tasks that no controller has heard for this long is forgotten.
+pub(in crate::controller) const FORGET: Millis = Millis(120_000);
+/// A worker's clock may be this much slower than ours.
+const CLOCK_RATE_ALLOWANCE: f64 = 1.002;
+/// Seconds that a worker's timers may be late when its lease expires.
+const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
+
+impl Controller {
+    /// Expires leases of workers by our own clock, probes silent machines, and forgets what is
+    /// over.
+    pub(in crate::controller) fn detect_silent_machines(&mut self) {
+        if self.now.since(self.contact.last_sweep) < SWEEP_INTERVAL {
+            return;
+        }
+        self.contact.last_sweep = self.now;
+        self.update_quiet_machines();
+        self.fence();
+        self.probe_silent_machines();
+        self.release_tasks_of_expired_leases();
+        self.expire_image_fetches();
+        self.forget_finished_stops();
+        self.move_replicas();
+        self.expire_nominations();
+        self.forget_finished_jobs();
+        self.forget_silent_machines();
+        self.reconsider_all();
+    }
+
+    /// Releases the tasks of workers whose lease has expired: they have stopped all they ran.
+    fn release_tasks_of_expired_leases(&mut self) {
+        let lease_s = self.settings.deployment.workers.lease_s;
+        let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + LEASE_EXPIRY_MARGIN_S);
+        let mut changes = Vec::new();
+        for machine in self.machines.values() {
+            let Some(token) = self.token_for(&machine.shard) else {
+                continue;
+            };
+            // In partition mode any controller may renew the leases of our workers.
+            if self.partition.mode.on() || !machine.lease_expired(token, lease, self.now) {
+                continue;
+            }
+            changes.extend(self.releases_of(machine, token));
+        }
+        self.note_changes(changes);
+    }
+
+    /// Releases of all tasks on a machine that no change is under way for.
+    fn releases_of(
+        &self,
+        machine: &Machine,
+        token: FencingToken,
+    ) -> impl Iterator<Item = (JobId, u32, TaskChange)> {
+        let placed = self.jobs.on_machine(&machine.machine_id);
+        placed.filter_map(move |(id, index)| {
+            let job = self.jobs.get(id)?;
+            let placement = job.task(*index).placement()?;
+            let release = TaskChange::Release {
+                attempt: placement.attempt,
+                evidence: Evidence::Holder(token),
+            };
+            let due =
+                placement.agent_epoch <= machine.agent_epoch && !job.changes.contains_key(index);
+            due.then(|| (id.clone(), *index, release))
+        })
+    }
+
+    fn expire_image_fetches(&mut self) {
+        let fetching = |machine: &&mut Machine| !machine.coming.is_empty();
+        for machine in self.machines.values_mut().filter(fetching) {
+            let rate = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
+            machine.expire_fetches(rate, self.now);
+        }
+    }
+
+    /// Forgets stops of attempts that have left their machine.
+    fn forget_finished_stops(&mut self) {
+        let jobs = &self.jobs;
+        self.scheduler.stops.retain(|task, stop| {
+            jobs.get(&task.job)
+                .and_then(|job| job.task(task.index).placement())
+                .is_some_and(|placement| placement.attempt == stop.attempt)
+        });
+    }
+
+    /// Removes nominations that are past their time, or whose job waits for nothing.
+    fn expire_nominations(&mut self) {
+        let waits = |id: &JobId| {
+            self.jobs
+                .get(id)
+                .is_some_and(|job| job.active() && job.waiting() > 0)
+        };
+        let expired: Vec<JobId> = self
+            .scheduler
+            .nominations
+            .jobs
+            .iter()
+            .filter(|(id, nomination)| nomination.until <= self.now || !waits(id))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in expired {
+            self.scheduler.nominations.remove(&id);
+        }
+    }
+
+    /// Forgets what the scheduler remembers of jobs that are over.
+    fn forget_finished_jobs(&mut self) {
+        let (now, jobs) = (self.now, &self.jobs);
+        self.scheduler
+            .preemption_requests
+            .retain(|id, _| jobs.get(id).is_some());
+        self.scheduler.crash_loops.retain(|id| {
+            jobs.get(id)
+                .is_some_and(|job| job.active() && job.done == 0)
+        });
+        self.scheduler
+            .forwarded_early
+            .retain(|_, since| now.since(*since) < FORWARDED_EARLY_TTL);
+    }
+
+    fn forget_silent_machines(&mut self) {
+        let (now, jobs) = (self.now, &self.jobs);
+        self.machines.retain(|machine_id, machine| {
+            now.since(machine.heard) < FORGET || jobs.busy(machine_id)
+        });
+    }
+}
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -1,10 +1,13 @@
 use serde_json::json;
 
 use super::*;
+use crate::controller::CommandReply;
 use crate::controller::commits::tests::controller;
+use crate::controller::peer_messages::PeerStatus;
 use crate::jobs::api::{parse, tests::body};
-use crate::jobs::{Placement, Task};
-use crate::types::{AgentEpoch, Revision, WorkerToken};
+use crate::jobs::{JobKind, Placement, Task};
+use crate::types::{AgentEpoch, Attempt, FencingToken, MachineId, Revision, ShardId, WorkerToken};
+use crate::workers::Machine;
 
 /// A machine came back at once and said so in its answer to direct commands. Its last answered
 /// report was of the agent epoch before, so its lease was taken for over while its tasks ran, and
@@ -130,7 +133,7 @@
         controller.answer_heartbeat(heartbeat(heartbeat_sequence));
         assert!(!fit(&controller), "after report {heartbeat_sequence}");
     }
-    let asked = |c: &Controller| c.machines[&machine_id].direct.busy;
+    let asked = |c: &Controller| c.machines[&machine_id].direct.in_flight;
     assert!(asked(&controller), "it is asked");
     let answer = Some(heartbeat(6));
     controller.on_direct(&machine_id, Some(CommandReply { heartbeat: answer }));
--- /dev/null
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -0,0 +1,158 @@
+//! The status of another controller, applied to what we know.
+
+use super::PeerStatus;
+use crate::admission::shared::AdmissionReport;
+use crate::controller::Controller;
+use crate::peers::{MachineHeartbeat, MachineView, Status};
+use crate::queue::ClusterEvent;
+use crate::types::{
+    AgentEpoch, ControllerId, FencingToken, LeaseId, MachineId, Millis, Revision, ShardId, Zone,
+};
+use crate::workers::{CachedImage, Machine, shard_of};
+use admission_control::plan::Demand;
+
+impl Controller {
+    /// Applies the status of another controller, unless it comes from a process that has ended.
+    pub(super) fn on_status(&mut self, from: ControllerId, status: Status) {
+        if self.sender_has_ended(&status) {
+            tracing::debug!(%from, "message from ended process dropped");
+            return;
+        }
+        self.record_peer_status(&from, &status);
+        self.apply_shard_tokens(&from, status.shards);
+        for view in status.views {
+            self.apply_machine_view(&from, view);
+        }
+        let mut schedulable = Vec::new();
+        for heartbeat in status.machines {
+            schedulable.extend(self.apply_machine_heartbeat(&from, &heartbeat));
+        }
+        if self.leader() == Some(&from) {
+            self.autoscaler.drains = status.draining.into_iter().map(MachineId::from).collect();
+            self.autoscaler.drains_heard_at = self.now;
+        }
+        for machine_id in schedulable {
+            self.wake(ClusterEvent::Machine(machine_id));
+        }
+    }
+
+    /// Whether the sender's lease is over because its process has ended. A controller that lost the
+    /// key-value store has lost its lease, too, and goes on.
+    fn sender_has_ended(&self, status: &Status) -> bool {
+        let lease_over = status
+            .lease_id
+            .is_some_and(|lease_id| self.membership.leases.is_over(LeaseId(lease_id)));
+        let lost_store = Millis(status.without_store_ms) > self.settings.operator.lease;
+        lease_over && !lost_store
+    }
+
+    fn record_peer_status(&mut self, from: &ControllerId, status: &Status) {
+        let peer = PeerStatus {
+            heard: self.now,
+            revision: Revision(status.revision),
+            without_store: Millis(status.without_store_ms),
+            receives_heartbeats: status.receives_heartbeats,
+        };
+        self.peers.statuses.insert(from.clone(), peer);
+        let report = AdmissionReport {
+            obeys: Revision(status.plan),
+            demand: Demand {
+                used: status.used_milli as f64 / 1e3,
+                waiting: status.waiting as f64,
+            },
+        };
+        self.commits.admission.said.insert(from.clone(), report);
+    }
+
+    /// Another controller holds a shard under a higher token than we know of: it is ours no more.
+    fn apply_shard_tokens(&mut self, holder: &ControllerId, shards: Vec<(String, u64)>) {
+        for (shard, token) in shards {
+            let Some(shard) = ShardId::parse(&shard) else {
+                continue;
+            };
+            let token = FencingToken(token);
+            if self.membership.leases.supersede(&shard, holder, token) {
+                tracing::info!(%shard, %holder, token = token.0, "fenced by higher token");
+                self.membership.shard_moved_at.insert(shard, self.now);
+            }
+        }
+    }
+
+    /// Takes over the description of a machine, unless its shard is ours.
+    fn apply_machine_view(&mut self, from: &ControllerId, view: MachineView) {
+        let now = self.now;
+        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let machine_id = MachineId::from(view.machine_id);
+        let machine = self.machines.entry(machine_id.clone()).or_insert_with(|| {
+            let zone = Zone::from(view.zone);
+            let shard = shard_of(&machine_id, &zone, shards_per_zone);
+            let machine_type = view.machine_type.into();
+            Machine::new(
+                machine_id,
+                machine_type,
+                zone,
+                view.spot,
+                shard,
+                from.clone(),
+            )
+        });
+        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        if token.is_some() {
+            return;
+        }
+        machine.address = view.address.parse().ok().or(machine.address);
+        let cached = |(image, mb): (String, u64)| {
+            let gb = mb as f64 / 1e3;
+            (image.into(), CachedImage { last_used: now, gb })
+        };
+        machine.images = view.images.into_iter().map(cached).collect();
+        self.scheduler
+            .candidates
+            .touched
+            .push(machine.machine_id.clone());
+    }
+
+    /// Takes over what changes all the time of a machine, unless its shard is ours. Returns the
+    /// machine if that lets it take new tasks.
+    fn apply_machine_heartbeat(
+        &mut self,
+        from: &ControllerId,
+        heartbeat: &MachineHeartbeat,
+    ) -> Option<MachineId> {
+        let (now, silence) = (self.now, self.silence());
+        let machine_id = MachineId::from(heartbeat.machine_id.as_str());
+        let heard = now - Millis(heartbeat.silent_ms);
+        let Some(machine) = self.machines.get_mut(&machine_id) else {
+            // A machine that we know nothing of yet is described soon. Until then it must not be
+            // taken for one that its holder never heard.
+            self.contact.relayed_heartbeats.insert(machine_id, heard);
+            return None;
+        };
+        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        if token.is_some() {
+            return None;
+        }
+        let was_schedulable = machine.fit(now, silence);
+        machine.heard = machine.heard.max(heard);
+        machine.heard_by = from.clone();
+        let agent_epoch = AgentEpoch(heartbeat.agent_epoch);
+        if agent_epoch != machine.agent_epoch {
+            // The sequence number that we know is of another agent epoch.
+            machine.agent_epoch = agent_epoch;
+            machine.heartbeat_sequence = 0;
+        }
+        machine.reachability.set_by_holder(!heartbeat.doubtful, now);
+        machine.warned = heartbeat.warned;
+        if machine.quarantined && !heartbeat.quarantined {
+            // The jobs were faulty, not the machine.
+            self.autoscaler.drains.remove(&machine_id);
+        }
+        if heartbeat.quarantined && !machine.quarantined {
+            self.scheduler.crash_loops.quarantined(&machine_id, now);
+        }
+        machine.quarantined = heartbeat.quarantined;
+        machine.draining = heartbeat.draining;
+        let became_schedulable = !was_schedulable && machine.fit(now, silence);
+        became_schedulable.then_some(machine_id)
+    }
+}
--- /dev/null
+++ b/src/controller/peer_messages/mod.rs
@@ -0,0 +1,114 @@
+//! Messages between controllers: a status once a second, forwarded jobs, requests to preempt.
+//!
+//! [`Peers`] owns what the others said last and what they were told. `incoming_status` applies the
+//! status of another controller, `outgoing_status` builds our own.
+
+mod incoming_status;
+mod outgoing_status;
+
+use rustc_hash::FxHashMap as HashMap;
+
+use super::preemption::PreemptionScope;
+use super::{Controller, Effect};
+use crate::peers::Message;
+use crate::types::{ControllerId, JobId, MachineId, Millis, Revision};
+
+/// What another controller said holds for this long: a status comes every second, and two of them
+/// may be lost.
+const PEER_STATUS_TTL: Millis = Millis(3_000);
+
+/// What another controller said last.
+#[derive(Debug)]
+pub(super) struct PeerStatus {
+    /// When its status arrived.
+    pub(super) heard: Millis,
+    /// How new its cache was.
+    pub(super) revision: Revision,
+    /// How long it had been without the key-value store.
+    pub(super) without_store: Millis,
+    /// Whether workers reach it.
+    pub(super) receives_heartbeats: bool,
+}
+
+/// The other controllers, as far as their messages tell.
+#[derive(Debug, Default)]
+pub(super) struct Peers {
+    /// The last status of each.
+    pub(super) statuses: HashMap<ControllerId, PeerStatus>,
+    /// When we last sent ours.
+    status_sent_at: Millis,
+    /// The hash of each machine's description as the others were sent it last.
+    announced: HashMap<MachineId, u64>,
+}
+
+impl Peers {
+    /// The last status of another controller, if it is recent enough to rely on.
+    pub(super) fn recent_status(
+        &self,
+        controller: &ControllerId,
+        now: Millis,
+    ) -> Option<&PeerStatus> {
+        let status = self.statuses.get(controller);
+        status.filter(|status| now.since(status.heard) <= PEER_STATUS_TTL)
+    }
+}
+
+impl Controller {
+    /// Handles a message of another controller.
+    pub(super) fn on_peer(&mut self, from: ControllerId, message: Message) {
+        match message {
+            Message::Hello { .. } => {}
+            Message::Unplaced { job } => self.on_unplaced(&job.into()),
+            Message::Place { job, preempt } => {
+                let job = JobId::from(job);
+                if let Some(machine_id) = preempt {
+                    self.scheduler
+                        .preemption_requests
+                        .insert(job.clone(), machine_id.into());
+                }
+                self.accept_forwarded(&job);
+            }
+            Message::MakeRoom { job, machine_id } => {
+                let job = JobId::from(job);
+                if self.preempt(&job, PreemptionScope::On(machine_id.into())) {
+                    self.expect_task(&job);
+                }
+            }
+            Message::TasksDeparted(departures) => self.on_completions(departures),
+            Message::Failed { job, machine_id } => {
+                self.note_failed(&job.into(), &machine_id.into());
+            }
+            Message::Status(status) => self.on_status(from, status),
+        }
+    }
+
+    /// Another controller can't place a job. One that is queued here already keeps its position:
+    /// it must not be tried sooner than its backoff allows.
+    fn on_unplaced(&mut self, job: &JobId) {
+        if self.leading().is_some() && !self.scheduler.queue.contains(job) {
+            self.accept_forwarded(job);
+        }
+    }
+
+    /// Queues a job that was forwarded to us; as soon as it is known, if the message was faster
+    /// than the watch.
+    pub(super) fn accept_forwarded(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else {
+            self.scheduler.forwarded_early.insert(id.clone(), self.now);
+            return;
+        };
+        if job.active() && job.waiting() > 0 {
+            let order = self.order(job);
+            self.scheduler.forwarded.insert(id.clone());
+            self.scheduler.queue.activate(id, order);
+        }
+    }
+
+    /// Sends a message to every other controller.
+    fn send_to_all(&mut self, message: &Message) {
+        for member in &self.settings.members {
+            let (to, message) = (member.label.clone(), message.clone());
+            self.effects.push(Effect::Peer { to, message });
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/reachability/contact.rs
@@ -0,0 +1,84 @@
+//! Whether workers' heartbeats reach this controller at all.
+
+use rustc_hash::FxHashMap as HashMap;
+
+use crate::types::{MachineId, Millis};
+
+/// The pause before a controller that gave its shards up a second time in a row inspects workers
+/// again; it doubles each time. Where heartbeats reach no controller, shards changed hands every few
+/// seconds without it.
+const RELEASE_BACKOFF: Millis = Millis(10_000);
+/// The backoff stops growing after this many doublings.
+const MAX_RELEASE_BACKOFF_DOUBLINGS: u32 = 3;
+
+/// Whether heartbeats arrive, and from whom.
+#[derive(Debug)]
+pub(in crate::controller) struct WorkerContact {
+    /// Whether workers' heartbeats reach us; without that we can hold no shards.
+    pub(in crate::controller) receives_heartbeats: bool,
+    /// When the last heartbeat of any worker arrived.
+    pub(in crate::controller) last_heartbeat: Millis,
+    /// When a worker was last asked for its state because no heartbeats arrived. It lies ahead
+    /// while the next inspection is put off.
+    pub(in crate::controller) last_inspection: Millis,
+    /// How often in a row we gave our shards up because no worker reached us.
+    pub(in crate::controller) shard_release_streak: u32,
+    /// Most of our machines have sent no heartbeat for a while.
+    pub(in crate::controller) most_machines_quiet: bool,
+    /// When peers received heartbeats of machines that we know nothing else of yet.
+    pub(in crate::controller) relayed_heartbeats: HashMap<MachineId, Millis>,
+    /// When the last sweep over all machines began.
+    pub(in crate::controller) last_sweep: Millis,
+}
+
+impl WorkerContact {
+    /// The contact of a controller that has not heard any worker yet, and expects to.
+    pub(in crate::controller) fn new() -> Self {
+        Self {
+            receives_heartbeats: true,
+            last_heartbeat: Millis(0),
+            last_inspection: Millis(0),
+            shard_release_streak: 0,
+            most_machines_quiet: false,
+            relayed_heartbeats: HashMap::default(),
+            last_sweep: Millis(0),
+        }
+    }
+
+    /// A heartbeat arrived.
+    pub(in crate::controller) fn record_heartbeat(&mut self, now: Millis) {
+        self.last_heartbeat = now;
+        self.receives_heartbeats = true;
+        self.shard_release_streak = 0;
+    }
+
+    /// Whether heartbeats arrive, the last within `silence`.
+    pub(in crate::controller) fn is_current(&self, now: Millis, silence: Millis) -> bool {
+        self.receives_heartbeats && now.since(self.last_heartbeat) <= silence
+    }
+
+    /// No heartbeats arrive, so the shards are given up; the first inspection of a worker follows
+    /// after the backoff.
+    pub(in crate::controller) fn begin_shard_release(&mut self, now: Millis) {
+        self.receives_heartbeats = false;
+        self.last_inspection = now + release_backoff(self.shard_release_streak);
+        self.shard_release_streak += 1;
+    }
+
+    /// A worker answered an inspection, so it can be reached. The streak lasts until a heartbeat
+    /// arrives.
+    pub(in crate::controller) fn restore(&mut self, now: Millis) {
+        self.receives_heartbeats = true;
+        self.last_heartbeat = now;
+    }
+}
+
+fn release_backoff(earlier_releases: u32) -> Millis {
+    match earlier_releases {
+        0 => Millis(0),
+        releases => {
+            let doublings = (releases - 1).min(MAX_RELEASE_BACKOFF_DOUBLINGS);
+            Millis(RELEASE_BACKOFF.0 << doublings)
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/reachability/evacuation.rs
@@ -0,0 +1,144 @@
+//! Machines that must be left: those whose heartbeats are lost, so that their lease expires, and those
+//! that the cloud takes away.
+
+use crate::controller::Controller;
+use crate::controller::heartbeats::FORGET;
+use crate::jobs::JobKind;
+use crate::types::{FencingToken, MachineId, Millis, TaskId};
+use crate::workers::Machine;
+use crate::workers::reconcile::Stop;
+use crate::workers::wire::{TaskStage, WorkerCommand};
+
+/// A machine is quiet once it has sent no heartbeat for this many intervals: more than one lost.
+const QUIET_HEARTBEAT_INTERVALS: f64 = 1.6;
+/// Fewer quiet machines than this are single failures, whatever part of all they are.
+const MIN_QUIET_MACHINES: usize = 3;
+/// The machines of a shard have found its new holder after this long.
+const HOLDER_DISCOVERY_TIMEOUT: Millis = Millis(10_000);
+/// What a stop needs to reach a machine and its answer us, beyond the checkpoint itself.
+const STOP_ROUND_TRIP: Millis = Millis(7_000);
+
+impl Controller {
+    /// Notes whether most of our machines have not reported for a while. Then there is nowhere
+    /// better to place tasks, and such an outage mostly ends before the leases do, or before a lease
+    /// that begins meanwhile does: machines that answer directly are used as if they reported.
+    /// Evacuated as single machines are, nearly all tasks were stopped for nothing.
+    pub(in crate::controller) fn update_quiet_machines(&mut self) {
+        let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
+        let quiet_after = Millis::from_secs(interval_s * QUIET_HEARTBEAT_INTERVALS);
+        let (mut all, mut quiet) = (0, 0);
+        for machine in self.machines.values() {
+            let silent_for = self.now.since(machine.reported);
+            let counts = machine.reported > Millis(0) && silent_for < FORGET;
+            if counts && self.token_for(&machine.shard).is_some() {
+                all += 1;
+                quiet += usize::from(silent_for > quiet_after);
+            }
+        }
+        self.contact.most_machines_quiet = quiet >= MIN_QUIET_MACHINES && quiet * 2 >= all;
+    }
+
+    /// Whether a machine of ours has not reported for so long that its worker must be unable to. What it
+    /// answers to direct commands renews no lease.
+    pub(in crate::controller) fn is_unable_to_report(&self, machine_id: &MachineId) -> bool {
+        if self.contact.most_machines_quiet {
+            return false;
+        }
+        self.machines.get(machine_id).is_some_and(|machine| {
+            let moved_at = self.membership.shard_moved_at.get(&machine.shard);
+            let held = self.now.since(moved_at.copied().unwrap_or_default());
+            let silent = self.now.since(machine.reported) > self.silence();
+            // Taken from a holder that knew it as unable to report, it stays so until it reports.
+            silent && (held > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
+        })
+    }
+
+    /// Leaves a machine that can't report before its lease expires: tasks that have not begun there
+    /// are placed elsewhere at once, and those that run save a checkpoint while there is time for it.
+    pub(in crate::controller) fn evacuate_unable_to_report(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        let lease = Millis::from_secs(self.settings.deployment.workers.lease_s);
+        let lease_left = (machine.reported + lease).since(self.now);
+        for (task, save) in self.tasks_to_evacuate(machine, lease_left) {
+            self.stop_with_its_gang(&task, save);
+        }
+    }
+
+    /// The tasks placed on a machine that are to be stopped now, and whether each saves first.
+    fn tasks_to_evacuate(&self, machine: &Machine, lease_left: Millis) -> Vec<(TaskId, bool)> {
+        let placed = self.jobs.on_machine(&machine.machine_id);
+        placed
+            .filter_map(|(id, index)| {
+                let task = TaskId {
+                    job: id.clone(),
+                    index: *index,
+                };
+                let spec = &self.jobs.get(id)?.spec;
+                let stop_takes = Millis::from_secs(spec.save_s) + STOP_ROUND_TRIP;
+                match machine.tasks.get(&task).map(|observed| observed.stage) {
+                    None => Some((task, false)),
+                    Some(TaskStage::Running)
+                        if spec.checkpoint_s > 0.0 && lease_left < stop_takes =>
+                    {
+                        Some((task, true))
+                    }
+                    Some(_) => None,
+                }
+            })
+            .collect()
+    }
+
+    /// Has a task stopped where it was placed; of a gang all tasks, since they save together.
+    fn stop_with_its_gang(&mut self, task: &TaskId, save: bool) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let gang = job.spec.kind == JobKind::Gang;
+        let attempts = job
+            .placements()
+            .filter(|(index, _)| gang || *index == task.index)
+            .map(|(index, placement)| (index, placement.attempt));
+        for (index, attempt) in attempts {
+            let job = task.job.clone();
+            self.scheduler
+                .stops
+                .insert(TaskId { job, index }, Stop { attempt, save });
+        }
+    }
+
+    /// The cloud takes the machine away: running tasks that can save a checkpoint are stopped for it.
+    pub(in crate::controller) fn drain_warned(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id).filter(|m| m.warned) else {
+            return;
+        };
+        let saves = |task: &TaskId| {
+            let job = self.jobs.get(&task.job);
+            job.is_some_and(|job| job.spec.checkpoint_s > 0.0)
+        };
+        let stopped: Vec<TaskId> = machine
+            .tasks
+            .iter()
+            .filter(|(task, observed)| observed.stage == TaskStage::Running && saves(task))
+            .map(|(task, _)| task.clone())
+            .collect();
+        for task in stopped {
+            self.stop_with_its_gang(&task, true);
+        }
+    }
+
+    /// Sends only the stops among commands to a machine that can't report: what is started there
+    /// ends with its lease.
+    pub(in crate::controller) fn stop_where_unable_to_report(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        mut commands: Vec<WorkerCommand>,
+    ) {
+        commands.retain(|command| matches!(command, WorkerCommand::Stop { .. }));
+        if !commands.is_empty() && self.may_answer() {
+            self.send_direct(machine_id, token, commands);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/reachability/probes.rs
@@ -0,0 +1,94 @@
+//! Probes: commands that carry nothing but our token. The answer to one is new, and proves that
+//! commands arrive.
+
+use crate::controller::heartbeats::FORGET;
+use crate::controller::{Controller, Effect};
+use crate::types::{FencingToken, MachineId, Millis};
+use crate::workers::wire::WorkerCommand;
+
+/// A machine in doubt is probed this often.
+const PROBE_INTERVAL: Millis = Millis(2_500);
+/// Of the machines that fell silent, at most this many are probed in a sweep: most have failed, and
+/// each holds a connection until its probe times out.
+const MAX_SILENT_PROBES: usize = 32;
+
+impl Controller {
+    /// Probes machines of ours that fell silent: they may be there all the same.
+    pub(in crate::controller) fn probe_silent_machines(&mut self) {
+        let (now, silence) = (self.now, self.silence());
+        let silent: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|machine| {
+                let ours = self.token_for(&machine.shard) == Some(machine.worker_token.token());
+                let silent_for = now.since(machine.heard);
+                ours && silent_for > silence
+                    && silent_for < FORGET
+                    && !machine.reachability.doubtful(now, silence)
+                    && now.since(machine.direct.probed_at) >= PROBE_INTERVAL
+            })
+            .map(|machine| machine.machine_id.clone())
+            .take(MAX_SILENT_PROBES)
+            .collect();
+        for machine_id in silent {
+            self.probe(&machine_id);
+        }
+    }
+
+    /// Shows our token to the machines of our shards that have not seen it: until then they may go
+    /// on reporting to an earlier holder, who may not know that it lost the shard. Probes machines
+    /// whose heartbeats arrive while nothing confirms that commands do.
+    pub(in crate::controller) fn fence(&mut self) {
+        let (now, silence) = (self.now, self.silence());
+        let targets: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|machine| {
+                let Some(token) = self.token_for(&machine.shard) else {
+                    return false;
+                };
+                let token_unseen = machine.worker_token < self.worker_token(token);
+                let probe_due = now.since(machine.direct.probed_at) >= PROBE_INTERVAL;
+                token_unseen || probe_due && machine.reachability.doubtful(now, silence)
+            })
+            .map(|machine| machine.machine_id.clone())
+            .collect();
+        for machine_id in targets {
+            self.probe(&machine_id);
+        }
+    }
+
+    /// Sends a machine of ours nothing but our token.
+    pub(in crate::controller) fn probe(&mut self, machine_id: &MachineId) {
+        let machine = self.machines.get(machine_id);
+        if let Some(token) = machine.and_then(|machine| self.token_for(&machine.shard)) {
+            self.send_direct(machine_id, token, Vec::new());
+        }
+    }
+
+    /// Sends a machine commands that start nothing, unless an exchange is under way.
+    pub(super) fn send_direct(
+        &mut self,
+        machine_id: &MachineId,
+        token: FencingToken,
+        commands: Vec<WorkerCommand>,
+    ) {
+        let worker_token = self.worker_token(token);
+        let gone = self.autoscaler.fleet.gone.contains(machine_id);
+        let machine = self.machines.get_mut(machine_id);
+        let Some(machine) = machine.filter(|machine| !machine.direct.in_flight && !gone) else {
+            return;
+        };
+        let Some(address) = machine.address else {
+            return;
+        };
+        machine.direct.begin_without_starts(self.now);
+        self.effects.push(Effect::Direct {
+            machine_id: machine_id.clone(),
+            address,
+            worker_token,
+            agent_epoch: machine.agent_epoch,
+            commands,
+        });
+    }
+}
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -54,7 +54,7 @@
     controller.answer_heartbeat(heartbeat(&id, 1, &["running"]));
     let machine = controller.machines.get_mut(&MachineId::from(HOST)).unwrap();
     machine.reachability.prove();
-    machine.direct.busy = false;
+    machine.direct.in_flight = false;
     // What rode on the answer was dropped.
     machine.direct.piggybacked_starts.clear();
     controller.effects.clear();
@@ -98,7 +98,7 @@
             machine
                 .unwrap()
                 .reachability
-                .unable_to_report(controller.now);
+                .mark_heartbeats_lost(controller.now);
         }
         let shard = ShardId::parse("a.0").unwrap();
         controller
@@ -169,7 +169,7 @@
     for (after, asked) in [(1, false), (2, true)] {
         let (mut controller, _) = reported();
         controller.now = Millis(REPORTED + controller.silence().0 - 1 + after);
-        controller.ask_silent();
+        controller.probe_silent_machines();
         let sent = controller.effects.iter();
         let asks = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
         assert_eq!(sent.filter(asks).count(), usize::from(asked), "{after}");
@@ -202,7 +202,7 @@
             controller.machines.insert(other.machine_id.clone(), other);
         }
         controller.now = Millis(at);
-        controller.note_quiet();
+        controller.update_quiet_machines();
         answers(&mut controller, heartbeat(&id, 2, &["running"]), at);
         let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
         assert_eq!(fit, used, "{quiet_ones} of {machines}");
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -1,4 +1,4 @@
-//! Orders sent to workers directly.
+//! The requests of the protocol between a controller and a worker: commands, and an inspection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,12 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, WorkerToken};
 
-const LIMIT: Duration = Duration::from_secs(3);
+/// A worker answers at once; a later answer would be of little use to the controller's decisions.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// Commands as they are written on the wire.
 #[derive(Serialize)]
-struct Body<'a> {
+struct CommandsBody<'a> {
     #[serde(rename = "baton")]
     worker_token: WorkerToken,
     #[serde(rename = "shift")]
@@ -31,18 +33,18 @@
     agent_epoch: AgentEpoch,
     commands: Vec<WorkerCommand>,
 ) -> Option<CommandReply> {
-    let body = Body {
+    let body = CommandsBody {
         worker_token,
-        agent_epoch: agent_epoch,
+        agent_epoch,
         commands: &commands,
     };
     let body = serde_json::to_vec(&body).ok()?;
     let (status, body) = client
         .at(address)
-        .call(Method::POST, "/do", body, LIMIT)
+        .call(Method::POST, "/do", body, RESPONSE_TIMEOUT)
         .await
         .ok()?;
-    // 409 and 400 mean that nothing was executed; they settle the matter just the same.
+    // 409 and 400 mean that nothing was executed, which is as clear as 200.
     matches!(status, 200 | 400 | 409).then(|| CommandReply {
         heartbeat: serde_json::from_slice::<Heartbeat>(&body).ok(),
     })
@@ -50,9 +52,9 @@
 
 /// Whether a worker answers.
 pub async fn inspect(client: HttpClient, address: SocketAddr) -> bool {
-    let asked = client
+    let response = client
         .at(address)
-        .call(Method::GET, "/inspect", Vec::new(), LIMIT)
+        .call(Method::GET, "/inspect", Vec::new(), RESPONSE_TIMEOUT)
         .await;
-    asked.is_ok_and(|(status, _)| status == 200)
+    response.is_ok_and(|(status, _)| status == 200)
 }
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -1,8 +1,8 @@
 //! The actor that sends workers their commands directly, a bounded number at a time.
 //!
-//! Orders go before mere shows of a token, of which there is one for each machine of a shard that
-//! changes hands, many of them perhaps unreachable. There is never more than one exchange for a
-//! machine, so no more wait here than there are machines.
+//! Commands go before probes, which only show our token. There is a probe for each machine of a
+//! shard that changes hands, and many of these machines may be unreachable. There is never more than
+//! one exchange for a machine, so no more requests wait here than there are machines.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,39 +16,61 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, MachineId, Millis, WorkerToken};
 
-/// Orders that waited for longer were decided on an old heartbeat: they ride on the next answer.
-const WAITS: Millis = Millis(2_000);
-/// Of what is under way at a time, the part for mere shows of a token.
-const SHOWS: f64 = 0.5;
+/// Commands that waited for longer were decided on an outdated heartbeat: they ride on the next
+/// answer.
+const COMMANDS_TIMEOUT: Millis = Millis(2_000);
+/// The part of the exchanges under way that probes may take, so that commands find room at once.
+const MAX_PROBE_SHARE: f64 = 0.5;
 
 /// What is to be sent to a worker.
 pub struct DirectRequest {
+    /// The machine whose worker is meant.
     pub machine_id: MachineId,
+    /// Where the worker takes commands directly.
     pub address: SocketAddr,
+    /// What to send.
     pub what: DirectRequestKind,
 }
 
+/// The kinds of requests to a worker.
 pub enum DirectRequestKind {
+    /// Commands; without any, the request is a probe that only shows the token.
     Orders {
+        /// The token that fences the commands.
         worker_token: WorkerToken,
+        /// The agent epoch that they are meant for; the worker refuses them in any other.
         agent_epoch: AgentEpoch,
+        /// The commands, in the order of their execution.
         commands: Vec<WorkerCommand>,
     },
     /// Asks for its heartbeat.
     Inspect,
 }
 
-/// What came of it.
+/// What came of a request.
 pub enum DirectResponse {
+    /// The answer to commands; `None` if it stays open whether they were, or will be, executed.
     Commands(MachineId, Option<CommandReply>),
+    /// Whether a worker answered an inspection.
     Inspected(bool),
 }
 
+/// Which limits a request counts against.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RequestClass {
+    /// It carries commands, or inspects a worker.
+    Command,
+    /// It only shows a token.
+    Probe,
+}
+
 impl DirectRequest {
-    fn shows(&self) -> bool {
+    fn class(&self) -> RequestClass {
         match &self.what {
-            DirectRequestKind::Orders { commands, .. } => commands.is_empty(),
-            DirectRequestKind::Inspect => false,
+            DirectRequestKind::Orders { commands, .. } if commands.is_empty() => {
+                RequestClass::Probe
+            }
+            DirectRequestKind::Orders { .. } | DirectRequestKind::Inspect => RequestClass::Command,
         }
     }
 
@@ -61,61 +83,93 @@
             DirectRequestKind::Inspect => DirectResponse::Inspected(false),
         }
     }
+
+    async fn exchange(self, client: HttpClient) -> DirectResponse {
+        match self.what {
+            DirectRequestKind::Orders {
+                worker_token,
+                agent_epoch,
+                commands,
+            } => {
+                let reply = client::send(client, self.address, worker_token, agent_epoch, commands);
+                DirectResponse::Commands(self.machine_id, reply.await)
+            }
+            DirectRequestKind::Inspect => {
+                DirectResponse::Inspected(client::inspect(client, self.address).await)
+            }
+        }
+    }
+}
+
+/// A request that leaves the queue.
+enum Dequeued {
+    /// It is to be sent.
+    Send(DirectRequest),
+    /// It waited for too long, and is not to be sent.
+    Expired(DirectRequest),
 }
 
-/// Which requests may leave.
-struct Turns {
+/// Requests that wait, each with the time since when, and the count of those under way.
+struct RequestQueue {
     commands: VecDeque<(Millis, DirectRequest)>,
-    shows: VecDeque<(Millis, DirectRequest)>,
-    most: usize,
-    under_way: usize,
-    shows_under_way: usize,
+    probes: VecDeque<(Millis, DirectRequest)>,
+    max_in_flight: usize,
+    in_flight: usize,
+    probes_in_flight: usize,
 }
 
-impl Turns {
-    fn new(most: usize) -> Self {
+impl RequestQueue {
+    fn new(max_in_flight: usize) -> Self {
         Self {
             commands: VecDeque::new(),
-            shows: VecDeque::new(),
-            most,
-            under_way: 0,
-            shows_under_way: 0,
+            probes: VecDeque::new(),
+            max_in_flight,
+            in_flight: 0,
+            probes_in_flight: 0,
         }
     }
 
     fn push(&mut self, request: DirectRequest, now: Millis) {
-        if request.shows() {
-            self.shows.push_back((now, request));
-        } else {
-            self.commands.push_back((now, request));
-        }
+        let queue = match request.class() {
+            RequestClass::Command => &mut self.commands,
+            RequestClass::Probe => &mut self.probes,
+        };
+        queue.push_back((now, request));
     }
 
-    /// The next request, and whether it came too late to be sent.
-    fn next(&mut self, now: Millis) -> Option<(DirectRequest, bool)> {
-        if let Some((since, _)) = self.commands.front() {
-            let late = now.since(*since) > WAITS;
-            if late || self.under_way < self.most {
-                self.under_way += usize::from(!late);
-                return self
-                    .commands
-                    .pop_front()
-                    .map(|(_, request)| (request, late));
-            }
+    /// The next request that expired or may leave, commands first.
+    fn next(&mut self, now: Millis) -> Option<Dequeued> {
+        self.next_command(now).or_else(|| self.next_probe())
+    }
+
+    fn next_command(&mut self, now: Millis) -> Option<Dequeued> {
+        let (since, _) = self.commands.front()?;
+        if now.since(*since) > COMMANDS_TIMEOUT {
+            let (_, request) = self.commands.pop_front()?;
+            return Some(Dequeued::Expired(request));
         }
-        let most_shows = ((self.most as f64 * SHOWS) as usize).max(1);
-        if self.under_way >= self.most || self.shows_under_way >= most_shows {
+        if self.in_flight >= self.max_in_flight {
             return None;
         }
-        let (_, request) = self.shows.pop_front()?;
-        self.under_way += 1;
-        self.shows_under_way += 1;
-        Some((request, false))
+        let (_, request) = self.commands.pop_front()?;
+        self.in_flight += 1;
+        Some(Dequeued::Send(request))
     }
 
-    fn done(&mut self, show: bool) {
-        self.under_way -= 1;
-        self.shows_under_way -= usize::from(show);
+    fn next_probe(&mut self) -> Option<Dequeued> {
+        let max_probes = ((self.max_in_flight as f64 * MAX_PROBE_SHARE) as usize).max(1);
+        if self.in_flight >= self.max_in_flight || self.probes_in_flight >= max_probes {
+            return None;
+        }
+        let (_, request) = self.probes.pop_front()?;
+        self.in_flight += 1;
+        self.probes_in_flight += 1;
+        Some(Dequeued::Send(request))
+    }
+
+    fn finish(&mut self, class: RequestClass) {
+        self.in_flight -= 1;
+        self.probes_in_flight -= usize::from(class == RequestClass::Probe);
     }
 }
 
@@ -126,18 +180,21 @@
 }
 
 impl DirectClient {
-    /// `outcomes` holds as much as this sends on: one for each machine at the most.
+    /// Starts the actor, which has at most `max_in_flight` exchanges under way. `responses` holds as
+    /// much as this sends on: one for each machine at most.
     pub fn start(
         client: HttpClient,
-        most: usize,
+        max_in_flight: usize,
         clock: Clock,
-        outcomes: mpsc::UnboundedSender<DirectResponse>,
+        responses: mpsc::UnboundedSender<DirectResponse>,
     ) -> Self {
         let (requests, inbox) = mpsc::unbounded_channel();
-        tokio::spawn(run(client, Turns::new(most), clock, inbox, outcomes));
+        let queue = RequestQueue::new(max_in_flight);
+        tokio::spawn(run(client, queue, clock, inbox, responses));
         Self { requests }
     }
 
+    /// Queues a request; its response comes on the channel given at the start.
     pub fn send(&self, request: DirectRequest) {
         // The actor ends only with the process.
         let _ = self.requests.send(request);
@@ -146,50 +203,36 @@
 
 async fn run(
     client: HttpClient,
-    mut turns: Turns,
+    mut queue: RequestQueue,
     clock: Clock,
     mut inbox: mpsc::UnboundedReceiver<DirectRequest>,
-    outcomes: mpsc::UnboundedSender<DirectResponse>,
+    responses: mpsc::UnboundedSender<DirectResponse>,
 ) {
-    // No more than `most` are under way.
-    let (done, mut ended) = mpsc::unbounded_channel();
+    // Holds at most one entry for each exchange under way.
+    let (finished, mut finished_inbox) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
-            Some(show) = ended.recv() => turns.done(show),
+            Some(class) = finished_inbox.recv() => queue.finish(class),
             request = inbox.recv() => match request {
-                Some(request) => turns.push(request, clock.now()),
+                Some(request) => queue.push(request, clock.now()),
                 None => return,
             },
         }
-        while let Some((request, late)) = turns.next(clock.now()) {
-            if late {
-                let _ = outcomes.send(request.unsent());
-                continue;
-            }
-            let (client, outcomes, done) = (client.clone(), outcomes.clone(), done.clone());
+        while let Some(dequeued) = queue.next(clock.now()) {
+            let request = match dequeued {
+                Dequeued::Send(request) => request,
+                Dequeued::Expired(request) => {
+                    let _ = responses.send(request.unsent());
+                    continue;
+                }
+            };
+            let (client, responses, finished) =
+                (client.clone(), responses.clone(), finished.clone());
             tokio::spawn(async move {
-                let show = request.shows();
-                let DirectRequest {
-                    machine_id,
-                    address,
-                    what,
-                } = request;
-                let outcome = match what {
-                    DirectRequestKind::Orders {
-                        worker_token,
-                        agent_epoch,
-                        commands,
-                    } => {
-                        let sent =
-                            client::send(client, address, worker_token, agent_epoch, commands);
-                        DirectResponse::Commands(machine_id, sent.await)
-                    }
-                    DirectRequestKind::Inspect => {
-                        DirectResponse::Inspected(client::inspect(client, address).await)
-                    }
-                };
-                let _ = outcomes.send(outcome);
-                let _ = done.send(show);
+                let class = request.class();
+                let response = request.exchange(client).await;
+                let _ = responses.send(response);
+                let _ = finished.send(class);
             });
         }
     }
--- a/src/workers/direct/tests.rs
+++ b/src/workers/direct/tests.rs
@@ -4,14 +4,14 @@
 fn request(name: &str, commands: bool) -> DirectRequest {
     let task = TaskId::parse("job-1/0").unwrap();
     let attempt = Attempt(1);
-    let order = WorkerCommand::Start { task, attempt };
+    let command = WorkerCommand::Start { task, attempt };
     DirectRequest {
         machine_id: name.into(),
         address: ([127, 0, 0, 1], 9).into(),
         what: DirectRequestKind::Orders {
             worker_token: WorkerToken::of(FencingToken(1)),
             agent_epoch: AgentEpoch(1),
-            commands: if commands { vec![order] } else { Vec::new() },
+            commands: if commands { vec![command] } else { Vec::new() },
         },
     }
 }
@@ -20,14 +20,17 @@
 /// behind a cut: each took a socket for seconds, and starts waited for them.
 #[test]
 fn shows_of_a_token_take_half_of_the_turns_and_late_commands_none() {
-    let mut turns = Turns::new(4);
+    let mut queue = RequestQueue::new(4);
     for index in 0..5 {
-        turns.push(request(&format!("s{index}"), false), Millis(0));
+        queue.push(request(&format!("s{index}"), false), Millis(0));
     }
-    let leave = |turns: &mut Turns, at: u64| -> Vec<(String, bool)> {
-        let next = std::iter::from_fn(|| turns.next(Millis(at)));
-        next.map(|(request, late)| (request.machine_id.to_string(), late))
-            .collect()
+    let leave = |queue: &mut RequestQueue, at: u64| -> Vec<(String, bool)> {
+        let next = std::iter::from_fn(|| queue.next(Millis(at)));
+        next.map(|dequeued| match dequeued {
+            Dequeued::Send(request) => (request.machine_id.to_string(), false),
+            Dequeued::Expired(request) => (request.machine_id.to_string(), true),
+        })
+        .collect()
     };
     let named = |names: &[(&str, bool)]| -> Vec<(String, bool)> {
         names
@@ -35,19 +38,19 @@
             .map(|(name, late)| (name.to_string(), *late))
             .collect()
     };
-    assert_eq!(leave(&mut turns, 0), named(&[("s0", false), ("s1", false)]));
+    assert_eq!(leave(&mut queue, 0), named(&[("s0", false), ("s1", false)]));
     for index in 0..3 {
-        turns.push(request(&format!("o{index}"), true), Millis(10));
+        queue.push(request(&format!("o{index}"), true), Millis(10));
     }
     assert_eq!(
-        leave(&mut turns, 10),
+        leave(&mut queue, 10),
         named(&[("o0", false), ("o1", false)])
     );
-    turns.done(true);
-    assert_eq!(leave(&mut turns, 20), named(&[("o2", false)]));
-    turns.push(request("o3", true), Millis(30));
-    assert_eq!(leave(&mut turns, 2_030), named(&[]));
-    assert_eq!(leave(&mut turns, 2_031), named(&[("o3", true)]));
-    turns.done(false);
-    assert_eq!(leave(&mut turns, 2_032), named(&[("s2", false)]));
+    queue.finish(RequestClass::Probe);
+    assert_eq!(leave(&mut queue, 20), named(&[("o2", false)]));
+    queue.push(request("o3", true), Millis(30));
+    assert_eq!(leave(&mut queue, 2_030), named(&[]));
+    assert_eq!(leave(&mut queue, 2_031), named(&[("o3", true)]));
+    queue.finish(RequestClass::Command);
+    assert_eq!(leave(&mut queue, 2_032), named(&[("s2", false)]));
 }
--- /dev/null
+++ b/src/workers/failures.rs
@@ -0,0 +1,52 @@
+//! Failures of tasks on a machine, and when they put it in quarantine.
+
+use super::machine::Machine;
+use crate::types::{JobId, Millis};
+
+/// A machine is quarantined once tasks of this many jobs failed on it in a row: one job may be
+/// faulty itself.
+const QUARANTINE_FAILED_JOBS: usize = 2;
+/// A machine is also quarantined after this many tries that failed in a row, though the jobs are
+/// crash-looping themselves: a job that has nowhere else to go is tried on faulty machines again
+/// and again.
+const QUARANTINE_FAILED_TRIES: u32 = 4;
+/// Tasks that fail closer together than this were started together, and count as one try.
+const SAME_TRY_WINDOW: Millis = Millis(5_000);
+
+/// Tries of a job that failed on a machine in a row, and when the last of them did first.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FailureStreak {
+    tries: u32,
+    last_try: Millis,
+}
+
+impl FailureStreak {
+    fn record(&mut self, now: Millis) {
+        if self.tries == 0 || now.since(self.last_try) > SAME_TRY_WINDOW {
+            self.tries += 1;
+            self.last_try = now;
+        }
+    }
+}
+
+impl Machine {
+    /// A task of a job failed here.
+    pub fn note_failure(&mut self, job: &JobId, now: Millis) {
+        self.failed.entry(job.clone()).or_default().record(now);
+    }
+
+    /// Decides anew whether the machine fails tasks, or the jobs do. `crash_looping` tells which
+    /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any sound machine that
+    /// they are tried on.
+    pub fn judge(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
+        let sound_jobs = self.failed.keys().filter(|job| !crash_looping(job)).count();
+        let tries: u32 = self.failed.values().map(|streak| streak.tries).sum();
+        self.quarantined = sound_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
+    }
+
+    /// A task succeeded here, so the machine is sound.
+    pub fn record_success(&mut self) {
+        self.failed.clear();
+        self.quarantined = false;
+    }
+}
--- /dev/null
+++ b/src/workers/machine.rs
@@ -0,0 +1,210 @@
+//! A machine as this controller knows it: identity, contact, condition, tasks and image cache.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use rustc_hash::FxHashMap as HashMap;
+
+use super::direct_channel::DirectChannel;
+use super::failures::FailureStreak;
+use super::image_cache::CachedImage;
+use super::reachability::Reachability;
+use super::wire::{ExitCause, Heartbeat, TaskStage, TaskStatus};
+use crate::types::{
+    AgentEpoch, Attempt, ControllerId, FencingToken, Image, JobId, MachineId, MachineTypeId,
+    Millis, ShardId, TaskId, WorkerToken, Zone,
+};
+
+/// A task as its machine reported it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskObservation {
+    /// The attempt that the machine runs, or ran.
+    pub attempt: Attempt,
+    /// How far the attempt is.
+    pub stage: TaskStage,
+    /// Why it exited, if it did.
+    pub cause: Option<ExitCause>,
+}
+
+/// A machine as this controller knows it, from its worker's heartbeats or from another controller.
+#[derive(Clone, Debug)]
+pub struct Machine {
+    /// The machine's name.
+    pub machine_id: MachineId,
+    /// The type it was scaled out as.
+    pub machine_type: MachineTypeId,
+    /// Where it stands.
+    pub zone: Zone,
+    /// The cloud may take it away at short notice.
+    pub spot: bool,
+    /// The shard it belongs to, by [`shard_of`](super::shard_of).
+    pub shard: ShardId,
+    /// The worker's newest known agent epoch; a new one begins whenever its lease expires.
+    pub agent_epoch: AgentEpoch,
+    /// The number of the newest known heartbeat within that epoch.
+    pub heartbeat_sequence: u64,
+    /// The token that the worker had seen when it last reported to us.
+    pub worker_token: WorkerToken,
+    /// The token of ours under which we answered a heartbeat last, and when that was received.
+    pub answered: Option<(FencingToken, Millis)>,
+    /// The token of ours that the worker was first known to have seen, and since when. Until then
+    /// an earlier holder's answers may have renewed its lease.
+    pub token_confirmed: Option<(FencingToken, Millis)>,
+    /// When any controller last received a heartbeat that counts as a sign of life.
+    pub heard: Millis,
+    /// When we last received a heartbeat, rather than only an answer to direct commands.
+    pub reported: Millis,
+    /// In which directions messages arrive.
+    pub reachability: Reachability,
+    /// The controller that received the last sign of life.
+    pub heard_by: ControllerId,
+    /// The tasks in the newest heartbeat.
+    pub tasks: BTreeMap<TaskId, TaskObservation>,
+    /// The cloud has announced that it will take the machine away.
+    pub warned: bool,
+    /// Jobs whose tasks failed here since the last success.
+    pub failed: BTreeMap<JobId, FailureStreak>,
+    /// Tasks fail here for reasons of the machine: it gets none.
+    pub quarantined: bool,
+    /// The leader wants to scale it in.
+    pub draining: bool,
+    /// A start was refused for lack of resources: no more until then.
+    pub starts_paused_until: Millis,
+    /// Where the worker takes commands directly.
+    pub address: Option<SocketAddr>,
+    /// The exchange of direct commands with the worker.
+    pub direct: DirectChannel,
+    /// Images in the cache.
+    pub images: HashMap<Image, CachedImage>,
+    /// Images that tasks placed here wait for, as far as we placed them.
+    pub coming: HashMap<Image, CachedImage>,
+}
+
+impl Machine {
+    /// A machine of which nothing is known but what it is, and which controller told of it.
+    #[must_use]
+    pub fn new(
+        machine_id: MachineId,
+        machine_type: MachineTypeId,
+        zone: Zone,
+        spot: bool,
+        shard: ShardId,
+        heard_by: ControllerId,
+    ) -> Self {
+        Self {
+            machine_id,
+            machine_type,
+            zone,
+            spot,
+            shard,
+            agent_epoch: AgentEpoch(0),
+            heartbeat_sequence: 0,
+            worker_token: WorkerToken(0),
+            answered: None,
+            token_confirmed: None,
+            heard: Millis(0),
+            reported: Millis(0),
+            reachability: Reachability::default(),
+            heard_by,
+            tasks: BTreeMap::new(),
+            warned: false,
+            failed: BTreeMap::new(),
+            quarantined: false,
+            draining: false,
+            starts_paused_until: Millis(0),
+            address: None,
+            direct: DirectChannel::default(),
+            images: HashMap::default(),
+            coming: HashMap::default(),
+        }
+    }
+
+    /// Whether a heartbeat is newer than what is known. The list of tasks in a late one is outdated.
+    #[must_use]
+    pub fn newer(&self, agent_epoch: AgentEpoch, heartbeat_sequence: u64) -> bool {
+        (agent_epoch, heartbeat_sequence) > (self.agent_epoch, self.heartbeat_sequence)
+    }
+
+    /// Takes in a heartbeat that is known to be newer. It is a sign of life only if commands are
+    /// known to arrive: a copy may come long after the machine is gone.
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis, by: &ControllerId) {
+        self.agent_epoch = heartbeat.agent_epoch;
+        self.heartbeat_sequence = heartbeat.heartbeat_sequence;
+        self.worker_token = heartbeat.worker_token;
+        if self.reachability.is_confirmed() || self.heard == Millis(0) {
+            self.heard = now;
+        }
+        self.heard_by = by.clone();
+        // An earlier holder of the shard said so. Kept, it would exclude the machine for ever.
+        self.draining = false;
+        self.address = heartbeat.address.parse().ok();
+        self.warned = heartbeat.warning_s.is_some();
+        self.tasks = heartbeat.tasks.iter().filter_map(observation).collect();
+    }
+
+    /// Notes that the worker has seen our token, if its last heartbeat shows that.
+    pub fn confirm_token(&mut self, token: FencingToken, now: Millis) {
+        let confirmed = self.token_confirmed.is_some_and(|(seen, _)| seen == token);
+        if self.worker_token.token() >= token && !confirmed {
+            self.token_confirmed = Some((token, now));
+        }
+    }
+
+    /// Whether the worker's lease has expired by our clock: no controller's answer has renewed it
+    /// for so long. From when it saw our token it dropped the answers of all others, and before
+    /// that nobody can tell when it was answered last.
+    #[must_use]
+    pub fn lease_expired(&self, token: FencingToken, lease: Millis, now: Millis) -> bool {
+        let under_token =
+            |at: Option<(FencingToken, Millis)>| at.filter(|(under, _)| *under == token);
+        let Some((_, confirmed)) = under_token(self.token_confirmed) else {
+            return false;
+        };
+        let renewed =
+            under_token(self.answered).map_or(confirmed, |(_, answered)| answered.max(confirmed));
+        now.since(renewed) > lease
+    }
+
+    /// Whether a heartbeat shows any of the starts that rode on the answer to the last one; `None`
+    /// if there were none, or the worker began a new agent epoch since.
+    #[must_use]
+    pub fn shows_piggybacked_start(&self, heartbeat: &Heartbeat) -> Option<bool> {
+        let piggybacked_starts = &self.direct.piggybacked_starts;
+        if piggybacked_starts.is_empty() || heartbeat.agent_epoch != self.agent_epoch {
+            return None;
+        }
+        let shown = |status: &TaskStatus| {
+            let start = TaskId::parse(&status.task).map(|task| (task, status.attempt));
+            start.is_some_and(|start| piggybacked_starts.contains(&start))
+        };
+        Some(heartbeat.tasks.iter().any(shown))
+    }
+
+    /// Whether the machine's own condition lets it take new tasks. It must have been heard within
+    /// `silence`.
+    #[must_use]
+    pub fn fit(&self, now: Millis, silence: Millis) -> bool {
+        self.reachability.is_confirmed()
+            && !self.warned
+            && !self.quarantined
+            && !self.draining
+            && now >= self.starts_paused_until
+            && now.since(self.heard) <= silence
+    }
+
+    /// Whether the machine can take new tasks, and its worker has seen the token.
+    #[must_use]
+    pub fn fit_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
+        self.fit(now, silence) && self.worker_token.token() >= token
+    }
+}
+
+/// A task in a heartbeat, unless its name is malformed.
+fn observation(status: &TaskStatus) -> Option<(TaskId, TaskObservation)> {
+    let observation = TaskObservation {
+        attempt: status.attempt,
+        stage: status.stage,
+        cause: status.cause,
+    };
+    Some((TaskId::parse(&status.task)?, observation))
+}
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -1,100 +1,146 @@
-//! Whether a worker hears us. That it speaks proves nothing of that.
+//! In which directions messages between a worker and its controller arrive.
 //!
-//! Reports may arrive from a machine that no answer and no order reaches, and a copy of a heartbeat may
-//! arrive long after the machine is gone. So hearing is proved by effect: an answer to what we sent
-//! it, a start that a later report shows, or an agent epoch that outlives a lease. Until then a machine
-//! gets no new work, is no room, and what it says counts as no sign of life.
+//! Outbound are our commands and answers, inbound the worker's heartbeats. Heartbeats prove nothing
+//! of the outbound direction: they may arrive from a machine that no answer and no command reaches,
+//! and a copy of one may arrive long after the machine is gone. So the outbound direction is
+//! confirmed by effect: an answer to what we sent, a start that a later heartbeat shows, or an agent
+//! epoch that outlives a lease. Until then a machine gets no new tasks, does not count as capacity,
+//! and its heartbeats are no sign of life.
 
 use crate::types::{AgentEpoch, Millis};
 
-/// One lost answer is no reason to doubt.
-const MISSES: u8 = 2;
+/// Answers in a row that must have been lost before the machine is in doubt: a single one is
+/// common.
+const MAX_LOST_ANSWERS: u8 = 2;
 
+/// Which directions are known to work.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum Contact {
+    /// Heartbeats may arrive, but nothing proves that commands do.
+    #[default]
+    Unconfirmed,
+    /// Commands arrive and are answered, but heartbeats don't arrive: the lease expires.
+    HeartbeatsLost,
+    /// Commands arrive, and nothing speaks against heartbeats.
+    Confirmed,
+}
+
+/// What is known of the contact with a worker, and what decides when that changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
-    proved: bool,
-    /// When it became doubtful, and in which agent epoch.
-    since: Millis,
-    agent_epoch: AgentEpoch,
+    contact: Contact,
+    /// When the contact was last in doubt first.
+    unconfirmed_since: Millis,
+    /// The agent epoch in which it was.
+    unconfirmed_epoch: AgentEpoch,
     /// Answers in a row that carried starts of which the next heartbeat showed none.
-    misses: u8,
-    /// When a heartbeat newer than all before came last.
-    spoke: Millis,
+    lost_answers: u8,
+    /// When the worker, or its holder, last sent what was newer than all before.
+    last_message: Millis,
 }
 
-/// What a heartbeat that is newer than all before says of hearing.
+/// What a heartbeat that is newer than all before says of the outbound direction.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatObservation {
+    /// The agent epoch that the heartbeat is of.
     pub agent_epoch: AgentEpoch,
-    /// Nothing was known of the machine, or it had been silent for longer than a lost report or two
-    /// explain: this may be a copy of what it sent before it went.
-    pub unexpected: bool,
+    /// Nothing was known of the machine, or it had been silent for longer than a lost heartbeat or
+    /// two explain: this may be a copy of what it sent before it failed.
+    pub after_silence: bool,
     /// Its agent epoch ended although we answered it just before.
-    pub broken: bool,
-    /// Of the starts in the answer to its last heartbeat, whether any is shown; none: there were none.
-    pub obeyed: Option<bool>,
+    pub epoch_ended_early: bool,
+    /// Whether any of the starts in the answer to its last heartbeat is shown; `None` if there were
+    /// none.
+    pub starts_shown: Option<bool>,
 }
 
 impl Reachability {
-    pub fn proved(&self) -> bool {
-        self.proved
+    /// Whether commands are known to arrive, and heartbeats are not known to be lost.
+    #[must_use]
+    pub fn is_confirmed(&self) -> bool {
+        self.contact == Contact::Confirmed
     }
 
-    /// It answered what we sent it.
+    /// The worker answered what we sent it.
     pub fn prove(&mut self) {
-        self.proved = true;
-        self.misses = 0;
+        self.contact = Contact::Confirmed;
+        self.lost_answers = 0;
     }
 
-    /// It answers what we send, and can't report: its lease runs out, as if it heard nothing.
-    pub fn unable_to_report(&mut self, now: Millis) {
-        self.proved = false;
-        self.spoke = now;
+    /// The worker answers what we send, and its heartbeats are lost: its lease expires, as if no
+    /// command arrived.
+    pub fn mark_heartbeats_lost(&mut self, now: Millis) {
+        self.contact = Contact::HeartbeatsLost;
+        self.last_message = now;
     }
 
-    /// Its holder says so.
-    pub fn told(&mut self, proved: bool, now: Millis) {
-        self.proved = proved;
-        self.spoke = now;
+    /// Takes over what the holder of the machine's shard says.
+    pub fn set_by_holder(&mut self, confirmed: bool, now: Millis) {
+        self.contact = if confirmed {
+            Contact::Confirmed
+        } else {
+            Contact::Unconfirmed
+        };
+        self.last_message = now;
     }
 
-    fn doubt(&mut self, agent_epoch: AgentEpoch, now: Millis) {
-        if self.proved || self.since == Millis(0) || agent_epoch != self.agent_epoch {
-            (self.since, self.agent_epoch) = (now, agent_epoch);
+    fn mark_unconfirmed(&mut self, agent_epoch: AgentEpoch, now: Millis) {
+        if self.is_confirmed()
+            || self.unconfirmed_since == Millis(0)
+            || agent_epoch != self.unconfirmed_epoch
+        {
+            self.begin_doubt(agent_epoch, now);
         }
-        self.proved = false;
-        self.misses = 0;
+        self.contact = Contact::Unconfirmed;
+        self.lost_answers = 0;
+    }
+
+    fn begin_doubt(&mut self, agent_epoch: AgentEpoch, now: Millis) {
+        self.unconfirmed_since = now;
+        self.unconfirmed_epoch = agent_epoch;
     }
 
     /// Takes in a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
-    pub fn reported(&mut self, said: HeartbeatObservation, lease: Millis, now: Millis) {
-        self.spoke = now;
-        if said.unexpected || said.broken {
-            return self.doubt(said.agent_epoch, now);
+    pub fn observe_heartbeat(
+        &mut self,
+        observation: HeartbeatObservation,
+        lease: Millis,
+        now: Millis,
+    ) {
+        let agent_epoch = observation.agent_epoch;
+        self.last_message = now;
+        if observation.after_silence || observation.epoch_ended_early {
+            return self.mark_unconfirmed(agent_epoch, now);
         }
-        match said.obeyed {
+        match observation.starts_shown {
             Some(true) => self.prove(),
             Some(false) => {
-                self.misses += 1;
-                if self.misses >= MISSES {
-                    self.doubt(said.agent_epoch, now);
+                self.lost_answers += 1;
+                if self.lost_answers >= MAX_LOST_ANSWERS {
+                    self.mark_unconfirmed(agent_epoch, now);
                 }
             }
             None => {}
         }
-        if !self.proved {
-            if said.agent_epoch != self.agent_epoch {
-                (self.since, self.agent_epoch) = (now, said.agent_epoch);
-            } else if now.since(self.since) > lease {
-                // Somebody's answers have reached it, or its agent epoch would be over.
-                self.prove();
-            }
+        if !self.is_confirmed() {
+            self.confirm_by_epoch_length(agent_epoch, lease, now);
+        }
+    }
+
+    /// An agent epoch that outlives a lease was renewed by answers, so some arrive.
+    fn confirm_by_epoch_length(&mut self, agent_epoch: AgentEpoch, lease: Millis, now: Millis) {
+        self.contact = Contact::Unconfirmed;
+        if agent_epoch != self.unconfirmed_epoch {
+            self.begin_doubt(agent_epoch, now);
+        } else if now.since(self.unconfirmed_since) > lease {
+            self.prove();
         }
     }
 
-    /// Whether it speaks, though nothing proves that it hears.
+    /// Whether the machine sent something within `silence`, though nothing confirms the contact.
+    #[must_use]
     pub fn doubtful(&self, now: Millis, silence: Millis) -> bool {
-        !self.proved && now.since(self.spoke) <= silence
+        !self.is_confirmed() && now.since(self.last_message) <= silence
     }
 }
 
--- a/src/workers/reachability/tests.rs
+++ b/src/workers/reachability/tests.rs
@@ -6,21 +6,21 @@
 fn hearing_is_proved_by_effect_only() {
     let plain = HeartbeatObservation {
         agent_epoch: AgentEpoch(1),
-        unexpected: false,
-        broken: false,
-        obeyed: None,
+        after_silence: false,
+        epoch_ended_early: false,
+        starts_shown: None,
     };
     let unexpected = HeartbeatObservation {
-        unexpected: true,
+        after_silence: true,
         ..plain
     };
     let obeyed = |yes| HeartbeatObservation {
-        obeyed: Some(yes),
+        starts_shown: Some(yes),
         ..plain
     };
     let broken = HeartbeatObservation {
         agent_epoch: AgentEpoch(2),
-        broken: true,
+        epoch_ended_early: true,
         ..plain
     };
     let again = |agent_epoch| HeartbeatObservation {
@@ -78,10 +78,10 @@
         for (index, (at, said, proved)) in steps.into_iter().enumerate() {
             let now = Millis(at * 1_000);
             match said {
-                Some(said) => reachability.reported(said, LEASE, now),
+                Some(said) => reachability.observe_heartbeat(said, LEASE, now),
                 None => reachability.prove(),
             }
-            assert_eq!(reachability.proved(), proved, "{name}, step {index}");
+            assert_eq!(reachability.is_confirmed(), proved, "{name}, step {index}");
         }
     }
 }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,221 +1,326 @@
-//! A report against the records: what to tell the worker, and what the records should say next.
+//! A machine's newest heartbeat against the job records: what to tell the worker, and what the
+//! records should say next. It decides only; the caller commits the changes and sends the commands.
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
-use super::Machine;
 use super::wire::{ExitCause, TaskStage, WorkerCommand};
+use super::{Machine, TaskObservation};
 use crate::jobs::cache::{Evidence, Job, JobCache, TaskChange};
 use crate::jobs::{Phase, Placement, Task};
-use crate::types::{Attempt, FencingToken, JobId, MachineId, TaskId};
+use crate::types::{Attempt, FencingToken, JobId, TaskId};
 
-/// Tasks that their holder is stopping, to make room or to empty a machine.
+/// Tasks that their holder is stopping, to preempt them or to drain a machine.
 pub type Stops = HashMap<TaskId, Stop>;
 
+/// A stop of one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
+    /// The attempt to stop; later ones are not meant.
     pub attempt: Attempt,
-    /// It gets the time to save its progress.
+    /// The task gets the time to save a checkpoint.
     pub save: bool,
 }
 
+/// What follows from a heartbeat.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reconciliation {
+    /// Commands for the worker: stops and forgets before starts.
     pub commands: Vec<WorkerCommand>,
+    /// Changes of the records, by job and index of the task.
     pub changes: Vec<(JobId, u32, TaskChange)>,
     /// Exits with an error, and starts that were refused.
     pub failures: Vec<(JobId, ExitCause)>,
+    /// How many tasks are done.
     pub successes: u32,
 }
 
-/// An answer stays well below 64 KiB with this many commands.
-const MOST_COMMANDS: usize = 300;
+/// An answer stays well below 64 KiB with this many commands; the rest follow with the next.
+const MAX_COMMANDS: usize = 300;
+/// Seconds beyond a checkpoint's own duration that a task gets before it is killed.
+const SAVE_GRACE_MARGIN_S: f64 = 1.0;
 
-fn job_wants_it(job: &Job) -> bool {
-    job.record.phase == Phase::Active && !job.broken_gang()
-}
-
-fn placed_here<'a>(
-    job: Option<&'a Job>,
-    task: &TaskId,
-    machine_id: &MachineId,
-) -> Option<&'a Placement> {
-    job.and_then(|job| job.task(task.index).placement())
-        .filter(|p| p.machine_id == *machine_id)
-}
-
-/// `machine` holds the newest report. `token` is what we hold its shard under; a heartbeat whose
+/// `machine` holds the newest heartbeat. `token` is what we hold its shard under; a heartbeat whose
 /// worker had not seen it yet proves nothing, since an earlier holder's start may follow it.
-/// `gathering` tells of a gang whether the rest of it may still be fetching its image.
+/// `may_be_fetching` tells of a gang whether the rest of it may still be fetching its image.
+#[must_use]
 pub fn reconcile(
     machine: &Machine,
     token: FencingToken,
     jobs: &JobCache,
     stops: &Stops,
-    gathering: impl Fn(&Job) -> bool,
+    may_be_fetching: impl Fn(&Job) -> bool,
 ) -> Reconciliation {
-    let mut out = Reconciliation::default();
     if machine.worker_token.token() < token {
-        return out;
-    }
-    let mut settled: HashSet<&TaskId> = HashSet::default();
-    let unacknowledged_starts =
-        |task: &TaskId, attempt: Attempt| machine.direct.may_come(task, attempt);
-    // A stop is of one attempt. Held against the next, it would have that released before it was started,
-    // and started once it was forgotten, while the release may still be on its way.
-    let stopped = |task: &TaskId, attempt: Attempt| {
-        let stop = stops.get(task);
-        stop.is_some_and(|stop| stop.attempt == attempt)
+        return Reconciliation::default();
+    }
+    let mut pass = Pass {
+        machine,
+        token,
+        jobs,
+        stops,
+        may_be_fetching,
+        outcome: Reconciliation::default(),
+        late_start_commands: Vec::new(),
     };
-    for (task, seen) in &machine.tasks {
-        let job = jobs.get(&task.job);
-        let attempt = seen.attempt;
-        let exited = seen.stage == TaskStage::Exited;
-        let current = placed_here(job, task, &machine.machine_id)
-            .is_some_and(|p| p.agent_epoch == machine.agent_epoch && p.attempt == attempt);
-        match (job, current) {
-            (Some(job), true) => {
-                settled.insert(task);
-                let pending = job.changes.contains_key(&task.index);
-                let cause = seen.cause.unwrap_or(ExitCause::Error);
-                let alone = exited && cause == ExitCause::Alone;
-                if alone
-                    && machine
-                        .direct
-                        .piggybacked_starts
-                        .contains(&(task.clone(), attempt))
-                {
-                    // It may have been told to start once more already. An answer to direct commands
-                    // that was written before says nothing of that.
-                } else if alone
-                    && job_wants_it(job)
-                    && !pending
-                    && !stopped(task, attempt)
-                    && gathering(job)
-                {
-                    // A fetch takes longer than a task waits for its gang: the image is here now,
-                    // so it waits once more where it is. Given up, it would take the fetches of
-                    // the others with it.
-                    let task = task.clone();
-                    let forget = task.clone();
-                    out.commands.push(WorkerCommand::Forget {
-                        task: forget,
-                        attempt,
-                    });
-                    out.commands.push(WorkerCommand::Start { task, attempt });
-                } else if exited && !pending {
-                    let change = if cause == ExitCause::Done {
-                        out.successes += 1;
-                        TaskChange::Finish { attempt }
-                    } else {
-                        if matches!(
-                            cause,
-                            ExitCause::Error | ExitCause::NoRoom | ExitCause::Unknown
-                        ) {
-                            out.failures.push((task.job.clone(), cause));
-                        }
-                        TaskChange::Release {
-                            attempt,
-                            evidence: Evidence::Holder(token),
-                        }
-                    };
-                    out.changes.push((task.job.clone(), task.index, change));
-                } else if !exited && !job_wants_it(job) {
-                    out.commands.push(WorkerCommand::Stop {
-                        task: task.clone(),
-                        attempt,
-                        grace_s: 0.0,
-                    });
-                } else if let Some(stop) = stops.get(task)
-                    && !exited
-                    && stop.attempt == attempt
-                    && (seen.stage != TaskStage::Saving || !stop.save)
-                {
-                    out.commands.push(WorkerCommand::Stop {
-                        task: task.clone(),
-                        attempt,
-                        grace_s: if stop.save {
-                            job.spec.save_s.ceil() + 1.0
-                        } else {
-                            0.0
-                        },
-                    });
-                }
-            }
-            // The record has moved on, and it was committed before: an exited task may be
-            // forgotten, any other has no business here.
-            _ if exited => {
-                // A start that is still under way would start a forgotten attempt once more.
-                if !unacknowledged_starts(task, attempt) {
-                    out.commands.push(WorkerCommand::Forget {
-                        task: task.clone(),
-                        attempt,
-                    });
+    let current = pass.reconcile_reported_tasks();
+    pass.reconcile_unreported_tasks(&current);
+    pass.finish()
+}
+
+/// One comparison of a heartbeat with the records.
+struct Pass<'a, MayBeFetching> {
+    machine: &'a Machine,
+    token: FencingToken,
+    jobs: &'a JobCache,
+    stops: &'a Stops,
+    may_be_fetching: MayBeFetching,
+    outcome: Reconciliation,
+    /// Starts and stops of attempts that nobody wants and that may still start late. They keep
+    /// their order, each start before its stop.
+    late_start_commands: Vec<WorkerCommand>,
+}
+
+impl<'a, MayBeFetching: Fn(&Job) -> bool> Pass<'a, MayBeFetching> {
+    /// Compares each task in the heartbeat with its record. Returns those that are current: placed
+    /// here in the reported attempt and agent epoch.
+    fn reconcile_reported_tasks(&mut self) -> HashSet<&'a TaskId> {
+        let machine = self.machine;
+        let mut current = HashSet::default();
+        for (task, observation) in &machine.tasks {
+            match self.current_job(task, observation.attempt) {
+                Some(job) => {
+                    current.insert(task);
+                    self.reconcile_current_task(job, task, observation);
                 }
+                None => self.discard_outdated_task(task, observation),
             }
-            _ => out.commands.push(WorkerCommand::Stop {
-                task: task.clone(),
-                attempt,
-                grace_s: 0.0,
-            }),
         }
+        current
     }
-    let mut ended = Vec::new();
-    for (id, index) in jobs.on_machine(&machine.machine_id) {
-        let task = TaskId {
-            job: id.clone(),
-            index: *index,
-        };
-        let Some(job) = jobs.get(id) else { continue };
-        if settled.contains(&task) || job.changes.contains_key(index) {
-            continue;
+
+    /// The job of a reported task, if its record has that attempt placed here in this agent epoch.
+    fn current_job(&self, task: &TaskId, attempt: Attempt) -> Option<&'a Job> {
+        let job = self.jobs.get(&task.job)?;
+        let placement = job.task(task.index).placement()?;
+        let current = placement.machine_id == self.machine.machine_id
+            && placement.agent_epoch == self.machine.agent_epoch
+            && placement.attempt == attempt;
+        current.then_some(job)
+    }
+
+    fn reconcile_current_task(&mut self, job: &Job, task: &TaskId, observation: &TaskObservation) {
+        let attempt = observation.attempt;
+        if observation.stage != TaskStage::Exited {
+            self.stop_if_unwanted(job, task, observation);
+            return;
         }
-        let Task::Placed(placement) = job.task(*index) else {
-            continue;
-        };
-        let release = TaskChange::Release {
-            attempt: placement.attempt,
-            evidence: Evidence::Holder(token),
+        let change_pending = job.changes.contains_key(&task.index);
+        let cause = observation.cause.unwrap_or(ExitCause::Error);
+        let start = (task.clone(), attempt);
+        if cause == ExitCause::Alone && self.machine.direct.piggybacked_starts.contains(&start) {
+            // It may have been told to start once more already. An answer to direct commands
+            // that was written before says nothing of that.
+            return;
+        }
+        if change_pending {
+            return;
+        }
+        let starts_again = cause == ExitCause::Alone
+            && is_wanted(job)
+            && !self.is_stopped(task, attempt)
+            && (self.may_be_fetching)(job);
+        if starts_again {
+            self.start_again(task, attempt);
+        } else {
+            self.record_exit(task, attempt, cause);
+        }
+    }
+
+    /// A fetch takes longer than a task waits for its gang: the image is here now, so the task waits
+    /// once more where it is. Given up, it would take the fetches of the others with it.
+    fn start_again(&mut self, task: &TaskId, attempt: Attempt) {
+        self.forget(task, attempt);
+        self.outcome.commands.push(WorkerCommand::Start {
+            task: task.clone(),
+            attempt,
+        });
+    }
+
+    /// A task exited: it is done, or leaves the machine.
+    fn record_exit(&mut self, task: &TaskId, attempt: Attempt, cause: ExitCause) {
+        let change = if cause == ExitCause::Done {
+            self.outcome.successes += 1;
+            TaskChange::Finish { attempt }
+        } else {
+            if is_failure(cause) {
+                self.outcome.failures.push((task.job.clone(), cause));
+            }
+            self.release(attempt)
         };
-        // A machine that came back with its counters begun anew shows a lower agent epoch than an earlier
-        // holder saw. Only one that was asked and answered: to us its agent epochs only rise.
-        let anew = placement.agent_epoch > machine.agent_epoch && machine.reachability.proved();
-        if placement.agent_epoch < machine.agent_epoch || anew {
-            // The worker began a new agent epoch, so it killed all it had.
-            out.changes.push((id.clone(), *index, release));
-        } else if placement.agent_epoch == machine.agent_epoch {
-            if job_wants_it(job) && !stopped(&task, placement.attempt) {
-                out.commands.push(WorkerCommand::Start {
-                    task,
-                    attempt: placement.attempt,
-                });
-            } else if !unacknowledged_starts(&task, placement.attempt) {
-                // Starts ride on answers, and a worker has one heartbeat in flight: its next heartbeat
-                // proves whether a start was executed; one sent directly is loose until it is
-                // answered. Without either, none follows.
-                out.changes.push((id.clone(), *index, release));
-            } else if machine.direct.is_unacknowledged(&task, placement.attempt) {
-                // Nobody wants it, and its start may still come. Started and stopped now, the attempt
-                // is known to the worker, so the late start does nothing, and it is seen to have ended.
-                let attempt = placement.attempt;
-                let again = task.clone();
-                ended.push(WorkerCommand::Start {
-                    task: again,
-                    attempt,
-                });
-                ended.push(WorkerCommand::Stop {
-                    task,
-                    attempt,
-                    grace_s: 0.0,
-                });
+        self.push_change(task, change);
+    }
+
+    /// Stops a task that runs, if its job is over or its holder is stopping it.
+    fn stop_if_unwanted(&mut self, job: &Job, task: &TaskId, observation: &TaskObservation) {
+        let attempt = observation.attempt;
+        if !is_wanted(job) {
+            self.kill(task, attempt);
+        } else if let Some(stop) = self.stops.get(task)
+            && stop.attempt == attempt
+            && (observation.stage != TaskStage::Saving || !stop.save)
+        {
+            let grace_s = if stop.save {
+                job.spec.save_s.ceil() + SAVE_GRACE_MARGIN_S
+            } else {
+                0.0
+            };
+            self.stop(task, attempt, grace_s);
+        }
+    }
+
+    /// The record has moved on, and that was committed before: an exited task may be forgotten,
+    /// any other must not run here.
+    fn discard_outdated_task(&mut self, task: &TaskId, observation: &TaskObservation) {
+        let attempt = observation.attempt;
+        if observation.stage != TaskStage::Exited {
+            self.kill(task, attempt);
+        } else if !self.machine.direct.may_still_start(task, attempt) {
+            // A start that is still under way would start a forgotten attempt once more.
+            self.forget(task, attempt);
+        }
+    }
+
+    /// Looks at the tasks that the records place here and the heartbeat does not show as current.
+    fn reconcile_unreported_tasks(&mut self, current: &HashSet<&TaskId>) {
+        let jobs = self.jobs;
+        for (id, index) in jobs.on_machine(&self.machine.machine_id) {
+            let task = TaskId {
+                job: id.clone(),
+                index: *index,
+            };
+            let Some(job) = jobs.get(id) else { continue };
+            if current.contains(&task) || job.changes.contains_key(index) {
+                continue;
             }
+            let Task::Placed(placement) = job.task(*index) else {
+                continue;
+            };
+            self.reconcile_unreported_task(job, &task, placement);
+        }
+    }
+
+    fn reconcile_unreported_task(&mut self, job: &Job, task: &TaskId, placement: &Placement) {
+        let attempt = placement.attempt;
+        if self.epoch_has_ended(placement) {
+            self.push_change(task, self.release(attempt));
+            return;
+        }
+        if placement.agent_epoch != self.machine.agent_epoch {
+            return;
+        }
+        if is_wanted(job) && !self.is_stopped(task, attempt) {
+            self.outcome.commands.push(WorkerCommand::Start {
+                task: task.clone(),
+                attempt,
+            });
+        } else if !self.machine.direct.may_still_start(task, attempt) {
+            // Starts ride on answers, and a worker has one heartbeat in flight: its next heartbeat
+            // proves whether a start was executed; one sent directly may still come until it is
+            // answered. Without either, none follows.
+            self.push_change(task, self.release(attempt));
+        } else if self.machine.direct.is_unacknowledged(task, attempt) {
+            self.cancel_late_start(task, attempt);
+        }
+    }
+
+    /// Whether the worker began a new agent epoch since a task was placed, so that it killed all
+    /// it had.
+    fn epoch_has_ended(&self, placement: &Placement) -> bool {
+        // A machine that came back with its counters begun anew shows a lower agent epoch than an
+        // earlier holder saw. Only one that was probed and answered: to us its agent epochs only
+        // rise.
+        let counters_reset = placement.agent_epoch > self.machine.agent_epoch
+            && self.machine.reachability.is_confirmed();
+        placement.agent_epoch < self.machine.agent_epoch || counters_reset
+    }
+
+    /// Nobody wants an attempt, and its start may still come. Started and stopped now, the attempt
+    /// is known to the worker, so the late start does nothing, and it is seen to have ended.
+    fn cancel_late_start(&mut self, task: &TaskId, attempt: Attempt) {
+        self.late_start_commands.push(WorkerCommand::Start {
+            task: task.clone(),
+            attempt,
+        });
+        self.late_start_commands.push(WorkerCommand::Stop {
+            task: task.clone(),
+            attempt,
+            grace_s: 0.0,
+        });
+    }
+
+    /// Whether this attempt is being stopped. A stop held against the next attempt would have that
+    /// released before it was started, and started once it was forgotten, while the release may
+    /// still be on its way.
+    fn is_stopped(&self, task: &TaskId, attempt: Attempt) -> bool {
+        let stop = self.stops.get(task);
+        stop.is_some_and(|stop| stop.attempt == attempt)
+    }
+
+    fn release(&self, attempt: Attempt) -> TaskChange {
+        TaskChange::Release {
+            attempt,
+            evidence: Evidence::Holder(self.token),
         }
     }
-    // Stops first: they make the room that starts need.
-    out.commands
-        .sort_by_key(|order| matches!(order, WorkerCommand::Start { .. }));
-    out.commands.truncate(MOST_COMMANDS);
-    out.commands.extend(ended);
-    out
+
+    fn push_change(&mut self, task: &TaskId, change: TaskChange) {
+        self.outcome
+            .changes
+            .push((task.job.clone(), task.index, change));
+    }
+
+    fn forget(&mut self, task: &TaskId, attempt: Attempt) {
+        self.outcome.commands.push(WorkerCommand::Forget {
+            task: task.clone(),
+            attempt,
+        });
+    }
+
+    fn kill(&mut self, task: &TaskId, attempt: Attempt) {
+        self.stop(task, attempt, 0.0);
+    }
+
+    fn stop(&mut self, task: &TaskId, attempt: Attempt, grace_s: f64) {
+        self.outcome.commands.push(WorkerCommand::Stop {
+            task: task.clone(),
+            attempt,
+            grace_s,
+        });
+    }
+
+    /// Puts stops first, since they free the resources that starts need.
+    fn finish(self) -> Reconciliation {
+        let mut outcome = self.outcome;
+        outcome
+            .commands
+            .sort_by_key(|command| matches!(command, WorkerCommand::Start { .. }));
+        outcome.commands.truncate(MAX_COMMANDS);
+        outcome.commands.extend(self.late_start_commands);
+        outcome
+    }
+}
+
+/// Whether a job's tasks should run.
+fn is_wanted(job: &Job) -> bool {
+    job.record.phase == Phase::Active && !job.broken_gang()
+}
+
+/// Whether an exit counts against the job or the machine.
+fn is_failure(cause: ExitCause) -> bool {
+    matches!(
+        cause,
+        ExitCause::Error | ExitCause::NoRoom | ExitCause::Unknown
+    )
 }
 
 #[cfg(test)]
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -2,8 +2,7 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::{JobRecord, encode_page, job_key, page_key};
 use crate::jobs::{JobKind, JobSpec};
-use crate::types::{AgentEpoch, Millis, Revision, ShardId, WorkerToken};
-use crate::workers::TaskObservation;
+use crate::types::{AgentEpoch, MachineId, Millis, Revision, ShardId, WorkerToken};
 
 /// A gang placed on one machine with its image and fifteen without: the first waited alone for
 /// 30 s while the others fetched for a minute, its end took theirs with it, and the next attempt
@@ -190,7 +189,7 @@
             "it was sent in an earlier session",
             |m, start| {
                 m.direct.piggybacked_starts.extend([start]);
-                m.direct.enter(FencingToken(4), AgentEpoch(2));
+                m.direct.set_validity(FencingToken(4), AgentEpoch(2));
             },
             true,
         ),
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::types::Millis;
+use crate::workers::wire::Heartbeat;
 
 /// A machine was being emptied when its shard changed hands: its new holder held it to be so for
 /// ever, and a gang waited beside four idle machines.
@@ -7,14 +9,14 @@
     let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
     let shard = ShardId::parse("a.0").unwrap();
     let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n1".into());
-    machine.reachability.told(true, Millis(1));
+    machine.reachability.set_by_holder(true, Millis(1));
     machine.draining = true;
     let heartbeat = r#"{"host":"vm-1","rig":"g8","yard":"a","loaners":false,"shift":1,"tally":8,
         "baton":41,"picks":[]}"#;
     let heartbeat: Heartbeat = serde_json::from_str(heartbeat).unwrap();
     let (now, silence) = (Millis(9_000), Millis(10_000));
     assert!(!machine.fit(now, silence));
-    machine.take_in(&heartbeat, now, &"n0".into());
+    machine.apply_heartbeat(&heartbeat, now, &"n0".into());
     assert!(machine.fit(now, silence));
 }
 
@@ -107,10 +109,10 @@
             machine.expect_image(&(*image).into(), *gb, Millis(0));
         }
         let now = Millis(now_s * 1000);
-        machine.forget_fetches(0.1, now);
+        machine.expire_fetches(0.1, now);
         let got = machine.image_s(&asked.into(), 12.0, 0.1, now);
         assert!((got - expected).abs() < 0.01, "{asked}, {coming:?}: {got}");
-        machine.forget_fetches(0.1, Millis(3_000_000));
+        machine.expire_fetches(0.1, Millis(3_000_000));
         assert!(machine.coming.is_empty());
     }
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,4 +1,5 @@
-//! What workers send and get.
+//! What workers send and get. The names on the wire are the protocol's own and are given by `serde`
+//! attributes; nothing else in the program uses them.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,123 +7,178 @@
     AgentEpoch, Attempt, ControllerId, MachineId, MachineTypeId, TaskId, WorkerToken, Zone,
 };
 
-/// A worker's heartbeat may list this many bytes of tasks at the most.
+/// The largest body of a heartbeat that is read, in bytes.
 pub const MAX_HEARTBEAT_BYTES: usize = 1 << 20;
 
+/// What a worker reports at each interval, and in answer to direct commands.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Heartbeat {
+    /// The machine that the worker runs on.
     #[serde(rename = "host")]
     pub machine_id: MachineId,
+    /// Where the worker takes commands directly; empty if it takes none.
     #[serde(default)]
     pub address: String,
+    /// The machine's type.
     #[serde(rename = "rig")]
     pub machine_type: MachineTypeId,
+    /// Where the machine stands.
     #[serde(rename = "yard")]
     pub zone: Zone,
+    /// The cloud may take the machine away at short notice.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Starts at 1, and increases whenever the worker's lease expires and it kills all its tasks.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
+    /// Increases with every heartbeat and every answer to direct commands: of two heartbeats, the one
+    /// with the larger agent epoch and sequence is the newer.
     #[serde(rename = "tally")]
     pub heartbeat_sequence: u64,
+    /// The highest token that the worker has seen.
     #[serde(rename = "baton")]
     pub worker_token: WorkerToken,
+    /// Seconds until the cloud takes the machine away, if it announced that.
     #[serde(rename = "warningS", default)]
     pub warning_s: Option<f64>,
+    /// All tasks that the worker knows, until it is told to forget them.
     #[serde(default)]
     #[serde(rename = "picks")]
     pub tasks: Vec<TaskStatus>,
 }
 
+/// A task in a heartbeat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TaskStatus {
+    /// The task's name; parsed by [`TaskId::parse`].
     #[serde(rename = "pick")]
     pub task: String,
+    /// The attempt of the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
+    /// How far the attempt is.
     pub stage: TaskStage,
+    /// Why the attempt exited, if it did.
     #[serde(default)]
     pub cause: Option<ExitCause>,
+    /// Whether it saved a checkpoint before it exited.
     #[serde(default)]
     pub kept: Option<bool>,
 }
 
+/// How far an attempt is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStage {
+    /// Its image is being fetched.
     #[serde(rename = "pulling")]
     Fetching,
+    /// It waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
+    /// It runs.
     Running,
+    /// It was told to stop, and saves a checkpoint.
     Saving,
+    /// It is over; [`ExitCause`] tells why.
     #[serde(rename = "ended")]
     Exited,
 }
 
+/// Why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
+    /// It succeeded.
     Done,
+    /// It was told to stop.
     Stopped,
+    /// Another task of its gang is gone.
     #[serde(rename = "mates_gone")]
     PeersGone,
+    /// The rest of its gang did not start in time.
     Alone,
+    /// It failed.
     Error,
+    /// The start was refused: the machine lacks the resources.
     NoRoom,
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     Busy,
+    /// The start was refused: no such job or task, or the job was not submitted.
     #[serde(rename = "no_such")]
     Unknown,
 }
 
+/// A command to a worker. Each may be repeated, except that a start after a [`Forget`](Self::Forget)
+/// starts the attempt once more.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCommand {
+    /// Start an attempt of a task.
     Start {
+        /// The task to start.
         task: TaskId,
+        /// The attempt; one that the worker knows already is not started again.
         attempt: Attempt,
     },
+    /// Stop an attempt.
     Stop {
+        /// The task to stop.
         task: TaskId,
+        /// The attempt to stop.
         attempt: Attempt,
+        /// Seconds that it gets to save a checkpoint.
         grace_s: f64,
     },
+    /// Remove an attempt that has exited from the heartbeats.
     Forget {
+        /// The task to forget.
         task: TaskId,
+        /// The attempt to forget.
         attempt: Attempt,
     },
 }
 
-/// An order as it is written.
+/// A command as it is written on the wire.
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommandBody {
+    /// [`WorkerCommand::Start`].
     Start {
+        /// The task's name.
         #[serde(rename = "pick")]
         task: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
+    /// [`WorkerCommand::Stop`].
     Kill {
+        /// The task's name.
         #[serde(rename = "pick")]
         task: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
+        /// Seconds that it gets to save a checkpoint.
         #[serde(rename = "windDownS", default)]
         grace_s: f64,
     },
+    /// [`WorkerCommand::Forget`].
     Reap {
+        /// The task's name.
         #[serde(rename = "pick")]
         task: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-impl Serialize for WorkerCommand {
-    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let body = match self {
-            WorkerCommand::Start { task, attempt } => WorkerCommandBody::Start {
+impl From<&WorkerCommand> for WorkerCommandBody {
+    fn from(command: &WorkerCommand) -> Self {
+        match command {
+            WorkerCommand::Start { task, attempt } => Self::Start {
                 task: task.to_string(),
                 attempt: *attempt,
             },
@@ -130,22 +186,28 @@
                 task,
                 attempt,
                 grace_s,
-            } => WorkerCommandBody::Kill {
+            } => Self::Kill {
                 task: task.to_string(),
                 attempt: *attempt,
                 grace_s: *grace_s,
             },
-            WorkerCommand::Forget { task, attempt } => WorkerCommandBody::Reap {
+            WorkerCommand::Forget { task, attempt } => Self::Reap {
                 task: task.to_string(),
                 attempt: *attempt,
             },
-        };
-        body.serialize(serializer)
+        }
+    }
+}
+
+impl Serialize for WorkerCommand {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        WorkerCommandBody::from(self).serialize(serializer)
     }
 }
 
 impl WorkerCommandBody {
-    /// The order that is written so, if it names a task.
+    /// The command that is written so; `None` if the task's name is malformed.
+    #[must_use]
     pub fn order(&self) -> Option<WorkerCommand> {
         let (WorkerCommandBody::Start { task, attempt }
         | WorkerCommandBody::Kill { task, attempt, .. }
@@ -166,13 +228,16 @@
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatResponse {
+    /// From the shard's holder: the lease is renewed.
     Commands {
+        /// The holder's token; the worker refuses lower ones from now on.
         worker_token: WorkerToken,
+        /// What the worker is to do, in this order.
         commands: Vec<WorkerCommand>,
     },
-    /// 421: report to that controller, or to the next.
+    /// 421: report to that controller, or to the next if none is named.
     Redirect(Option<ControllerId>),
-    /// 503: nobody is known to be entitled.
+    /// 503: no holder of the shard is known, so report again later.
     RetryLater,
 }
 
