--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -15,7 +15,7 @@
 use jaspertiller::quota::hierarchical::{
     HEAD, HierarchicalQuota, PendingTreeWrite, TreeStatus, group_name,
 };
-use jaspertiller::quota::{AllocationRecord, QuotaAllocation, QuotaAllocations, allocation_key};
+use jaspertiller::quota::{AllocationRecord, QuotaAllocation, QuotaAllocations, share_key};
 use jaspertiller::types::{
     AgentEpoch, Attempt, ControllerId, LeaseId, Millis, Resources, Revision, ShardId,
 };
@@ -164,7 +164,7 @@
         ("controller", controller_key(&controller_id("n2"))),
         ("leader", LEADER.to_string()),
         ("block", shard_key(&shard("a.1"))),
-        ("share", allocation_key(&shard("a.1"))),
+        ("share", share_key(&shard("a.1"))),
         ("admission-plan", PLAN.to_string()),
         ("machine-types", MACHINE_TYPES_KEY.to_string()),
         ("quota-tree-head", HEAD.to_string()),
@@ -353,13 +353,9 @@
         fixtures.check(name, "is the writer's own", in_force, true);
         let adopted = reader.apply(HEAD, Some(head), Revision(6));
         fixtures.check(name, "is adopted", adopted, true);
-        let nodes = reader
-            .force()
-            .map(|force| force.entitlements.tree().nodes.len());
+        let nodes = reader.force().map(|force| force.shares.tree().nodes.len());
         fixtures.check(name, "nodes in force", nodes, spec.enabled.then_some(6));
-        let held = reader
-            .force()
-            .map(|force| force.entitlements.tree().hold_ms);
+        let held = reader.force().map(|force| force.shares.tree().hold_ms);
         fixtures.check(name, "hold", held, spec.enabled.then_some(5_000));
     }
     fixtures.finish();
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -150,7 +150,7 @@
             .iter()
             .map(|node| {
                 let (parent, team) = (node.parent.as_deref(), node.team.as_deref());
-                let amounts = [node.guarantee.to_array(), node.limit.to_array()];
+                let amounts = [node.guarantee.each(), node.limit.each()];
                 let (parent, team) = (parent.unwrap_or("-"), team.unwrap_or("-"));
                 format!(
                     "{} in {parent} for {team} {amounts:?} x{}",
