--- a/crates/hierarchical-quota/benches/decisions.rs
+++ b/crates/hierarchical-quota/benches/decisions.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use hierarchical_quota::{Amount, NodeIx, NodeSpec, Shares, Tree, TreeSpec, Wanted};
+use hierarchical_quota::{
+    Amount, Entitlements, NodeIndex, NodeSpec, ResourceRequest, Tree, TreeSpec,
+};
 
 const LEAVES: [usize; 3] = [10, 1_000, 10_000];
 const WAITING: [u32; 3] = [100, 10_000, 100_000];
@@ -43,13 +45,13 @@
     }
 }
 
-fn leaves(tree: &Tree) -> Vec<NodeIx> {
-    let leaf = |ix: &NodeIx| tree.node(*ix).team.is_some();
+fn leaves(tree: &Tree) -> Vec<NodeIndex> {
+    let leaf = |ix: &NodeIndex| tree.node(*ix).team.is_some();
     tree.all().filter(leaf).collect()
 }
 
-fn loaded(tree: &Arc<Tree>, waiting: u32) -> Shares {
-    let mut shares = Shares::new(tree.clone());
+fn loaded(tree: &Arc<Tree>, waiting: u32) -> Entitlements {
+    let mut shares = Entitlements::new(tree.clone());
     let leaves = leaves(tree);
     for (index, leaf) in leaves.iter().enumerate() {
         let tasks = f64::from(waiting) / leaves.len() as f64 * (index % 3) as f64;
@@ -60,7 +62,7 @@
 }
 
 fn decisions(c: &mut Criterion) {
-    let one = Wanted {
+    let one = ResourceRequest {
         total: Amount::new(8.0, 1.0),
         task: Amount::new(8.0, 1.0),
     };
@@ -70,7 +72,7 @@
             let tree = tree(count);
             let shares = loaded(&tree, waiting);
             let leaves = leaves(&tree);
-            let used = |ix: NodeIx| Amount::new(0.0, f64::from(ix.0 % 7));
+            let used = |ix: NodeIndex| Amount::new(0.0, f64::from(ix.0 % 7));
             group.bench_with_input(BenchmarkId::new("within", count), &count, |b, _| {
                 let mut at = 0;
                 b.iter(|| {
--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -29,7 +29,7 @@
 
     /// CPUs and GPUs, in this order, for loops over the kinds of resources.
     #[must_use]
-    pub fn each(self) -> [f64; 2] {
+    pub fn to_array(self) -> [f64; 2] {
         [self.cpus, self.gpus]
     }
 
--- a/crates/hierarchical-quota/src/divide.rs
+++ b/crates/hierarchical-quota/src/divide.rs
@@ -41,7 +41,7 @@
     /// is its dominant share, the largest part of any kind of resource in the pool, over its
     /// weight.
     fn fraction_at(&self, level: f64, pool: [f64; 2]) -> f64 {
-        let (floor, demand) = (self.floor.each(), self.demand.each());
+        let (floor, demand) = (self.floor.to_array(), self.demand.to_array());
         let mut fraction: f64 = 1.0;
         for (kind, pool) in pool.into_iter().enumerate() {
             let distance = demand[kind] - floor[kind];
@@ -59,7 +59,7 @@
 
     /// The level at which its demand is met.
     fn full_level(&self, pool: [f64; 2]) -> f64 {
-        let demand = self.demand.each();
+        let demand = self.demand.to_array();
         let shares = pool
             .into_iter()
             .zip(demand)
@@ -75,7 +75,7 @@
 /// gets its demand. The floors must fit in the pool.
 #[must_use]
 pub fn divide(pool: Amount, governed: [bool; 2], claims: &[Claim]) -> Vec<Amount> {
-    let amounts = pool.each();
+    let amounts = pool.to_array();
     let pool = KINDS.map(|kind| {
         if governed[kind] {
             amounts[kind]
@@ -90,9 +90,9 @@
         .map(|(amount, claim)| {
             let [cpus, gpus] = KINDS.map(|kind| {
                 if governed[kind] {
-                    amount.each()[kind]
+                    amount.to_array()[kind]
                 } else {
-                    claim.demand.each()[kind]
+                    claim.demand.to_array()[kind]
                 }
             });
             Amount::new(cpus, gpus)
@@ -117,7 +117,7 @@
         }
         let left = left_in(pool, &given);
         let is_stuck = |index: usize| {
-            let (demand, now) = (claims[index].demand.each(), given[index].each());
+            let (demand, now) = (claims[index].demand.to_array(), given[index].to_array());
             KINDS.into_iter().any(|kind| {
                 governed[kind]
                     && left[kind] <= pool[kind] * EXHAUSTED
@@ -138,7 +138,7 @@
     let used = given
         .iter()
         .fold(Amount::ZERO, |sum, amount| sum.plus(*amount));
-    KINDS.map(|kind| pool[kind] - used.each()[kind])
+    KINDS.map(|kind| pool[kind] - used.to_array()[kind])
 }
 
 /// The level that the open children were raised to.
@@ -207,7 +207,7 @@
 }
 
 fn fits(sum: Amount, pool: [f64; 2]) -> bool {
-    let sum = sum.each();
+    let sum = sum.to_array();
     KINDS
         .into_iter()
         .all(|kind| sum[kind] <= pool[kind] * (1.0 + POOL_TOLERANCE))
--- a/crates/hierarchical-quota/src/entitlements.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -7,7 +7,7 @@
 
 use crate::amount::{Amount, TOLERANCE};
 use crate::divide::{Claim, divide};
-use crate::tree::{NodeIx, Tree};
+use crate::tree::{NodeIndex, Tree};
 
 /// About how many bytes an entry of the index of leaves takes besides the team's name.
 const INDEX_ENTRY_BYTES: usize = 40;
@@ -31,7 +31,7 @@
 
 /// The entitlements of a tree's nodes. Times are milliseconds of a monotonic clock.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct Entitlements {
     tree: Arc<Tree>,
     /// By node.
     nodes: Vec<NodeState>,
@@ -41,14 +41,14 @@
 
 /// What work would take if it were placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct ResourceRequest {
     /// All of it: one task, or all tasks of a gang.
     pub total: Amount,
     /// One task of it.
     pub task: Amount,
 }
 
-impl Shares {
+impl Entitlements {
     /// Entitlements without any demand.
     #[must_use]
     pub fn new(tree: Arc<Tree>) -> Self {
@@ -56,7 +56,7 @@
         let governed = tree
             .all()
             .map(|ix| {
-                let guarantee = tree.node(tree.root(ix)).guarantee.each();
+                let guarantee = tree.node(tree.root(ix)).guarantee.to_array();
                 guarantee.map(|amount| amount > 0.0)
             })
             .collect();
@@ -79,25 +79,25 @@
             // A team's name is kept twice: in its node and in the index of leaves.
             let team = node.team.as_ref();
             let team = team.map_or(0, |team| 2 * team.len() + INDEX_ENTRY_BYTES);
-            node.name.len() + team + node.children.len() * size_of::<NodeIx>()
+            node.name.len() + team + node.children.len() * size_of::<NodeIndex>()
         });
         self.nodes.len() * node + names.sum::<usize>()
     }
 
     /// What a node is entitled to at present.
-    pub fn entitled(&self, ix: NodeIx) -> Amount {
+    pub fn entitled(&self, ix: NodeIndex) -> Amount {
         self.nodes[ix.index()].entitled
     }
 
     /// What the teams below a node could use, within the limits.
-    pub fn demand(&self, ix: NodeIx) -> Amount {
+    pub fn demand(&self, ix: NodeIndex) -> Amount {
         self.nodes[ix.index()].demand
     }
 
     /// Sets what a leaf could use at the time `now`. A higher demand counts at once, a lower one
     /// after it has been lower for the tree's hold time: a team whose jobs come one after the other
     /// keeps its entitlement in between.
-    pub fn set_demand(&mut self, leaf: NodeIx, amount: Amount, now: u64) {
+    pub fn set_demand(&mut self, leaf: NodeIndex, amount: Amount, now: u64) {
         let hold = self.tree.hold_ms;
         let limit = self.tree.node(leaf).limit;
         let state = &mut self.nodes[leaf.index()];
@@ -129,7 +129,7 @@
 
     /// Recomputes the entitlements where something changed. Returns the leaves that are entitled
     /// to more than before.
-    pub fn refresh(&mut self) -> Vec<NodeIx> {
+    pub fn refresh(&mut self) -> Vec<NodeIndex> {
         let tree = self.tree.clone();
         for ix in tree.all().rev() {
             self.sum_up(&tree, ix);
@@ -142,7 +142,7 @@
     }
 
     /// Recomputes a node's demand and floor from its children, whose own are up to date.
-    fn sum_up(&mut self, tree: &Tree, ix: NodeIx) {
+    fn sum_up(&mut self, tree: &Tree, ix: NodeIndex) {
         if !self.nodes[ix.index()].dirty {
             return;
         }
@@ -171,7 +171,7 @@
 
     /// Divides a node's entitlement, which is up to date, among its children. Adds the leaves that
     /// are entitled to more than before to `raised`.
-    fn divide_among_children(&mut self, tree: &Tree, ix: NodeIx, raised: &mut Vec<NodeIx>) {
+    fn divide_among_children(&mut self, tree: &Tree, ix: NodeIndex, raised: &mut Vec<NodeIndex>) {
         let node = tree.node(ix);
         let dirty = std::mem::take(&mut self.nodes[ix.index()].dirty);
         if node.children.is_empty() {
@@ -183,7 +183,7 @@
         if !dirty {
             return;
         }
-        let claim = |child: &NodeIx| Claim {
+        let claim = |child: &NodeIndex| Claim {
             floor: self.nodes[child.index()].floor,
             demand: self.nodes[child.index()].demand,
             weight: tree.node(*child).weight,
@@ -211,7 +211,7 @@
     }
 
     /// The kinds of resources that a node governs: 0 for CPUs, 1 for GPUs.
-    fn governed_kinds(&self, ix: NodeIx) -> impl Iterator<Item = usize> + use<> {
+    fn governed_kinds(&self, ix: NodeIndex) -> impl Iterator<Item = usize> + use<> {
         let governed = self.governed[ix.index()];
         [0, 1].into_iter().filter(move |kind| governed[*kind])
     }
@@ -222,9 +222,13 @@
     /// A node that uses nothing may have one task that is larger than its whole entitlement, which
     /// otherwise would never run.
     #[must_use]
-    pub fn within(&self, ix: NodeIx, used: Amount, wanted: Wanted) -> bool {
-        let entitled = self.entitled(ix).each();
-        let (used, total, task) = (used.each(), wanted.total.each(), wanted.task.each());
+    pub fn within(&self, ix: NodeIndex, used: Amount, wanted: ResourceRequest) -> bool {
+        let entitled = self.entitled(ix).to_array();
+        let (used, total, task) = (
+            used.to_array(),
+            wanted.total.to_array(),
+            wanted.task.to_array(),
+        );
         let is_single_task = wanted.total == wanted.task;
         let mut any_governed = false;
         let all_within = self
@@ -243,9 +247,9 @@
     /// Whether a node is still at its entitlement, rounded to the nearest task, or beyond it after
     /// one of its tasks is stopped. `conceded` is what it has to give up beyond that, for a task
     /// that is larger than the whole entitlement of its team.
-    fn can_spare(&self, ix: NodeIx, used: Amount, task: Amount, conceded: Amount) -> bool {
-        let entitled = self.entitled(ix).each();
-        let (used, task, conceded) = (used.each(), task.each(), conceded.each());
+    fn can_spare(&self, ix: NodeIndex, used: Amount, task: Amount, conceded: Amount) -> bool {
+        let entitled = self.entitled(ix).to_array();
+        let (used, task, conceded) = (used.to_array(), task.to_array(), conceded.to_array());
         self.governed_kinds(ix)
             .filter(|kind| task[*kind] > 0.0)
             .any(|kind| {
@@ -264,11 +268,11 @@
     #[must_use]
     pub fn may_reclaim(
         &self,
-        from: NodeIx,
+        from: NodeIndex,
         task: Amount,
-        by: NodeIx,
-        wanted: Wanted,
-        used: impl Fn(NodeIx) -> Amount,
+        by: NodeIndex,
+        wanted: ResourceRequest,
+        used: impl Fn(NodeIndex) -> Amount,
     ) -> bool {
         let conceded = if used(by).is_zero() && wanted.total == wanted.task {
             wanted.task.minus(self.entitled(by))
@@ -289,9 +293,9 @@
     /// How far a leaf that uses so much is beyond its entitlement, as a part of what its root is
     /// guaranteed: the largest part of any kind of resource, at least 0.
     #[must_use]
-    pub fn overuse(&self, leaf: NodeIx, used: Amount) -> f64 {
-        let root = self.tree.node(self.tree.root(leaf)).guarantee.each();
-        let (used, entitled) = (used.each(), self.entitled(leaf).each());
+    pub fn overuse(&self, leaf: NodeIndex, used: Amount) -> f64 {
+        let root = self.tree.node(self.tree.root(leaf)).guarantee.to_array();
+        let (used, entitled) = (used.to_array(), self.entitled(leaf).to_array());
         self.governed_kinds(leaf)
             .map(|kind| (used[kind] - entitled[kind]) / root[kind])
             .fold(0.0, f64::max)
@@ -303,7 +307,7 @@
     if guarantee.is_zero() {
         return base;
     }
-    let (from, to, guaranteed) = (base.each(), demand.each(), guarantee.each());
+    let (from, to, guaranteed) = (base.to_array(), demand.to_array(), guarantee.to_array());
     let mut fraction: f64 = 1.0;
     for kind in 0..2 {
         let distance = to[kind] - from[kind];
--- a/crates/hierarchical-quota/src/entitlements/tests.rs
+++ b/crates/hierarchical-quota/src/entitlements/tests.rs
@@ -10,20 +10,20 @@
     [node w1]\nparent = west\nteam = w1\ngpus = 12\n\
     [node w2]\nparent = west\nteam = w2\n";
 
-fn shares() -> Shares {
+fn shares() -> Entitlements {
     let spec = TreeSpec::parse("f", TREE).unwrap();
-    Shares::new(Arc::new(spec.build("f", &[]).unwrap().0))
+    Entitlements::new(Arc::new(spec.build("f", &[]).unwrap().0))
 }
 
 fn gpus(gpus: f64) -> Amount {
     Amount::new(0.0, gpus)
 }
 
-fn leaf(shares: &Shares, team: &str) -> NodeIx {
+fn leaf(shares: &Entitlements, team: &str) -> NodeIndex {
     shares.tree.leaf(team).unwrap()
 }
 
-fn set(shares: &mut Shares, demands: &[(&str, f64)], now: u64) {
+fn set(shares: &mut Entitlements, demands: &[(&str, f64)], now: u64) {
     for (team, demand) in demands {
         let leaf = leaf(shares, team);
         shares.set_demand(leaf, gpus(*demand), now);
@@ -94,11 +94,11 @@
 
 #[test]
 fn who_may_reclaim_from_whom() {
-    let one = Wanted {
+    let one = ResourceRequest {
         total: gpus(1.0),
         task: gpus(1.0),
     };
-    let of = |total: f64, task: f64| Wanted {
+    let of = |total: f64, task: f64| ResourceRequest {
         total: gpus(total),
         task: gpus(task),
     };
@@ -108,7 +108,7 @@
         &'a str,
         f64,
         &'a str,
-        Wanted,
+        ResourceRequest,
         bool,
     );
     let all: &[(&str, f64)] = &[("e1", 20.0), ("e2", 0.0), ("w1", 4.0), ("w2", 8.0)];
@@ -221,7 +221,7 @@
         let mut shares = shares();
         let demands = [("e1", 99.0), ("e2", 8.0), ("w1", 99.0), ("w2", 99.0)];
         set(&mut shares, &demands, 0);
-        let used = |ix: NodeIx| {
+        let used = |ix: NodeIndex| {
             let team = |(team, _): &&(&str, f64)| {
                 let leaf = leaf(&shares, team);
                 shares.tree.path(leaf).any(|at| at == ix)
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -17,5 +17,7 @@
 
 pub use amount::Amount;
 pub use divide::{Claim, divide};
-pub use entitlements::{Shares, Wanted};
-pub use tree::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeProblem, TreeSpec};
+pub use entitlements::{Entitlements, ResourceRequest};
+pub use tree::{
+    Node, NodeIndex, NodeSpec, PlatformTeam, Tree, TreeError, TreeNote, TreeProblem, TreeSpec,
+};
--- a/crates/hierarchical-quota/src/tree/build.rs
+++ b/crates/hierarchical-quota/src/tree/build.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Node, NodeIx, NodeSpec, Outer, Tree, TreeError, TreeNote, TreeProblem, TreeSpec};
+use super::{
+    Node, NodeIndex, NodeSpec, PlatformTeam, Tree, TreeError, TreeNote, TreeProblem, TreeSpec,
+};
 use crate::amount::{Amount, TOLERANCE};
 
 /// The most levels below a root. A deeper tree is a mistake.
@@ -19,7 +21,7 @@
     pub fn build(
         &self,
         file: &str,
-        platform: &[Outer],
+        platform: &[PlatformTeam],
     ) -> Result<(Tree, Vec<TreeNote>), TreeError> {
         self.builder(file, Contradictions::Reject).build(platform)
     }
@@ -30,7 +32,7 @@
     /// # Errors
     ///
     /// As [`TreeSpec::build`], but not for contradictions.
-    pub fn adopt(&self, file: &str, platform: &[Outer]) -> Result<Tree, TreeError> {
+    pub fn adopt(&self, file: &str, platform: &[PlatformTeam]) -> Result<Tree, TreeError> {
         let builder = self.builder(file, Contradictions::Resolve);
         builder.build(platform).map(|(tree, _)| tree)
     }
@@ -75,8 +77,8 @@
         }
     }
 
-    fn build(&self, platform: &[Outer]) -> Result<(Tree, Vec<TreeNote>), TreeError> {
-        let teams: BTreeMap<&str, &Outer> = platform
+    fn build(&self, platform: &[PlatformTeam]) -> Result<(Tree, Vec<TreeNote>), TreeError> {
+        let teams: BTreeMap<&str, &PlatformTeam> = platform
             .iter()
             .map(|outer| (outer.team.as_str(), outer))
             .collect();
@@ -86,7 +88,7 @@
             ..Tree::default()
         };
         let mut notes = Vec::new();
-        let mut indices: HashMap<&str, NodeIx> = HashMap::new();
+        let mut indices: HashMap<&str, NodeIndex> = HashMap::new();
         let order = self.parents_first()?;
         for placed in &order {
             let spec = &self.spec.nodes[placed.index];
@@ -157,12 +159,12 @@
     fn add_node(
         &self,
         tree: &mut Tree,
-        teams: &BTreeMap<&str, &Outer>,
+        teams: &BTreeMap<&str, &PlatformTeam>,
         spec: &NodeSpec,
-        parent: Option<NodeIx>,
+        parent: Option<NodeIndex>,
         depth: u32,
-    ) -> Result<NodeIx, TreeError> {
-        let ix = NodeIx(tree.nodes.len() as u32);
+    ) -> Result<NodeIndex, TreeError> {
+        let ix = NodeIndex(tree.nodes.len() as u32);
         if let Some(parent) = parent {
             let above = &mut tree.nodes[parent.index()];
             if above.team.is_some() {
@@ -197,7 +199,7 @@
     }
 
     /// A leaf's guarantee is the platform's unless the file states more.
-    fn leaf_guarantee(&self, spec: &NodeSpec, outer: &Outer) -> Result<Amount, TreeError> {
+    fn leaf_guarantee(&self, spec: &NodeSpec, outer: &PlatformTeam) -> Result<Amount, TreeError> {
         let (stated, platform, limit) = (spec.guarantee, outer.guarantee, outer.limit);
         let guarantee = |key: &str, stated: f64, platform: f64, limit: f64| {
             self.leaf_guarantee_of(stated, platform, limit)
--- a/crates/hierarchical-quota/src/tree/mod.rs
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -11,14 +11,14 @@
 use std::collections::HashMap;
 
 pub use self::error::{TreeError, TreeProblem};
-pub use self::spec::{NodeSpec, Outer, TreeNote, TreeSpec};
+pub use self::spec::{NodeSpec, PlatformTeam, TreeNote, TreeSpec};
 use crate::amount::Amount;
 
 /// The index of a node in its tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct NodeIx(pub u32);
+pub struct NodeIndex(pub u32);
 
-impl NodeIx {
+impl NodeIndex {
     /// Its position in [`Tree::nodes`].
     pub(crate) fn index(self) -> usize {
         self.0 as usize
@@ -31,9 +31,9 @@
     /// Its name, unique in the tree.
     pub name: String,
     /// The node above it; a root has none.
-    pub parent: Option<NodeIx>,
+    pub parent: Option<NodeIndex>,
     /// The nodes below it, in the order of the file.
-    pub children: Vec<NodeIx>,
+    pub children: Vec<NodeIndex>,
     /// The platform's team that a leaf stands for.
     pub team: Option<String>,
     /// What it is guaranteed: for a leaf at least what the platform guarantees its team, for others
@@ -59,38 +59,38 @@
     /// All nodes; parents come before their children.
     pub nodes: Vec<Node>,
     /// The leaves by the team that they stand for.
-    leaves: HashMap<String, NodeIx>,
+    leaves: HashMap<String, NodeIndex>,
 }
 
 impl Tree {
     /// The node with this index.
-    pub fn node(&self, ix: NodeIx) -> &Node {
+    pub fn node(&self, ix: NodeIndex) -> &Node {
         &self.nodes[ix.index()]
     }
 
     /// The leaf that stands for a team.
-    pub fn leaf(&self, team: &str) -> Option<NodeIx> {
+    pub fn leaf(&self, team: &str) -> Option<NodeIndex> {
         self.leaves.get(team).copied()
     }
 
     /// All nodes, parents before their children.
-    pub fn all(&self) -> impl DoubleEndedIterator<Item = NodeIx> + use<> {
-        (0..self.nodes.len() as u32).map(NodeIx)
+    pub fn all(&self) -> impl DoubleEndedIterator<Item = NodeIndex> + use<> {
+        (0..self.nodes.len() as u32).map(NodeIndex)
     }
 
     /// A node, its parent, and so on up to its root.
-    pub fn path(&self, ix: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
+    pub fn path(&self, ix: NodeIndex) -> impl Iterator<Item = NodeIndex> + '_ {
         std::iter::successors(Some(ix), |at| self.node(*at).parent)
     }
 
     /// The root above a node.
-    pub fn root(&self, ix: NodeIx) -> NodeIx {
+    pub fn root(&self, ix: NodeIndex) -> NodeIndex {
         self.path(ix).last().unwrap_or(ix)
     }
 
     /// The children of the lowest common ancestor of two nodes that are on the ways to them, or
     /// the roots above them if they have no common ancestor. `None`: one is above the other.
-    pub fn branches(&self, a: NodeIx, b: NodeIx) -> Option<(NodeIx, NodeIx)> {
+    pub fn branches(&self, a: NodeIndex, b: NodeIndex) -> Option<(NodeIndex, NodeIndex)> {
         let (mut a, mut b) = (a, b);
         while self.node(a).depth > self.node(b).depth {
             a = self.node(a).parent?;
--- a/crates/hierarchical-quota/src/tree/spec.rs
+++ b/crates/hierarchical-quota/src/tree/spec.rs
@@ -6,7 +6,7 @@
 
 /// A team of the platform, with its own guarantee and limit.
 #[derive(Clone, Debug)]
-pub struct Outer {
+pub struct PlatformTeam {
     /// The team's name.
     pub team: String,
     /// What the platform guarantees it.
--- a/crates/hierarchical-quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use hierarchical_quota::{Amount, NodeIx, NodeSpec, Outer, Shares, Tree, TreeSpec, Wanted};
+use hierarchical_quota::{
+    Amount, Entitlements, NodeIndex, NodeSpec, PlatformTeam, ResourceRequest, Tree, TreeSpec,
+};
 use proptest::prelude::*;
 
 const NEAR: f64 = 1e-6;
@@ -50,8 +52,8 @@
     Arc::new(tree)
 }
 
-fn leaves(tree: &Tree) -> Vec<NodeIx> {
-    let leaf = |ix: &NodeIx| tree.node(*ix).team.is_some();
+fn leaves(tree: &Tree) -> Vec<NodeIndex> {
+    let leaf = |ix: &NodeIndex| tree.node(*ix).team.is_some();
     tree.all().filter(leaf).collect()
 }
 
@@ -74,7 +76,7 @@
     fn shares_are_sound(drawn in proptest::collection::vec(node(), 1..40),
         wants in proptest::collection::vec(prop_oneof![Just(0.0), 0.0..200.0], 40), two: bool) {
         let tree = tree(&drawn, two);
-        let mut shares = Shares::new(tree.clone());
+        let mut shares = Entitlements::new(tree.clone());
         for (leaf, want) in leaves(&tree).into_iter().zip(&wants) {
             shares.set_demand(leaf, amount(*want, two), 0);
         }
@@ -82,8 +84,8 @@
         for ix in tree.all() {
             let (node, mine) = (tree.node(ix), shares.entitled(ix));
             // Nobody is entitled to more than its limit, or than it wants.
-            for ((got, limit), demand) in mine.each().iter().zip(node.limit.each())
-                .zip(shares.demand(ix).each()) {
+            for ((got, limit), demand) in mine.to_array().iter().zip(node.limit.to_array())
+                .zip(shares.demand(ix).to_array()) {
                 prop_assert!(limit == 0.0 || *got <= limit + NEAR, "{} over its limit", node.name);
                 prop_assert!(*got <= demand + NEAR, "{} has more than it wants", node.name);
             }
@@ -116,7 +118,7 @@
         wants in proptest::collection::vec(prop_oneof![Just(0.0), 0.0..200.0], 30)) {
         let tree = tree(&drawn, false);
         let leaves = leaves(&tree);
-        let (mut one, mut other) = (Shares::new(tree.clone()), Shares::new(tree.clone()));
+        let (mut one, mut other) = (Entitlements::new(tree.clone()), Entitlements::new(tree.clone()));
         for (leaf, want) in leaves.iter().zip(&before) {
             one.set_demand(*leaf, amount(*want, false), 0);
         }
@@ -146,7 +148,7 @@
         uses in proptest::collection::vec(0u8..60, 25)) {
         let tree = tree(&drawn, false);
         let leaves = leaves(&tree);
-        let mut shares = Shares::new(tree.clone());
+        let mut shares = Entitlements::new(tree.clone());
         let mut used: Vec<f64> = vec![0.0; tree.nodes.len()];
         for ((leaf, want), (using, size)) in leaves.iter().zip(&wants).zip(uses.iter().zip(&sizes)) {
             let (want, size) = (f64::from(*want), f64::from(*size));
@@ -158,14 +160,14 @@
         let mut stops = 0;
         loop {
             let one = |i: usize| Amount::new(0.0, f64::from(sizes[i]));
-            let at = |used: &[f64], ix: NodeIx| Amount::new(0.0, used[ix.0 as usize]);
+            let at = |used: &[f64], ix: NodeIndex| Amount::new(0.0, used[ix.0 as usize]);
             let pair = leaves.iter().enumerate().flat_map(|by| leaves.iter().enumerate()
                 .map(move |from| (by, from))).find(|((b, by), (f, from))| {
                 let task = one(*b);
                 let unmet = shares.demand(**by).gpus - used[by.0 as usize];
                 by != from && unmet >= task.gpus
-                    && shares.within(**by, at(&used, **by), Wanted { total: task, task })
-                    && shares.may_reclaim(**from, one(*f), **by, Wanted { total: task, task },
+                    && shares.within(**by, at(&used, **by), ResourceRequest { total: task, task })
+                    && shares.may_reclaim(**from, one(*f), **by, ResourceRequest { total: task, task },
                         |ix| at(&used, ix))
             });
             let Some(((b, by), (f, from))) = pair else { break };
@@ -186,7 +188,7 @@
 fn trees_and_platforms_that_differ() {
     let text = "[tree]\nrevision=1\n[node a]\ngpus=8\n[node x]\nparent=a\nteam=known\ngpus=4\n\
         [node y]\nparent=a\nteam=ghost\ngpus=4\n";
-    let outer = |team: &str| Outer {
+    let outer = |team: &str| PlatformTeam {
         team: team.into(),
         guarantee: Amount::new(0.0, 2.0),
         limit: Amount::new(0.0, 6.0),
@@ -204,12 +206,12 @@
     let known = tree.leaf("known").unwrap();
     assert_eq!(tree.node(known).limit.gpus, 6.0);
     assert_eq!(tree.leaf("alone"), None);
-    let mut shares = Shares::new(Arc::new(tree));
+    let mut shares = Entitlements::new(Arc::new(tree));
     shares.set_demand(known, Amount::new(0.0, 99.0), 0);
     shares.refresh();
     assert_eq!(shares.entitled(known).gpus, 6.0);
     // The platform guarantees more now than the tree does: the tree that is in force gives way.
-    let more = Outer {
+    let more = PlatformTeam {
         guarantee: Amount::new(0.0, 9.0),
         limit: Amount::new(0.0, 10.0),
         ..outer("known")
@@ -231,7 +233,7 @@
 
 #[test]
 fn a_tree_that_makes_no_sense_is_refused_by_name() {
-    let outer = Outer {
+    let outer = PlatformTeam {
         team: "t".into(),
         guarantee: Amount::new(0.0, 4.0),
         limit: Amount::new(0.0, 8.0),
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use jaspertiller::fleet::{CloudCall, CloudResponse, Listed, MachineStage, Offer};
+use jaspertiller::fleet::{CloudCall, CloudResponse, ListedMachine, MachineStage, Offer};
 use jaspertiller::types::{MachineId, Millis};
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -84,7 +84,7 @@
                     .map(|(machine_id, machine)| self.listed(machine_id, machine, now))
                     .collect();
                 CloudResponse::Page {
-                    machine_ids,
+                    machines: machine_ids,
                     more: false,
                 }
             }
@@ -97,9 +97,9 @@
         self.deleted.contains(machine_id) || died
     }
 
-    fn listed(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> Listed {
+    fn listed(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> ListedMachine {
         let seen = now - self.config.list_lag;
-        Listed {
+        ListedMachine {
             machine_id: machine_id.clone(),
             machine_type: self.config.machine_type.id.clone(),
             zone: machine.zone.clone(),
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use ini::Ini;
-use jaspertiller::settings::{Quota, SettingsError, TeamSettings, problem, read_file};
+use jaspertiller::settings::{ProcessLimits, SettingsError, TeamSettings, problem, read_file};
 use jaspertiller::types::{MachineTypeId, Millis, Resources, Zone};
 use serde_json::{Value, json};
 
@@ -25,7 +25,7 @@
     /// Calls a second that the cloud grants.
     pub cloud_rps: f64,
     /// What a controller may use.
-    pub quota: Quota,
+    pub quota: ProcessLimits,
 }
 
 /// How often workers report, and how long things may take.
@@ -98,7 +98,7 @@
                 txn_ops: 12,
             },
             cloud_rps: 5.0,
-            quota: Quota {
+            quota: ProcessLimits {
                 cores: 0.2,
                 mem_mb: 100.0,
                 sockets: 1000,
--- a/crates/simulator/src/contention.rs
+++ b/crates/simulator/src/contention.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use hierarchical_quota::{Amount, NodeIx, Shares, Tree, TreeSpec};
+use hierarchical_quota::{Amount, Entitlements, NodeIndex, Tree, TreeSpec};
 use jaspertiller::jobs::Phase;
 use jaspertiller::settings::Settings;
 use jaspertiller::types::{JobId, Millis, Team};
@@ -217,7 +217,7 @@
     if kind != Kind::Flat {
         for settings in &mut world.settings {
             let mut with_tree: Settings = (**settings).clone();
-            if let Err(error) = with_tree.take_tree("the replay's tree", TREE) {
+            if let Err(error) = with_tree.load_quota_tree("the replay's tree", TREE) {
                 panic!("{error}");
             }
             *settings = Arc::new(with_tree);
@@ -343,7 +343,7 @@
         }
         used += held.values().sum::<f64>();
         // Without hysteresis: what is due as things stand.
-        let mut shares = Shares::new(tree.clone());
+        let mut shares = Entitlements::new(tree.clone());
         for (name, ..) in TEAMS {
             if let Some(leaf) = tree.leaf(name) {
                 shares.set_demand(leaf, Amount::new(0.0, demand(&world, name)), 0);
@@ -379,19 +379,19 @@
     }
 }
 
-fn leaves(tree: &Tree, ix: NodeIx) -> impl Iterator<Item = (&'static str, f64)> {
+fn leaves(tree: &Tree, ix: NodeIndex) -> impl Iterator<Item = (&'static str, f64)> {
     TEAMS.into_iter().filter_map(move |(name, gpus, _)| {
         let leaf = tree.leaf(name)?;
         tree.path(leaf).any(|at| at == ix).then_some((name, gpus))
     })
 }
 
-fn share(tree: &Tree, ix: NodeIx, held: &BTreeMap<Team, f64>) -> f64 {
+fn share(tree: &Tree, ix: NodeIndex, held: &BTreeMap<Team, f64>) -> f64 {
     let its = leaves(tree, ix).filter_map(|(name, _)| held.get(&Team::from(name)));
     its.sum()
 }
 
-fn level(tree: &Tree, ix: NodeIx, samples: Vec<Sample>) -> Level {
+fn level(tree: &Tree, ix: NodeIndex, samples: Vec<Sample>) -> Level {
     let node = tree.node(ix);
     let parent = node.parent.map_or(node, |parent| tree.node(parent));
     let task = leaves(tree, ix).map(|(_, gpus)| gpus).fold(0.0, f64::max);
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -116,7 +116,12 @@
 pub fn play(case: Case, seed: u64) -> Played {
     let mut world = World::new(config(case), seed, jobs(case.machines));
     if case.policy == Policy::GiveUp {
-        world.operate(|operator| (operator.keep, operator.hold) = (GIVEN_UP_KEEP, Millis(0)));
+        world.operate(|operator| {
+            (
+                operator.partition_lease_keep,
+                operator.partitioned_zone_hold,
+            ) = (GIVEN_UP_KEEP, Millis(0))
+        });
     }
     world.run_until(FROM_S * 1_000);
     let zone = Zone::from(ZONE);
--- a/crates/simulator/src/live/services/cloud_api.rs
+++ b/crates/simulator/src/live/services/cloud_api.rs
@@ -90,7 +90,10 @@
         CloudResponse::Rented(machine_ids) => Response::ok(json!({"hosts": machine_ids})),
         CloudResponse::NoCapacity => Response::error(503, "no capacity"),
         CloudResponse::Deleted => Response::ok(json!({})),
-        CloudResponse::Page { machine_ids, more } => {
+        CloudResponse::Page {
+            machines: machine_ids,
+            more,
+        } => {
             let listed = machine_ids.iter().map(|listed| {
                 let machine = machines.machine_ids.get(&listed.machine_id);
                 let address = machine.map(|machine| &machine.address);
--- a/crates/simulator/src/live/services/store_api.rs
+++ b/crates/simulator/src/live/services/store_api.rs
@@ -218,9 +218,9 @@
     for change in body.then {
         match (change.put, change.data, change.drop) {
             (Some(key), Some(data), None) => {
-                transaction.put_text(key, data.get().to_string(), change.lease_id);
+                transaction.put_json(key, data.get().to_string(), change.lease_id);
             }
-            (None, None, Some(key)) => transaction.drop_key(key),
+            (None, None, Some(key)) => transaction.delete(key),
             _ => return None,
         }
     }
@@ -241,6 +241,6 @@
         Update::Put(entry) => {
             json!({"put": entry.key, "data": value(entry.data.get()), "stamp": entry.version})
         }
-        Update::Dropped { key, version } => json!({"drop": key, "stamp": version}),
+        Update::Deleted { key, version } => json!({"drop": key, "stamp": version}),
     }
 }
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -36,7 +36,7 @@
 impl CommandsBody {
     /// The commands that this version of the protocol knows.
     fn commands(&self) -> Vec<WorkerCommand> {
-        let known = self.commands.iter().filter_map(WorkerCommandBody::order);
+        let known = self.commands.iter().filter_map(WorkerCommandBody::command);
         known.collect()
     }
 }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -319,6 +319,6 @@
     }
     let here = zones.get(&machine.zone).copied().unwrap_or_default();
     let apart = spec.one_zone && zones.len() > 1;
-    let crowded = spec.spread && here > spec.zone_share();
+    let crowded = spec.spread && here > spec.max_tasks_per_zone();
     (apart || crowded).then(|| format!("{task} in {zones:?}"))
 }
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -84,7 +84,7 @@
             .iter()
             .map(|update| match update {
                 Update::Put(entry) => entry.key.len() + entry.data.get().len() + ENTRY_OVERHEAD,
-                Update::Dropped { key, .. } => key.len() + ENTRY_OVERHEAD,
+                Update::Deleted { key, .. } => key.len() + ENTRY_OVERHEAD,
             })
             .sum(),
         StoreResponse::Page { entries, .. } => entries
@@ -101,7 +101,7 @@
         StoreCall::Watch { .. } => "watch",
         StoreCall::List { .. } => "list",
         StoreCall::ReadRevision => "revision read",
-        StoreCall::Grant { .. } | StoreCall::Renew(_) | StoreCall::End(_) => "lease call",
+        StoreCall::Grant { .. } | StoreCall::Renew(_) | StoreCall::Revoke(_) => "lease call",
     }
 }
 
@@ -117,7 +117,7 @@
     let conditions: usize = conditions.map(|(key, _)| key.len() + ENTRY_OVERHEAD).sum();
     let changes = txn.changes.iter().map(|change| match change {
         Mutation::Put { key, data, .. } => key.len() + data.len() + ENTRY_OVERHEAD,
-        Mutation::Drop { key } => key.len() + ENTRY_OVERHEAD,
+        Mutation::Delete { key } => key.len() + ENTRY_OVERHEAD,
     });
     conditions + changes.sum::<usize>()
 }
@@ -139,6 +139,6 @@
         Message::Failed { .. } => "peer failed",
         Message::Unplaced { .. } => "peer unplaced",
         Message::Place { .. } => "peer place",
-        Message::MakeRoom { .. } => "peer make room",
+        Message::Preempt { .. } => "peer make room",
     }
 }
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -14,7 +14,7 @@
 use jaspertiller::jobs::api::{self, JobStage, Response};
 use jaspertiller::peers::Message;
 use jaspertiller::settings::{Operator, Settings};
-use jaspertiller::store::lanes::{Lanes, Next, Waiting};
+use jaspertiller::store::lanes::{Lanes, NextCall, QueuedCall};
 use jaspertiller::store::{CallClass, StoreCall, StoreResponse, Transaction};
 use jaspertiller::types::{
     AgentEpoch, ControllerId, JobId, MachineId, Millis, ReplyId, Revision, TaskId, WorkerToken,
@@ -123,7 +123,7 @@
     /// To a node, if it is still the same process.
     Node(usize, u64, Box<Event>),
     /// To the state service; whether an answer is still waited for.
-    Store(usize, u64, Waiting<(u64, StoreCall)>, bool),
+    Store(usize, u64, QueuedCall<(u64, StoreCall)>, bool),
     /// A transaction whose sender gave up on it long ago.
     LateWrite(Transaction),
     /// A node's budget may allow another call.
@@ -742,7 +742,7 @@
                 self.spend(node);
             }
             Effect::Allow { writes } => {
-                self.lanes[node].allow(writes, Millis(now));
+                self.lanes[node].set_write_rate(writes, Millis(now));
                 self.spend(node);
             }
             Effect::Cloud { tag, call } => {
@@ -862,7 +862,7 @@
     pub fn index_drift(&mut self) -> Vec<String> {
         let nodes = self.nodes.iter_mut().enumerate();
         let drift = nodes.filter_map(|(node, controller)| {
-            let drift = controller.as_mut()?.recount_pool();
+            let drift = controller.as_mut()?.index_differences();
             (!drift.is_empty()).then(|| format!("n{node}: {drift:?}"))
         });
         drift.collect()
@@ -873,12 +873,12 @@
         let (now, epoch) = (self.now, self.epochs[node]);
         loop {
             match self.lanes[node].next(Millis(now)) {
-                Next::StoreCall(call) => self.call(node, call),
-                Next::Refuse((tag, _)) => {
+                NextCall::Start(call) => self.call(node, call),
+                NextCall::Refuse((tag, _)) => {
                     let answer = StoreResponse::Refused;
                     self.send_to(node, now + 1, Event::Store { tag, answer });
                 }
-                Next::Wait(wait) => {
+                NextCall::Wait(wait) => {
                     let at = now + wait.0;
                     let planned = self.budget_at[node];
                     if planned <= now || at < planned {
@@ -887,23 +887,23 @@
                     }
                     return;
                 }
-                Next::Nothing => return,
+                NextCall::Nothing => return,
             }
         }
     }
 
-    fn call(&mut self, node: usize, call: Waiting<(u64, StoreCall)>) {
+    fn call(&mut self, node: usize, call: QueuedCall<(u64, StoreCall)>) {
         let now = self.now;
         let slow = self.slow_store.clone().filter(|(until, _)| now < *until);
         let slow = slow.map_or(0, |(_, by)| self.rng.random_range(by));
         let delay = 2 + slow + self.rng.random_range(0..6);
-        let (now, epoch, tag) = (self.now, self.epochs[node], call.what.0);
-        let txn = matches!(call.what.1, StoreCall::Transaction(_));
+        let (now, epoch, tag) = (self.now, self.epochs[node], call.payload.0);
+        let txn = matches!(call.payload.1, StoreCall::Transaction(_));
         if self.refused(node).is_some() {
             let answer = StoreResponse::Refused;
             return self.send_to(node, now + delay, Event::Store { tag, answer });
         }
-        if let StoreCall::Transaction(late) = &call.what.1
+        if let StoreCall::Transaction(late) = &call.payload.1
             && self.late_writes > 0.0
             && self.store_cut(node).is_none()
             && self.rng.random_bool(self.late_writes)
@@ -970,24 +970,24 @@
         &mut self,
         node: usize,
         epoch: u64,
-        call: Waiting<(u64, StoreCall)>,
+        call: QueuedCall<(u64, StoreCall)>,
         reply: bool,
     ) {
         let now = Millis(self.now);
         let writes = call.writes as usize;
         if writes > 0 && !self.during(&self.outages) && !self.store.allows(writes, now) {
             self.over_limit += 1;
-            let tag = call.what.0;
+            let tag = call.payload.0;
             if call.class == CallClass::Leases && reply {
                 let answer = StoreResponse::Refused;
                 self.send_to(node, self.now + 3, Event::Store { tag, answer });
             } else if reply && self.epochs[node] == epoch {
-                self.lanes[node].over_limit(call, now);
+                self.lanes[node].requeue_rate_limited(call, now);
                 self.spend(node);
             }
             return;
         }
-        let (tag, call) = call.what;
+        let (tag, call) = call.payload;
         let answer = if self.during(&self.outages) {
             match call {
                 StoreCall::Watch { .. } => StoreResponse::Unknown,
@@ -995,16 +995,16 @@
             }
         } else {
             match call {
-                StoreCall::Grant { life_ms } => {
+                StoreCall::Grant { ttl_ms: life_ms } => {
                     StoreResponse::Granted(self.store.grant(Millis(life_ms), now))
                 }
                 StoreCall::Renew(lease_id) if self.store.renew(lease_id, now) => {
                     StoreResponse::Renewed
                 }
-                StoreCall::Renew(_) => StoreResponse::NoLease,
-                StoreCall::End(lease_id) => {
+                StoreCall::Renew(_) => StoreResponse::LeaseExpired,
+                StoreCall::Revoke(lease_id) => {
                     self.store.end(lease_id);
-                    StoreResponse::Ended
+                    StoreResponse::Revoked
                 }
                 StoreCall::ReadRevision => StoreResponse::Revision(Revision(self.store.revision)),
                 StoreCall::List { after } => self.store.list(PREFIX, after.as_deref(), PAGE),
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -227,7 +227,7 @@
                     data: raw(data),
                     version: Revision(*revision),
                 }),
-                None => Update::Dropped {
+                None => Update::Deleted {
                     key: key.clone(),
                     version: Revision(*revision),
                 },
@@ -255,7 +255,7 @@
                 .front()
                 .is_some_and(|(_, _, r)| *r > from.0 + 1)
         {
-            self.woken.push((watch.id, StoreResponse::TooOld));
+            self.woken.push((watch.id, StoreResponse::Compacted));
         } else if self.changed(starts, from.0) {
             self.woken.push((watch.id, self.news(&watch)));
         } else {
@@ -277,14 +277,14 @@
         }
         let too_large = |change: &&Mutation| match change {
             Mutation::Put { data, .. } => data.len() as f64 > limits.value_kb * 1024.0,
-            Mutation::Drop { .. } => false,
+            Mutation::Delete { .. } => false,
         };
         if let Some(Mutation::Put { key, .. }) = txn.changes.iter().find(too_large) {
             return Some(format!("the value of {key} is too large"));
         }
         let size = |change: &Mutation| match change {
             Mutation::Put { key, data, .. } => key.len() + data.len(),
-            Mutation::Drop { key } => key.len(),
+            Mutation::Delete { key } => key.len(),
         };
         (txn.changes.iter().map(size).sum::<usize>() > 64 << 10).then(|| "too large".into())
     }
@@ -303,7 +303,7 @@
             _ => true,
         };
         if !txn.changes.iter().all(leased) {
-            return StoreResponse::NoLease;
+            return StoreResponse::LeaseExpired;
         }
         if txn.changes.is_empty() {
             return StoreResponse::Committed(Revision(self.revision));
@@ -325,7 +325,7 @@
                     };
                     self.keys.insert(key, value);
                 }
-                Mutation::Drop { key } => {
+                Mutation::Delete { key } => {
                     self.keys.remove(&key);
                     self.note(key, None);
                 }
--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -89,8 +89,8 @@
     let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
     for machine in available {
         let elsewhere = spec.one_zone && placed.keys().any(|zone| *zone != machine.zone);
-        let crowded =
-            spec.spread && placed.get(machine.zone).copied().unwrap_or(0) >= spec.zone_share();
+        let crowded = spec.spread
+            && placed.get(machine.zone).copied().unwrap_or(0) >= spec.max_tasks_per_zone();
         let machine_type = machines.machine_type();
         if spec.allows(machine_type, machine.zone, machine.spot) && !elsewhere && !crowded {
             *resources.entry(machine.zone).or_default() += machine.resources.holds(spec.resources);
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -208,7 +208,7 @@
     Day {
         name: "a silent zone is given up while its cut ends",
         plan: |w| {
-            w.operate(|operator| operator.hold = Millis(1_000));
+            w.operate(|operator| operator.partitioned_zone_hold = Millis(1_000));
             w.zone_cuts.push(zone_cut("b", 18, 34, true));
             w.zone_cuts.push(zone_cut("a", 70, 33, true));
         },
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -42,7 +42,7 @@
     let mut settings: Settings = (*world.settings[node]).clone();
     settings.tree = None;
     if let Some(text) = tree {
-        settings.take_tree("tree.ini", text).unwrap();
+        settings.load_quota_tree("tree.ini", text).unwrap();
     }
     world.settings[node] = Arc::new(settings);
 }
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -17,15 +17,19 @@
     /// The last completions of a job: its user waits to hear that it is over.
     Completions,
     /// Placements, and what has to be written before a task can be placed again.
-    Places,
+    Placements,
     /// Completions of some of a job's tasks. Their resources are available already, so these can wait
     /// longest.
-    Gathered,
+    PartialCompletions,
 }
 
 /// Number of lanes.
 const LANE_COUNT: usize = 3;
-const LANES: [Lane; LANE_COUNT] = [Lane::Completions, Lane::Places, Lane::Gathered];
+const LANES: [Lane; LANE_COUNT] = [
+    Lane::Completions,
+    Lane::Placements,
+    Lane::PartialCompletions,
+];
 
 /// The part of the writes that the lanes' floors divide; the rest goes to the most urgent lane.
 const LANE_FLOORS: f64 = 0.9;
@@ -36,8 +40,8 @@
 fn lane_weight(lane: &Lane) -> f64 {
     match lane {
         Lane::Completions => 0.35,
-        Lane::Places => 0.5,
-        Lane::Gathered => 0.15,
+        Lane::Placements => 0.5,
+        Lane::PartialCompletions => 0.15,
     }
 }
 
@@ -98,7 +102,7 @@
     lanes: [LaneQueue; LANE_COUNT],
     turns: HashMap<JobId, Turn>,
     /// Job transactions in flight.
-    pub under_way: usize,
+    pub in_flight: usize,
     lane_floors: Floors<Lane>,
     class_floors: [Floors<Slot>; LANE_COUNT],
 }
@@ -108,7 +112,7 @@
         Self {
             lanes: Default::default(),
             turns: HashMap::default(),
-            under_way: 0,
+            in_flight: 0,
             lane_floors: Floors::weighted(LANE_FLOORS, lane_weight),
             class_floors: std::array::from_fn(|_| Floors::equal(CLASS_FLOORS)),
         }
@@ -139,7 +143,7 @@
 
     /// Whether no job waits and none is being written.
     pub fn is_empty(&self) -> bool {
-        self.turns.is_empty() && self.under_way == 0
+        self.turns.is_empty() && self.in_flight == 0
     }
 
     /// How many jobs wait in a lane.
@@ -149,7 +153,7 @@
 
     /// The jobs that wait to have placements written.
     pub fn placing(&self) -> Vec<JobId> {
-        let classes = self.lanes[Lane::Places as usize].classes.values();
+        let classes = self.lanes[Lane::Placements as usize].classes.values();
         classes.flatten().map(|(_, id)| id.clone()).collect()
     }
 
--- a/src/admission/backlog/tests.rs
+++ b/src/admission/backlog/tests.rs
@@ -11,8 +11,8 @@
     let mut backlog = Backlog::default();
     for n in 0..100 {
         backlog.add(&id(n), Lane::Completions, 0, Millis(0));
-        backlog.add(&id(100 + n), Lane::Gathered, 0, Millis(0));
-        backlog.add(&id(200 + n), Lane::Places, 0, Millis(50));
+        backlog.add(&id(100 + n), Lane::PartialCompletions, 0, Millis(0));
+        backlog.add(&id(200 + n), Lane::Placements, 0, Millis(50));
     }
     let written: Vec<JobId> = (0..60).filter_map(|_| backlog.next(Millis(100))).collect();
     let places = (200..300).map(id).filter(|id| written.contains(id)).count();
@@ -24,11 +24,11 @@
 #[test]
 fn a_job_keeps_its_most_urgent_turn_and_is_written_once() {
     let mut backlog = Backlog::default();
-    backlog.add(&id(1), Lane::Gathered, 0, Millis(5_000));
-    backlog.add(&id(1), Lane::Gathered, 0, Millis(9_000));
+    backlog.add(&id(1), Lane::PartialCompletions, 0, Millis(5_000));
+    backlog.add(&id(1), Lane::PartialCompletions, 0, Millis(9_000));
     assert_eq!(backlog.next(Millis(4_999)), None);
     backlog.add(&id(1), Lane::Completions, 0, Millis(5_000));
-    backlog.add(&id(1), Lane::Gathered, 0, Millis(1_000));
+    backlog.add(&id(1), Lane::PartialCompletions, 0, Millis(1_000));
     assert_eq!(backlog.waiting(Lane::Completions), 1);
     assert_eq!(backlog.overdue(Millis(5_000)), 1);
     assert_eq!(backlog.next(Millis(5_000)), Some(id(1)));
@@ -40,10 +40,10 @@
 fn a_class_that_swarms_leaves_the_others_their_floor() {
     let mut backlog = Backlog::default();
     for n in 0..1_000 {
-        backlog.add(&id(n), Lane::Places, 0, Millis(0));
+        backlog.add(&id(n), Lane::Placements, 0, Millis(0));
     }
     for n in 1_000..1_100 {
-        backlog.add(&id(n), Lane::Places, 1, Millis(500));
+        backlog.add(&id(n), Lane::Placements, 1, Millis(500));
     }
     let written: Vec<JobId> = (0..100).filter_map(|_| backlog.next(Millis(600))).collect();
     let others = written
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -7,7 +7,7 @@
 use crate::types::{ControllerId, Millis, Revision};
 
 /// The key of the plan's record.
-pub const PLAN: &str = "jt/admission";
+pub const PLAN_KEY: &str = "jt/admission";
 /// Time between two plans, at least: each is a write itself.
 const MIN_PLAN_INTERVAL: Millis = Millis(2_000);
 /// The rate of writes is measured over intervals of at least this.
@@ -21,20 +21,20 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionReport {
     /// The version of the plan that it follows; zero: none.
-    pub obeys: Revision,
+    pub plan_version: Revision,
     /// What it would write.
     pub demand: Demand,
 }
 
 /// The plan as this controller sees it, and what it knows of all controllers' demand.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct WriteAdmission {
     /// The newest plan.
     pub plan: Plan,
     /// The version of its record.
     pub version: Revision,
     /// The last report of each controller, this one included.
-    pub said: HashMap<ControllerId, AdmissionReport>,
+    pub reports: HashMap<ControllerId, AdmissionReport>,
     /// Changes written since the last measurement.
     written: f64,
     /// When the rate was last measured.
@@ -42,14 +42,14 @@
     /// The smoothed rate, in changes a second.
     write_rate: Rate,
     /// A plan is being written.
-    pub writing: bool,
+    pub plan_in_flight: bool,
     /// When this controller last wrote a plan.
     planned_at: Millis,
     /// The rate that the write budget was last set to, in changes a second.
     pub allowed: Rate,
 }
 
-impl Shared {
+impl WriteAdmission {
     /// Applies the plan's record; `None`: it was deleted.
     pub fn apply(&mut self, data: Option<&str>, version: Revision) {
         if version <= self.version {
@@ -65,7 +65,7 @@
     }
 
     /// Counts changes that this controller writes.
-    pub fn wrote(&mut self, changes: usize) {
+    pub fn record_writes(&mut self, changes: usize) {
         self.written += changes as f64;
     }
 
@@ -97,7 +97,7 @@
         now: Millis,
     ) -> Option<Plan> {
         let is_early = now.since(self.planned_at) < MIN_PLAN_INTERVAL;
-        if self.writing || is_early && self.version != Revision(0) {
+        if self.plan_in_flight || is_early && self.version != Revision(0) {
             return None;
         }
         let demands: Vec<ControllerDemand> = controllers
@@ -108,10 +108,10 @@
     }
 
     fn demand_of(&self, controller: &ControllerId, has_lease: bool) -> ControllerDemand {
-        let report = self.said.get(controller).copied().unwrap_or_default();
+        let report = self.reports.get(controller).copied().unwrap_or_default();
         let status = if !has_lease {
             ControllerStatus::Absent
-        } else if report.obeys == self.version && self.version != Revision(0) {
+        } else if report.plan_version == self.version && self.version != Revision(0) {
             ControllerStatus::Current
         } else {
             ControllerStatus::Stale
@@ -124,8 +124,8 @@
     }
 
     /// Notes that this controller writes a plan now.
-    pub fn planned(&mut self, now: Millis) {
-        self.writing = true;
+    pub fn record_plan(&mut self, now: Millis) {
+        self.plan_in_flight = true;
         self.planned_at = now;
     }
 }
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -4,7 +4,7 @@
 //! State: `commits.admission`. The others learn of the demand by the status messages between peers.
 
 use super::{CallPurpose, Controller, Effect};
-use crate::admission::shared::{AdmissionReport, PLAN, Shared};
+use crate::admission::shared::{AdmissionReport, PLAN_KEY, WriteAdmission};
 use crate::lease::{LEADER, OwnLease, controller_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{ControllerId, Revision};
@@ -12,10 +12,13 @@
 impl Controller {
     /// Follows the newest plan, reports the demand, and writes the next plan if this controller leads.
     pub(super) fn update_admission_plan(&mut self) {
-        let limit = Shared::limit(self.settings.deployment.state.write_rps);
+        let limit = WriteAdmission::limit(self.settings.deployment.state.write_rps);
         self.follow_admission_plan(limit);
         let report = self.admission_report();
-        self.commits.admission.said.insert(self.me.clone(), report);
+        self.commits
+            .admission
+            .reports
+            .insert(self.me.clone(), report);
         self.write_admission_plan(limit);
     }
 
@@ -60,7 +63,7 @@
             Revision(0)
         };
         AdmissionReport {
-            obeys,
+            plan_version: obeys,
             demand: self.commits.admission.demand(waiting, self.now),
         }
     }
@@ -81,7 +84,7 @@
         tracing::debug!(shares = ?plan.shares, "admission plan updated");
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), leader_revision);
-        txn.require(PLAN.into(), admission.version);
+        txn.require(PLAN_KEY.into(), admission.version);
         // A controller that is back meanwhile may follow a plan that counts on it.
         for controller in controllers
             .iter()
@@ -89,9 +92,9 @@
         {
             txn.require(controller_key(controller), Revision(0));
         }
-        txn.put(PLAN.into(), &plan);
-        self.commits.admission.planned(self.now);
+        txn.put(PLAN_KEY.into(), &plan);
+        self.commits.admission.record_plan(self.now);
         // It must not wait behind the writes that it is to speed up.
-        self.transact(CallClass::Leases, txn, CallPurpose::Plan);
+        self.transact(CallClass::Leases, txn, CallPurpose::AdmissionPlan);
     }
 }
--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -3,8 +3,8 @@
 use super::{Autoscaler, Controller};
 use crate::controller::calls::CallPurpose;
 use crate::fleet::{
-    CloudCall, CloudResponse, Listed, MACHINE_TYPES_KEY, MachineStage, MachineTypeSpec, Offer,
-    RentedMachine,
+    CloudCall, CloudResponse, ListedMachine, MACHINE_TYPES_KEY, MachineStage, MachineTypeSpec,
+    Offer, RentedMachine,
 };
 use crate::lease::LEADER;
 use crate::store::{CallClass, Transaction};
@@ -21,7 +21,7 @@
 
 impl Autoscaler {
     /// Takes in a machine of the cloud's list.
-    fn merge_listed(&mut self, listed: Listed, now: Millis) {
+    fn merge_listed(&mut self, listed: ListedMachine, now: Millis) {
         if self.fleet.gone.contains(&listed.machine_id) {
             return;
         }
@@ -101,7 +101,13 @@
             }
             // They are requested again after an interval.
             (CloudCall::MachineTypes, _) => {}
-            (CloudCall::List { .. }, CloudResponse::Page { machine_ids, more }) => {
+            (
+                CloudCall::List { .. },
+                CloudResponse::Page {
+                    machines: machine_ids,
+                    more,
+                },
+            ) => {
                 self.on_list_page(machine_ids, more);
             }
             (CloudCall::List { .. }, _) => self.autoscaler.fleet.listing = false,
@@ -138,10 +144,10 @@
         // Applied late, it would bring back what a later leader has replaced.
         txn.require(LEADER.into(), term);
         txn.put(MACHINE_TYPES_KEY.into(), type_specs);
-        self.transact(CallClass::Rest, txn, CallPurpose::Note);
+        self.transact(CallClass::Background, txn, CallPurpose::NoFollowUp);
     }
 
-    fn on_list_page(&mut self, listed: Vec<Listed>, more: bool) {
+    fn on_list_page(&mut self, listed: Vec<ListedMachine>, more: bool) {
         let last = listed.last().map(|listed| listed.machine_id.clone());
         for machine in listed {
             self.autoscaler.merge_listed(machine, self.now);
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -49,7 +49,7 @@
             .map(|type_spec| job.spec.resources.share_of(type_spec.resources))
             .fold(1.0, f64::min);
         Self {
-            at: job.born,
+            at: job.first_seen,
             machines: machines_per_task * f64::from(job.record.tasks),
             image_gb: job.spec.image_gb,
             spot: job.spec.spot,
@@ -145,7 +145,7 @@
         let arrived: Vec<Arrival> = self
             .jobs
             .iter()
-            .filter(|job| job.born > observed_until && job.born <= now)
+            .filter(|job| job.first_seen > observed_until && job.first_seen <= now)
             .filter(|job| is_urgent(&job.spec) || self.has_start_objective(&job.spec))
             .map(|job| Arrival::new(job, &self.autoscaler.type_specs))
             .collect();
@@ -169,13 +169,18 @@
         let mut waiting: Vec<&Job> = self
             .jobs
             .iter()
-            .filter(|job| job.active() && job.waiting() > 0)
+            .filter(|job| job.is_active() && job.waiting_tasks() > 0)
             .collect();
-        waiting.sort_by_key(|job| (Reverse(job.spec.priority), job.born));
+        waiting.sort_by_key(|job| (Reverse(job.spec.priority), job.first_seen));
         let mut planned_usage = BTreeMap::new();
         let mut needs = Vec::new();
         for job in waiting {
-            if self.scheduler.nominations.of(&job.id, self.now).is_some() {
+            if self
+                .scheduler
+                .nominations
+                .machines_for(&job.id, self.now)
+                .is_some()
+            {
                 // Preemption is making room for it.
                 continue;
             }
@@ -197,12 +202,12 @@
         planned_usage: &mut BTreeMap<&'a Team, Resources>,
     ) -> u32 {
         let resources = job.spec.resources;
-        let mut count = job.waiting().min(MAX_TASKS_PER_NEED);
+        let mut count = job.waiting_tasks().min(MAX_TASKS_PER_NEED);
         for team in self.limits(job) {
             let used = planned_usage
                 .entry(&team.name)
                 .or_insert_with(|| self.jobs.usage(&team.name));
-            count = count.min(crate::quota::left(*used, team).holds(resources));
+            count = count.min(crate::quota::headroom(*used, team).holds(resources));
         }
         for team in self.limits(job) {
             if let Some(used) = planned_usage.get_mut(&team.name) {
@@ -222,10 +227,10 @@
             .filter(|(_, rented)| !rented.spot)
             .map(|(machine_id, _)| machine_id);
         let preemptible = ordinary.filter(|machine_id| {
-            !self.autoscaler.drains.contains(*machine_id) && self.jobs.yielding(machine_id)
+            !self.autoscaler.drains.contains(*machine_id) && self.jobs.is_preemptible(machine_id)
         });
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (job_id, _) in preemptible.flat_map(|machine_id| self.jobs.on_machine(machine_id)) {
+        for (job_id, _) in preemptible.flat_map(|machine_id| self.jobs.tasks_on(machine_id)) {
             *counts.entry(job_id).or_default() += 1;
         }
         counts
--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -60,9 +60,9 @@
         let rented = self.autoscaler.fleet.machines.iter();
         let mut machines: Vec<MachineResources> = rented
             .filter(|(machine_id, _)| {
-                self.machines
-                    .get(machine_id)
-                    .is_some_and(|machine| self.ours(machine) || self.others(machine))
+                self.machines.get(machine_id).is_some_and(|machine| {
+                    self.is_schedulable_by_us(machine) || self.is_schedulable_by_peer(machine)
+                })
             })
             .filter_map(|(machine_id, rented)| {
                 let capacity = self.autoscaler.type_spec(&rented.machine_type)?.resources;
@@ -112,11 +112,11 @@
         targets: &mut [MachineResources],
     ) -> Option<HashSet<MachineId>> {
         let mut occupied = HashSet::default();
-        for (job_id, _) in self.jobs.on_machine(from) {
+        for (job_id, _) in self.jobs.tasks_on(from) {
             let Some(job) = self.jobs.get(job_id) else {
                 continue;
             };
-            if job.spec.kind == JobKind::Gang || !job.active() {
+            if job.spec.kind == JobKind::Gang || !job.is_active() {
                 return None;
             }
             let fullest_first = targets.iter_mut().rev();
@@ -124,7 +124,7 @@
                 .filter(|target| job.spec.resources.fits_in(target.available))
                 .find(|target| self.accepts(&target.machine_id, job, from))?;
             target.available = target.available.minus(job.spec.resources);
-            if !job.spec.yields() {
+            if !job.spec.is_cheaply_preemptible() {
                 occupied.insert(target.machine_id.clone());
             }
         }
@@ -142,7 +142,7 @@
         let allowed = spec.allows(&machine.machine_type, &machine.zone, machine.spot);
         let same_zone = || Some(&machine.zone) == self.zone_of(from);
         allowed
-            && (spec.yields()
+            && (spec.is_cheaply_preemptible()
                 || (job.record.tasks == 1 || same_zone())
                     && machine.images.contains_key(&spec.image)
                     && !self.is_ready(target))
@@ -155,7 +155,7 @@
     /// Whether an ordinary machine has nothing on it but tasks that urgent work may preempt.
     fn is_ready(&self, machine_id: &MachineId) -> bool {
         let rented = self.autoscaler.fleet.machines.get(machine_id);
-        self.jobs.yielding(machine_id) && rented.is_some_and(|rented| !rented.spot)
+        self.jobs.is_preemptible(machine_id) && rented.is_some_and(|rented| !rented.spot)
     }
 
     /// How many ordinary machines the headroom asks for.
--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -77,12 +77,13 @@
         } = health;
         self.observe_zones(zones);
         let max_deletions = MAX_DELETIONS_PER_REQUEST.saturating_sub(lost.len());
-        let hold = self.settings.operator.hold;
-        lost.extend(
-            self.partition
-                .zone_health
-                .give_up(suspected, max_deletions, hold, self.now),
-        );
+        let hold = self.settings.operator.partitioned_zone_hold;
+        lost.extend(self.partition.zone_health.choose_deletions(
+            suspected,
+            max_deletions,
+            hold,
+            self.now,
+        ));
         self.drain_quarantined_machines();
         self.delete_machines(lost);
     }
@@ -101,19 +102,20 @@
             } else if contact.is_some_and(|contact| self.is_lost(machine_id, rented, &contact)) {
                 health
                     .suspected
-                    .push(self.suspect(machine_id, &rented.zone));
+                    .push(self.suspected_machine(machine_id, &rented.zone));
             }
         }
         health
     }
 
     fn contact_with(&self, machine_id: &MachineId, zone: &Zone) -> MachineContact {
-        let shard = shard_of(machine_id, zone, self.settings.operator.blocks_per_zone);
+        let shard = shard_of(machine_id, zone, self.settings.operator.shards_per_zone);
         let early = self.early_loss_timeout();
         let machine = self.machines.get(machine_id);
         MachineContact {
-            silence: self.silent_for(machine_id, &shard),
-            unproved: machine.is_some_and(|machine| machine.reachability.doubtful(self.now, early)),
+            silence: self.silence_of(machine_id, &shard),
+            unproved: machine
+                .is_some_and(|machine| machine.reachability.is_doubtful(self.now, early)),
         }
     }
 
@@ -128,13 +130,13 @@
         // A new holder that receives no heartbeats cannot tell; the machine counts by when any
         // controller last heard it.
         let (held, since_heard) = match &contact.silence {
-            Some(silence) => (silence.held, silence.since_heard),
+            Some(silence) => (silence.held, silence.since_contact),
             None => {
-                let unheard = self.now.since(self.last_heard(machine_id));
-                (unheard.since(self.silence()), unheard)
+                let unheard = self.now.since(self.last_contact(machine_id));
+                (unheard.since(self.heartbeat_timeout()), unheard)
             }
         };
-        let silent = held > HOLDER_DISCOVERY_TIME && since_heard > self.silence();
+        let silent = held > HOLDER_DISCOVERY_TIME && since_heard > self.heartbeat_timeout();
         zone.silent += u32::from(silent);
         let one_way = contact.silence.is_some()
             && contact.unproved
@@ -161,7 +163,7 @@
     /// Whether a machine that may take no new tasks is empty and stays so.
     fn is_unfit_and_drained(&self, machine_id: &MachineId) -> bool {
         self.machines.get(machine_id).is_some_and(|machine| {
-            machine.quarantined || machine.warned && machine.tasks.is_empty()
+            machine.quarantined || machine.termination_announced && machine.tasks.is_empty()
         }) && self.is_drained(machine_id)
     }
 
@@ -179,10 +181,10 @@
             return false;
         };
         let early = !contact.unproved
-            && silence.since_heard > self.early_loss_timeout()
+            && silence.since_contact > self.early_loss_timeout()
             && silence.held > HOLDER_DISCOVERY_TIME;
         silence.outlasts(self.lease_timeout())
-            || early && self.zone_speaks(machine_id, &rented.zone)
+            || early && self.most_of_zone_reports(machine_id, &rented.zone)
     }
 
     /// Silent machines that no list shows any more, though the records have tasks there: an earlier
@@ -193,18 +195,16 @@
             .filter(|machine_id| !self.autoscaler.fleet.machines.contains_key(*machine_id))
             .filter_map(|machine_id| Some((machine_id, self.recorded_shard(machine_id)?)))
             .filter(|(machine_id, shard)| self.is_unlisted_and_lost(machine_id, shard))
-            .map(|(machine_id, shard)| self.suspect(machine_id, &shard.zone))
+            .map(|(machine_id, shard)| self.suspected_machine(machine_id, &shard.zone))
             .collect()
     }
 
     /// The shard in which the records have a task on the machine.
     fn recorded_shard(&self, machine_id: &MachineId) -> Option<&ShardId> {
-        self.jobs
-            .on_machine(machine_id)
-            .find_map(|(job_id, index)| {
-                let placement = self.jobs.get(job_id)?.task(*index).placement()?;
-                Some(&placement.shard)
-            })
+        self.jobs.tasks_on(machine_id).find_map(|(job_id, index)| {
+            let placement = self.jobs.get(job_id)?.task(*index).placement()?;
+            Some(&placement.shard)
+        })
     }
 
     /// Whether a machine that no list shows is lost. The holder of its shard cannot tell that it is
@@ -214,10 +214,10 @@
         let lease = self.lease_timeout();
         let listed_for = (self.autoscaler.fleet.listed).since(self.membership.leading_since);
         let off_all_lists =
-            listed_for > self.max_list_age() && self.last_heard(machine_id) + lease < self.now;
+            listed_for > self.max_list_age() && self.last_contact(machine_id) + lease < self.now;
         off_all_lists
             || self
-                .silent_for(machine_id, shard)
+                .silence_of(machine_id, shard)
                 .is_some_and(|silence| silence.outlasts(lease))
     }
 
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -108,7 +108,7 @@
                     };
                     RentedMachine::new(offer, MachineStage::Running, now, now)
                 });
-            if machine.heard + silence >= now {
+            if machine.last_contact + silence >= now {
                 rented.stage = MachineStage::Running;
                 rented.last_seen = now;
             }
@@ -118,7 +118,7 @@
     /// Notes since when each machine has been idle.
     fn mark_idle(&mut self, jobs: &JobCache, now: Millis) {
         for (machine_id, rented) in &mut self.fleet.machines {
-            let idle = rented.stage == MachineStage::Running && !jobs.busy(machine_id);
+            let idle = rented.stage == MachineStage::Running && !jobs.is_occupied(machine_id);
             rented.idle_since = idle.then(|| rented.idle_since.unwrap_or(now));
         }
     }
@@ -148,7 +148,7 @@
         }
         self.autoscaler.reconciled_at = self.now;
         self.request_machine_list();
-        let (silence, now) = (self.silence(), self.now);
+        let (silence, now) = (self.heartbeat_timeout(), self.now);
         self.autoscaler
             .adopt_reporting(&self.machines, silence, now);
         self.autoscaler.mark_idle(&self.jobs, now);
@@ -191,7 +191,7 @@
 
     /// Sends a call to the cloud and returns its tag.
     fn call_cloud(&mut self, call: CloudCall) -> u64 {
-        let tag = self.tag();
+        let tag = self.next_tag();
         self.calls.cloud.insert(tag, call.clone());
         self.effects.push(Effect::Cloud { tag, call });
         tag
--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -41,7 +41,7 @@
         let healthy = |machine_id: &MachineId| {
             machines
                 .get(machine_id)
-                .is_some_and(|machine| !machine.quarantined && !machine.warned)
+                .is_some_and(|machine| !machine.quarantined && !machine.termination_announced)
         };
         let kept: Vec<MachineId> = self
             .drains
@@ -82,7 +82,7 @@
     /// Whether a machine is empty and stays so: the holder of its shard places nothing on it, and
     /// all that the holder placed there before is known here.
     pub(super) fn is_drained(&self, machine_id: &MachineId) -> bool {
-        if !self.autoscaler.drains.contains(machine_id) || self.jobs.busy(machine_id) {
+        if !self.autoscaler.drains.contains(machine_id) || self.jobs.is_occupied(machine_id) {
             return false;
         }
         let Some(machine) = self.machines.get(machine_id) else {
@@ -93,7 +93,7 @@
         }
         machine.draining
             && self
-                .recent_status(&machine.heard_by)
+                .recent_status(&machine.last_contact_by)
                 .is_some_and(|peer| self.store_sync.applied >= peer.revision)
     }
 
@@ -117,7 +117,7 @@
             changes.extend(self.releases_on(&machine_id));
             self.autoscaler.fleet.gone.insert(machine_id);
         }
-        self.note_changes(changes);
+        self.request_changes(changes);
     }
 
     /// Releases tasks that were placed on a machine after its deletion, by a holder that did not
@@ -130,7 +130,7 @@
             .filter(|machine_id| gone.contains(*machine_id))
             .flat_map(|machine_id| self.releases_on(machine_id))
             .collect();
-        self.note_changes(changes);
+        self.request_changes(changes);
     }
 
     /// Releases of the tasks that the records have on a deleted machine, except for tasks with a
@@ -140,7 +140,7 @@
         machine_id: &MachineId,
     ) -> impl Iterator<Item = (JobId, u32, TaskChange)> {
         self.jobs
-            .on_machine(machine_id)
+            .tasks_on(machine_id)
             .filter_map(|(job_id, index)| {
                 let job = self.jobs.get(job_id)?;
                 let placement = job.task(*index).placement()?;
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -92,7 +92,7 @@
     fn has_waiting_tasks(&self) -> bool {
         self.jobs
             .iter()
-            .any(|job| job.active() && job.waiting() > 0)
+            .any(|job| job.is_active() && job.waiting_tasks() > 0)
     }
 
     fn fleet_capacity(&self) -> FleetCapacity {
@@ -122,7 +122,7 @@
         type_spec: &MachineTypeSpec,
     ) -> bool {
         let machine = self.machines.get(machine_id);
-        if machine.is_some_and(|machine| machine.quarantined || machine.warned)
+        if machine.is_some_and(|machine| machine.quarantined || machine.termination_announced)
             || self.autoscaler.fleet.deleting.contains(machine_id)
         {
             return false;
@@ -140,7 +140,8 @@
                     MAX_SILENCES
                 };
                 machine.is_some_and(|machine| {
-                    self.now.since(machine.heard).0 <= max_silences * self.silence().0
+                    self.now.since(machine.last_contact).0
+                        <= max_silences * self.heartbeat_timeout().0
                 })
             }
         }
@@ -157,7 +158,7 @@
         let nominated = self
             .scheduler
             .nominations
-            .on(machine_id, self.now)
+            .jobs_on(machine_id, self.now)
             .fold(Resources::default(), |sum, (_, resources)| {
                 sum.plus(resources)
             });
@@ -166,7 +167,7 @@
             offer: rented.offer(),
             capacity: type_spec.resources,
             available: type_spec.resources.minus(allocated.plus(nominated)),
-            preemptible: self.jobs.machine_usage(machine_id).soft,
+            preemptible: self.jobs.machine_usage(machine_id).preemptible,
             idle_for: rented
                 .idle_since
                 .map_or(Millis(0), |since| self.now.since(since)),
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -73,7 +73,7 @@
             let (machine_type, zone, by) = ("g8".into(), "a".into(), "n0".into());
             let mut machine =
                 Machine::new(machine_id.clone(), machine_type, zone, false, shard, by);
-            machine.heard = controller.now - Millis(silent_s * 1_000);
+            machine.last_contact = controller.now - Millis(silent_s * 1_000);
             controller.machines.insert(machine_id.clone(), machine);
         }
         if listed {
--- a/src/controller/autoscaling/usage.rs
+++ b/src/controller/autoscaling/usage.rs
@@ -47,8 +47,8 @@
         }
         self.autoscaler.fleet.usage_logged_at = self.now;
         let usage = self.autoscaler.usage(&self.jobs);
-        let active = self.jobs.iter().filter(|job| job.active());
-        let waiting: u32 = active.map(|job| job.waiting()).sum();
+        let active = self.jobs.iter().filter(|job| job.is_active());
+        let waiting: u32 = active.map(|job| job.waiting_tasks()).sum();
         let headroom = self.headroom();
         tracing::info!(
             busy = usage.busy,
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -6,7 +6,7 @@
 use super::{Controller, Effect};
 use crate::fleet::CloudCall;
 use crate::jobs::cache::TaskChange;
-use crate::quota::SHARES;
+use crate::quota::ALLOCATION_KEY_PREFIX;
 use crate::store::{CallClass, Mutation, StoreCall, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision, ShardId};
 
@@ -50,26 +50,26 @@
         job: JobId,
     },
     /// Writes placements and ends of a job's tasks.
-    Changes {
+    TaskChanges {
         /// The job whose tasks change.
         job: JobId,
         /// The changes, by the index of their task.
         changes: Vec<(u32, TaskChange)>,
     },
     /// Deletes the description of a job that is over.
-    Clear {
+    DeleteDescription {
         /// The job that is over.
         job: JobId,
     },
     /// Deletes pages of jobs that are over.
-    Dropped,
+    DeletePages,
     /// Writes new allocations of the teams' quotas to shards.
-    Deal {
+    AllocateQuota {
         /// A shard whose allocation the transaction is conditioned on, and the version of that.
         rests_on: (ShardId, Revision),
     },
     /// Writes a page of the quota tree.
-    Tree,
+    QuotaTree,
     /// Fences off a transaction of unknown outcome: if it has not been applied, it never will be.
     FenceOff {
         /// The jobs whose transactions are resolved with it.
@@ -78,9 +78,9 @@
         shard: ShardId,
     },
     /// Writes the plan of which controller may write how much.
-    Plan,
+    AdmissionPlan,
     /// A write whose outcome no step waits for.
-    Note,
+    NoFollowUp,
 }
 
 /// A record that a transaction writes.
@@ -99,7 +99,7 @@
                 key: key.clone(),
                 data: Some(data.clone()),
             },
-            Mutation::Drop { key } => Self {
+            Mutation::Delete { key } => Self {
                 key: key.clone(),
                 data: None,
             },
@@ -109,7 +109,9 @@
 
 /// Whether one of the records is an allocation of quota to a shard.
 fn writes_quota_allocation(written: &[WrittenRecord]) -> bool {
-    written.iter().any(|record| record.key.starts_with(SHARES))
+    written
+        .iter()
+        .any(|record| record.key.starts_with(ALLOCATION_KEY_PREFIX))
 }
 
 /// A call to the key-value store that is not answered yet.
@@ -150,13 +152,13 @@
 
 impl Controller {
     /// A tag for a new call.
-    pub(super) fn tag(&mut self) -> u64 {
+    pub(super) fn next_tag(&mut self) -> u64 {
         self.calls.allocate_tag()
     }
 
     /// Sends a call that writes no records. Its answer comes back to the step that `purpose` names.
     pub(super) fn call_store(&mut self, class: CallClass, call: StoreCall, purpose: CallPurpose) {
-        let tag = self.tag();
+        let tag = self.next_tag();
         let written = Vec::new();
         let in_flight = StoreCallInFlight { purpose, written };
         self.calls.store.insert(tag, in_flight);
@@ -165,12 +167,12 @@
 
     /// Sends a transaction. Its records are applied to the cache as soon as it is known to be committed.
     pub(super) fn transact(&mut self, class: CallClass, txn: Transaction, purpose: CallPurpose) {
-        let tag = self.tag();
+        let tag = self.next_tag();
         let written: Vec<WrittenRecord> = txn.changes.iter().map(WrittenRecord::from).collect();
         if writes_quota_allocation(&written) {
             self.quota.allocations_in_flight += 1;
         }
-        self.commits.admission.wrote(written.len());
+        self.commits.admission.record_writes(written.len());
         tracing::debug!(?purpose, changes = written.len(), "transaction sent");
         let in_flight = StoreCallInFlight { purpose, written };
         self.calls.store.insert(tag, in_flight);
@@ -198,7 +200,7 @@
             }
         }
         self.dispatch_store_response(purpose, answer);
-        self.tell_cancelled();
+        self.answer_cancellations();
     }
 
     fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
@@ -213,15 +215,15 @@
             CallPurpose::Watch => self.on_watch(answer),
             CallPurpose::ReadRevision => self.on_revision(answer),
             CallPurpose::Submit { job } => self.on_submitted(job, answer),
-            CallPurpose::Abort { reply, job } => self.on_aborted(reply, job, answer),
-            CallPurpose::Changes { job, changes } => self.on_changes(job, changes, answer),
-            CallPurpose::Clear { job } => self.on_cleared(job),
-            CallPurpose::Dropped => self.commits.deleting_pages = false,
-            CallPurpose::Deal { rests_on } => self.on_allocated(rests_on, answer),
-            CallPurpose::Tree => self.on_tree(&answer),
+            CallPurpose::Abort { reply, job } => self.on_cancel_committed(reply, job, answer),
+            CallPurpose::TaskChanges { job, changes } => self.on_changes(job, changes, answer),
+            CallPurpose::DeleteDescription { job } => self.on_finalized(job),
+            CallPurpose::DeletePages => self.commits.deleting_pages = false,
+            CallPurpose::AllocateQuota { rests_on } => self.on_allocated(rests_on, answer),
+            CallPurpose::QuotaTree => self.on_tree_written(&answer),
             CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
-            CallPurpose::Plan => self.commits.admission.writing = false,
-            CallPurpose::Note => {}
+            CallPurpose::AdmissionPlan => self.commits.admission.plan_in_flight = false,
+            CallPurpose::NoFollowUp => {}
         }
     }
 }
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -11,22 +11,22 @@
 impl Controller {
     /// Handles a user's request to cancel a job. A job that is not in the cache may be new, so that is
     /// answered after a read barrier.
-    pub(super) fn on_abort(&mut self, reply: ReplyId, job: JobId) {
+    pub(super) fn on_cancel(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
-            Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
-            Some(_) => self.abort_known(reply, job),
-            None => self.ask_fresh(PendingRead::Abort { reply, job }),
+            Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
+            Some(_) => self.cancel_known(reply, job),
+            None => self.after_read_barrier(PendingRead::Abort { reply, job }),
         }
     }
 
     /// Cancels a job that is in the cache.
-    pub(super) fn abort_known(&mut self, reply: ReplyId, id: JobId) {
+    pub(super) fn cancel_known(&mut self, reply: ReplyId, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
-            return self.tell(reply, Response::later());
+            return self.respond(reply, Response::later());
         };
-        if !job.active() {
+        if !job.is_active() {
             self.requests.cancellations.add(&id, reply, self.now);
-            return self.clear(&id);
+            return self.finalize_cancelled(&id);
         }
         let record = JobRecord {
             phase: Phase::Aborting,
@@ -40,22 +40,27 @@
     }
 
     /// Handles the store's answer to a cancellation.
-    pub(super) fn on_aborted(&mut self, reply: ReplyId, job: JobId, answer: StoreResponse) {
+    pub(super) fn on_cancel_committed(
+        &mut self,
+        reply: ReplyId,
+        job: JobId,
+        answer: StoreResponse,
+    ) {
         match answer {
             StoreResponse::Committed(_) => {
                 self.requests.cancellations.add(&job, reply, self.now);
-                self.clear(&job);
+                self.finalize_cancelled(&job);
             }
             StoreResponse::Conflict(revision) => {
-                self.once_applied(revision, self.now, PendingRead::Abort { reply, job });
-                self.proved();
+                self.resume_at_revision(revision, self.now, PendingRead::Abort { reply, job });
+                self.resume_ready_reads();
             }
-            _ => self.tell(reply, Response::later()),
+            _ => self.respond(reply, Response::later()),
         }
     }
 
     /// Answers users whose cancelled jobs are over.
-    pub(super) fn tell_cancelled(&mut self) {
+    pub(super) fn answer_cancellations(&mut self) {
         let jobs = &self.jobs;
         let final_state = |id: &JobId| jobs.state(id).filter(JobState::is_final);
         let cancellations = &mut self.requests.cancellations;
@@ -65,7 +70,7 @@
             .filter_map(|(id, reply)| Some((reply, final_state(&id)?)))
             .collect();
         for (reply, state) in answers {
-            self.tell(reply, Response::State(state));
+            self.respond(reply, Response::State(state));
         }
     }
 
@@ -73,7 +78,7 @@
     /// may take long to be proven gone.
     pub(super) fn expire_cancellations(&mut self) {
         for reply in self.requests.cancellations.take_expired(self.now) {
-            self.tell(reply, Response::later());
+            self.respond(reply, Response::later());
         }
     }
 }
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -18,8 +18,8 @@
     });
     let cases = [
         // placed, known up to, over
-        (Task::FRESH, 19, false),
-        (Task::FRESH, 20, true),
+        (Task::NEVER_PLACED, 19, false),
+        (Task::NEVER_PLACED, 20, true),
         (here, 20, false),
     ];
     for (task, applied, over) in cases {
@@ -33,9 +33,9 @@
         let text = serde_json::to_string(&record).unwrap();
         controller.apply(&job_key(&id), Some(&text), Revision(20));
         controller.store_sync.applied = Revision(applied);
-        controller.store_sync.read_barrier.waiting.clear();
+        controller.store_sync.read_barrier.awaiting_cache.clear();
         controller.effects.clear();
-        controller.clear(&id);
+        controller.finalize_cancelled(&id);
         let completions = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -40,7 +40,7 @@
             let Some(job) = self.jobs.get(id) else {
                 return Err(BTreeSet::new());
             };
-            let full_shards = self.full_shards(job, query.raise_for);
+            let full_shards = self.shards_without_quota(job, query.raise_for);
             let mut request = PlacementRequest::new(job, full_shards);
             request.avoids_empty_machines = self.avoids_empty_machines(job);
             let machine_id = self.best_machine(&request, query)?;
@@ -150,10 +150,10 @@
             machine,
             capacity,
             available: self.available_for(machine, &job.id),
-            only_preemptible: usage.yielding(),
-            image_s: machine.image_s(image, image_gb, rate_gb_per_s, self.now),
+            only_preemptible: usage.is_preemptible(),
+            image_s: machine.image_wait_s(image, image_gb, rate_gb_per_s, self.now),
             fetch_s: image_gb / rate_gb_per_s,
-            non_preemptible_share: usage.allocated.minus(usage.soft).share_of(capacity),
+            non_preemptible_share: usage.allocated.minus(usage.preemptible).share_of(capacity),
         }
     }
 
@@ -168,10 +168,10 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let request = PlacementRequest::new(job, self.full_shards(job, None));
+        let request = PlacementRequest::new(job, self.shards_without_quota(job, None));
         let mut groups = self.scheduler.candidates.groups(&job.spec, scope, None);
         groups.retain(|group| request.shard_rejection(&group.shard).is_none());
-        if job.whole_gang() {
+        if job.is_gang_of_several() {
             return self.has_cached_gang_capacity(&request, &groups);
         }
         let image_filter = ImageFilter::Image(&job.spec.image);
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -39,7 +39,11 @@
     pub(in crate::controller) fn available_for(&self, machine: &Machine, id: &JobId) -> Resources {
         let mut available = self.available(machine);
         let mut priority = None;
-        for (other, resources) in self.scheduler.nominations.on(&machine.machine_id, self.now) {
+        for (other, resources) in self
+            .scheduler
+            .nominations
+            .jobs_on(&machine.machine_id, self.now)
+        {
             let priority =
                 *priority.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
             let nominee = self.jobs.get(other).filter(|_| other != id);
@@ -52,31 +56,31 @@
 
     /// Whether any controller may place tasks on a machine.
     pub(in crate::controller) fn is_schedulable(&self, machine: &Machine) -> bool {
-        self.ours(machine) || self.others(machine)
+        self.is_schedulable_by_us(machine) || self.is_schedulable_by_peer(machine)
     }
 
     /// Whether this controller may place tasks on a machine itself: it holds the machine's shard,
     /// the worker has accepted the shard's fencing token, and the machine is fit.
-    pub(in crate::controller) fn ours(&self, machine: &Machine) -> bool {
+    pub(in crate::controller) fn is_schedulable_by_us(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_some_and(|token| {
             machine.worker_token.token() == token
-                && machine.answered.is_some_and(|(under, _)| under == token)
+                && machine.last_answer.is_some_and(|(under, _)| under == token)
                 && self.is_fit(machine)
         })
     }
 
     /// Whether another controller may place tasks on a machine, as far as its holder reports.
-    pub(in crate::controller) fn others(&self, machine: &Machine) -> bool {
+    pub(in crate::controller) fn is_schedulable_by_peer(&self, machine: &Machine) -> bool {
         let leases = &self.membership.leases;
         let holder = leases.shards.get(&machine.shard).map(|(holder, _)| holder);
         self.token_for(&machine.shard).is_none()
-            && holder == Some(&machine.heard_by)
+            && holder == Some(&machine.last_contact_by)
             && self.is_fit(machine)
     }
 
     /// Whether a machine is healthy, and is neither drained nor deleted.
     fn is_fit(&self, machine: &Machine) -> bool {
-        machine.fit(self.now, self.silence())
+        machine.is_schedulable(self.now, self.heartbeat_timeout())
             && !self.autoscaler.drains.contains(&machine.machine_id)
             && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
     }
--- a/src/controller/candidates/mod.rs
+++ b/src/controller/candidates/mod.rs
@@ -56,7 +56,7 @@
     /// The index of available capacity.
     pub(super) index: CapacityIndex,
     /// Machines of which something other than their allocation changed since the last refresh.
-    pub(super) touched: Vec<MachineId>,
+    pub(super) changed_machines: Vec<MachineId>,
 }
 
 impl Candidates {
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -25,7 +25,9 @@
     /// with all of them.
     pub(in crate::controller) fn refresh_candidates(&mut self) {
         let mut changed = self.jobs.take_changed_machines();
-        changed.extend(std::mem::take(&mut self.scheduler.candidates.touched));
+        changed.extend(std::mem::take(
+            &mut self.scheduler.candidates.changed_machines,
+        ));
         // A sweep only counts images, so machines whose images changed have to be entered by name.
         self.update_index(changed);
         if self.now.since(self.scheduler.candidates.swept_at) >= SWEEP_INTERVAL {
@@ -50,8 +52,8 @@
 
     /// A machine's entry in the index; `None` if it is not schedulable.
     fn index_entry(&self, machine: &Machine) -> Option<Entry> {
-        let own = self.ours(machine);
-        if !own && !self.others(machine) {
+        let own = self.is_schedulable_by_us(machine);
+        if !own && !self.is_schedulable_by_peer(machine) {
             return None;
         }
         let mut images: Vec<Image> = machine.images.keys().cloned().collect();
@@ -71,7 +73,7 @@
     fn capacity_level(&self, machine: &Machine) -> CapacityLevel {
         let usage = self.jobs.machine_usage(&machine.machine_id);
         let available = self.capacity(machine).minus(usage.allocated);
-        CapacityLevel::new(available, usage.soft, machine.coming.len())
+        CapacityLevel::new(available, usage.preemptible, machine.pending_fetches.len())
     }
 
     /// Compares all machines with the index and corrects it.
@@ -94,8 +96,8 @@
             stale: Vec::new(),
         };
         for (machine_id, machine) in &self.machines {
-            let own = self.ours(machine);
-            if !own && !self.others(machine) {
+            let own = self.is_schedulable_by_us(machine);
+            if !own && !self.is_schedulable_by_peer(machine) {
                 continue;
             }
             findings.schedulable += 1;
@@ -128,14 +130,14 @@
         let index = &self.scheduler.candidates.index;
         let empty = index
             .machine_ids()
-            .filter(|machine_id| !self.jobs.busy(machine_id));
+            .filter(|machine_id| !self.jobs.is_occupied(machine_id));
         empty.count() > needed as usize
     }
 
     /// Compares the index with a recount, for tests: returns a line for each difference. Between
     /// two sweeps a machine's schedulability, or an image that it gave up fetching, may be out of
     /// date; all else has to be right at any moment.
-    pub fn recount_pool(&mut self) -> Vec<String> {
+    pub fn index_differences(&mut self) -> Vec<String> {
         self.refresh_candidates();
         let candidates = &self.scheduler.candidates;
         let swept = candidates.swept_at == self.now;
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -29,7 +29,10 @@
 
 /// A controller that holds all machines, some of them fully allocated to an array.
 fn fleet(machines: usize, allocated: impl Fn(usize) -> bool) -> (Controller, JobId) {
-    let (mut controller, id) = controller(spec(1.0, PriorityClass::Urgent), vec![Task::FRESH; 4]);
+    let (mut controller, id) = controller(
+        spec(1.0, PriorityClass::Urgent),
+        vec![Task::NEVER_PLACED; 4],
+    );
     controller.machines.clear();
     controller.now = NOW;
     let shard = ShardId::parse("a.0").unwrap();
@@ -43,10 +46,10 @@
             shard.clone(),
             "n0".into(),
         );
-        machine.reachability.prove();
-        (machine.heard, machine.reported) = (NOW, NOW);
+        machine.reachability.confirm();
+        (machine.last_contact, machine.last_heartbeat) = (NOW, NOW);
         machine.worker_token = WorkerToken::of(FencingToken(5));
-        machine.answered = Some((FencingToken(5), NOW));
+        machine.last_answer = Some((FencingToken(5), NOW));
         controller
             .machines
             .insert(machine.machine_id.clone(), machine);
@@ -116,7 +119,7 @@
             most: 128,
             step: |controller, id| {
                 let job = controller.jobs.get_mut(id).unwrap();
-                (job.spec.priority, job.born) = (PriorityClass::BestEffort, NOW);
+                (job.spec.priority, job.first_seen) = (PriorityClass::BestEffort, NOW);
                 controller.scheduler.candidates.spare_empty_machines = false;
                 let _ = controller.choose_machine(id, MachineQuery::within(MachineScope::All));
             },
@@ -193,13 +196,21 @@
         }),
         ("an image comes", |controller| {
             let machine = controller.machines.get_mut(&machine_id(4)).unwrap();
-            machine.note_image(&"img-1".into(), 1.0, 100.0, NOW);
-            controller.scheduler.candidates.touched.push(machine_id(4));
+            machine.record_image_use(&"img-1".into(), 1.0, 100.0, NOW);
+            controller
+                .scheduler
+                .candidates
+                .changed_machines
+                .push(machine_id(4));
         }),
         ("a machine falls silent", |controller| {
             controller.now = NOW + Millis(500);
-            controller.machines.get_mut(&machine_id(5)).unwrap().heard = Millis(0);
-            controller.now = NOW + controller.silence();
+            controller
+                .machines
+                .get_mut(&machine_id(5))
+                .unwrap()
+                .last_contact = Millis(0);
+            controller.now = NOW + controller.heartbeat_timeout();
         }),
         ("a machine is gone", |controller| {
             controller.machines.remove(&machine_id(6));
@@ -209,7 +220,11 @@
     for (name, step) in steps {
         let (mut controller, _) = fleet(12, |index| index % 4 == 0);
         step(&mut controller);
-        assert_eq!(controller.recount_pool(), Vec::<String>::new(), "{name}");
+        assert_eq!(
+            controller.index_differences(),
+            Vec::<String>::new(),
+            "{name}"
+        );
     }
 }
 
@@ -219,5 +234,5 @@
     let (mut controller, _) = fleet(12, |_| false);
     controller.scheduler.candidates.index.remove(&machine_id(2));
     controller.now = NOW + Millis(1_000);
-    assert_eq!(controller.recount_pool(), Vec::<String>::new());
+    assert_eq!(controller.index_differences(), Vec::<String>::new());
 }
--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -4,7 +4,7 @@
 use crate::controller::CallPurpose;
 use crate::controller::store_sync::PendingRead;
 use crate::jobs::Phase;
-use crate::jobs::cache::{Job, Writing};
+use crate::jobs::cache::{CommitState, Job};
 use crate::jobs::record::{job_key, page_key};
 use crate::lease::LEADER;
 use crate::store::{CallClass, Transaction};
@@ -12,33 +12,41 @@
 
 impl Controller {
     /// Writes the final record of a cancelled job once no task of it is on any machine.
-    pub(in crate::controller) fn clear(&mut self, id: &JobId) {
+    pub(in crate::controller) fn finalize_cancelled(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.active() || job.placed > 0 || job.writing != Writing::Idle {
+        if job.is_active() || job.placed > 0 || job.commit_state != CommitState::Idle {
             return;
         }
         if !self.knows_all_of(job) {
             let (version, job) = (job.version, id.clone());
-            return self.once_applied(version, self.now, PendingRead::Clear { job });
+            return self.resume_at_revision(
+                version,
+                self.now,
+                PendingRead::DeleteDescription { job },
+            );
         }
         let class = match job.record.phase {
             // A user waits for it.
             Phase::Aborting => CallClass::Cancellations,
-            _ => CallClass::Rest,
+            _ => CallClass::Background,
         };
         let mut txn = Transaction::default();
         txn.require(job_key(id), job.version);
         txn.put(job_key(id), &job.record.finished(Phase::Aborted));
         if let Some(job) = self.jobs.get_mut(id) {
-            job.writing = Writing::InFlight;
+            job.commit_state = CommitState::InFlight;
         }
-        self.transact(class, txn, CallPurpose::Clear { job: id.clone() });
+        self.transact(
+            class,
+            txn,
+            CallPurpose::DeleteDescription { job: id.clone() },
+        );
     }
 
     /// Handles the store's answer to a final record.
-    pub(in crate::controller) fn on_cleared(&mut self, id: JobId) {
+    pub(in crate::controller) fn on_finalized(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.writing = Writing::Idle;
+            job.commit_state = CommitState::Idle;
         }
     }
 
@@ -63,12 +71,12 @@
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), leader_revision);
         for (id, page) in self.jobs.leftovers().take(max_ops) {
-            txn.drop_key(page_key(id, *page));
+            txn.delete(page_key(id, *page));
         }
         if txn.changes.is_empty() {
             return;
         }
         self.commits.deleting_pages = true;
-        self.transact(CallClass::Rest, txn, CallPurpose::Dropped);
+        self.transact(CallClass::Background, txn, CallPurpose::DeletePages);
     }
 }
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -6,7 +6,7 @@
 use super::Controller;
 use crate::controller::Effect;
 use crate::jobs::Task;
-use crate::jobs::cache::{TaskChange, Writing};
+use crate::jobs::cache::{CommitState, TaskChange};
 use crate::peers::{Message, TaskDeparture};
 use crate::types::{Attempt, FencingToken, JobId};
 
@@ -38,7 +38,7 @@
         let jobs = &self.jobs;
         let unwritten = |id: &JobId| {
             jobs.get(id)
-                .is_some_and(|job| job.writing == Writing::Idle && !job.changes.is_empty())
+                .is_some_and(|job| job.commit_state == CommitState::Idle && !job.changes.is_empty())
         };
         let mut due = self.commits.completions.retain_unwritten(unwritten);
         due.extend(self.commits.completions.due_scans(self.now));
@@ -53,7 +53,7 @@
 
     /// Notes departures that other holders forwarded. They are checked once more when they are
     /// written.
-    pub(in crate::controller) fn on_completions(&mut self, departures: Vec<TaskDeparture>) {
+    pub(in crate::controller) fn on_tasks_departed(&mut self, departures: Vec<TaskDeparture>) {
         let mut changes = Vec::new();
         for departure in departures {
             let id = JobId::from(departure.job.as_str());
@@ -61,7 +61,7 @@
                 changes.push((id, departure.index, departure.change()));
             }
         }
-        self.note_changes(changes);
+        self.request_changes(changes);
     }
 
     /// Whether the records still have the task on the machine that it left, under the token of the
@@ -83,7 +83,7 @@
     /// Forgets noted departures of tasks that another controller has written meanwhile.
     pub(in crate::controller) fn drop_overtaken(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.writing != Writing::Idle {
+        if job.commit_state != CommitState::Idle {
             return;
         }
         let is_overtaken = |index: u32, attempt: Attempt| {
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -23,9 +23,9 @@
 use super::{CallPurpose, Controller};
 use crate::admission::Flows;
 use crate::admission::backlog::Backlog;
-use crate::admission::shared::Shared;
+use crate::admission::shared::WriteAdmission;
 use crate::jobs::Task;
-use crate::jobs::cache::{Job, Writing};
+use crate::jobs::cache::{CommitState, Job};
 use crate::jobs::completion_forwarding::CompletionForwarder;
 use crate::jobs::record::{encode_page, job_key, page_key};
 use crate::lease::{LEADER, shard_key};
@@ -57,7 +57,7 @@
     /// The classes and teams that have floors of their own.
     pub(super) flows: Flows,
     /// This controller's part of the write limit, and the plan that divides the limit.
-    pub(super) admission: Shared,
+    pub(super) admission: WriteAdmission,
     /// Decides whether a submission is accepted now.
     pub(super) gate: Gate,
     /// Jobs whose noted changes wait to be written.
@@ -76,7 +76,7 @@
             noted_jobs: Vec::new(),
             completions: CompletionForwarder::default(),
             flows: Flows::new(settings),
-            admission: Shared::default(),
+            admission: WriteAdmission::default(),
             gate: Gate::default(),
             backlog: Backlog::default(),
             writes_short_until: Millis(0),
@@ -96,13 +96,13 @@
     /// Puts a job with noted changes into the backlog, and writes whatever is due.
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.writing != Writing::Idle
+        if job.commit_state != CommitState::Idle
             || job.changes.is_empty()
             || self.commits.completions.defers_scan(job, self.now)
         {
             return;
         }
-        let pressure = if self.short() {
+        let pressure = if self.writes_are_short() {
             WritePressure::Scarce
         } else {
             WritePressure::Normal
@@ -121,13 +121,13 @@
 
     fn near_limit(&self, team: &TeamSettings) -> bool {
         let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
-        !quota::within(used, team)
+        !quota::within_limit(used, team)
     }
 
     /// Writes the changes of jobs that are due, as far as the in-flight limit allows.
     pub(super) fn write_next(&mut self) {
         let limit = self.commits.in_flight_limit();
-        while self.commits.backlog.under_way < limit
+        while self.commits.backlog.in_flight < limit
             && let Some(id) = self.commits.backlog.next(self.now)
         {
             self.write(&id);
@@ -137,14 +137,14 @@
     /// Writes a job's noted changes, unless a transaction of the job is in flight.
     fn write(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.writing != Writing::Idle || job.changes.is_empty() {
+        if job.commit_state != CommitState::Idle || job.changes.is_empty() {
             return;
         }
         let mut planned = self.plan_write(job);
         planned.complete_gang(job);
         planned.require_zone_page(job);
         let Some(mut txn) = self.write_conditions(job, &planned) else {
-            return self.settle(id);
+            return self.restart_from_records(id);
         };
         self.add_records(job, &planned, &mut txn);
         let PlannedWrite { changes, stale, .. } = planned;
@@ -153,11 +153,15 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.writing = Writing::InFlight;
+            job.commit_state = CommitState::InFlight;
         }
         let job = id.clone();
-        self.commits.backlog.under_way += 1;
-        self.transact(CallClass::Jobs, txn, CallPurpose::Changes { job, changes });
+        self.commits.backlog.in_flight += 1;
+        self.transact(
+            CallClass::Jobs,
+            txn,
+            CallPurpose::TaskChanges { job, changes },
+        );
     }
 
     /// The transaction with all that the planned changes rest on, and no records yet. `None` if the
@@ -171,9 +175,9 @@
         }
         let placements = &planned.placements;
         // A gang is placed as a whole or not at all.
-        if placements.stale > 0 && job.whole_gang()
+        if placements.stale > 0 && job.is_gang_of_several()
             || placements.planned > 0 && !job.zones_allowed()
-            || !self.require_shares(job, &mut txn, &planned.placements_by_shard())
+            || !self.require_allocations(job, &mut txn, &planned.placements_by_shard())
         {
             return None;
         }
@@ -201,7 +205,7 @@
         }
         let pages: &BTreeMap<u32, Vec<Task>> = &planned.pages;
         for (page, tasks) in pages {
-            txn.put_text(page_key(&job.id, *page), encode_page(tasks), None);
+            txn.put_json(page_key(&job.id, *page), encode_page(tasks), None);
         }
     }
 }
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -5,7 +5,7 @@
 
 use super::Controller;
 use crate::controller::store_sync::PendingRead;
-use crate::jobs::cache::{TaskChange, Writing};
+use crate::jobs::cache::{CommitState, TaskChange};
 use crate::store::StoreResponse;
 use crate::types::{JobId, MachineId};
 
@@ -17,26 +17,26 @@
         changes: Vec<(u32, TaskChange)>,
         answer: StoreResponse,
     ) {
-        self.commits.backlog.under_way -= 1;
+        self.commits.backlog.in_flight -= 1;
         match answer {
             StoreResponse::Committed(_) => self.on_committed(&id, changes),
             StoreResponse::Conflict(revision) => {
                 tracing::debug!(job = %id, "transaction conflict");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.writing = Writing::Settling(Some(revision));
+                    job.commit_state = CommitState::Resolving(Some(revision));
                 }
                 self.settle_at(id, revision);
             }
             StoreResponse::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.writing = Writing::Settling(None);
+                    job.commit_state = CommitState::Resolving(None);
                 }
-                if self.fence_off_later(&id, &changes) {
+                if self.mark_for_fencing_off(&id, &changes) {
                     return;
                 }
-                self.once_fresh(PendingRead::Settle { job: id });
+                self.request_read_barrier(PendingRead::ResolveTransaction { job: id });
             }
-            _ => self.settle(&id),
+            _ => self.restart_from_records(&id),
         }
         self.write_next();
     }
@@ -50,10 +50,10 @@
         let indices: Vec<u32> = changes.iter().map(|(index, _)| *index).collect();
         self.jobs.discard(id, &indices);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.writing = Writing::Idle;
+            job.commit_state = CommitState::Idle;
         }
         self.commit(id);
-        self.consider(id);
+        self.update_queue_entry(id);
         let machine_ids: BTreeSet<MachineId> = changes
             .into_iter()
             .filter_map(|(_, change)| match change {
@@ -69,23 +69,23 @@
     /// Starts over from the records after a transaction that did not plainly succeed; the cache shows
     /// by now what came of it. Noted changes are dropped, except completions: the next heartbeats and
     /// cycles bring back what still holds.
-    pub(in crate::controller) fn settle(&mut self, id: &JobId) {
+    pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
         let completions = self.noted_completions(id);
         self.jobs.discard_changes(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.writing = Writing::Idle;
-            self.fail_later(id);
+            job.commit_state = CommitState::Idle;
+            self.back_off(id);
         }
         // Of tasks that left their machines, the last heartbeats still hold: replicas on two holders'
         // machines end at once, and one of the two had to wait for its machine's next heartbeat.
         for machine_id in departed_from {
-            self.look_again(&machine_id);
+            self.reconcile_again(&machine_id);
         }
         for (index, change) in completions {
             let job = self.jobs.get(id);
             if job.is_some_and(|job| !job.changes.contains_key(&index)) {
-                self.jobs.want(id, index, change);
+                self.jobs.note_change(id, index, change);
             }
         }
         self.drop_overtaken(id);
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -76,7 +76,7 @@
     /// machines unseen.
     pub(super) fn complete_gang(&mut self, job: &Job) {
         let small = job.record.pages() as usize <= MAX_PAGES;
-        if !job.whole_gang() || !job.active() || !small {
+        if !job.is_gang_of_several() || !job.is_active() || !small {
             return;
         }
         let Some(finished) = self.finished_attempt() else {
@@ -138,7 +138,7 @@
     /// `all_placements_known`: whether the cache shows all that was placed of a job that is over.
     pub(super) fn final_phase(&self, job: &Job, all_placements_known: bool) -> Option<Phase> {
         let finished = self.changes.iter().filter(|(_, c)| c.finishes()).count() as u32;
-        if job.active() {
+        if job.is_active() {
             return (job.done + finished == job.record.tasks).then_some(Phase::Done);
         }
         let none_left = job.placed as usize == self.changes.len();
@@ -175,7 +175,7 @@
     fn check_change(&self, job: &Job, index: u32, change: &TaskChange) -> Option<AllowedChange> {
         match (change, job.task(index)) {
             (TaskChange::Place(placement), Task::Waiting { tried })
-                if job.active() && *tried < placement.attempt =>
+                if job.is_active() && *tried < placement.attempt =>
             {
                 self.check_placement(placement)
             }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -171,7 +171,7 @@
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
         // Noted when it was right; the records are newer.
-        controller.jobs.want(&id, 0, change);
+        controller.jobs.note_change(&id, 0, change);
         controller.write(&id);
         let wrote = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
@@ -209,9 +209,9 @@
         (spec.kind, spec.tasks) = (JobKind::Gang, 2);
         let tasks = vec![placed("vm-a", "a.0", 2), mate.clone()];
         let (mut controller, id) = controller(spec, tasks);
-        controller.jobs.want(&id, 0, finish.clone());
+        controller.jobs.note_change(&id, 0, finish.clone());
         if let Some(noted) = noted {
-            controller.jobs.want(&id, 1, noted);
+            controller.jobs.note_change(&id, 1, noted);
         }
         controller.write(&id);
         let completions = controller.effects.iter().any(|effect| {
@@ -250,15 +250,19 @@
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks, spec.one_zone) = (JobKind::Array, 3, false);
         (spec.priority, spec.spread) = (PriorityClass::Normal, false);
-        let tasks = vec![placed("vm-a", "a.0", 2), Task::FRESH, Task::FRESH];
+        let tasks = vec![
+            placed("vm-a", "a.0", 2),
+            Task::NEVER_PLACED,
+            Task::NEVER_PLACED,
+        ];
         let (mut controller, id) = controller(spec, tasks);
         controller.now = Millis(10_000);
         if short {
             controller.commits.writes_short_until = Millis(11_000);
         }
-        controller.jobs.want(&id, index, change.clone());
+        controller.jobs.note_change(&id, index, change.clone());
         controller.commit(&id);
-        let written = controller.jobs.get(&id).unwrap().writing == Writing::InFlight;
+        let written = controller.jobs.get(&id).unwrap().commit_state == CommitState::InFlight;
         assert_eq!(written, at_once, "{change:?}, short: {short}");
     }
 }
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -76,15 +76,15 @@
         ChangeKind::FinalCompletions => (Lane::Completions, now),
         ChangeKind::PartialCompletions => {
             let due = now + gather_interval(scarce, near_limit());
-            (Lane::Gathered, due)
+            (Lane::PartialCompletions, due)
         }
-        ChangeKind::BrokenGang => (Lane::Places, now + LAST_TASKS_TIMEOUT),
+        ChangeKind::BrokenGang => (Lane::Placements, now + LAST_TASKS_TIMEOUT),
         // Its resources are on machines of several holders, who may allocate them meanwhile.
         ChangeKind::GangPlacement => (Lane::Completions, urgent),
-        _ if job.spec.priority >= PriorityClass::Urgent => (Lane::Places, urgent),
+        _ if job.spec.priority >= PriorityClass::Urgent => (Lane::Placements, urgent),
         // While writes are scarce, waiting for more placements costs less than a transaction.
-        ChangeKind::ArrayPlacements if scarce => (Lane::Places, now + MORE_PLACEMENTS_TIMEOUT),
-        _ => (Lane::Places, now),
+        ChangeKind::ArrayPlacements if scarce => (Lane::Placements, now + MORE_PLACEMENTS_TIMEOUT),
+        _ => (Lane::Placements, now),
     };
     CommitTurn { lane, due }
 }
@@ -92,17 +92,17 @@
 fn kind_of(job: &Job) -> ChangeKind {
     let completions = job.changes.values().all(TaskChange::finishes);
     let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
-    if !job.active() {
+    if !job.is_active() {
         ChangeKind::Stop
-    } else if completions && (complete || job.whole_gang()) {
+    } else if completions && (complete || job.is_gang_of_several()) {
         ChangeKind::FinalCompletions
     } else if completions {
         ChangeKind::PartialCompletions
-    } else if more_will_leave(job) && job.broken_gang() {
+    } else if more_will_leave(job) && job.is_broken_gang() {
         ChangeKind::BrokenGang
-    } else if job.whole_gang() && job.placed == 0 {
+    } else if job.is_gang_of_several() && job.placed == 0 {
         ChangeKind::GangPlacement
-    } else if job.spec.kind == JobKind::Array && job.waiting() > 0 && only_placements(job) {
+    } else if job.spec.kind == JobKind::Array && job.waiting_tasks() > 0 && only_placements(job) {
         ChangeKind::ArrayPlacements
     } else {
         ChangeKind::Other
--- a/src/controller/commits/turn/tests.rs
+++ b/src/controller/commits/turn/tests.rs
@@ -43,14 +43,14 @@
         if index < placed {
             Task::Placed(placement())
         } else {
-            Task::FRESH
+            Task::NEVER_PLACED
         }
     };
     let (mut jobs, id) = jobs(3, &[(0, (0..3).map(task).collect())]);
     let job = jobs.get_mut(&id).unwrap();
     (job.spec.kind, job.spec.priority) = (kind, priority);
     for (index, change) in changes.iter().enumerate() {
-        jobs.want(&id, index as u32, change.clone());
+        jobs.note_change(&id, index as u32, change.clone());
     }
     (jobs, id)
 }
@@ -79,12 +79,12 @@
             Normal,
             3,
             vec![finish()],
-            Lane::Gathered,
+            Lane::PartialCompletions,
             3_000,
             45_000,
         ),
-        (Gang, Normal, 3, vec![release()], Lane::Places, 0, 0),
-        (Gang, Normal, 2, vec![release()], Lane::Places, 400, 400),
+        (Gang, Normal, 3, vec![release()], Lane::Placements, 0, 0),
+        (Gang, Normal, 2, vec![release()], Lane::Placements, 400, 400),
         (
             Gang,
             Normal,
@@ -94,15 +94,15 @@
             -2_000,
             -2_000,
         ),
-        (Array, Normal, 0, vec![place()], Lane::Places, 0, 2_500),
-        (Array, Normal, 0, vec![place(); 3], Lane::Places, 0, 0),
-        (Array, Normal, 1, vec![release()], Lane::Places, 0, 0),
+        (Array, Normal, 0, vec![place()], Lane::Placements, 0, 2_500),
+        (Array, Normal, 0, vec![place(); 3], Lane::Placements, 0, 0),
+        (Array, Normal, 1, vec![release()], Lane::Placements, 0, 0),
         (
             Array,
             Urgent,
             0,
             vec![place()],
-            Lane::Places,
+            Lane::Placements,
             -2_000,
             -2_000,
         ),
@@ -130,7 +130,7 @@
         (WritePressure::Scarce, NOW + GATHER_INTERVAL),
     ];
     for (pressure, due) in cases {
-        let lane = Lane::Gathered;
+        let lane = Lane::PartialCompletions;
         let turn = choose(job, pressure, || true, NOW);
         assert_eq!(turn, CommitTurn { lane, due }, "{pressure:?}");
     }
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -16,7 +16,7 @@
 impl Controller {
     /// Tells all controllers that tasks of these jobs failed on a machine of ours, and takes the
     /// failures into account here.
-    pub(super) fn tasks_failed(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
+    pub(super) fn report_task_failures(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
         for id in failed {
             self.scheduler.failed_jobs.insert(id.clone());
             for member in &self.settings.members {
@@ -27,20 +27,20 @@
                 };
                 self.effects.push(Effect::Peer { to, message });
             }
-            self.note_failed(&id, machine_id);
+            self.record_task_failure(&id, machine_id);
         }
     }
 
     /// Takes into account that a task of a job failed on a machine, which this controller or
     /// another saw.
-    pub(super) fn note_failed(&mut self, id: &JobId, machine_id: &MachineId) {
-        let Some(job) = self.jobs.get(id).filter(|job| job.active()) else {
+    pub(super) fn record_task_failure(&mut self, id: &JobId, machine_id: &MachineId) {
+        let Some(job) = self.jobs.get(id).filter(|job| job.is_active()) else {
             return;
         };
         let crash_loops = &mut self.scheduler.crash_loops;
         // A job of which a task has finished is not to blame.
         let newly_crash_looping =
-            job.done == 0 && crash_loops.failed(id, job.spec.kind, machine_id, self.now);
+            job.done == 0 && crash_loops.record_failure(id, job.spec.kind, machine_id, self.now);
         self.blame_machine(id, machine_id);
         if newly_crash_looping {
             tracing::info!(job = %id, "job crash-looping");
@@ -60,11 +60,11 @@
         else {
             return;
         };
-        machine.note_failure(id, self.now);
-        machine.judge(|id| is_crash_looping(jobs, crash_loops, id));
+        machine.record_failure(id, self.now);
+        machine.update_quarantine(|id| is_crash_looping(jobs, crash_loops, id));
         if machine.quarantined {
             tracing::info!(%machine_id, "machine quarantined");
-            crash_loops.quarantined(machine_id, self.now);
+            crash_loops.forget_machine(machine_id, self.now);
         }
     }
 
@@ -74,11 +74,13 @@
         let (leases, me) = (&self.membership.leases, &self.me);
         let (jobs, crash_loops) = (&self.jobs, &self.scheduler.crash_loops);
         for (machine_id, machine) in &mut self.machines {
-            if !machine.failed.contains_key(id) || leases.holds(&machine.shard, me).is_none() {
+            if !machine.failure_streaks.contains_key(id)
+                || leases.holds(&machine.shard, me).is_none()
+            {
                 continue;
             }
             let was_quarantined = machine.quarantined;
-            machine.judge(|id| is_crash_looping(jobs, crash_loops, id));
+            machine.update_quarantine(|id| is_crash_looping(jobs, crash_loops, id));
             if was_quarantined && !machine.quarantined {
                 self.autoscaler.drains.remove(machine_id);
             }
@@ -92,7 +94,7 @@
         let Some(job) = self
             .jobs
             .get(id)
-            .filter(|job| job.done == 0 && crash_loops.suspect(&job.id))
+            .filter(|job| job.done == 0 && crash_loops.is_crash_looping(&job.id))
         else {
             return false;
         };
@@ -113,7 +115,7 @@
 /// Whether a job failed wherever it was tried. A task that finishes clears it.
 fn is_crash_looping(jobs: &JobCache, crash_loops: &CrashLoopTracker, id: &JobId) -> bool {
     let finished_any = jobs.get(id).is_some_and(|job| job.done > 0);
-    !finished_any && crash_loops.suspect(id)
+    !finished_any && crash_loops.is_crash_looping(id)
 }
 
 /// Whether a task of a crash-looping job runs, or is about to, whose end shows how the job fares.
--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -32,7 +32,7 @@
         &mut self,
         heartbeat: Heartbeat,
     ) -> HeartbeatResponse {
-        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let shards_per_zone = self.settings.operator.shards_per_zone;
         let shard = shard_of(&heartbeat.machine_id, &heartbeat.zone, shards_per_zone);
         let Some(token) = self.token_for(&shard) else {
             return self.answer_for_other_holder(&shard, heartbeat.worker_token);
@@ -43,12 +43,12 @@
             // learned of it yet.
             return HeartbeatResponse::Redirect(None);
         }
-        if !self.may_answer() {
+        if !self.may_answer_heartbeats() {
             return HeartbeatResponse::RetryLater;
         }
         // A holder that has not yet read what was placed before its time gives no commands: a task
         // that has left the machine since would start there once more.
-        let complete = self.complete(&shard);
+        let complete = self.knows_all_placements(&shard);
         let commands = match self.record_heartbeat(shard, token, &heartbeat) {
             HeartbeatOutcome::Applied { was_schedulable } if complete => {
                 self.commands_in_answer(&heartbeat.machine_id, token, was_schedulable)
@@ -84,7 +84,7 @@
         token: FencingToken,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        let (now, silence) = (self.now, self.silence());
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let lease_s = self.settings.deployment.workers.lease_s;
         let answered_epoch_min = Millis::from_secs(lease_s * ANSWERED_EPOCH_LEASE_FRACTION);
         let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + EPOCH_END_MARGIN_S);
@@ -102,23 +102,23 @@
                 )
             });
         // Our answer may renew the worker's lease whatever the heartbeat's age.
-        let previous_answer = machine.answered.replace((token, now));
-        if !machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
+        let previous_answer = machine.last_answer.replace((token, now));
+        if !machine.is_newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
             return HeartbeatOutcome::Outdated;
         }
-        let was_schedulable = machine.fit_under(token, now, silence);
+        let was_schedulable = machine.is_schedulable_under(token, now, silence);
         let answered_just_now = previous_answer
             .is_some_and(|(under, at)| under == token && now.since(at) < answered_epoch_min);
         let observation = HeartbeatObservation {
             agent_epoch: heartbeat.agent_epoch,
-            after_silence: now.since(machine.heard) > silence,
+            after_silence: now.since(machine.last_contact) > silence,
             epoch_ended_early: heartbeat.agent_epoch > machine.agent_epoch && answered_just_now,
             starts_shown: machine.shows_piggybacked_start(heartbeat),
         };
         machine
             .reachability
             .observe_heartbeat(observation, lease, now);
-        machine.reported = now;
+        machine.last_heartbeat = now;
         machine.apply_heartbeat(heartbeat, now, &self.me);
         machine.confirm_token(token, now);
         if !machine.reachability.is_confirmed() {
@@ -134,7 +134,7 @@
         token: FencingToken,
         was_schedulable: bool,
     ) -> Vec<WorkerCommand> {
-        let (now, silence) = (self.now, self.silence());
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return Vec::new();
         };
@@ -145,8 +145,8 @@
         }
         machine.direct.set_validity(token, machine.agent_epoch);
         machine.direct.piggybacked_starts.clear();
-        if machine.fit(now, silence) && !was_schedulable {
-            self.wake(ClusterEvent::Machine(machine_id.clone()));
+        if machine.is_schedulable(now, silence) && !was_schedulable {
+            self.wake_parked_jobs(ClusterEvent::MachineSchedulable(machine_id.clone()));
         }
         let commands = self.reconcile_machine(machine_id, token);
         if let Some(machine) = self.machines.get_mut(machine_id) {
--- a/src/controller/heartbeats/contact.rs
+++ b/src/controller/heartbeats/contact.rs
@@ -36,7 +36,7 @@
             .machines
             .values()
             .filter(|machine| !self.autoscaler.fleet.gone.contains(&machine.machine_id))
-            .max_by_key(|machine| machine.heard)
+            .max_by_key(|machine| machine.last_contact)
             .and_then(|machine| Some((machine.machine_id.clone(), machine.address?)));
         if let Some((machine_id, address)) = target {
             self.effects.push(Effect::Inspect {
@@ -47,7 +47,7 @@
     }
 
     fn release_shards_without_contact(&mut self) {
-        let limit = self.silence() + NO_HEARTBEATS_MARGIN;
+        let limit = self.heartbeat_timeout() + NO_HEARTBEATS_MARGIN;
         let expected = self
             .machines
             .values()
@@ -65,11 +65,11 @@
     /// Whether a machine has reported to us, should go on to do so, and did until lately.
     fn expects_heartbeat(&self, machine: &Machine, limit: Millis) -> bool {
         let moved_at = self.membership.shard_moved_at.get(&machine.shard);
-        machine.answered.is_some()
+        machine.last_answer.is_some()
             && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
             && self.token_for(&machine.shard).is_some()
             && moved_at.is_none_or(|at| self.now.since(*at) > limit)
-            && self.now.since(machine.heard).0 < EXPECTED_CONTACT_FACTOR * limit.0
+            && self.now.since(machine.last_contact).0 < EXPECTED_CONTACT_FACTOR * limit.0
     }
 
     /// Whether every other controller has said lately that it receives no heartbeats either. Then
--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -51,13 +51,13 @@
     fn direct_target(&self, machine: &Machine) -> Option<DirectTarget> {
         let token = self.token_for(&machine.shard)?;
         let address = machine.address?;
-        let answered = machine.answered.is_some_and(|(under, _)| under == token);
+        let answered = machine.last_answer.is_some_and(|(under, _)| under == token);
         let allowed = machine.worker_token.token() == token
-            && self.complete(&machine.shard)
+            && self.knows_all_placements(&machine.shard)
             && answered
             && machine.reachability.is_confirmed()
-            && self.now.since(machine.heard) <= self.silence()
-            && self.may_answer();
+            && self.now.since(machine.last_contact) <= self.heartbeat_timeout()
+            && self.may_answer_heartbeats();
         allowed.then_some(DirectTarget { address, token })
     }
 
@@ -91,22 +91,22 @@
         token: FencingToken,
         heartbeat: &Heartbeat,
     ) {
-        let (now, silence) = (self.now, self.silence());
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let unable_to_report = self.is_unable_to_report(machine_id);
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         if heartbeat.machine_id != *machine_id
             || heartbeat.worker_token.token() > token
-            || !machine.newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence)
+            || !machine.is_newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence)
         {
             return;
         }
-        let was_schedulable = machine.fit_under(token, now, silence);
+        let was_schedulable = machine.is_schedulable_under(token, now, silence);
         if unable_to_report {
             machine.reachability.mark_heartbeats_lost(now);
         } else {
-            machine.reachability.prove();
+            machine.reachability.confirm();
         }
         if heartbeat.agent_epoch != machine.agent_epoch {
             // The lease of an agent epoch that we did not know of runs from when it began, not from
@@ -119,8 +119,8 @@
             return;
         }
         machine.direct.set_validity(token, heartbeat.agent_epoch);
-        if machine.fit(now, silence) && !was_schedulable {
-            self.wake(ClusterEvent::Machine(machine_id.clone()));
+        if machine.is_schedulable(now, silence) && !was_schedulable {
+            self.wake_parked_jobs(ClusterEvent::MachineSchedulable(machine_id.clone()));
         }
         if unable_to_report {
             self.evacuate_unable_to_report(machine_id);
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -13,7 +13,7 @@
 /// How long a machine has been silent, and its shard has had the same holder.
 pub(in crate::controller) struct Silence {
     /// Time since its last sign of life, to whichever controller.
-    pub since_heard: Millis,
+    pub since_contact: Millis,
     /// Time since its shard last changed hands.
     pub held: Millis,
 }
@@ -21,7 +21,7 @@
 impl Silence {
     /// Whether the worker's lease has expired, whichever controller it reported to before.
     pub fn outlasts(&self, lease: Millis) -> bool {
-        self.since_heard.min(self.held) > lease
+        self.since_contact.min(self.held) > lease
     }
 }
 
@@ -35,8 +35,11 @@
     }
 
     /// When any controller last received a sign of life of a machine, as far as we know; 0: never.
-    pub(in crate::controller) fn last_heard(&self, machine_id: &MachineId) -> Millis {
-        let known = self.machines.get(machine_id).map(|machine| machine.heard);
+    pub(in crate::controller) fn last_contact(&self, machine_id: &MachineId) -> Millis {
+        let known = self
+            .machines
+            .get(machine_id)
+            .map(|machine| machine.last_contact);
         let heard = known.or_else(|| self.contact.relayed_heartbeats.get(machine_id).copied());
         heard.unwrap_or_default()
     }
@@ -44,7 +47,7 @@
     /// How long a machine has been silent, as its shard's holder sees it; only the holder receives
     /// its heartbeats. `None` if the holder receives no heartbeats at all, since it can't tell
     /// either, or if nobody holds the shard.
-    pub(in crate::controller) fn silent_for(
+    pub(in crate::controller) fn silence_of(
         &self,
         machine_id: &MachineId,
         shard: &ShardId,
@@ -55,14 +58,14 @@
         }
         let moved_at = self.membership.shard_moved_at.get(shard);
         Some(Silence {
-            since_heard: self.now.since(self.last_heard(machine_id)),
+            since_contact: self.now.since(self.last_contact(machine_id)),
             held: moved_at.map_or(self.now, |at| self.now.since(*at)),
         })
     }
 
     fn holder_receives_heartbeats(&self, holder: &ControllerId) -> bool {
         if *holder == self.me {
-            return self.contact.is_current(self.now, self.silence());
+            return self.contact.is_current(self.now, self.heartbeat_timeout());
         }
         self.recent_status(holder)
             .is_some_and(|peer| peer.receives_heartbeats)
@@ -70,8 +73,12 @@
 
     /// Whether most other machines of the zone are heard: then the machine itself is silent, and
     /// not the network to its zone.
-    pub(in crate::controller) fn zone_speaks(&self, machine_id: &MachineId, zone: &Zone) -> bool {
-        let limit = self.silence();
+    pub(in crate::controller) fn most_of_zone_reports(
+        &self,
+        machine_id: &MachineId,
+        zone: &Zone,
+    ) -> bool {
+        let limit = self.heartbeat_timeout();
         let others: Vec<Millis> = self
             .machines
             .values()
@@ -80,7 +87,7 @@
                     && machine.machine_id != *machine_id
                     && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
             })
-            .map(|machine| self.now.since(machine.heard))
+            .map(|machine| self.now.since(machine.last_contact))
             .filter(|silent| silent.0 < RECENT_SILENCE_FACTOR * limit.0)
             .collect();
         let heard = others.iter().filter(|silent| **silent <= limit).count();
--- a/src/controller/heartbeats/mod.rs
+++ b/src/controller/heartbeats/mod.rs
@@ -32,7 +32,7 @@
 
 impl Controller {
     /// A worker that has been silent for longer than this gets no new tasks.
-    pub(super) fn silence(&self) -> Millis {
+    pub(super) fn heartbeat_timeout(&self) -> Millis {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         Millis::from_secs(interval_s * MISSED_HEARTBEAT_INTERVALS)
     }
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -17,12 +17,12 @@
 
 impl Controller {
     /// Draws from a machine's newest heartbeat what it still proves.
-    pub(in crate::controller) fn look_again(&mut self, machine_id: &MachineId) {
+    pub(in crate::controller) fn reconcile_again(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         if let Some(token) = self.token_for(&machine.shard)
-            && self.complete(&machine.shard)
+            && self.knows_all_placements(&machine.shard)
         {
             // The commands ride on the answer to the next heartbeat.
             let _ = self.reconcile_machine(machine_id, token);
@@ -45,8 +45,8 @@
         self.record_task_results(machine_id, &outcome);
         self.attribute_failures(machine_id, &outcome.failures);
         if !outcome.changes.is_empty() {
-            self.note_changes(outcome.changes);
-            self.wake(ClusterEvent::Freed(machine_id.clone()));
+            self.request_changes(outcome.changes);
+            self.wake_parked_jobs(ClusterEvent::ResourcesReleased(machine_id.clone()));
         }
         outcome.commands
     }
@@ -70,7 +70,7 @@
         let fetch_s = job.spec.image_gb / slowest_rate;
         let gang_wait_s = self.settings.deployment.workers.gang_wait_s;
         let limit = Millis::from_secs(gang_wait_s + FETCH_TIMEOUT_FACTOR * fetch_s);
-        job.whole_gang() && self.now.since(job.settled) < limit
+        job.is_gang_of_several() && self.now.since(job.last_placement_change) < limit
     }
 
     /// Updates the machine's own state by how tasks ended on it.
@@ -99,14 +99,17 @@
                 self.scheduler.failed_jobs.insert(job.clone());
             }
         }
-        self.tasks_failed(failed, machine_id);
+        self.report_task_failures(failed, machine_id);
     }
 
     /// Requests changes of tasks and commits them job by job. Changes of one job stand together.
-    pub(in crate::controller) fn note_changes(&mut self, changes: Vec<(JobId, u32, TaskChange)>) {
+    pub(in crate::controller) fn request_changes(
+        &mut self,
+        changes: Vec<(JobId, u32, TaskChange)>,
+    ) {
         let mut jobs: Vec<JobId> = Vec::new();
         for (job, index, change) in changes {
-            self.jobs.want(&job, index, change);
+            self.jobs.note_change(&job, index, change);
             if jobs.last() != Some(&job) {
                 jobs.push(job);
             }
@@ -133,13 +136,16 @@
             .map(|job| (&job.spec.image, job.spec.image_gb))
             .collect();
         for (image, gb) in images {
-            if let Some(coming) = machine.coming.get(image) {
+            if let Some(coming) = machine.pending_fetches.get(image) {
                 let took_s = self.now.since(coming.last_used).secs();
-                let others = machine.coming.len() - 1;
+                let others = machine.pending_fetches.len() - 1;
                 tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "image fetched");
             }
-            if machine.note_image(image, gb, cache_gb, self.now) {
-                self.scheduler.candidates.touched.push(machine_id.clone());
+            if machine.record_image_use(image, gb, cache_gb, self.now) {
+                self.scheduler
+                    .candidates
+                    .changed_machines
+                    .push(machine_id.clone());
             }
         }
     }
--- a/src/controller/heartbeats/replica_migration.rs
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -49,7 +49,7 @@
 
     /// The first replica on a machine that can run elsewhere.
     fn migration_from(&self, machine: &Machine) -> Option<Migration> {
-        let mut placed = self.jobs.on_machine(&machine.machine_id);
+        let mut placed = self.jobs.tasks_on(&machine.machine_id);
         placed.find_map(|(id, index)| {
             let job = self.jobs.get(id)?;
             let placement = job.task(*index).placement()?;
@@ -73,14 +73,14 @@
 
     fn is_settled_service(&self, job: &Job) -> bool {
         job.spec.kind == JobKind::Service
-            && job.active()
-            && self.now.since(job.settled) > MIN_REPLICA_AGE
+            && job.is_active()
+            && self.now.since(job.last_placement_change) > MIN_REPLICA_AGE
     }
 
     fn can_take_replica(&self, target: &Machine, job: &Job, source: &Machine) -> bool {
         // A service with several replicas is spread over zones, so each stays in its own.
         let zone_kept = job.record.tasks == 1 || target.zone == source.zone;
-        (self.ours(target) || self.others(target))
+        (self.is_schedulable_by_us(target) || self.is_schedulable_by_peer(target))
             && target.images.contains_key(&job.spec.image)
             && zone_kept
             && job
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -26,7 +26,7 @@
         }
         self.contact.last_sweep = self.now;
         self.update_quiet_machines();
-        self.fence();
+        self.announce_tokens();
         self.probe_silent_machines();
         self.release_tasks_of_expired_leases();
         self.expire_image_fetches();
@@ -48,12 +48,12 @@
                 continue;
             };
             // In partition mode any controller may renew the leases of our workers.
-            if self.partition.mode.on() || !machine.lease_expired(token, lease, self.now) {
+            if self.partition.mode.is_on() || !machine.lease_expired(token, lease, self.now) {
                 continue;
             }
             changes.extend(self.releases_of(machine, token));
         }
-        self.note_changes(changes);
+        self.request_changes(changes);
     }
 
     /// Releases of all tasks on a machine that no change is under way for.
@@ -62,7 +62,7 @@
         machine: &Machine,
         token: FencingToken,
     ) -> impl Iterator<Item = (JobId, u32, TaskChange)> {
-        let placed = self.jobs.on_machine(&machine.machine_id);
+        let placed = self.jobs.tasks_on(&machine.machine_id);
         placed.filter_map(move |(id, index)| {
             let job = self.jobs.get(id)?;
             let placement = job.task(*index).placement()?;
@@ -77,7 +77,7 @@
     }
 
     fn expire_image_fetches(&mut self) {
-        let fetching = |machine: &&mut Machine| !machine.coming.is_empty();
+        let fetching = |machine: &&mut Machine| !machine.pending_fetches.is_empty();
         for machine in self.machines.values_mut().filter(fetching) {
             let rate = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
             machine.expire_fetches(rate, self.now);
@@ -99,12 +99,12 @@
         let waits = |id: &JobId| {
             self.jobs
                 .get(id)
-                .is_some_and(|job| job.active() && job.waiting() > 0)
+                .is_some_and(|job| job.is_active() && job.waiting_tasks() > 0)
         };
         let expired: Vec<JobId> = self
             .scheduler
             .nominations
-            .jobs
+            .by_job
             .iter()
             .filter(|(id, nomination)| nomination.until <= self.now || !waits(id))
             .map(|(id, _)| id.clone())
@@ -122,7 +122,7 @@
             .retain(|id, _| jobs.get(id).is_some());
         self.scheduler.crash_loops.retain(|id| {
             jobs.get(id)
-                .is_some_and(|job| job.active() && job.done == 0)
+                .is_some_and(|job| job.is_active() && job.done == 0)
         });
         self.scheduler
             .forwarded_early
@@ -132,7 +132,7 @@
     fn forget_silent_machines(&mut self) {
         let (now, jobs) = (self.now, &self.jobs);
         self.machines.retain(|machine_id, machine| {
-            now.since(machine.heard) < FORGET || jobs.busy(machine_id)
+            now.since(machine.last_contact) < FORGET || jobs.is_occupied(machine_id)
         });
     }
 }
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -27,7 +27,7 @@
     let machine_id = MachineId::from("vm-a");
     let machine = controller.machines.get_mut(&machine_id).unwrap();
     machine.worker_token = WorkerToken::of(FencingToken(5));
-    machine.answered = Some((FencingToken(5), Millis(1_000)));
+    machine.last_answer = Some((FencingToken(5), Millis(1_000)));
     let heartbeat = json!({"host": "vm-a", "address": "", "rig": "g8", "yard": "a",
         "loaners": false, "shift": 2, "tally": 9, "baton": WorkerToken::of(FencingToken(5)),
         "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
@@ -118,7 +118,7 @@
 #[test]
 fn a_machine_that_is_met_by_a_heartbeat_gets_work_once_it_has_answered() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-    let (mut controller, _) = controller(spec, vec![Task::FRESH]);
+    let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
     controller.now = Millis(20_000);
     let heartbeat = |heartbeat_sequence| {
         let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
@@ -127,7 +127,7 @@
         serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
     };
     let machine_id = MachineId::from("vm-2");
-    let fit = |c: &Controller| c.ours(&c.machines[&machine_id]);
+    let fit = |c: &Controller| c.is_schedulable_by_us(&c.machines[&machine_id]);
     for heartbeat_sequence in [4, 5] {
         controller.effects.clear();
         controller.answer_heartbeat(heartbeat(heartbeat_sequence));
@@ -155,22 +155,23 @@
     ];
     for (peer_receives_heartbeats, before, expected) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-        let (mut controller, _) = controller(spec, vec![Task::FRESH]);
+        let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
         controller.now = Millis(100_000);
         (
             controller.contact.receives_heartbeats,
             controller.contact.shard_release_streak,
         ) = (true, before);
-        controller.contact.last_heartbeat = controller.now - Millis(controller.silence().0 + 2_001);
+        controller.contact.last_heartbeat =
+            controller.now - Millis(controller.heartbeat_timeout().0 + 2_001);
         for machine in controller.machines.values_mut() {
-            machine.answered = Some((FencingToken(5), Millis(1)));
-            (machine.heard, machine.address) =
+            machine.last_answer = Some((FencingToken(5), Millis(1)));
+            (machine.last_contact, machine.address) =
                 (controller.contact.last_heartbeat, "10.0.0.9:1".parse().ok());
         }
         controller.membership.shard_moved_at.clear();
         for member in controller.settings.members.clone() {
             let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerStatus {
-                heard: controller.now,
+                received_at: controller.now,
                 revision: Revision(1),
                 without_store: Millis(0),
                 receives_heartbeats,
--- a/src/controller/hierarchical_quota/demand.rs
+++ b/src/controller/hierarchical_quota/demand.rs
@@ -26,18 +26,22 @@
         self.reorder_queue();
         self.quota.reclaim.head_of_line_jobs = self.find_head_of_line_jobs();
         for team in raised {
-            self.wake(ClusterEvent::Entitled(team));
+            self.wake_parked_jobs(ClusterEvent::EntitlementRaised(team));
         }
     }
 
     fn reorder_queue(&mut self) {
         let mut queue = std::mem::take(&mut self.scheduler.queue);
-        queue.reorder(|id| Some(self.order(self.jobs.get(id)?)));
+        queue.reorder(|id| Some(self.queue_key(self.jobs.get(id)?)));
         // Work within its entitlement for which no capacity is being reclaimed is tried again.
         queue.wake(self.now, |id, check| {
-            let waits =
-                check == Check::Resources && self.scheduler.nominations.of(id, self.now).is_none();
-            waits && self.jobs.get(id).is_some_and(|job| self.guaranteed(job))
+            let waits = check == Check::Resources
+                && self
+                    .scheduler
+                    .nominations
+                    .machines_for(id, self.now)
+                    .is_none();
+            waits && self.jobs.get(id).is_some_and(|job| self.is_entitled(job))
         });
         self.scheduler.queue = queue;
     }
@@ -46,11 +50,11 @@
     fn find_head_of_line_jobs(&self) -> Vec<JobId> {
         let mut first: BTreeMap<&Team, (QueueKey, &JobId)> = BTreeMap::new();
         for job in self.jobs.iter() {
-            let waits = job.active() && job.waiting() > 0 && !job.whole_gang();
+            let waits = job.is_active() && job.waiting_tasks() > 0 && !job.is_gang_of_several();
             if !waits || !self.in_tree(&job.spec.team) {
                 continue;
             }
-            let candidate = (self.order(job), &job.id);
+            let candidate = (self.queue_key(job), &job.id);
             let best = first.entry(&job.spec.team).or_insert(candidate);
             *best = candidate.min(*best);
         }
@@ -60,11 +64,15 @@
     /// Activates the head-of-line jobs within their entitlement that fit on a machine of ours
     /// where capacity became available. Other controllers learn of the capacity seconds later;
     /// without this, borrowed work would take it first.
-    pub(in crate::controller) fn activate_due(&mut self, machine_id: &MachineId) {
+    pub(in crate::controller) fn activate_head_of_line_jobs(&mut self, machine_id: &MachineId) {
         if self.quota.reclaim.head_of_line_jobs.is_empty() {
             return;
         }
-        let Some(machine) = self.machines.get(machine_id).filter(|m| self.ours(m)) else {
+        let Some(machine) = self
+            .machines
+            .get(machine_id)
+            .filter(|m| self.is_schedulable_by_us(m))
+        else {
             return;
         };
         let due = self.due_jobs(machine, self.available(machine));
@@ -80,13 +88,13 @@
         let jobs = self.quota.reclaim.head_of_line_jobs.iter();
         let mut candidates: Vec<(QueueKey, &Job)> = jobs
             .filter_map(|id| self.jobs.get(id))
-            .filter(|job| job.waiting() > 0 && job.spec.resources.fits_in(available))
+            .filter(|job| job.waiting_tasks() > 0 && job.spec.resources.fits_in(available))
             .filter(|job| {
                 job.spec
                     .allows(&machine.machine_type, &machine.zone, machine.spot)
             })
-            .filter(|job| self.guaranteed(job))
-            .map(|job| (self.order(job), job))
+            .filter(|job| self.is_entitled(job))
+            .map(|job| (self.queue_key(job), job))
             .collect();
         candidates.sort_by_key(|(order, job)| (*order, job.id.clone()));
         let mut available = available;
--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -63,13 +63,13 @@
     /// Stops tasks of the teams and nodes that use more than their limit in the tree.
     pub(super) fn stop_excess(&mut self) {
         let due = self.now.since(self.quota.excess_checked_at) >= EXCESS_CHECK_INTERVAL;
-        if !due || self.quota.hierarchy.force().is_none() || !self.may_place() {
+        if !due || self.quota.hierarchy.active_tree().is_none() || !self.may_place() {
             return;
         }
         self.quota.excess_checked_at = self.now;
         for team in self.quota.hierarchy.limited() {
             let used = self.jobs.usage(&team.name);
-            if !quota::within(used, &team) {
+            if !quota::within_limit(used, &team) {
                 self.stop_excess_of(&team, used);
             }
         }
@@ -81,7 +81,7 @@
         let cpus = excess_amount(team.cpus_max, used.cpus);
         let gpus = excess_amount(team.gpus_max, used.gpus);
         for shard in self.held_shards_of(team) {
-            let used_here = self.jobs.used_in(&team.name, &shard);
+            let used_here = self.jobs.usage_in_shard(&team.name, &shard);
             let part = Resources {
                 cpus: cpus * used_here.cpus / used.cpus.max(MIN_USED),
                 gpus: gpus * used_here.gpus / used.gpus.max(MIN_USED),
@@ -112,7 +112,7 @@
     fn shard_excess(&self, team: &TeamSettings, shard: &ShardId, part: Resources) -> ShardExcess {
         let mut remaining = part;
         let mut tasks = Vec::new();
-        for job in self.jobs.iter().filter(|job| job.active()) {
+        for job in self.jobs.iter().filter(|job| job.is_active()) {
             let limits = self.quota.hierarchy.limits(&job.spec.team);
             if !limits.iter().any(|limit| limit.name == team.name) {
                 continue;
@@ -127,7 +127,7 @@
                 };
                 if self.scheduler.stops.contains_key(&task) {
                     remaining = remaining.minus(job.spec.resources);
-                } else if !job.whole_gang() && !job.changes.contains_key(&index) {
+                } else if !job.is_gang_of_several() && !job.changes.contains_key(&index) {
                     tasks.push(self.excess_task(job, task));
                 }
             }
@@ -141,17 +141,17 @@
             service: job.spec.kind == crate::jobs::JobKind::Service,
             overuse_steps: self.team_overuse_steps(&job.spec.team),
             priority: job.spec.priority,
-            waste_s: self.waste(job),
+            waste_s: self.wasted_machine_s(job),
         }
     }
 
     /// How far a team is over its entitlement, in steps; 0 without a tree.
     fn team_overuse_steps(&self, team: &Team) -> i64 {
-        let Some(tree) = self.quota.hierarchy.force() else {
+        let Some(tree) = self.quota.hierarchy.active_tree() else {
             return 0;
         };
         tree.leaf(team).map_or(0, |leaf| {
-            let used = self.jobs.standing(team).into();
+            let used = self.jobs.observed_usage(team).into();
             overuse_steps(tree, leaf, used)
         })
     }
@@ -174,7 +174,7 @@
             machine_ids.insert(placement.machine_id.clone());
             let stop = Stop {
                 attempt: placement.attempt,
-                save: !job.spec.cheap_to_kill(),
+                save: !job.spec.is_cheap_to_kill(),
             };
             self.scheduler.stops.insert(task, stop);
         }
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -17,7 +17,7 @@
 mod reclaim;
 mod reservation;
 
-use hierarchical_quota::Wanted;
+use hierarchical_quota::ResourceRequest;
 
 pub(super) use self::publication::TreePublication;
 pub(super) use self::reclaim::ReclaimState;
@@ -32,7 +32,7 @@
 impl Quota {
     /// Whether a team is in the active tree.
     pub(super) fn in_tree(&self, team: &Team) -> bool {
-        let tree = self.hierarchy.force();
+        let tree = self.hierarchy.active_tree();
         tree.is_some_and(|tree| tree.leaf(team).is_some())
     }
 }
@@ -48,15 +48,15 @@
     /// Applies a watch event of a tree record: its new content, or `None` if it was deleted.
     pub(super) fn apply_tree(&mut self, key: &str, data: Option<&str>, version: Revision) {
         if self.quota.hierarchy.apply(key, data, version) {
-            self.jobs.regroup(self.quota.hierarchy.groups());
+            self.jobs.set_groups(self.quota.hierarchy.groups());
             self.quota.reclaim = ReclaimState::default();
-            self.wake(ClusterEvent::NewTree);
+            self.wake_parked_jobs(ClusterEvent::QuotaTreeReplaced);
         }
     }
 
     /// Whether a job's next task, or all tasks of a gang, are within its team's guarantee on the
     /// platform or its entitlement in the tree.
-    pub(super) fn guaranteed(&self, job: &Job) -> bool {
+    pub(super) fn is_entitled(&self, job: &Job) -> bool {
         self.within_flat_guarantee(job) || self.within_entitlement(job)
     }
 
@@ -64,17 +64,17 @@
         let name = &job.spec.team;
         let used = self.jobs.usage(name).plus(resources_at_once(job));
         let team = self.settings.team(name);
-        team.is_some_and(|team| quota::guaranteed(used, team))
+        team.is_some_and(|team| quota::within_guarantee(used, team))
     }
 
     fn within_entitlement(&self, job: &Job) -> bool {
         let name = &job.spec.team;
-        let Some(tree) = self.quota.hierarchy.force() else {
+        let Some(tree) = self.quota.hierarchy.active_tree() else {
             return false;
         };
         tree.leaf(name).is_some_and(|leaf| {
-            let used = self.jobs.standing(name).into();
-            tree.shares.within(leaf, used, wanted(job))
+            let used = self.jobs.observed_usage(name).into();
+            tree.entitlements.within(leaf, used, wanted(job))
         })
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Whether a parked job may become placeable because the team `freed` uses less.
-    pub(super) fn team_helps(&self, freed: &Team, id: &JobId) -> bool {
+    pub(super) fn may_gain_from(&self, freed: &Team, id: &JobId) -> bool {
         let job = self.jobs.get(id);
         job.is_some_and(|job| self.quota.hierarchy.share_a_limit(freed, &job.spec.team))
     }
@@ -100,8 +100,8 @@
 }
 
 /// The same in the form that entitlements are checked with.
-fn wanted(job: &Job) -> Wanted {
-    Wanted {
+fn wanted(job: &Job) -> ResourceRequest {
+    ResourceRequest {
         total: resources_at_once(job).into(),
         task: job.spec.resources.into(),
     }
--- a/src/controller/hierarchical_quota/publication.rs
+++ b/src/controller/hierarchical_quota/publication.rs
@@ -2,7 +2,7 @@
 
 use super::super::calls::CallPurpose;
 use super::super::{Controller, quota_allocation::Quota};
-use crate::quota::hierarchical::{HEAD, PendingTreeWrite, TreeStatus};
+use crate::quota::hierarchical::{PendingTreeWrite, TREE_HEAD_KEY, TreeStatus};
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::Millis;
 
@@ -53,17 +53,17 @@
             PendingTreeWrite::Pages(pages) => {
                 for (key, text) in pages {
                     txn.require(key.clone(), self.hierarchy.page_version(&key));
-                    txn.put_text(key, text, None);
+                    txn.put_json(key, text, None);
                 }
             }
             PendingTreeWrite::Head(text, version) => {
-                txn.require(HEAD.into(), version);
-                txn.put_text(HEAD.into(), text, None);
+                txn.require(TREE_HEAD_KEY.into(), version);
+                txn.put_json(TREE_HEAD_KEY.into(), text, None);
             }
             PendingTreeWrite::Nothing if is_leader => {
                 for key in self.hierarchy.obsolete_pages().take(max_changes) {
                     txn.require(key.clone(), self.hierarchy.page_version(key));
-                    txn.drop_key(key.clone());
+                    txn.delete(key.clone());
                 }
             }
             PendingTreeWrite::Nothing => {}
@@ -91,12 +91,12 @@
         let txn = self.quota.tree_transaction(max_changes, self.is_leading());
         if !txn.changes.is_empty() {
             self.quota.tree_publication.write_in_flight = true;
-            self.transact(CallClass::Rest, txn, CallPurpose::Tree);
+            self.transact(CallClass::Background, txn, CallPurpose::QuotaTree);
         }
     }
 
     /// Handles the answer to a transaction that wrote tree records.
-    pub(in crate::controller) fn on_tree(&mut self, answer: &StoreResponse) {
+    pub(in crate::controller) fn on_tree_written(&mut self, answer: &StoreResponse) {
         let publication = &mut self.quota.tree_publication;
         publication.write_in_flight = false;
         // The next part follows at once, as long as the store accepts them.
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -33,16 +33,19 @@
     /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
     /// no gang.
     fn reclaims_per_task(&self, job: Option<&Job>) -> bool {
-        let gang = job.is_none_or(Job::whole_gang);
-        self.hierarchy.force().is_some() && !gang
+        let gang = job.is_none_or(Job::is_gang_of_several);
+        self.hierarchy.active_tree().is_some() && !gang
     }
 }
 
 impl Controller {
     /// Plans what to stop for a job by the tree. `None`: there is no tree, or the job's team is not
     /// in it.
-    pub(in crate::controller) fn ledger<'a>(&'a self, job: &Job) -> Option<ReclaimPlanner<'a>> {
-        let tree = self.quota.hierarchy.force()?;
+    pub(in crate::controller) fn reclaim_planner<'a>(
+        &'a self,
+        job: &Job,
+    ) -> Option<ReclaimPlanner<'a>> {
+        let tree = self.quota.hierarchy.active_tree()?;
         let pending = PendingUsage {
             gained: self.nominated_usage(job),
             lost: self.stopping_usage(),
@@ -53,7 +56,7 @@
     /// Capacity that is being made available to other jobs than this.
     fn nominated_usage(&self, job: &Job) -> Vec<TeamUsage> {
         let mut usages = Vec::new();
-        for (id, nomination) in &self.scheduler.nominations.jobs {
+        for (id, nomination) in &self.scheduler.nominations.by_job {
             let other = self.jobs.get(id).filter(|_| *id != job.id);
             if let Some(other) = other.filter(|_| nomination.until > self.now) {
                 let machines = nomination.machine_ids.len() as f64;
@@ -80,22 +83,24 @@
     }
 
     /// The number of a job's tasks that capacity is reclaimed for at once.
-    pub(in crate::controller) fn claims(job: &Job) -> usize {
+    pub(in crate::controller) fn max_reclaims(job: &Job) -> usize {
         match job.spec.kind {
             JobKind::Gang => 1,
-            JobKind::Array | JobKind::Service => job.waiting().min(MAX_RECLAIMS_PER_JOB) as usize,
+            JobKind::Array | JobKind::Service => {
+                job.waiting_tasks().min(MAX_RECLAIMS_PER_JOB) as usize
+            }
         }
     }
 
     /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
     /// no gang.
-    pub(in crate::controller) fn several(&self, id: &JobId) -> bool {
+    pub(in crate::controller) fn reclaims_per_task(&self, id: &JobId) -> bool {
         self.quota.reclaims_per_task(self.jobs.get(id))
     }
 
     /// How long reclaimed capacity is kept for a job. `None`: the job's tasks are not reclaimed for
     /// one by one, and the usual time applies.
-    pub(in crate::controller) fn kept_for(
+    pub(in crate::controller) fn nomination_timeout(
         &self,
         id: &JobId,
         offers: &[PreemptionOffer],
@@ -103,27 +108,27 @@
         let victims = offers.iter().flat_map(|offer| &offer.victims);
         let jobs = victims.filter_map(|task| self.jobs.get(&task.job));
         let longest_save_s = jobs.map(|job| job.spec.save_s).fold(0.0, f64::max);
-        self.several(id)
+        self.reclaims_per_task(id)
             .then(|| NOMINATION_MARGIN + Millis::from_secs(longest_save_s))
     }
 
     /// Queues a job for which the leader has capacity reclaimed in our shards: its tasks are
     /// placed by this controller.
-    pub(in crate::controller) fn expect_task(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.several(id)) else {
+    pub(in crate::controller) fn expect_reclaimed_capacity(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id).filter(|_| self.reclaims_per_task(id)) else {
             return;
         };
-        if job.active() && job.waiting() > 0 {
-            let order = self.order(job);
+        if job.is_active() && job.waiting_tasks() > 0 {
+            let order = self.queue_key(job);
             self.scheduler.forwarded.insert(id.clone());
-            self.scheduler.queue.expect_room(id, 0, order, self.now);
+            self.scheduler.queue.park_nominated(id, 0, order, self.now);
         }
     }
 
     /// Ends the nominations that a job has used by placing tasks. Where capacity is reclaimed for
     /// several of its tasks, the other nominations stay.
-    pub(in crate::controller) fn room_taken(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.several(id)) else {
+    pub(in crate::controller) fn end_used_nominations(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id).filter(|_| self.reclaims_per_task(id)) else {
             return self.scheduler.nominations.remove(id);
         };
         let machine_ids: Vec<MachineId> = job
@@ -135,19 +140,19 @@
             })
             .collect();
         for machine_id in machine_ids {
-            self.scheduler.nominations.taken(id, &machine_id);
+            self.scheduler.nominations.remove_machine(id, &machine_id);
         }
     }
 
     /// Ends a job's nominations on machines where another controller placed its tasks.
-    pub(in crate::controller) fn placed_elsewhere(
+    pub(in crate::controller) fn end_nominations_on(
         &mut self,
         id: &JobId,
         machine_ids: &[MachineId],
     ) {
-        if self.quota.hierarchy.force().is_some() {
+        if self.quota.hierarchy.active_tree().is_some() {
             for machine_id in machine_ids {
-                self.scheduler.nominations.taken(id, machine_id);
+                self.scheduler.nominations.remove_machine(id, machine_id);
             }
         }
     }
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -7,7 +7,7 @@
 use crate::jobs::JobKind;
 use crate::jobs::cache::Job;
 use crate::peers::Message;
-use crate::preempt::Site;
+use crate::preempt::PreemptionSite;
 use crate::quota::reclaim::{MachineReservation, ReclaimPlanner};
 use crate::types::{JobId, MachineId, Millis, TaskId};
 
@@ -34,13 +34,13 @@
 impl Controller {
     /// The machine to reserve for a job's next task. `None`: the task is too small to need that, or
     /// no machine would be available soon enough.
-    pub(in crate::controller) fn gather(
+    pub(in crate::controller) fn plan_reservation(
         &self,
         id: &JobId,
         planner: ReclaimPlanner,
-        sites: &[Site],
+        sites: &[PreemptionSite],
     ) -> Option<MachineReservation> {
-        let job = self.jobs.get(id).filter(|_| self.several(id))?;
+        let job = self.jobs.get(id).filter(|_| self.reclaims_per_task(id))?;
         if !self.needs_most_of_a_machine(job) {
             return None;
         }
@@ -60,7 +60,7 @@
     /// `None`: some task there runs for too long, or has no end.
     fn remaining_s(&self, machine_id: &MachineId, stopped: &[TaskId]) -> Option<f64> {
         let mut longest: f64 = 0.0;
-        for (id, index) in self.jobs.on_machine(machine_id) {
+        for (id, index) in self.jobs.tasks_on(machine_id) {
             let job = self.jobs.get(id)?;
             let task = TaskId {
                 job: id.clone(),
@@ -72,14 +72,15 @@
             if !ends_soon(job) {
                 return None;
             }
-            longest = longest.max(job.spec.estimate_s - self.now.since(job.settled).secs());
+            longest =
+                longest.max(job.spec.estimate_s - self.now.since(job.last_placement_change).secs());
         }
         Some(longest)
     }
 
     /// Whether a machine may be reserved for a job now: it has waited for other capacity for a
     /// while, and its last reservation is long enough ago.
-    pub(in crate::controller) fn may_gather(&mut self, id: &JobId) -> bool {
+    pub(in crate::controller) fn may_reserve_machine(&mut self, id: &JobId) -> bool {
         let now = self.now;
         let not_before = &mut self.quota.reclaim.reserve_not_before;
         let known = not_before.get(id).copied();
@@ -92,7 +93,7 @@
 
     /// Reserves a machine for a job and has the planned tasks there stopped, by the controller that
     /// holds the machine. Returns false if the job is gone.
-    pub(in crate::controller) fn gather_on(
+    pub(in crate::controller) fn reserve_machine(
         &mut self,
         id: &JobId,
         reservation: MachineReservation,
@@ -111,10 +112,10 @@
             .nominations
             .add(id, &machine_id, resources, until);
         match self.machines.get(&machine_id) {
-            Some(machine) if !self.ours(machine) => {
-                let to = machine.heard_by.clone();
+            Some(machine) if !self.is_schedulable_by_us(machine) => {
+                let to = machine.last_contact_by.clone();
                 let (job, machine_id) = (id.to_string(), machine_id.to_string());
-                let message = Message::MakeRoom { job, machine_id };
+                let message = Message::Preempt { job, machine_id };
                 self.effects.push(Effect::Peer { to, message });
             }
             _ => self.stop_victims(&machine_id, victims),
@@ -134,6 +135,6 @@
 
 /// Whether a job's running tasks end on their own about within a reservation.
 fn ends_soon(job: &Job) -> bool {
-    let finite = job.spec.kind != JobKind::Service && !job.whole_gang();
+    let finite = job.spec.kind != JobKind::Service && !job.is_gang_of_several();
     finite && job.spec.estimate_s <= RESERVATION_TIMEOUT.secs() * MAX_RESERVATIONS_PER_TASK
 }
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -5,7 +5,7 @@
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::hierarchical::{HEAD, HierarchicalQuota, PendingTreeWrite};
+use crate::quota::hierarchical::{HierarchicalQuota, PendingTreeWrite, TREE_HEAD_KEY};
 use crate::settings::TeamSettings;
 use crate::store::{StoreCall, Transaction};
 use crate::types::{AgentEpoch, Attempt, Millis, ShardId};
@@ -16,7 +16,7 @@
 fn with_tree(applied: u64, most: u32) -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 8);
-    let (mut controller, id) = controller(spec, vec![Task::FRESH; 8]);
+    let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED; 8]);
     let team = TeamSettings {
         name: "vision".into(),
         cpus: 0.0,
@@ -37,7 +37,7 @@
     loop {
         let changes = match controller.quota.hierarchy.pending_write(1) {
             PendingTreeWrite::Pages(pages) => pages,
-            PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
+            PendingTreeWrite::Head(text, _) => vec![(TREE_HEAD_KEY.to_string(), text)],
             PendingTreeWrite::Nothing => break,
         };
         for (key, text) in changes {
@@ -58,7 +58,9 @@
         agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     };
-    controller.jobs.want(id, task, TaskChange::Place(placement));
+    controller
+        .jobs
+        .note_change(id, task, TaskChange::Place(placement));
     controller.commit(id);
     written(controller)
 }
@@ -84,7 +86,7 @@
 fn placements_and_deals_rest_on_the_tree() {
     let (mut controller, id) = with_tree(11, 5);
     let txn = place(&mut controller, &id, 0).unwrap();
-    assert_eq!(required(&txn, HEAD), Some(11));
+    assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
     // Shares of both levels rise with it, in the shard's one record.
     let text = format!("{:?}", txn.changes);
     assert!(text.contains("vision") && text.contains("#top"), "{text}");
@@ -94,13 +96,13 @@
     controller.now = Millis(10_000);
     controller.reallocate_quota();
     let txn = written(&controller).unwrap();
-    assert_eq!(required(&txn, HEAD), Some(11));
+    assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
 
     // A newer head whose pages are not here yet: what is decided by the old tree is written on
     // condition of the old one, and so fails; nothing is dealt or raised.
     let head = r#"{"revision":2,"hash":"x","pages":1,"hold_ms":0,"enabled":true}"#;
     let (mut controller, id) = with_tree(12, 60);
-    controller.apply(HEAD, Some(head), Revision(12));
+    controller.apply(TREE_HEAD_KEY, Some(head), Revision(12));
     controller.now = Millis(10_000);
     controller.reallocate_quota();
     assert!(written(&controller).is_none());
@@ -130,7 +132,7 @@
         };
         controller
             .jobs
-            .want(&id, task, TaskChange::Place(placement));
+            .note_change(&id, task, TaskChange::Place(placement));
     }
     assert!(place(&mut controller, &id, 5).is_none());
     controller.jobs.discard(&id, &[5]);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -99,7 +99,7 @@
             return;
         };
         if self.membership.begin(MembershipStep::EndOldLease) {
-            let call = StoreCall::End(lease_id);
+            let call = StoreCall::Revoke(lease_id);
             self.call_store(CallClass::Leases, call, CallPurpose::EndOldLease);
         }
     }
@@ -108,7 +108,11 @@
         self.membership.leases.own = OwnLease::Requested;
         let life_ms = self.settings.operator.lease.0;
         let purpose = CallPurpose::Grant { sent: self.now };
-        self.call_store(CallClass::Leases, StoreCall::Grant { life_ms }, purpose);
+        self.call_store(
+            CallClass::Leases,
+            StoreCall::Grant { ttl_ms: life_ms },
+            purpose,
+        );
     }
 
     fn renew_lease(&mut self, lease_id: LeaseId) {
@@ -186,7 +190,7 @@
                 let lease = self.settings.operator.lease;
                 self.membership.hold(lease_id, sent, lease);
             }
-            (StoreResponse::NoLease, _) => {
+            (StoreResponse::LeaseExpired, _) => {
                 tracing::info!("lease expired");
                 self.membership.leases.lose(&self.me);
             }
@@ -198,7 +202,7 @@
     /// Takes in the answer to ending the lease of the process before us.
     pub(super) fn on_old_lease_ended(&mut self, answer: &StoreResponse) {
         self.membership.finish(MembershipStep::EndOldLease);
-        if matches!(answer, StoreResponse::Ended) {
+        if matches!(answer, StoreResponse::Revoked) {
             self.membership.old_lease_ended = true;
         }
     }
@@ -216,7 +220,7 @@
     }
 
     fn lose_lease_if_ended(&mut self, answer: &StoreResponse) {
-        if matches!(answer, StoreResponse::NoLease) {
+        if matches!(answer, StoreResponse::LeaseExpired) {
             self.membership.leases.lose(&self.me);
         }
     }
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -49,7 +49,7 @@
 
     fn assignment_transaction(&self, lead: Revision) -> Transaction {
         let zones = &self.settings.deployment.zones;
-        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let shards_per_zone = self.settings.operator.shards_per_zone;
         let controllers = &self.membership.leases.controllers;
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), lead);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -132,7 +132,7 @@
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
             Event::Poll { reply, job } => self.on_poll(reply, job),
-            Event::Abort { reply, job } => self.on_abort(reply, job),
+            Event::Abort { reply, job } => self.on_cancel(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
             Event::Direct { machine_id, answer } => self.on_direct(&machine_id, answer),
             Event::Ready { reply } => {
--- a/src/controller/nominations.rs
+++ b/src/controller/nominations.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Nominations {
     /// The nomination of each job; those that lapsed are included until they are removed.
-    pub(super) jobs: HashMap<JobId, Nomination>,
+    pub(super) by_job: HashMap<JobId, Nomination>,
     /// The jobs that are nominated for each machine, the earliest first.
     jobs_by_machine: HashMap<MachineId, Vec<JobId>>,
 }
@@ -36,7 +36,7 @@
         resources: Resources,
         until: Millis,
     ) {
-        let nomination = self.jobs.entry(job.clone()).or_insert(Nomination {
+        let nomination = self.by_job.entry(job.clone()).or_insert(Nomination {
             machine_ids: Vec::new(),
             resources,
             until,
@@ -50,20 +50,20 @@
     }
 
     /// A task of the job was placed on a machine that it was nominated for.
-    pub(super) fn taken(&mut self, job: &JobId, machine_id: &MachineId) {
-        let Some(nomination) = self.jobs.get_mut(job) else {
+    pub(super) fn remove_machine(&mut self, job: &JobId, machine_id: &MachineId) {
+        let Some(nomination) = self.by_job.get_mut(job) else {
             return;
         };
         nomination.machine_ids.retain(|other| other != machine_id);
         if nomination.machine_ids.is_empty() {
-            self.jobs.remove(job);
+            self.by_job.remove(job);
         }
         self.unlink(machine_id, job);
     }
 
     /// Gives up a job's nomination.
     pub(super) fn remove(&mut self, job: &JobId) {
-        let Some(nomination) = self.jobs.remove(job) else {
+        let Some(nomination) = self.by_job.remove(job) else {
             return;
         };
         for machine_id in nomination.machine_ids {
@@ -72,13 +72,13 @@
     }
 
     /// The machines that a job is nominated for; `None` if it has no nomination that still holds.
-    pub(super) fn of(&self, job: &JobId, now: Millis) -> Option<&[MachineId]> {
+    pub(super) fn machines_for(&self, job: &JobId, now: Millis) -> Option<&[MachineId]> {
         let nomination = self.current(job, now)?;
         Some(&nomination.machine_ids)
     }
 
     /// The jobs that are nominated for a machine, and what is kept for each.
-    pub(super) fn on(
+    pub(super) fn jobs_on(
         &self,
         machine_id: &MachineId,
         now: Millis,
@@ -89,7 +89,7 @@
 
     /// A job's nomination, if it still holds.
     fn current(&self, job: &JobId, now: Millis) -> Option<&Nomination> {
-        self.jobs
+        self.by_job
             .get(job)
             .filter(|nomination| nomination.until > now)
     }
--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -32,7 +32,7 @@
             self.autoscaler.drains_heard_at = self.now;
         }
         for machine_id in schedulable {
-            self.wake(ClusterEvent::Machine(machine_id));
+            self.wake_parked_jobs(ClusterEvent::MachineSchedulable(machine_id));
         }
     }
 
@@ -41,27 +41,27 @@
     fn sender_has_ended(&self, status: &Status) -> bool {
         let lease_over = status
             .lease_id
-            .is_some_and(|lease_id| self.membership.leases.is_over(LeaseId(lease_id)));
+            .is_some_and(|lease_id| self.membership.leases.has_ended(LeaseId(lease_id)));
         let lost_store = Millis(status.without_store_ms) > self.settings.operator.lease;
         lease_over && !lost_store
     }
 
     fn record_peer_status(&mut self, from: &ControllerId, status: &Status) {
         let peer = PeerStatus {
-            heard: self.now,
+            received_at: self.now,
             revision: Revision(status.revision),
             without_store: Millis(status.without_store_ms),
             receives_heartbeats: status.receives_heartbeats,
         };
         self.peers.statuses.insert(from.clone(), peer);
         let report = AdmissionReport {
-            obeys: Revision(status.plan),
+            plan_version: Revision(status.plan),
             demand: Demand {
                 used: status.used_milli as f64 / 1e3,
                 waiting: status.waiting as f64,
             },
         };
-        self.commits.admission.said.insert(from.clone(), report);
+        self.commits.admission.reports.insert(from.clone(), report);
     }
 
     /// Another controller holds a shard under a higher token than we know of: it is ours no more.
@@ -81,7 +81,7 @@
     /// Takes over the description of a machine, unless its shard is ours.
     fn apply_machine_view(&mut self, from: &ControllerId, view: MachineView) {
         let now = self.now;
-        let shards_per_zone = self.settings.operator.blocks_per_zone;
+        let shards_per_zone = self.settings.operator.shards_per_zone;
         let machine_id = MachineId::from(view.machine_id);
         let machine = self.machines.entry(machine_id.clone()).or_insert_with(|| {
             let zone = Zone::from(view.zone);
@@ -108,7 +108,7 @@
         machine.images = view.images.into_iter().map(cached).collect();
         self.scheduler
             .candidates
-            .touched
+            .changed_machines
             .push(machine.machine_id.clone());
     }
 
@@ -119,7 +119,7 @@
         from: &ControllerId,
         heartbeat: &MachineHeartbeat,
     ) -> Option<MachineId> {
-        let (now, silence) = (self.now, self.silence());
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let machine_id = MachineId::from(heartbeat.machine_id.as_str());
         let heard = now - Millis(heartbeat.silent_ms);
         let Some(machine) = self.machines.get_mut(&machine_id) else {
@@ -132,9 +132,9 @@
         if token.is_some() {
             return None;
         }
-        let was_schedulable = machine.fit(now, silence);
-        machine.heard = machine.heard.max(heard);
-        machine.heard_by = from.clone();
+        let was_schedulable = machine.is_schedulable(now, silence);
+        machine.last_contact = machine.last_contact.max(heard);
+        machine.last_contact_by = from.clone();
         let agent_epoch = AgentEpoch(heartbeat.agent_epoch);
         if agent_epoch != machine.agent_epoch {
             // The sequence number that we know is of another agent epoch.
@@ -142,17 +142,17 @@
             machine.heartbeat_sequence = 0;
         }
         machine.reachability.set_by_holder(!heartbeat.doubtful, now);
-        machine.warned = heartbeat.warned;
+        machine.termination_announced = heartbeat.warned;
         if machine.quarantined && !heartbeat.quarantined {
             // The jobs were faulty, not the machine.
             self.autoscaler.drains.remove(&machine_id);
         }
         if heartbeat.quarantined && !machine.quarantined {
-            self.scheduler.crash_loops.quarantined(&machine_id, now);
+            self.scheduler.crash_loops.forget_machine(&machine_id, now);
         }
         machine.quarantined = heartbeat.quarantined;
         machine.draining = heartbeat.draining;
-        let became_schedulable = !was_schedulable && machine.fit(now, silence);
+        let became_schedulable = !was_schedulable && machine.is_schedulable(now, silence);
         became_schedulable.then_some(machine_id)
     }
 }
--- a/src/controller/peer_messages/mod.rs
+++ b/src/controller/peer_messages/mod.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct PeerStatus {
     /// When its status arrived.
-    pub(super) heard: Millis,
+    pub(super) received_at: Millis,
     /// How new its cache was.
     pub(super) revision: Revision,
     /// How long it had been without the key-value store.
@@ -49,7 +49,7 @@
         now: Millis,
     ) -> Option<&PeerStatus> {
         let status = self.statuses.get(controller);
-        status.filter(|status| now.since(status.heard) <= PEER_STATUS_TTL)
+        status.filter(|status| now.since(status.received_at) <= PEER_STATUS_TTL)
     }
 }
 
@@ -68,15 +68,15 @@
                 }
                 self.accept_forwarded(&job);
             }
-            Message::MakeRoom { job, machine_id } => {
+            Message::Preempt { job, machine_id } => {
                 let job = JobId::from(job);
                 if self.preempt(&job, PreemptionScope::On(machine_id.into())) {
-                    self.expect_task(&job);
+                    self.expect_reclaimed_capacity(&job);
                 }
             }
-            Message::TasksDeparted(departures) => self.on_completions(departures),
+            Message::TasksDeparted(departures) => self.on_tasks_departed(departures),
             Message::Failed { job, machine_id } => {
-                self.note_failed(&job.into(), &machine_id.into());
+                self.record_task_failure(&job.into(), &machine_id.into());
             }
             Message::Status(status) => self.on_status(from, status),
         }
@@ -97,8 +97,8 @@
             self.scheduler.forwarded_early.insert(id.clone(), self.now);
             return;
         };
-        if job.active() && job.waiting() > 0 {
-            let order = self.order(job);
+        if job.is_active() && job.waiting_tasks() > 0 {
+            let order = self.queue_key(job);
             self.scheduler.forwarded.insert(id.clone());
             self.scheduler.queue.activate(id, order);
         }
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -60,7 +60,7 @@
     }
 
     fn status(&mut self) -> Status {
-        let report = self.commits.admission.said.get(&self.me).copied();
+        let report = self.commits.admission.reports.get(&self.me).copied();
         let report = report.unwrap_or_default();
         let leases = &self.membership.leases;
         let held = leases
@@ -69,12 +69,12 @@
             .filter(|(_, (holder, _))| *holder == self.me);
         Status {
             lease_id: leases.lease_id().map(|lease_id| lease_id.0),
-            plan: report.obeys.0,
+            plan: report.plan_version.0,
             used_milli: (report.demand.used * 1e3) as u64,
             waiting: report.demand.waiting as u64,
             revision: self.store_sync.applied.0,
             without_store_ms: self.without_store().0,
-            receives_heartbeats: self.contact.is_current(self.now, self.silence()),
+            receives_heartbeats: self.contact.is_current(self.now, self.heartbeat_timeout()),
             shards: held
                 .map(|(shard, (_, token))| (shard.to_string(), token.0))
                 .collect(),
@@ -97,10 +97,10 @@
     fn machine_heartbeat(&self, machine: &Machine) -> MachineHeartbeat {
         MachineHeartbeat {
             machine_id: machine.machine_id.to_string(),
-            silent_ms: self.now.since(machine.heard).0,
+            silent_ms: self.now.since(machine.last_contact).0,
             agent_epoch: machine.agent_epoch.0,
             doubtful: !machine.reachability.is_confirmed(),
-            warned: machine.warned,
+            warned: machine.termination_announced,
             quarantined: machine.quarantined,
             draining: self.autoscaler.drains.contains(&machine.machine_id),
         }
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -7,7 +7,7 @@
 use crate::controller::candidates::MachineScope;
 use crate::controller::preemption::PreemptionScope;
 use crate::jobs::PriorityClass;
-use crate::jobs::cache::{Job, Writing};
+use crate::jobs::cache::{CommitState, Job};
 use crate::queue::{Check, PoppedJob, QueueKey};
 use crate::types::JobId;
 
@@ -18,11 +18,11 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        if !job.active() || job.waiting() == 0 || job.writing != Writing::Idle {
+        if !job.is_active() || job.waiting_tasks() == 0 || job.commit_state != CommitState::Idle {
             // A job that is being written is queued again when the store answers.
             return false;
         }
-        let key = self.order(job);
+        let key = self.queue_key(job);
         self.work_counters.cycles.add(1);
         if self.hold_back_crash_looping(id, key) {
             return false;
@@ -44,14 +44,14 @@
 
     /// Notes the placement for a commit, and queues the job again if more of its tasks wait.
     fn after_placement(&mut self, id: &JobId, key: QueueKey) {
-        self.room_taken(id);
-        if self.jobs.get(id).is_some_and(Job::whole_gang) {
+        self.end_used_nominations(id);
+        if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
             self.commit(id);
         } else if self.commits.noted_jobs.last() != Some(id) {
             self.commits.noted_jobs.push(id.clone());
         }
         if let Some(job) = self.jobs.get(id)
-            && job.waiting() > 0
+            && job.waiting_tasks() > 0
             && !self.hold_back_crash_looping(id, key)
         {
             self.scheduler.queue.push(id, key);
@@ -70,7 +70,7 @@
             return false;
         };
         let urgent = job.spec.priority >= PriorityClass::Urgent;
-        let gang = job.whole_gang();
+        let gang = job.is_gang_of_several();
         let leading = self.leading().is_some();
         if gang && leading {
             // The ordinary cycle looks over the whole fleet already.
@@ -80,7 +80,7 @@
             return false;
         }
         if urgent && self.serve_preemption_request(id) {
-            self.scheduler.queue.expect_room(id, 0, key, self.now);
+            self.scheduler.queue.park_nominated(id, 0, key, self.now);
             return true;
         }
         let cached_elsewhere = !gang && self.has_cached_capacity(id, MachineScope::Others);
@@ -92,7 +92,7 @@
             return true;
         }
         if urgent && self.preempt(id, PreemptionScope::Quickest) {
-            self.scheduler.queue.expect_room(id, 0, key, self.now);
+            self.scheduler.queue.park_nominated(id, 0, key, self.now);
             return true;
         }
         false
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -40,7 +40,7 @@
     /// `None` if there are too few. Fails if tasks would have to be preempted there first.
     fn machines_for_gang(&mut self, id: &JobId) -> Result<Option<Vec<MachineId>>, BTreeSet<Check>> {
         self.refresh_candidates();
-        if let Some(machine_ids) = self.scheduler.nominations.of(id, self.now) {
+        if let Some(machine_ids) = self.scheduler.nominations.machines_for(id, self.now) {
             return Ok(Some(machine_ids.to_vec()));
         }
         let Some(offers) = self.gang_offers(id) else {
@@ -82,7 +82,7 @@
     /// Whether each of the machines has room for one task of the gang, and is open to it.
     fn all_fit(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
         let raise_for = Some(job.record.tasks);
-        let request = PlacementRequest::new(job, self.full_shards(job, raise_for));
+        let request = PlacementRequest::new(job, self.shards_without_quota(job, raise_for));
         let fits = |machine_id: &MachineId| {
             self.machines.get(machine_id).is_some_and(|machine| {
                 self.is_schedulable(machine)
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -71,7 +71,7 @@
     pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
         job.spec.priority == PriorityClass::BestEffort
             && !self.scheduler.candidates.spare_empty_machines
-            && (job.placed > 0 || self.now.since(job.born) < MAX_EMPTY_MACHINE_AVOIDANCE)
+            && (job.placed > 0 || self.now.since(job.first_seen) < MAX_EMPTY_MACHINE_AVOIDANCE)
     }
 
     /// Runs cycles until no job is active, or the loop has to stop for another reason.
@@ -86,7 +86,7 @@
     }
 
     /// Whether writes to the store are short: they stopped the loop a moment ago.
-    pub(super) fn short(&self) -> bool {
+    pub(super) fn writes_are_short(&self) -> bool {
         self.now < self.commits.writes_short_until
     }
 
@@ -101,7 +101,7 @@
                 return;
             }
             // Resources go by priority. While writes are what is short, they go by floors.
-            let by_floors = self.short();
+            let by_floors = self.writes_are_short();
             let popped = if by_floors {
                 self.scheduler.queue.pop_by_floors()
             } else {
@@ -126,7 +126,7 @@
     }
 
     fn pending_placements(&self) -> usize {
-        self.commits.backlog.overdue_in(Lane::Places, self.now) + self.commits.noted_jobs.len()
+        self.commits.backlog.overdue_in(Lane::Placements, self.now) + self.commits.noted_jobs.len()
     }
 
     fn charge_floors(&mut self, popped: &PoppedJob) {
@@ -153,7 +153,7 @@
     }
 
     fn rank(&self, id: &JobId) -> Option<QueueRank> {
-        self.jobs.get(id).map(|job| self.order(job).rank())
+        self.jobs.get(id).map(|job| self.queue_key(job).rank())
     }
 
     /// Hands the placements of this run to the commits. Tasks of one job are committed together.
--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -44,7 +44,7 @@
     fn within_team_limits(&self, job: &Job, wanted: Resources) -> bool {
         let within = |team: &TeamSettings| {
             let used = self.jobs.usage(&team.name);
-            quota::within(used.plus(wanted), team)
+            quota::within_limit(used.plus(wanted), team)
         };
         self.limits(job).iter().all(within)
     }
@@ -122,14 +122,14 @@
         if spec.kind != JobKind::Array || spec.one_zone || spec.spread {
             return false;
         }
-        let request = PlacementRequest::new(job, self.full_shards(job, None));
+        let request = PlacementRequest::new(job, self.shards_without_quota(job, None));
         let mut candidate = self.candidate(job, machine);
         if !self.within_team_limits(job, spec.resources)
             || cycle::filter(&request, &candidate).is_some()
         {
             return false;
         }
-        let failed_here = machine.failed.contains_key(id);
+        let failed_here = machine.failure_streaks.contains_key(id);
         let score = cycle::score(spec, &candidate, failed_here);
         candidate.available = candidate.available.plus(spec.resources);
         let score_before = cycle::score(spec, &candidate, failed_here);
@@ -157,7 +157,7 @@
         };
         let TaskAttempt { index, attempt } = task;
         let cached = machine.images.contains_key(&job.spec.image);
-        let (class, age) = (&job.spec.class, self.now.since(job.born).secs());
+        let (class, age) = (&job.spec.class, self.now.since(job.first_seen).secs());
         let image = job.spec.image.as_str();
         tracing::debug!(job = %id, class, index, %machine_id, image, cached, age, "task reserved");
         let placement = Placement {
@@ -167,9 +167,10 @@
             attempt,
         };
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
-        self.jobs.want(id, index, TaskChange::Place(placement));
+        self.jobs
+            .note_change(id, index, TaskChange::Place(placement));
         if let Some(machine) = self.machines.get_mut(&machine_id) {
-            machine.expect_image(&image, image_gb, self.now);
+            machine.add_pending_fetch(&image, image_gb, self.now);
         }
     }
 }
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -13,7 +13,7 @@
 fn a_job_that_is_forwarded_before_its_record_arrives_is_queued_on_arrival() {
     for (known_after, queued) in [(100, true), (60_000, false)] {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-        let (mut controller, known) = controller(spec, vec![Task::FRESH; 8]);
+        let (mut controller, known) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         controller.apply(
             "jt/lead",
             Some(r#"{"leader":"n0","permit":1}"#),
@@ -54,7 +54,7 @@
     ];
     for (told, agent_epoch, heartbeat_sequence, newer) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-        let (mut controller, _) = controller(spec, vec![Task::FRESH; 8]);
+        let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         let machine_id = MachineId::from("vm-a");
         let machine = controller.machines.get_mut(&machine_id).unwrap();
         (machine.agent_epoch, machine.heartbeat_sequence) = (AgentEpoch(1), 50);
@@ -76,7 +76,7 @@
         controller.on_peer("n1".into(), Message::Status(status));
         let machine = &controller.machines[&machine_id];
         assert_eq!(machine.agent_epoch, AgentEpoch(told));
-        let taken = machine.newer(AgentEpoch(agent_epoch), heartbeat_sequence);
+        let taken = machine.is_newer(AgentEpoch(agent_epoch), heartbeat_sequence);
         assert_eq!(
             taken, newer,
             "told of {told}, shows {agent_epoch} {heartbeat_sequence}"
@@ -127,7 +127,7 @@
     ];
     for (name, step, leads, told) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-        let (mut leader, _) = controller(spec.clone(), vec![Task::FRESH; 8]);
+        let (mut leader, _) = controller(spec.clone(), vec![Task::NEVER_PLACED; 8]);
         if leads {
             leader.apply(
                 "jt/lead",
@@ -147,7 +147,7 @@
             } => Some(status),
             _ => None,
         });
-        let (mut holder, _) = controller(spec, vec![Task::FRESH; 8]);
+        let (mut holder, _) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         holder.apply(
             "jt/lead",
             Some(r#"{"leader":"n1","permit":2}"#),
