--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -36,7 +36,11 @@
         // More room is of no use to a job that has to wait for its team or for its own tasks.
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
         tracing::debug!(job = %id, fails = failures, ?checks, "job does not fit own shards");
-        let nominated = self.scheduler.nominations.of(id, self.now).is_some();
+        let nominated = self
+            .scheduler
+            .nominations
+            .machines_for(id, self.now)
+            .is_some();
         let remedy = if blocked || nominated {
             Remedy::None(checks)
         } else {
@@ -45,7 +49,7 @@
         let checks = match remedy {
             Remedy::Preempting => {
                 let now = self.now;
-                return self.scheduler.queue.expect_room(id, failures, key, now);
+                return self.scheduler.queue.park_nominated(id, failures, key, now);
             }
             Remedy::Returned => {
                 self.scheduler.forwarded.remove(id);
@@ -55,13 +59,13 @@
             Remedy::Forwarded => BTreeSet::new(),
             Remedy::None(checks) => checks,
         };
-        if nominated && self.several(id) {
+        if nominated && self.reclaims_per_task(id) {
             // Its resources are being released on some machine: that is no failure.
             let now = self.now;
-            return self.scheduler.queue.expect_room(id, failures, key, now);
+            return self.scheduler.queue.park_nominated(id, failures, key, now);
         }
         // A job within its share of the quota tree asks again soon: others hold what is its own.
-        let entitled = !key.beyond_guarantee && self.several(id);
+        let entitled = !key.beyond_guarantee && self.reclaims_per_task(id);
         let failures = if entitled { 0 } else { failures };
         self.requeue(id, failures, checks, key);
     }
@@ -74,7 +78,7 @@
         if self.leading().is_none() {
             return self.return_unless_owned(id, checks);
         }
-        if self.jobs.get(id).is_some_and(Job::whole_gang) {
+        if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
             // The whole fleet was tried in the cycle already.
             return if self.preempt_for_gang(id) {
                 Remedy::Preempting
@@ -110,7 +114,10 @@
     fn place_in_other_shards(&mut self, id: &JobId, mut checks: BTreeSet<Check>) -> Remedy {
         match self.choose_machine(id, MachineQuery::within(MachineScope::Others)) {
             Ok(machine_id) => {
-                let holder = self.machines.get(&machine_id).map(|m| m.heard_by.clone());
+                let holder = self
+                    .machines
+                    .get(&machine_id)
+                    .map(|m| m.last_contact_by.clone());
                 if let Some(to) = holder {
                     let message = Message::Place {
                         job: id.to_string(),
--- a/src/controller/preemption/cost.rs
+++ b/src/controller/preemption/cost.rs
@@ -44,7 +44,7 @@
     pub(super) fn preemptor<'a>(&self, job: &'a Job) -> Preemptor<'a> {
         Preemptor {
             job,
-            within_guarantee: !self.order(job).beyond_guarantee,
+            within_guarantee: !self.queue_key(job).beyond_guarantee,
         }
     }
 
@@ -52,7 +52,7 @@
     pub(super) fn preemptibility(&self, preemptor: Preemptor, victim: &Job) -> Preemptibility {
         let job = preemptor.job;
         let lower_priority = victim.spec.priority < job.spec.priority;
-        let waited = self.now.since(job.settled) > REPLICA_PREEMPTION_DELAY;
+        let waited = self.now.since(job.last_placement_change) > REPLICA_PREEMPTION_DELAY;
         let by_guarantee = preemptor.within_guarantee
             && (victim.spec.kind != JobKind::Service || waited)
             && victim.spec.team != job.spec.team;
@@ -68,20 +68,20 @@
     fn exceeds_flat_guarantee(&self, job: &Job) -> bool {
         self.settings.team(&job.spec.team).is_some_and(|team| {
             let left = self.jobs.usage(&team.name).minus(job.spec.resources);
-            !quota::guaranteed(left, team)
+            !quota::within_guarantee(left, team)
         })
     }
 
     /// Whether any team uses more than its flat guarantee.
     pub(super) fn any_team_borrows(&self) -> bool {
         let mut teams = self.settings.deployment.teams.iter();
-        teams.any(|team| !quota::guaranteed(self.jobs.usage(&team.name), team))
+        teams.any(|team| !quota::within_guarantee(self.jobs.usage(&team.name), team))
     }
 
     /// Seconds of a machine's time that stopping a task wastes: its save, or its work so far, and
     /// its restart. Tasks of jobs that are late, or long, count for more, since they can afford it
     /// least.
-    pub(in crate::controller) fn waste(&self, victim: &Job) -> f64 {
+    pub(in crate::controller) fn wasted_machine_s(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
         let capacity = self
             .autoscaler
@@ -89,14 +89,14 @@
             .first()
             .map(|spec| spec.resources);
         let machine_share = spec.resources.share_of(capacity.unwrap_or(spec.resources));
-        let lost_s = if spec.cheap_to_kill() {
+        let lost_s = if spec.is_cheap_to_kill() {
             spec.checkpoint_s / 2.0 + RESTART_S
         } else if spec.checkpoint_s > 0.0 {
             spec.save_s + STOP_OVERHEAD_S
         } else {
             spec.estimate_s.max(MIN_LOST_WORK_S)
         };
-        let age_s = self.now.since(victim.born).secs();
+        let age_s = self.now.since(victim.first_seen).secs();
         let due_s = spec.due_s.unwrap_or(DEFAULT_DUE_S).max(1.0);
         let lateness = (age_s + spec.estimate_s) / due_s;
         lost_s * machine_share * (BASE_LATENESS + lateness)
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -17,7 +17,7 @@
 use crate::cycle::PlacementRequest;
 use crate::jobs::cache::Job;
 use crate::peers::Message;
-use crate::preempt::{self, PreemptionOffer, Site};
+use crate::preempt::{self, PreemptionOffer, PreemptionSite};
 use crate::quota::reclaim::MachineReservation;
 use crate::types::{JobId, MachineId, Millis, TaskId, Zone};
 use crate::workers::reconcile::Stop;
@@ -63,7 +63,7 @@
             Some(PreemptionPlan::Preempt(offers)) => self.preempt_on(id, offers),
             Some(PreemptionPlan::Reclaim(reservation)) => {
                 let requested = matches!(scope, PreemptionScope::On(_));
-                (requested || self.may_gather(id)) && self.gather_on(id, reservation)
+                (requested || self.may_reserve_machine(id)) && self.reserve_machine(id, reservation)
             }
             None => false,
         }
@@ -72,21 +72,21 @@
     fn plan_preemption(&self, job: &Job, scope: &PreemptionScope) -> Option<PreemptionPlan> {
         let preemptor = self.preemptor(job);
         let resources = job.spec.resources;
-        let sites: Vec<Site> = match scope {
+        let sites: Vec<PreemptionSite> = match scope {
             PreemptionScope::On(machine_id) => {
                 self.site_on(preemptor, machine_id).into_iter().collect()
             }
             PreemptionScope::Quickest | PreemptionScope::Anywhere => self.sites(preemptor),
         };
-        let offers: Vec<PreemptionOffer> = match self.ledger(job) {
+        let offers: Vec<PreemptionOffer> = match self.reclaim_planner(job) {
             Some(ledger) => {
                 let max_tasks = match scope {
-                    PreemptionScope::Anywhere => Self::claims(job),
+                    PreemptionScope::Anywhere => Self::max_reclaims(job),
                     PreemptionScope::On(_) | PreemptionScope::Quickest => 1,
                 };
                 let offers = ledger.clone().plan(resources, sites.clone(), max_tasks);
                 if offers.is_empty() && !matches!(scope, PreemptionScope::Quickest) {
-                    let reservation = self.gather(&job.id, ledger, &sites)?;
+                    let reservation = self.plan_reservation(&job.id, ledger, &sites)?;
                     return Some(PreemptionPlan::Reclaim(reservation));
                 }
                 offers
@@ -109,7 +109,9 @@
         } else {
             HolderRequest::PlaceJob
         };
-        let timeout = self.kept_for(id, &offers).unwrap_or(NOMINATION_TIMEOUT);
+        let timeout = self
+            .nomination_timeout(id, &offers)
+            .unwrap_or(NOMINATION_TIMEOUT);
         let until = self.now + timeout;
         for offer in offers {
             let (machine_id, victims) = (&offer.machine_id, &offer.victims);
@@ -150,8 +152,8 @@
             .nominations
             .add(id, &machine_id, resources, until);
         match self.machines.get(&machine_id) {
-            Some(machine) if !self.ours(machine) => {
-                let to = machine.heard_by.clone();
+            Some(machine) if !self.is_schedulable_by_us(machine) => {
+                let to = machine.last_contact_by.clone();
                 let message = request.message(id, &machine_id);
                 self.effects.push(Effect::Peer { to, message });
             }
@@ -166,7 +168,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let save = !job.spec.cheap_to_kill();
+            let save = !job.spec.is_cheap_to_kill();
             let placement = job.task(task.index).placement();
             if let Some(attempt) = placement.map(|placement| placement.attempt) {
                 self.scheduler.stops.insert(task, Stop { attempt, save });
@@ -181,7 +183,7 @@
     pub(super) fn gang_offers(&self, id: &JobId) -> Option<Vec<PreemptionOffer>> {
         let job = self.jobs.get(id)?;
         let (resources, tasks) = (job.spec.resources, job.record.tasks as usize);
-        let ledger = self.ledger(job);
+        let ledger = self.reclaim_planner(job);
         let offer_sets =
             self.gang_sites_by_zone(job, tasks)
                 .into_values()
@@ -189,7 +191,7 @@
                     Some(ledger) => ledger.clone().plan_all(resources, sites, tasks),
                     None => sites
                         .iter()
-                        .filter_map(|site| preempt::offer(resources, site))
+                        .filter_map(|site| preempt::offer_on_site(resources, site))
                         .collect(),
                 });
         preempt::cheapest_set(offer_sets, tasks)
@@ -197,14 +199,18 @@
 
     /// The sites that a gang could use together: of each zone if it has to be in one, of all zones
     /// otherwise.
-    fn gang_sites_by_zone(&self, job: &Job, tasks: usize) -> BTreeMap<Option<&Zone>, Vec<Site>> {
-        let full_shards = self.full_shards(job, Some(job.record.tasks));
+    fn gang_sites_by_zone(
+        &self,
+        job: &Job,
+        tasks: usize,
+    ) -> BTreeMap<Option<&Zone>, Vec<PreemptionSite>> {
+        let full_shards = self.shards_without_quota(job, Some(job.record.tasks));
         let request = PlacementRequest::new(job, full_shards);
         let candidates = &self.scheduler.candidates;
         let mut groups = candidates.groups(&job.spec, MachineScope::All, None);
         groups.retain(|group| request.shard_rejection(&group.shard).is_none());
         let search = self.site_search(self.preemptor(job), groups.len(), tasks);
-        let mut sites_by_zone: BTreeMap<Option<&Zone>, Vec<Site>> = BTreeMap::new();
+        let mut sites_by_zone: BTreeMap<Option<&Zone>, Vec<PreemptionSite>> = BTreeMap::new();
         for group in groups {
             let zone = job.spec.one_zone.then_some(group.zone());
             let sites = sites_by_zone.entry(zone).or_default();
@@ -222,7 +228,7 @@
                 job,
                 preempt: Some(machine_id),
             },
-            Self::MakeRoom => Message::MakeRoom { job, machine_id },
+            Self::MakeRoom => Message::Preempt { job, machine_id },
         }
     }
 }
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -11,7 +11,7 @@
 use crate::cycle::index::{Group, ImageFilter};
 use crate::fleet::fetch_rate;
 use crate::jobs::cache::Job;
-use crate::preempt::{self, Site, Victim};
+use crate::preempt::{self, PreemptionSite, Victim};
 use crate::types::{JobId, MachineId, TaskId};
 use crate::workers::Machine;
 
@@ -23,7 +23,7 @@
 const MIN_FULL_MACHINES_OF_GROUP: usize = 64;
 
 /// Sites by machine.
-type SitesByMachine<'a> = HashMap<&'a MachineId, Site>;
+type SitesByMachine<'a> = HashMap<&'a MachineId, PreemptionSite>;
 
 /// How far a search for sites goes.
 pub(super) struct SiteSearch<'a> {
@@ -38,11 +38,15 @@
 
 impl Controller {
     /// A machine of ours as a site, if the job may run there.
-    pub(super) fn site_on(&self, preemptor: Preemptor, machine_id: &MachineId) -> Option<Site> {
+    pub(super) fn site_on(
+        &self,
+        preemptor: Preemptor,
+        machine_id: &MachineId,
+    ) -> Option<PreemptionSite> {
         let spec = &preemptor.job.spec;
         let request = PlacementRequest::new(preemptor.job, Vec::new());
         let machine = self.machines.get(machine_id).filter(|machine| {
-            self.ours(machine)
+            self.is_schedulable_by_us(machine)
                 && spec.allows(&machine.machine_type, &machine.zone, machine.spot)
                 && request.zone_allowed(&machine.zone)
         })?;
@@ -50,7 +54,7 @@
     }
 
     /// Sites in the whole fleet for one task of a job.
-    pub(super) fn sites(&self, preemptor: Preemptor) -> Vec<Site> {
+    pub(super) fn sites(&self, preemptor: Preemptor) -> Vec<PreemptionSite> {
         let job = preemptor.job;
         let request = PlacementRequest::new(job, Vec::new());
         let candidates = &self.scheduler.candidates;
@@ -71,7 +75,7 @@
         groups: usize,
         tasks: usize,
     ) -> SiteSearch<'a> {
-        if self.ledger(preemptor.job).is_some() {
+        if self.reclaim_planner(preemptor.job).is_some() {
             return SiteSearch {
                 preemptor,
                 reclaims_borrowed: true,
@@ -90,7 +94,7 @@
 
     /// Sites of one group: machines with the job's image that have room, other machines that have
     /// room, and full ones where enough can be stopped.
-    pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<Site> {
+    pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<PreemptionSite> {
         let mut found = SitesByMachine::default();
         self.add_sites_with_room(search, group, &mut found);
         self.add_full_sites(search, group, &mut found);
@@ -142,19 +146,19 @@
                 continue;
             };
             let usage = self.jobs.machine_usage(machine_id);
-            let lower_priority = usage.below(spec.priority);
+            let lower_priority = usage.below_priority(spec.priority);
             let with_lower_stopped = self.available(machine).plus(lower_priority);
             if !search.reclaims_borrowed && !spec.resources.fits_in(with_lower_stopped) {
                 continue;
             }
             let site = self.site(search.preemptor, machine);
-            with_offer += usize::from(preempt::offer(spec.resources, &site).is_some());
+            with_offer += usize::from(preempt::offer_on_site(spec.resources, &site).is_some());
             found.insert(machine_id, site);
         }
     }
 
     /// A machine as a site: what is available there for the job, and who could be stopped.
-    fn site(&self, preemptor: Preemptor, machine: &Machine) -> Site {
+    fn site(&self, preemptor: Preemptor, machine: &Machine) -> PreemptionSite {
         self.work_counters.sites.add(1);
         let job = preemptor.job;
         let available = self.available_for(machine, &job.id);
@@ -162,18 +166,18 @@
         let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
         let victims = self
             .jobs
-            .on_machine(&machine.machine_id)
+            .tasks_on(&machine.machine_id)
             .filter(|_| !fits)
             .filter_map(|(id, index)| self.victim(preemptor, id, *index))
             .collect();
         let rate_gb_per_s = fetch_rate(&self.autoscaler.type_specs, &machine.machine_type);
         let (image, image_gb) = (&job.spec.image, job.spec.image_gb);
-        Site {
+        PreemptionSite {
             machine_id: machine.machine_id.clone(),
             available,
             victims,
-            delay_s: machine.image_s(image, image_gb, rate_gb_per_s, self.now),
-            nested: false,
+            delay_s: machine.image_wait_s(image, image_gb, rate_gb_per_s, self.now),
+            under_quota_tree: false,
         }
     }
 
@@ -185,8 +189,8 @@
             index,
         };
         let victim: &Job = self.jobs.get(id)?;
-        let leaving = self.scheduler.stops.contains_key(&task) || !victim.active();
-        let grounds = if leaving || victim.whole_gang() {
+        let leaving = self.scheduler.stops.contains_key(&task) || !victim.is_active();
+        let grounds = if leaving || victim.is_gang_of_several() {
             Preemptibility::default()
         } else {
             self.preemptibility(preemptor, victim)
@@ -198,11 +202,11 @@
             task,
             resources: victim.spec.resources,
             priority: victim.spec.priority,
-            waste_s: self.waste(victim),
+            waste_s: self.wasted_machine_s(victim),
             leaving,
-            lower: grounds.unconditional,
-            team: grounds.by_quota_tree.then(|| victim.spec.team.clone()),
-            over: None,
+            unconditional: grounds.unconditional,
+            borrowing_team: grounds.by_quota_tree.then(|| victim.spec.team.clone()),
+            overuse_steps: None,
         })
     }
 }
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -27,32 +27,35 @@
     }
 
     /// A job's sort key in the queue.
-    pub(super) fn order(&self, job: &Job) -> QueueKey {
+    pub(super) fn queue_key(&self, job: &Job) -> QueueKey {
         QueueKey {
-            beyond_guarantee: !self.guaranteed(job),
+            beyond_guarantee: !self.is_entitled(job),
             priority: Reverse(job.spec.priority),
-            first_seen_at: job.born,
+            first_seen_at: job.first_seen,
             flow: self.commits.flows.of(&job.spec),
         }
     }
 
     /// Queues a job if it has tasks to place and this controller is responsible for it. Clears up
     /// after a job that has ended.
-    pub(super) fn consider(&mut self, id: &JobId) {
+    pub(super) fn update_queue_entry(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             self.scheduler.forget_job(id);
             return;
         };
-        if !job.active() {
+        if !job.is_active() {
             let responsible = self.is_responsible_for(job);
             self.scheduler.queue.remove(id);
             if responsible || self.requests.cancellations.waits_for(id) {
-                self.clear(id);
+                self.finalize_cancelled(id);
             }
             return;
         }
-        if job.waiting() > 0 && self.is_responsible_for(job) && !self.scheduler.queue.contains(id) {
-            let key = self.order(job);
+        if job.waiting_tasks() > 0
+            && self.is_responsible_for(job)
+            && !self.scheduler.queue.contains(id)
+        {
+            let key = self.queue_key(job);
             self.enqueue(id, key);
         }
     }
@@ -71,10 +74,10 @@
     }
 
     /// Backs a job off after a temporary error, whatever happens in the cluster meanwhile.
-    pub(super) fn fail_later(&mut self, id: &JobId) {
+    pub(super) fn back_off(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.active() && job.waiting() > 0 && self.is_responsible_for(job) {
-            let key = self.order(job);
+        if job.is_active() && job.waiting_tasks() > 0 && self.is_responsible_for(job) {
+            let key = self.queue_key(job);
             self.requeue(id, 0, BTreeSet::new(), key);
         }
     }
@@ -91,16 +94,19 @@
         let (now, rng) = (self.now, &mut self.rng);
         self.scheduler
             .queue
-            .fail(id, failures, checks, key, now, rng);
+            .requeue_after_failure(id, failures, checks, key, now, rng);
     }
 
     /// Wakes the parked jobs that a change in the cluster may help.
-    pub(super) fn wake(&mut self, event: ClusterEvent) {
-        if let ClusterEvent::Freed(machine_id) = &event {
-            self.activate_due(machine_id);
+    pub(super) fn wake_parked_jobs(&mut self, event: ClusterEvent) {
+        if let ClusterEvent::ResourcesReleased(machine_id) = &event {
+            self.activate_head_of_line_jobs(machine_id);
         }
-        if let ClusterEvent::Machine(machine_id) = &event {
-            self.scheduler.candidates.touched.push(machine_id.clone());
+        if let ClusterEvent::MachineSchedulable(machine_id) = &event {
+            self.scheduler
+                .candidates
+                .changed_machines
+                .push(machine_id.clone());
         }
         // The queue is taken out while the controller judges its jobs.
         let mut queue = std::mem::take(&mut self.scheduler.queue);
@@ -116,7 +122,9 @@
     }
 
     fn event_machine(&self, event: &ClusterEvent) -> Option<EventMachine<'_>> {
-        let (ClusterEvent::Machine(machine_id) | ClusterEvent::Freed(machine_id)) = event else {
+        let (ClusterEvent::MachineSchedulable(machine_id)
+        | ClusterEvent::ResourcesReleased(machine_id)) = event
+        else {
             return None;
         };
         let machine = self.machines.get(machine_id)?;
@@ -128,11 +136,11 @@
     /// for have room. A gang does; of other jobs any task may start, unless their room was made
     /// without a quota tree.
     fn awaits_preemption(&self, job: &Job, check: Check) -> bool {
-        let needs_all = job.whole_gang() || self.quota.hierarchy.force().is_none();
+        let needs_all = job.is_gang_of_several() || self.quota.hierarchy.active_tree().is_none();
         if check != Check::Resources || !needs_all {
             return false;
         }
-        let Some(machine_ids) = self.scheduler.nominations.of(&job.id, self.now) else {
+        let Some(machine_ids) = self.scheduler.nominations.machines_for(&job.id, self.now) else {
             return false;
         };
         let fits = |machine_id: &MachineId| {
@@ -153,20 +161,23 @@
         match (check, event) {
             (
                 Check::Resources | Check::Machine,
-                ClusterEvent::Machine(_) | ClusterEvent::Freed(_),
+                ClusterEvent::MachineSchedulable(_) | ClusterEvent::ResourcesReleased(_),
             ) => event_machine.is_some_and(|EventMachine { machine, available }| {
                 job.spec
                     .allows(&machine.machine_type, &machine.zone, machine.spot)
                     && job.spec.resources.fits_in(available)
             }),
-            (Check::Zones, ClusterEvent::Machine(_)) => true,
+            (Check::Zones, ClusterEvent::MachineSchedulable(_)) => true,
             (Check::Zones | Check::Attempt, ClusterEvent::TaskLeft(left)) => *left == job.id,
-            (Check::Team | Check::ShardQuota, ClusterEvent::TeamFreed(team)) => {
-                self.team_helps(team, &job.id)
+            (Check::Team | Check::ShardQuota, ClusterEvent::TeamUsageReduced(team)) => {
+                self.may_gain_from(team, &job.id)
             }
             (Check::ShardQuota, ClusterEvent::QuotaReallocated) => true,
-            (Check::Team | Check::ShardQuota | Check::Resources, ClusterEvent::NewTree) => true,
-            (Check::Resources | Check::Machine, ClusterEvent::Entitled(team)) => {
+            (
+                Check::Team | Check::ShardQuota | Check::Resources,
+                ClusterEvent::QuotaTreeReplaced,
+            ) => true,
+            (Check::Resources | Check::Machine, ClusterEvent::EntitlementRaised(team)) => {
                 *team == job.spec.team
             }
             _ => false,
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -2,7 +2,7 @@
 
 use super::super::Controller;
 use crate::jobs::cache::Job;
-use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, share_key};
+use crate::quota::{self, QuotaAllocation, ShardAllocation, ShardOwnership, allocation_key};
 use crate::settings::TeamSettings;
 use crate::store::Transaction;
 use crate::types::ShardId;
@@ -10,7 +10,7 @@
 impl Controller {
     /// Whether the cache contains everything that was placed in a shard before its current holder
     /// acquired it.
-    pub(in crate::controller) fn complete(&self, shard: &ShardId) -> bool {
+    pub(in crate::controller) fn knows_all_placements(&self, shard: &ShardId) -> bool {
         let token = self
             .membership
             .leases
@@ -26,7 +26,11 @@
     /// With `raise`, the number of tasks to place, the leader may also place beyond an allocation:
     /// it raises the allocation in the same transaction, as long as the limit has room for that
     /// many tasks.
-    pub(in crate::controller) fn full_shards(&self, job: &Job, raise: Option<u32>) -> Vec<ShardId> {
+    pub(in crate::controller) fn shards_without_quota(
+        &self,
+        job: &Job,
+        raise: Option<u32>,
+    ) -> Vec<ShardId> {
         let mut full: Vec<ShardId> = Vec::new();
         for team in self.limits(job) {
             if raise.is_some_and(|tasks| self.may_raise_for(team, job, tasks)) {
@@ -35,12 +39,12 @@
             let fits = |shard: &ShardId| {
                 let used = self
                     .jobs
-                    .used_in(&team.name, shard)
+                    .usage_in_shard(&team.name, shard)
                     .plus(job.spec.resources);
                 let allocated = self.quota.allocations.allocation(shard, &team.name);
                 // The leader places in another controller's shard only by raising its allocation.
                 let held_here = self.membership.leases.holds(shard, &self.me).is_some();
-                let usable = (held_here || raise.is_none()) && self.complete(shard);
+                let usable = (held_here || raise.is_none()) && self.knows_all_placements(shard);
                 usable && quota::within_allocation(used, allocated, team)
             };
             let shards = self.membership.leases.shards.keys();
@@ -72,7 +76,7 @@
             // Placements conditioned on an earlier tree are all known, and no more can be applied.
             && self.quota.hierarchy.is_settled()
             && self.store_sync.applied >= self.quota.hierarchy.active_version()
-            && self.membership.leases.shards.keys().all(|shard| self.complete(shard))
+            && self.membership.leases.shards.keys().all(|shard| self.knows_all_placements(shard))
     }
 
     /// All shards that a team may use something in: allocated, leased, or with tasks of the team.
@@ -93,7 +97,7 @@
     ) -> ShardAllocation {
         ShardAllocation {
             allocated: self.quota.allocations.allocation(shard, &team.name),
-            used: QuotaAllocation::of(self.jobs.used_in(&team.name, shard)),
+            used: QuotaAllocation::of(self.jobs.usage_in_shard(&team.name, shard)),
             leased: self.membership.leases.shards.contains_key(shard),
         }
     }
@@ -103,8 +107,8 @@
     fn planned_allocations(&self, team: &TeamSettings) -> Vec<ShardAllocation> {
         let planned = |shard: ShardId| {
             let current = self.current_allocation(team, &shard);
-            let reserved = self.jobs.reserved_in(&team.name, &shard);
-            let used = self.jobs.used_in(&team.name, &shard).minus(reserved);
+            let reserved = self.jobs.reserved_in_shard(&team.name, &shard);
+            let used = self.jobs.usage_in_shard(&team.name, &shard).minus(reserved);
             let ownership = self.ownership(&shard);
             let allocated = quota::raised_allocation(current.allocated, used, reserved, ownership);
             ShardAllocation {
@@ -117,7 +121,9 @@
 
     /// Whether this controller holds a shard and knows everything that is placed there.
     fn ownership(&self, shard: &ShardId) -> ShardOwnership {
-        if self.membership.leases.holds(shard, &self.me).is_some() && self.complete(shard) {
+        if self.membership.leases.holds(shard, &self.me).is_some()
+            && self.knows_all_placements(shard)
+        {
             ShardOwnership::Local
         } else {
             ShardOwnership::Remote
@@ -131,7 +137,7 @@
     /// Returns false if the allocations have changed since the tasks were reserved and no longer
     /// have room for them.
     #[must_use]
-    pub(in crate::controller) fn require_shares(
+    pub(in crate::controller) fn require_allocations(
         &self,
         job: &Job,
         txn: &mut Transaction,
@@ -154,11 +160,11 @@
         tasks: u32,
     ) -> bool {
         let ownership = self.ownership(shard);
-        txn.require(share_key(shard), self.quota.allocations.version(shard));
+        txn.require(allocation_key(shard), self.quota.allocations.version(shard));
         let mut raised_record = None;
         for team in self.limits(job) {
             // Reserved tasks count as used already.
-            let used = self.jobs.used_in(&team.name, shard);
+            let used = self.jobs.usage_in_shard(&team.name, shard);
             let allocated = self.quota.allocations.allocation(shard, &team.name);
             if ownership == ShardOwnership::Local && quota::within_allocation(used, allocated, team)
             {
@@ -176,7 +182,7 @@
             record.insert(team.name.clone(), raised);
         }
         if let Some(record) = raised_record {
-            txn.put(share_key(shard), &record);
+            txn.put(allocation_key(shard), &record);
         }
         true
     }
@@ -185,6 +191,6 @@
     /// the transaction was checked against are those of this tree.
     pub(in crate::controller) fn require_tree(&self, txn: &mut Transaction) {
         let version = self.quota.hierarchy.active_version();
-        txn.require(quota::hierarchical::HEAD.into(), version);
+        txn.require(quota::hierarchical::TREE_HEAD_KEY.into(), version);
     }
 }
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -11,8 +11,8 @@
 use super::super::calls::CallPurpose;
 use super::super::store_sync::PendingRead;
 use super::Quota;
-use crate::jobs::cache::{TaskChange, Writing};
-use crate::quota::share_key;
+use crate::jobs::cache::{CommitState, TaskChange};
+use crate::quota::allocation_key;
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, Revision, ShardId};
 
@@ -61,8 +61,8 @@
     /// Rewrites a shard's allocation record unchanged, which gives it a new version.
     fn rewrite_allocation(&self, shard: &ShardId) -> Transaction {
         let mut txn = Transaction::default();
-        txn.require(share_key(shard), self.allocations.version(shard));
-        txn.put(share_key(shard), &self.allocations.record(shard));
+        txn.require(allocation_key(shard), self.allocations.version(shard));
+        txn.put(allocation_key(shard), &self.allocations.record(shard));
         txn
     }
 
@@ -83,7 +83,7 @@
     ///
     /// `changes` are those of the transaction. The job may have other changes by now, in shards
     /// that the transaction is not conditioned on.
-    pub(in crate::controller) fn fence_off_later(
+    pub(in crate::controller) fn mark_for_fencing_off(
         &mut self,
         id: &JobId,
         changes: &[(u32, TaskChange)],
@@ -122,7 +122,7 @@
         for (shard, jobs) in self.quota.take_shards_to_rewrite() {
             let txn = self.quota.rewrite_allocation(&shard);
             let purpose = CallPurpose::FenceOff { jobs, shard };
-            self.transact(CallClass::Duties, txn, purpose);
+            self.transact(CallClass::Coordination, txn, purpose);
         }
     }
 
@@ -139,7 +139,7 @@
                 // applied before that, or never will be.
                 StoreResponse::Committed(revision) | StoreResponse::Conflict(revision) => {
                     if let Some(job) = self.jobs.get_mut(&id) {
-                        job.writing = Writing::Settling(Some(revision));
+                        job.commit_state = CommitState::Resolving(Some(revision));
                     }
                     self.settle_at(id, revision);
                 }
@@ -152,7 +152,7 @@
 
     /// Settles a job's changes as soon as everything up to `revision` is applied to the cache.
     pub(in crate::controller) fn settle_at(&mut self, job: JobId, revision: Revision) {
-        self.once_applied(revision, self.now, PendingRead::Settle { job });
-        self.proved();
+        self.resume_at_revision(revision, self.now, PendingRead::ResolveTransaction { job });
+        self.resume_ready_reads();
     }
 }
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::{CallPurpose, Controller};
-use crate::quota::{self, AllocationRecord, ShardAllocation, share_key};
+use crate::quota::{self, AllocationRecord, ShardAllocation, allocation_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{Millis, Resources, Revision, ShardId};
 
@@ -30,7 +30,11 @@
         let rests_on = (first.clone(), self.quota.allocations.version(&first));
         self.quota.allocated_at = self.now;
         let txn = self.allocation_transaction(leader_version, records);
-        self.transact(CallClass::Duties, txn, CallPurpose::Deal { rests_on });
+        self.transact(
+            CallClass::Coordination,
+            txn,
+            CallPurpose::AllocateQuota { rests_on },
+        );
     }
 
     /// The allocation records that have to change, with their new content.
@@ -85,8 +89,11 @@
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
             }
-            txn.require(share_key(&shard), self.quota.allocations.version(&shard));
-            txn.put(share_key(&shard), &record);
+            txn.require(
+                allocation_key(&shard),
+                self.quota.allocations.version(&shard),
+            );
+            txn.put(allocation_key(&shard), &record);
         }
         txn
     }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -5,7 +5,7 @@
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{JobKind, Placement, Task};
 use crate::lease::LEADER;
-use crate::quota::share_key;
+use crate::quota::allocation_key;
 use crate::settings::tests::settings;
 use crate::store::{Mutation as Write, StoreCall, StoreResponse, Transaction};
 use crate::types::{AgentEpoch, Attempt, FencingToken, Revision};
@@ -50,7 +50,7 @@
         {
             let puts = txn.changes.iter().filter_map(|change| match change {
                 Write::Put { key, .. } => Some(key.clone()),
-                Write::Drop { .. } => None,
+                Write::Delete { .. } => None,
             });
             keys.extend(puts);
         }
@@ -70,7 +70,7 @@
         (StoreResponse::Unknown, true),
     ];
     for (answer, unsure) in cases {
-        let (mut controller, _) = leading(vec![Task::FRESH]);
+        let (mut controller, _) = leading(vec![Task::NEVER_PLACED]);
         let rests_on = (shard.clone(), controller.quota.allocations.version(&shard));
         assert!(controller.may_raise_allocations());
         let name = format!("{answer:?}");
@@ -78,11 +78,11 @@
         assert_eq!(controller.may_raise_allocations(), !unsure, "{name}");
         controller.now = Millis(9_000);
         controller.resolve_unknown_transactions();
-        let rewritten = written(&controller).contains(&share_key(&shard));
+        let rewritten = written(&controller).contains(&allocation_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
         controller.quota.allocations_in_flight = 0;
         // The watch shows that the share has changed: the deal was carried out before, or never is.
-        controller.apply(&share_key(&shard), Some("{}"), Revision(31));
+        controller.apply(&allocation_key(&shard), Some("{}"), Revision(31));
         controller.resolve_unknown_transactions();
         assert!(controller.may_raise_allocations(), "{name}");
     }
@@ -93,20 +93,20 @@
 /// after its room had been given away.
 #[test]
 fn a_placement_without_an_answer_is_ruled_out_by_its_own_shard() {
-    let (mut controller, id) = leading(vec![Task::FRESH, Task::FRESH]);
+    let (mut controller, id) = leading(vec![Task::NEVER_PLACED, Task::NEVER_PLACED]);
     let limited = !controller
         .limits(controller.jobs.get(&id).unwrap())
         .is_empty();
     assert!(limited, "the job's team has a limit");
     let sent = TaskChange::Place(placement("vm-b", "b.0"));
-    controller.jobs.want(&id, 1, sent.clone());
+    controller.jobs.note_change(&id, 1, sent.clone());
     let later = TaskChange::Place(placement("vm-a", "a.0"));
-    controller.jobs.want(&id, 0, later);
-    controller.commits.backlog.under_way = 1;
+    controller.jobs.note_change(&id, 0, later);
+    controller.commits.backlog.in_flight = 1;
     controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
     controller.resolve_unknown_transactions();
-    let b = share_key(&ShardId::parse("b.0").unwrap());
+    let b = allocation_key(&ShardId::parse("b.0").unwrap());
     assert_eq!(written(&controller), [b]);
 }
 
@@ -115,7 +115,7 @@
 #[test]
 fn what_a_leader_places_in_shards_of_others_rests_on_its_term() {
     for (holder, lease_id, required) in [("n0", 1, false), ("n1", 2, true)] {
-        let (mut controller, id) = leading(vec![Task::FRESH]);
+        let (mut controller, id) = leading(vec![Task::NEVER_PLACED]);
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
         let shard = ShardId::parse("b.0").unwrap();
         let key = crate::lease::shard_key(&shard);
@@ -126,7 +126,7 @@
         );
         controller.effects.clear();
         let change = TaskChange::Place(placement("vm-b", "b.0"));
-        controller.jobs.want(&id, 0, change);
+        controller.jobs.note_change(&id, 0, change);
         controller.now = Millis(9_000);
         controller.commit(&id);
         let conditions = controller.effects.iter().find_map(|effect| match effect {
@@ -158,27 +158,27 @@
         ("n1", 0.0, 4.0, 2, Some(2.0)),
     ];
     for (holder, share, other, tasks, raised) in cases {
-        let (mut controller, id) = leading_with(1.0, 6.0, vec![Task::FRESH; 4]);
+        let (mut controller, id) = leading_with(1.0, 6.0, vec![Task::NEVER_PLACED; 4]);
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":1}}");
         let [a, b] = ["a.0", "b.0"].map(|name| ShardId::parse(name).unwrap());
         controller.apply(&crate::lease::shard_key(&b), Some(&record), Revision(20));
         let team = controller.jobs.get(&id).unwrap().spec.team.clone();
         for (shard, gpus) in [(&a, other), (&b, share)] {
             let record = format!("{{\"{team}\":{{\"cpus\":0.0,\"gpus\":{gpus:?}}}}}");
-            controller.apply(&share_key(shard), Some(&record), Revision(21));
+            controller.apply(&allocation_key(shard), Some(&record), Revision(21));
         }
         for index in 0..tasks {
             let change = TaskChange::Place(placement("vm-b", "b.0"));
-            controller.jobs.want(&id, index, change);
+            controller.jobs.note_change(&id, index, change);
         }
         let mut txn = Transaction::default();
         let job = controller.jobs.get(&id).unwrap();
-        let allowed = controller.require_shares(job, &mut txn, &[(b.clone(), tasks)]);
+        let allowed = controller.require_allocations(job, &mut txn, &[(b.clone(), tasks)]);
         let case = format!("{holder}, {share}, {other}, {tasks}");
         assert_eq!(allowed, raised.is_some(), "{case}");
         let put = txn.changes.iter().find_map(|change| match change {
             Write::Put { data, .. } => Some(data.clone()),
-            Write::Drop { .. } => None,
+            Write::Delete { .. } => None,
         });
         let put = put.map(|data| {
             let record: serde_json::Value = serde_json::from_str(&data).unwrap();
--- a/src/controller/reachability/evacuation.rs
+++ b/src/controller/reachability/evacuation.rs
@@ -28,8 +28,8 @@
         let quiet_after = Millis::from_secs(interval_s * QUIET_HEARTBEAT_INTERVALS);
         let (mut all, mut quiet) = (0, 0);
         for machine in self.machines.values() {
-            let silent_for = self.now.since(machine.reported);
-            let counts = machine.reported > Millis(0) && silent_for < FORGET;
+            let silent_for = self.now.since(machine.last_heartbeat);
+            let counts = machine.last_heartbeat > Millis(0) && silent_for < FORGET;
             if counts && self.token_for(&machine.shard).is_some() {
                 all += 1;
                 quiet += usize::from(silent_for > quiet_after);
@@ -47,7 +47,7 @@
         self.machines.get(machine_id).is_some_and(|machine| {
             let moved_at = self.membership.shard_moved_at.get(&machine.shard);
             let held = self.now.since(moved_at.copied().unwrap_or_default());
-            let silent = self.now.since(machine.reported) > self.silence();
+            let silent = self.now.since(machine.last_heartbeat) > self.heartbeat_timeout();
             // Taken from a holder that knew it as unable to report, it stays so until it reports.
             silent && (held > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
         })
@@ -60,7 +60,7 @@
             return;
         };
         let lease = Millis::from_secs(self.settings.deployment.workers.lease_s);
-        let lease_left = (machine.reported + lease).since(self.now);
+        let lease_left = (machine.last_heartbeat + lease).since(self.now);
         for (task, save) in self.tasks_to_evacuate(machine, lease_left) {
             self.stop_with_its_gang(&task, save);
         }
@@ -68,7 +68,7 @@
 
     /// The tasks placed on a machine that are to be stopped now, and whether each saves first.
     fn tasks_to_evacuate(&self, machine: &Machine, lease_left: Millis) -> Vec<(TaskId, bool)> {
-        let placed = self.jobs.on_machine(&machine.machine_id);
+        let placed = self.jobs.tasks_on(&machine.machine_id);
         placed
             .filter_map(|(id, index)| {
                 let task = TaskId {
@@ -110,7 +110,11 @@
 
     /// The cloud takes the machine away: running tasks that can save a checkpoint are stopped for it.
     pub(in crate::controller) fn drain_warned(&mut self, machine_id: &MachineId) {
-        let Some(machine) = self.machines.get(machine_id).filter(|m| m.warned) else {
+        let Some(machine) = self
+            .machines
+            .get(machine_id)
+            .filter(|m| m.termination_announced)
+        else {
             return;
         };
         let saves = |task: &TaskId| {
@@ -137,7 +141,7 @@
         mut commands: Vec<WorkerCommand>,
     ) {
         commands.retain(|command| matches!(command, WorkerCommand::Stop { .. }));
-        if !commands.is_empty() && self.may_answer() {
+        if !commands.is_empty() && self.may_answer_heartbeats() {
             self.send_direct(machine_id, token, commands);
         }
     }
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -15,16 +15,16 @@
 impl Controller {
     /// Probes machines of ours that fell silent: they may be there all the same.
     pub(in crate::controller) fn probe_silent_machines(&mut self) {
-        let (now, silence) = (self.now, self.silence());
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let silent: Vec<MachineId> = self
             .machines
             .values()
             .filter(|machine| {
                 let ours = self.token_for(&machine.shard) == Some(machine.worker_token.token());
-                let silent_for = now.since(machine.heard);
+                let silent_for = now.since(machine.last_contact);
                 ours && silent_for > silence
                     && silent_for < FORGET
-                    && !machine.reachability.doubtful(now, silence)
+                    && !machine.reachability.is_doubtful(now, silence)
                     && now.since(machine.direct.probed_at) >= PROBE_INTERVAL
             })
             .map(|machine| machine.machine_id.clone())
@@ -38,8 +38,8 @@
     /// Shows our token to the machines of our shards that have not seen it: until then they may go
     /// on reporting to an earlier holder, who may not know that it lost the shard. Probes machines
     /// whose heartbeats arrive while nothing confirms that commands do.
-    pub(in crate::controller) fn fence(&mut self) {
-        let (now, silence) = (self.now, self.silence());
+    pub(in crate::controller) fn announce_tokens(&mut self) {
+        let (now, silence) = (self.now, self.heartbeat_timeout());
         let targets: Vec<MachineId> = self
             .machines
             .values()
@@ -49,7 +49,7 @@
                 };
                 let token_unseen = machine.worker_token < self.worker_token(token);
                 let probe_due = now.since(machine.direct.probed_at) >= PROBE_INTERVAL;
-                token_unseen || probe_due && machine.reachability.doubtful(now, silence)
+                token_unseen || probe_due && machine.reachability.is_doubtful(now, silence)
             })
             .map(|machine| machine.machine_id.clone())
             .collect();
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -47,13 +47,13 @@
         shard,
         "n0".into(),
     );
-    machine.reachability.prove();
+    machine.reachability.confirm();
     controller.machines.insert(machine_id, machine);
     controller.now = Millis(REPORTED);
     controller.contact.last_heartbeat = controller.now;
     controller.answer_heartbeat(heartbeat(&id, 1, &["running"]));
     let machine = controller.machines.get_mut(&MachineId::from(HOST)).unwrap();
-    machine.reachability.prove();
+    machine.reachability.confirm();
     machine.direct.in_flight = false;
     // What rode on the answer was dropped.
     machine.direct.piggybacked_starts.clear();
@@ -83,7 +83,7 @@
 /// again: all of them died with the worker's lease.
 #[test]
 fn machines_that_answer_but_can_not_report_get_no_work() {
-    let silence = reported().0.silence().0;
+    let silence = reported().0.heartbeat_timeout().0;
     for (after, shard_taken, known_unable_to_report, resources) in [
         (silence, 0, false, true),
         (silence + 1, 0, false, false),
@@ -110,7 +110,7 @@
             heartbeat(&id, 2, &["running"]),
             REPORTED + after,
         );
-        let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
+        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
         let case =
             format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
         assert_eq!(fit, resources, "{case}");
@@ -118,14 +118,17 @@
         let (now, machine_id) = (controller.now, MachineId::from(HOST));
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
         answers(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
-        assert!(controller.ours(&controller.machines[&machine_id]), "{case}");
+        assert!(
+            controller.is_schedulable_by_us(&controller.machines[&machine_id]),
+            "{case}"
+        );
     }
 }
 
 #[test]
 fn a_mute_machine_is_left_before_its_lease_is_over() {
     let lease = Millis::from_secs(reported().0.settings.deployment.workers.lease_s).0;
-    let silence = reported().0.silence().0;
+    let silence = reported().0.heartbeat_timeout().0;
     let running = &["running"][..];
     let cases = [
         // cancelled, after so many ms; stops of the running task, whether the other is given up
@@ -168,7 +171,7 @@
 fn machines_that_fell_silent_are_asked() {
     for (after, asked) in [(1, false), (2, true)] {
         let (mut controller, _) = reported();
-        controller.now = Millis(REPORTED + controller.silence().0 - 1 + after);
+        controller.now = Millis(REPORTED + controller.heartbeat_timeout().0 - 1 + after);
         controller.probe_silent_machines();
         let sent = controller.effects.iter();
         let asks = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
@@ -183,7 +186,7 @@
     let (heartbeat_interval_s, silence) = {
         let settings = reported().0;
         let heartbeat_interval_s = settings.settings.deployment.workers.heartbeat_interval_s;
-        (heartbeat_interval_s, settings.silence().0)
+        (heartbeat_interval_s, settings.heartbeat_timeout().0)
     };
     let quiet = (heartbeat_interval_s * 1_600.0) as u64;
     for (machines, quiet_ones, used) in [(1, 1, false), (3, 3, true), (9, 4, false), (9, 5, true)] {
@@ -198,13 +201,13 @@
             let mut other = one.clone();
             other.machine_id = MachineId::from(format!("vm-{}", 100 + index));
             let since = if index < quiet_ones { quiet + 1 } else { quiet };
-            other.reported = Millis(at - since);
+            other.last_heartbeat = Millis(at - since);
             controller.machines.insert(other.machine_id.clone(), other);
         }
         controller.now = Millis(at);
         controller.update_quiet_machines();
         answers(&mut controller, heartbeat(&id, 2, &["running"]), at);
-        let fit = controller.ours(&controller.machines[&MachineId::from(HOST)]);
+        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
         assert_eq!(fit, used, "{quiet_ones} of {machines}");
     }
 }
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -65,9 +65,5 @@
 
 /// An empty queue with the operator's backoff settings.
 pub(super) fn new_queue(operator: &Operator) -> Queue {
-    Queue::new(
-        operator.backoff_first,
-        operator.backoff_most,
-        operator.flush,
-    )
+    Queue::new(operator.backoff_first, operator.backoff_max, operator.flush)
 }
--- a/src/controller/store_sync/apply.rs
+++ b/src/controller/store_sync/apply.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 
 use super::super::Controller;
-use crate::admission::shared::PLAN;
+use crate::admission::shared::PLAN_KEY;
 use crate::fleet::MACHINE_TYPES_KEY;
-use crate::jobs::cache::{RecordChange, Writing};
+use crate::jobs::cache::{CommitState, RecordChange};
 use crate::queue::ClusterEvent;
 use crate::quota;
 use crate::types::{JobId, MachineId, Revision, ShardId};
@@ -21,13 +21,13 @@
         data: Option<&str>,
         version: Revision,
     ) {
-        if let Some(shard) = key.strip_prefix(quota::SHARES) {
+        if let Some(shard) = key.strip_prefix(quota::ALLOCATION_KEY_PREFIX) {
             return self.apply_quota_allocation(shard, data, version);
         }
-        if key.starts_with(quota::hierarchical::HEAD) {
+        if key.starts_with(quota::hierarchical::TREE_HEAD_KEY) {
             return self.apply_tree(key, data, version);
         }
-        if key == PLAN {
+        if key == PLAN_KEY {
             return self.commits.admission.apply(data, version);
         }
         if key == MACHINE_TYPES_KEY {
@@ -44,7 +44,7 @@
         if let Some(shard) = ShardId::parse(shard)
             && self.quota.allocations.apply(shard, data, version)
         {
-            self.wake(ClusterEvent::QuotaReallocated);
+            self.wake_parked_jobs(ClusterEvent::QuotaReallocated);
         }
     }
 
@@ -62,9 +62,9 @@
     fn on_job_change(&mut self, change: RecordChange) {
         let Some(id) = change.job else { return };
         self.drop_overtaken(&id);
-        self.placed_elsewhere(&id, &change.allocated);
+        self.end_nominations_on(&id, &change.allocated);
         if self.store_sync.synced {
-            self.consider(&id);
+            self.update_queue_entry(&id);
             if self.scheduler.forwarded_early.remove(&id).is_some() {
                 self.accept_forwarded(&id);
             }
@@ -73,13 +73,13 @@
         self.stop_finished_job(&id);
         self.push_foreign_placements(&id, change.allocated);
         if !change.freed.is_empty() {
-            self.wake(ClusterEvent::TaskLeft(id));
+            self.wake_parked_jobs(ClusterEvent::TaskLeft(id));
             if let Some(team) = change.team {
-                self.wake(ClusterEvent::TeamFreed(team));
+                self.wake_parked_jobs(ClusterEvent::TeamUsageReduced(team));
             }
         }
         for machine_id in change.freed {
-            self.wake(ClusterEvent::Freed(machine_id));
+            self.wake_parked_jobs(ClusterEvent::ResourcesReleased(machine_id));
         }
     }
 
@@ -88,7 +88,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         for machine_id in allocated {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.expect_image(&job.spec.image, job.spec.image_gb, self.now);
+                machine.add_pending_fetch(&job.spec.image, job.spec.image_gb, self.now);
             }
         }
     }
@@ -98,7 +98,7 @@
         let machine_ids: BTreeSet<MachineId> = self
             .jobs
             .get(id)
-            .filter(|job| !job.active())
+            .filter(|job| !job.is_active())
             .map(|job| {
                 job.placements()
                     .map(|(_, placement)| placement.machine_id.clone())
@@ -116,7 +116,7 @@
         let foreign = self
             .jobs
             .get(id)
-            .is_some_and(|job| job.writing == Writing::Idle);
+            .is_some_and(|job| job.commit_state == CommitState::Idle);
         if foreign {
             for machine_id in allocated {
                 self.push_commands(&machine_id);
@@ -128,7 +128,7 @@
     pub(in crate::controller) fn reconsider_all(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().map(|job| job.id.clone()).collect();
         for id in ids {
-            self.consider(&id);
+            self.update_queue_entry(&id);
         }
     }
 }
--- a/src/controller/store_sync/apply/tests.rs
+++ b/src/controller/store_sync/apply/tests.rs
@@ -30,13 +30,17 @@
         let second = JobId::from("job-2");
         let text = serde_json::to_string(&record).unwrap();
         controller.apply(&job_key(&second), Some(&text), Revision(20));
-        let order = controller.order(controller.jobs.get(&second).unwrap());
+        let order = controller.queue_key(controller.jobs.get(&second).unwrap());
         controller.scheduler.queue.remove(&second);
         let (checks, now) = ([check].into(), controller.now);
-        controller
-            .scheduler
-            .queue
-            .fail(&second, 1, checks, order, now, &mut controller.rng);
+        controller.scheduler.queue.requeue_after_failure(
+            &second,
+            1,
+            checks,
+            order,
+            now,
+            &mut controller.rng,
+        );
         let rejected = |c: &Controller| {
             let cause = c.scheduler.queue.waits_for(&second);
             matches!(cause, Some(crate::queue::WaitReason::Rejected { .. }))
--- a/src/controller/store_sync/availability.rs
+++ b/src/controller/store_sync/availability.rs
@@ -23,7 +23,7 @@
         let alone = self.without_store();
         self.settings.members.iter().all(|member| {
             self.peers.statuses.get(&member.label).is_some_and(|peer| {
-                let age = self.now.since(peer.heard);
+                let age = self.now.since(peer.received_at);
                 age <= MAX_STATUS_AGE && peer.without_store + age + MAX_OUTAGE_SKEW >= alone
             })
         })
@@ -40,8 +40,8 @@
     /// Whether heartbeats may be answered. A controller that lost the store goes on answering: it
     /// reports nothing of its machines' tasks before the store has it, and a new holder of its shards
     /// shows the machines a higher fencing token.
-    pub(in crate::controller) fn may_answer(&self) -> bool {
-        let keep = self.settings.operator.keep;
+    pub(in crate::controller) fn may_answer_heartbeats(&self) -> bool {
+        let keep = self.settings.operator.partition_lease_keep;
         self.without_store() < keep || self.outage_is_common()
     }
 }
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -44,12 +44,12 @@
         job: JobId,
     },
     /// Delete the description of a job that is over: all placements before its cancellation are known.
-    Clear {
+    DeleteDescription {
         /// The job that is over.
         job: JobId,
     },
     /// Resolve a transaction of unknown outcome: the cache shows whether it was committed.
-    Settle {
+    ResolveTransaction {
         /// The job whose records the transaction writes.
         job: JobId,
     },
@@ -90,13 +90,13 @@
 #[derive(Default)]
 pub(in crate::controller) struct ReadBarrier {
     /// No call that was sent after these requests is in flight.
-    pub(in crate::controller) next: Vec<RequestedRead>,
+    pub(in crate::controller) unsent: Vec<RequestedRead>,
     /// The open watch was sent after these requests.
-    pub(in crate::controller) watched: Vec<RequestedRead>,
+    pub(in crate::controller) awaiting_watch: Vec<RequestedRead>,
     /// The read of the store's revision that is in flight was sent after these requests.
-    pub(in crate::controller) current: Vec<RequestedRead>,
+    pub(in crate::controller) awaiting_revision: Vec<RequestedRead>,
     /// Reads whose revision is known, and that wait until the cache has reached it.
-    pub(in crate::controller) waiting: Vec<WaitingRead>,
+    pub(in crate::controller) awaiting_cache: Vec<WaitingRead>,
     /// A read of the store's revision is in flight.
     revision_read_in_flight: bool,
 }
@@ -104,19 +104,19 @@
 impl ReadBarrier {
     /// A watch is opened: its answer shows everything that was committed before.
     pub(super) fn on_watch_opened(&mut self) {
-        let requested = std::mem::take(&mut self.next);
-        self.watched.extend(requested);
+        let requested = std::mem::take(&mut self.unsent);
+        self.awaiting_watch.extend(requested);
     }
 
     /// The open watch was answered at `revision`.
     pub(super) fn on_watch_answered(&mut self, revision: Revision) {
-        for (requested_at, read) in std::mem::take(&mut self.watched) {
+        for (requested_at, read) in std::mem::take(&mut self.awaiting_watch) {
             self.wait_for(revision, requested_at, read);
         }
     }
 
     fn wait_for(&mut self, needed: Revision, requested_at: Millis, read: PendingRead) {
-        self.waiting.push(WaitingRead {
+        self.awaiting_cache.push(WaitingRead {
             needed,
             requested_at,
             read,
@@ -126,39 +126,39 @@
     /// Marks a read of the revision as sent for all reads that are not waiting for a revision yet.
     /// False if one is in flight, or the watch may still answer in time.
     fn begin_revision_read(&mut self, now: Millis) -> bool {
-        let oldest = self.watched.first().or(self.next.first());
+        let oldest = self.awaiting_watch.first().or(self.unsent.first());
         let due =
             oldest.is_some_and(|(requested_at, _)| now.since(*requested_at) >= WATCH_GRACE_PERIOD);
         if self.revision_read_in_flight || !due {
             return false;
         }
         self.revision_read_in_flight = true;
-        self.current = std::mem::take(&mut self.watched);
-        self.current.append(&mut self.next);
+        self.awaiting_revision = std::mem::take(&mut self.awaiting_watch);
+        self.awaiting_revision.append(&mut self.unsent);
         true
     }
 
     /// The read of the revision was answered: the reads that it was sent for.
     fn end_revision_read(&mut self) -> Vec<RequestedRead> {
         self.revision_read_in_flight = false;
-        std::mem::take(&mut self.current)
+        std::mem::take(&mut self.awaiting_revision)
     }
 
     /// Removes the waiting reads for which a cache at revision `applied` is new enough.
     fn take_ready(&mut self, applied: Revision) -> Vec<WaitingRead> {
-        let (ready, waiting) = std::mem::take(&mut self.waiting)
+        let (ready, waiting) = std::mem::take(&mut self.awaiting_cache)
             .into_iter()
             .partition(|waiting| waiting.needed <= applied);
-        self.waiting = waiting;
+        self.awaiting_cache = waiting;
         ready
     }
 
     /// Removes the waiting reads of users that are too old.
     fn take_expired(&mut self, now: Millis) -> Vec<WaitingRead> {
-        let (expired, waiting) = std::mem::take(&mut self.waiting)
+        let (expired, waiting) = std::mem::take(&mut self.awaiting_cache)
             .into_iter()
             .partition(|waiting| waiting.has_expired(now));
-        self.waiting = waiting;
+        self.awaiting_cache = waiting;
         expired
     }
 }
@@ -166,8 +166,8 @@
 impl Controller {
     /// Requests a read barrier: `read` goes on once the cache shows all that was committed before
     /// this moment. The next watch brings that, or a read of the revision if nothing changes.
-    pub(in crate::controller) fn once_fresh(&mut self, read: PendingRead) {
-        self.store_sync.read_barrier.next.push((self.now, read));
+    pub(in crate::controller) fn request_read_barrier(&mut self, read: PendingRead) {
+        self.store_sync.read_barrier.unsent.push((self.now, read));
         self.poll_watch();
         self.read_revision();
     }
@@ -176,7 +176,7 @@
     pub(in crate::controller) fn read_revision(&mut self) {
         if self.store_sync.read_barrier.begin_revision_read(self.now) {
             self.call_store(
-                CallClass::Proofs,
+                CallClass::ReadBarriers,
                 StoreCall::ReadRevision,
                 CallPurpose::ReadRevision,
             );
@@ -189,13 +189,13 @@
         match answer {
             StoreResponse::Revision(revision) => {
                 for (requested_at, read) in requested {
-                    self.once_applied(revision, requested_at, read);
+                    self.resume_at_revision(revision, requested_at, read);
                 }
-                self.proved();
+                self.resume_ready_reads();
             }
             _ => {
                 for (_, read) in requested {
-                    self.not_proved(read);
+                    self.on_read_barrier_expired(read);
                 }
             }
         }
@@ -203,22 +203,22 @@
     }
 
     /// Goes on with the reads that the cache is new enough for.
-    pub(in crate::controller) fn proved(&mut self) {
+    pub(in crate::controller) fn resume_ready_reads(&mut self) {
         if !self.store_sync.synced {
             return;
         }
         let applied = self.store_sync.applied;
         for ready in self.store_sync.read_barrier.take_ready(applied) {
             if ready.has_expired(self.now) {
-                self.not_proved(ready.read);
+                self.on_read_barrier_expired(ready.read);
             } else {
-                self.go_on(ready.read);
+                self.on_read_barrier_reached(ready.read);
             }
         }
     }
 
     /// Goes on with a read, requested at `requested_at`, once the cache has reached `revision`.
-    pub(in crate::controller) fn once_applied(
+    pub(in crate::controller) fn resume_at_revision(
         &mut self,
         revision: Revision,
         requested_at: Millis,
@@ -232,7 +232,7 @@
     /// Gives up users' reads whose revision the cache has not reached in time.
     pub(in crate::controller) fn expire_pending_reads(&mut self) {
         for expired in self.store_sync.read_barrier.take_expired(self.now) {
-            self.not_proved(expired.read);
+            self.on_read_barrier_expired(expired.read);
         }
     }
 }
--- a/src/controller/store_sync/read_barrier/tests.rs
+++ b/src/controller/store_sync/read_barrier/tests.rs
@@ -19,20 +19,20 @@
     ];
     for (after_ms, ticks, answered) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-        let (mut controller, job) = controller(spec, vec![Task::FRESH; 8]);
+        let (mut controller, job) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         (controller.now, controller.store_sync.applied) = (Millis(5_000), Revision(20));
         let reply = ReplyId(1);
         let asked = controller.now;
         let state = PendingRead::State { reply, job };
-        controller.once_applied(Revision(21), asked, state);
-        controller.proved();
+        controller.resume_at_revision(Revision(21), asked, state);
+        controller.resume_ready_reads();
         assert!(controller.effects.is_empty());
         controller.now = asked + Millis(after_ms);
         if ticks {
             controller.expire_pending_reads();
         }
         controller.store_sync.applied = Revision(22);
-        controller.proved();
+        controller.resume_ready_reads();
         let answers = controller.effects.iter().filter_map(|effect| match effect {
             Effect::User { response, .. } => Some(matches!(response, Response::State(_))),
             _ => None,
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -85,7 +85,7 @@
         self.membership.leases.leader = None;
         self.quota.allocations = QuotaAllocations::default();
         self.quota.hierarchy.resync();
-        self.jobs.regroup(self.quota.hierarchy.groups());
+        self.jobs.set_groups(self.quota.hierarchy.groups());
         self.scheduler.forwarded.clear();
         self.scheduler.stops.clear();
         self.scheduler.queue = new_queue(&self.settings.operator);
--- a/src/controller/store_sync/watch.rs
+++ b/src/controller/store_sync/watch.rs
@@ -34,7 +34,7 @@
         self.store_sync.in_flight = None;
         match answer {
             StoreResponse::Updates { updates, revision } => self.on_updates(updates, revision),
-            StoreResponse::TooOld => {
+            StoreResponse::Compacted => {
                 tracing::info!("watch compacted, resyncing");
                 self.resync();
             }
@@ -49,7 +49,7 @@
                 Update::Put(entry) => {
                     self.apply(&entry.key, Some(entry.data.get()), entry.version);
                 }
-                Update::Dropped { key, version } => self.apply(&key, None, version),
+                Update::Deleted { key, version } => self.apply(&key, None, version),
             }
         }
         self.store_sync.advance_to(revision);
@@ -59,7 +59,7 @@
             self.now
         };
         self.store_sync.read_barrier.on_watch_answered(revision);
-        self.proved();
+        self.resume_ready_reads();
         self.renew_membership();
         self.poll_watch();
     }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -32,7 +32,7 @@
 
 impl Controller {
     /// Answers a request of a user.
-    pub(super) fn tell(&mut self, reply: ReplyId, response: Response) {
+    pub(super) fn respond(&mut self, reply: ReplyId, response: Response) {
         self.effects.push(Effect::User { reply, response });
     }
 
@@ -46,13 +46,13 @@
         let (id, spec) = match submission {
             Ok(submission) => submission,
             Err(Refused { id: Some(id), why }) => return self.refuse(reply, id, why),
-            Err(Refused { id: None, why }) => return self.tell(reply, why.into()),
+            Err(Refused { id: None, why }) => return self.respond(reply, why.into()),
         };
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
         }
         if !self.store_is_ready() || self.autoscaler.type_specs.is_empty() {
-            return self.tell(reply, Response::Later(NOT_READY_RETRY_S));
+            return self.respond(reply, Response::Later(NOT_READY_RETRY_S));
         }
         if let Some(waiting) = self.requests.submitting.get_mut(&id) {
             waiting.push(reply);
@@ -63,7 +63,7 @@
             Err(why) => return self.refuse(reply, id, why),
         };
         if let Err(retry_s) = self.admit_now(&id, &spec) {
-            return self.tell(reply, Response::Later(retry_s));
+            return self.respond(reply, Response::Later(retry_s));
         }
         self.requests.submitting.insert(id.clone(), vec![reply]);
         self.commit_submission(id, spec);
@@ -122,7 +122,7 @@
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
         }
-        self.ask_fresh(PendingRead::Refuse { reply, job, why });
+        self.after_read_barrier(PendingRead::Refuse { reply, job, why });
     }
 
     /// Handles the store's answer to a submission.
@@ -130,76 +130,76 @@
         let replies = self.requests.submitting.remove(&id).unwrap_or_default();
         for reply in replies {
             match answer {
-                StoreResponse::Committed(_) => self.tell(reply, Response::Accepted(id.clone())),
+                StoreResponse::Committed(_) => self.respond(reply, Response::Accepted(id.clone())),
                 // Known already: from another controller, or from an earlier request of this one that
                 // was thought lost.
                 StoreResponse::Conflict(revision) => {
                     let job = id.clone();
-                    self.once_applied(revision, self.now, PendingRead::State { reply, job });
-                    self.proved();
+                    self.resume_at_revision(revision, self.now, PendingRead::State { reply, job });
+                    self.resume_ready_reads();
                 }
                 _ => {
                     tracing::debug!(job = %id, ?answer, "submission not accepted");
-                    self.tell(reply, Response::later());
+                    self.respond(reply, Response::later());
                 }
             }
         }
     }
 
     /// Waits for a read barrier, or gives up at once if the store does not answer anyway.
-    pub(super) fn ask_fresh(&mut self, after: PendingRead) {
+    pub(super) fn after_read_barrier(&mut self, after: PendingRead) {
         if self.store_is_ready() {
-            self.once_fresh(after);
+            self.request_read_barrier(after);
         } else {
-            self.not_proved(after);
+            self.on_read_barrier_expired(after);
         }
     }
 
     /// Handles a poll of a job's state. Final states don't change, so only others need a read barrier.
     pub(super) fn on_poll(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
-            Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
-            _ => self.ask_fresh(PendingRead::State { reply, job }),
+            Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
+            _ => self.after_read_barrier(PendingRead::State { reply, job }),
         }
     }
 
     /// Goes on with what waited for a read barrier: the cache is as new as the request now.
-    pub(super) fn go_on(&mut self, after: PendingRead) {
+    pub(super) fn on_read_barrier_reached(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job } => {
                 let response = self
                     .jobs
                     .state(&job)
                     .map_or(Response::Unknown, Response::State);
-                self.tell(reply, response);
+                self.respond(reply, response);
             }
             PendingRead::Refuse { reply, job, why } => {
                 let state = self.jobs.state(&job).map(Response::State);
-                self.tell(reply, state.unwrap_or(why.into()));
+                self.respond(reply, state.unwrap_or(why.into()));
             }
             PendingRead::Abort { reply, job } => match self.jobs.state(&job) {
-                None => self.tell(reply, Response::Unknown),
-                Some(state) if state.is_final() => self.tell(reply, Response::State(state)),
-                Some(_) => self.abort_known(reply, job),
+                None => self.respond(reply, Response::Unknown),
+                Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
+                Some(_) => self.cancel_known(reply, job),
             },
-            PendingRead::Clear { job } => self.clear(&job),
-            PendingRead::Settle { job } => self.settle(&job),
+            PendingRead::DeleteDescription { job } => self.finalize_cancelled(&job),
+            PendingRead::ResolveTransaction { job } => self.restart_from_records(&job),
         }
     }
 
     /// Gives up a read barrier that was not reached in time.
-    pub(super) fn not_proved(&mut self, after: PendingRead) {
+    pub(super) fn on_read_barrier_expired(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job }
             | PendingRead::Refuse { reply, job, .. }
             | PendingRead::Abort { reply, job } => {
                 tracing::debug!(%job, "read barrier expired");
-                self.tell(reply, Response::later());
+                self.respond(reply, Response::later());
             }
-            PendingRead::Clear { job } => self.clear(&job),
+            PendingRead::DeleteDescription { job } => self.finalize_cancelled(&job),
             // The outcome of a transaction must become known, however long it takes.
-            settle @ PendingRead::Settle { .. } => {
-                self.store_sync.read_barrier.next.push((self.now, settle))
+            settle @ PendingRead::ResolveTransaction { .. } => {
+                self.store_sync.read_barrier.unsent.push((self.now, settle))
             }
         }
     }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -11,7 +11,7 @@
 fn knowing(phase: Phase) -> Controller {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     spec.tasks = 1;
-    let (mut controller, id) = controller(spec, vec![Task::FRESH]);
+    let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED]);
     let record = JobRecord {
         phase,
         ..controller.jobs.get(&id).unwrap().record.clone()
@@ -39,14 +39,14 @@
 
 /// The cache is proved to be as new as all that was asked.
 fn prove(controller: &mut Controller) {
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.next) {
-        controller.go_on(after);
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.unsent) {
+        controller.on_read_barrier_reached(after);
     }
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.watched) {
-        controller.go_on(after);
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_watch) {
+        controller.on_read_barrier_reached(after);
     }
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.current) {
-        controller.go_on(after);
+    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_revision) {
+        controller.on_read_barrier_reached(after);
     }
 }
 
@@ -139,7 +139,7 @@
         (Phase::Done, "no job's id", None),
     ] {
         let mut controller = knowing(phase);
-        controller.on_abort(ReplyId(3), id.into());
+        controller.on_cancel(ReplyId(3), id.into());
         prove(&mut controller);
         match told(&mut controller) {
             Some(Response::State(state)) => assert_eq!(Some(state.stage), expected, "{id}"),
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -1,7 +1,7 @@
 //! Why tasks of a job wait, as operators and tests see it.
 
 use super::Controller;
-use crate::jobs::cache::Writing;
+use crate::jobs::cache::CommitState;
 use crate::queue::WaitReason;
 use crate::types::JobId;
 
@@ -11,10 +11,10 @@
     pub fn waits_for(&self, id: &JobId) -> Option<WaitReason> {
         let job = self.jobs.get(id)?;
         let has_changes = !job.changes.is_empty();
-        if job.active() && job.waiting() == 0 && !has_changes {
+        if job.is_active() && job.waiting_tasks() == 0 && !has_changes {
             return None;
         }
-        if job.writing != Writing::Idle || has_changes {
+        if job.commit_state != CommitState::Idle || has_changes {
             return Some(WaitReason::Writing);
         }
         let queued = self.scheduler.queue.waits_for(id);
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -27,7 +27,7 @@
 impl Controller {
     /// The token that workers see for a fencing token that we hold.
     pub(super) fn worker_token(&self, token: FencingToken) -> WorkerToken {
-        if self.partition.mode.on() {
+        if self.partition.mode.is_on() {
             WorkerToken::partitioned(token)
         } else {
             WorkerToken::of(token)
@@ -47,7 +47,7 @@
             tracing::info!("partition mode entered");
             // All workers must see the marked token before this controller might crash: only workers
             // that have seen it may be renewed by other controllers then.
-            self.fence();
+            self.announce_tokens();
         }
     }
 
@@ -73,14 +73,15 @@
         shard: &ShardId,
         worker_token: WorkerToken,
     ) -> Option<HeartbeatResponse> {
-        let cut_off = !self.store_sync.synced || self.partition.mode.on();
+        let cut_off = !self.store_sync.synced || self.partition.mode.is_on();
         let holder_in_contact = self
             .membership
             .leases
             .shards
             .get(shard)
             .is_some_and(|(holder, _)| self.recent_status(holder).is_some());
-        let renews = self.may_answer() && may_renew(worker_token, cut_off, holder_in_contact);
+        let renews =
+            self.may_answer_heartbeats() && may_renew(worker_token, cut_off, holder_in_contact);
         renews.then(|| HeartbeatResponse::Commands {
             worker_token,
             commands: Vec::new(),
@@ -117,10 +118,14 @@
     }
 
     /// A machine that is thought lost, with the cost of the most valuable task on it.
-    pub(super) fn suspect(&self, machine_id: &MachineId, zone: &Zone) -> SuspectedMachine {
+    pub(super) fn suspected_machine(
+        &self,
+        machine_id: &MachineId,
+        zone: &Zone,
+    ) -> SuspectedMachine {
         let eviction_cost = self
             .jobs
-            .on_machine(machine_id)
+            .tasks_on(machine_id)
             .filter_map(|(id, _)| Some(self.jobs.get(id)?.spec.kind))
             .map(|kind| match kind {
                 JobKind::Array => EvictionCost::Arrays,
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -21,8 +21,8 @@
     for (applied, starts) in [(29, 0), (30, 1)] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
-        let (mut controller, id) = controller(spec, vec![Task::FRESH]);
-        let parts = controller.settings.operator.blocks_per_zone;
+        let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED]);
+        let parts = controller.settings.operator.shards_per_zone;
         let shard = shard_of(&"vm-a".into(), &"a".into(), parts);
         let here = Task::Placed(Placement {
             machine_id: "vm-a".into(),
@@ -52,7 +52,7 @@
 #[test]
 fn shards_are_given_up_when_partition_mode_is_left() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
-    let (mut controller, _) = controller(spec, vec![Task::FRESH]);
+    let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
     let held = |c: &Controller| {
         c.membership
             .leases
@@ -68,7 +68,7 @@
     for (at, entered) in [(59_000, false), (60_100, false), (61_700, true)] {
         controller.now = Millis(at);
         controller.check_partition_mode();
-        assert_eq!(controller.partition.mode.on(), entered, "at {at}");
+        assert_eq!(controller.partition.mode.is_on(), entered, "at {at}");
     }
     assert_eq!(
         controller.worker_token(FencingToken(5)),
@@ -77,7 +77,7 @@
     assert_eq!(held(&controller), 2);
     controller.leave_partition_mode();
     assert_eq!(
-        (held(&controller), controller.partition.mode.on()),
+        (held(&controller), controller.partition.mode.is_on()),
         (0, false)
     );
     assert!(!controller.membership.old_lease_ended);
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -73,7 +73,7 @@
     pub fn new(job: &'a Job, full_shards: Vec<ShardId>) -> Self {
         let bound_to_zones = job.spec.one_zone || job.spec.spread;
         let tasks_by_zone = if bound_to_zones {
-            job.zones()
+            job.tasks_per_zone()
         } else {
             BTreeMap::new()
         };
@@ -108,7 +108,7 @@
             return false;
         }
         let tasks = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
-        !spec.spread || tasks < spec.zone_share()
+        !spec.spread || tasks < spec.max_tasks_per_zone()
     }
 }
 
@@ -146,9 +146,10 @@
         .plus(spec.resources)
         .share_of(candidate.capacity);
     let small = spec.resources.share_of(candidate.capacity) < SMALL_TASK_SHARE;
-    let small_long_running = !spec.yields() && small;
+    let small_long_running = !spec.is_cheaply_preemptible() && small;
     let breaks_up = candidate.only_preemptible && small_long_running;
-    let cold_crowding = unit_score(spec.yields() && !cached) * used_share * candidate.fetch_s;
+    let cold_crowding =
+        unit_score(spec.is_cheaply_preemptible() && !cached) * used_share * candidate.fetch_s;
     let long_running_crowding =
         unit_score(small_long_running) * candidate.non_preemptible_share * candidate.fetch_s;
     CACHED_IMAGE_WEIGHT * unit_score(cached) - IMAGE_DELAY_WEIGHT_PER_S * candidate.image_s
@@ -193,7 +194,11 @@
             return false;
         }
         let (job, machine) = (request.job, candidate.machine);
-        let score = score(&job.spec, candidate, machine.failed.contains_key(&job.id));
+        let score = score(
+            &job.spec,
+            candidate,
+            machine.failure_streaks.contains_key(&job.id),
+        );
         let is_better_than = |(best_score, machine_id): (f64, &MachineId)| {
             score > best_score || (score == best_score && machine.machine_id < *machine_id)
         };
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -18,7 +18,7 @@
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.priority) = (crate::jobs::JobKind::Array, PriorityClass::Normal);
     (spec.resources, spec.image_gb, spec.checkpoint_s) = (resources(1.0), 7.0, 15.0);
-    assert!(spec.yields());
+    assert!(spec.is_cheaply_preemptible());
     let cases = [
         // fetch rate in GB/s, cached, packed
         (0.8, false, true),
@@ -32,7 +32,7 @@
         let mut machine =
             Machine::new("vm-1".into(), machine_type, zone, false, shard, "n0".into());
         if cached {
-            machine.note_image(&spec.image, 7.0, 80.0, crate::types::Millis(0));
+            machine.record_image_use(&spec.image, 7.0, 80.0, crate::types::Millis(0));
         }
         let fetch_s = spec.image_gb / rate;
         let at = |taken: f64| Candidate {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -214,7 +214,7 @@
             } => self.workers.send(DirectRequest {
                 machine_id,
                 address,
-                what: DirectRequestKind::Inspect,
+                kind: DirectRequestKind::Inspect,
             }),
             Effect::Direct {
                 machine_id,
@@ -225,7 +225,7 @@
             } => self.workers.send(DirectRequest {
                 machine_id,
                 address,
-                what: DirectRequestKind::Orders {
+                kind: DirectRequestKind::Commands {
                     worker_token,
                     agent_epoch,
                     commands,
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::http_client::{Failure, HttpClient};
 use crate::settings::Settings;
-use crate::store::budget::Bucket;
+use crate::store::budget::TokenBucket;
 
 /// A call that takes longer counts as failed; the leader repeats what it still needs.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -66,10 +66,11 @@
         // Unbounded, since the leader makes only a few calls a second, and repeats none in flight.
         let (inbox, mut calls) = mpsc::unbounded_channel::<(u64, CloudCall)>();
         let client = HttpClient::new(settings.outside.cloud);
-        let mut budget = Bucket::new(settings.deployment.cloud.rps * BUDGET_FRACTION, clock.now());
+        let mut budget =
+            TokenBucket::new(settings.deployment.cloud.rps * BUDGET_FRACTION, clock.now());
         tokio::spawn(async move {
             while let Some((tag, call)) = calls.recv().await {
-                let wait = budget.wait(1.0, clock.now());
+                let wait = budget.time_until_available(1.0, clock.now());
                 tokio::time::sleep(Duration::from_millis(wait.0)).await;
                 budget.take(1.0);
                 let (client, answers) = (client.clone(), answers.clone());
@@ -170,7 +171,7 @@
         (CloudCall::List { .. }, 200) => {
             let body: ListBody = serde_json::from_slice(body)?;
             Ok(CloudResponse::Page {
-                machine_ids: body.machines.into_iter().map(Into::into).collect(),
+                machines: body.machines.into_iter().map(Into::into).collect(),
                 more: body.truncated,
             })
         }
--- a/src/fleet/cloud_api.rs
+++ b/src/fleet/cloud_api.rs
@@ -61,7 +61,7 @@
 
 /// A machine on a page of the cloud's list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Its name.
     pub machine_id: MachineId,
     /// Its type.
@@ -84,7 +84,7 @@
     /// A page of the list of machines.
     Page {
         /// The machines, in order of their names.
-        machine_ids: Vec<Listed>,
+        machines: Vec<ListedMachine>,
         /// Whether another page follows.
         more: bool,
     },
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
-pub use cloud_api::{CloudCall, CloudResponse, Listed, MachineStage, Offer};
+pub use cloud_api::{CloudCall, CloudResponse, ListedMachine, MachineStage, Offer};
 pub use machine_types::{MACHINE_TYPES_KEY, MachineTypeSpec, fetch_rate, find_type};
 
 use crate::types::{MachineId, MachineTypeId, Millis, Zone};
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Listed, MachineStage, MachineTypeSpec};
+use super::{ListedMachine, MachineStage, MachineTypeSpec};
 use crate::types::{MachineId, MachineTypeId, Millis, Resources, Zone};
 
 /// Response to `GET /flavors`.
@@ -126,7 +126,7 @@
     }
 }
 
-impl From<ListItem> for Listed {
+impl From<ListItem> for ListedMachine {
     fn from(item: ListItem) -> Self {
         Self {
             machine_id: item.id,
--- a/src/jobs/api/feasibility.rs
+++ b/src/jobs/api/feasibility.rs
@@ -32,14 +32,18 @@
         return never_runs("a task fits no allowed machine type".into());
     }
     let confined = spec.one_zone || zones.len() == 1;
-    if spec.kind != JobKind::Array && spec.spread && confined && spec.zone_share() < spec.tasks {
+    if spec.kind != JobKind::Array
+        && spec.spread
+        && confined
+        && spec.max_tasks_per_zone() < spec.tasks
+    {
         return never_runs("spread: all tasks would have to be in one zone".into());
     }
     let concurrent_tasks = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks,
     };
-    if !crate::quota::within(spec.resources.times(f64::from(concurrent_tasks)), team) {
+    if !crate::quota::within_limit(spec.resources.times(f64::from(concurrent_tasks)), team) {
         return never_runs(format!(
             "the job needs more than the limit of {}",
             spec.team
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -60,7 +60,7 @@
             && !(changed.allocated.is_empty() && changed.freed.is_empty())
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.settled = now;
+            job.last_placement_change = now;
         }
         changed
     }
@@ -192,8 +192,8 @@
             departed_usage: Resources::default(),
         };
         for index in 0..old.len().max(new.len()) {
-            let before = old.get(index).unwrap_or(&Task::FRESH);
-            let after = new.get(index).unwrap_or(&Task::FRESH);
+            let before = old.get(index).unwrap_or(&Task::NEVER_PLACED);
+            let after = new.get(index).unwrap_or(&Task::NEVER_PLACED);
             if before != after {
                 update.remove(first + index as u32, before);
                 update.add(first + index as u32, after);
--- a/src/jobs/cache/change.rs
+++ b/src/jobs/cache/change.rs
@@ -42,12 +42,12 @@
 
 /// Whether a transaction with changes of a job is in flight. At most one is.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Writing {
+pub enum CommitState {
     /// None is; noted changes may be written.
     Idle,
     /// One is, and the store has not answered yet.
     InFlight,
     /// One failed or went unanswered: nothing is written before the cache has reached this revision
     /// (`None`: before a read of the store's revision shows which one that is).
-    Settling(Option<Revision>),
+    Resolving(Option<Revision>),
 }
--- a/src/jobs/cache/changes.rs
+++ b/src/jobs/cache/changes.rs
@@ -8,7 +8,7 @@
 impl JobCache {
     /// Notes a change to be committed. A placement reserves its resources at once; those of a task
     /// that has left are available at once.
-    pub fn want(&mut self, id: &JobId, index: u32, change: TaskChange) {
+    pub fn note_change(&mut self, id: &JobId, index: u32, change: TaskChange) {
         self.discard(id, &[index]);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::change::{TaskChange, Writing};
+use super::change::{CommitState, TaskChange};
 use crate::jobs::api::{JobStage, JobState};
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobKind, JobSpec, Phase, Placement, Task};
@@ -44,9 +44,9 @@
     /// What its user asked for.
     pub spec: JobSpec,
     /// When this controller first saw its record.
-    pub born: Millis,
+    pub first_seen: Millis,
     /// When a task of it was last placed or taken off its machine.
-    pub settled: Millis,
+    pub last_placement_change: Millis,
     /// Pages that exist, by number. A task of a page that does not exist was never placed.
     pub(super) pages: BTreeMap<u32, Page>,
     /// How many tasks its records place on machines.
@@ -59,7 +59,7 @@
     /// machine. Its resources are available, but the tasks count for the team and for zones.
     pub(super) departed: BTreeMap<u32, MachineId>,
     /// Whether a transaction with its changes is in flight.
-    pub writing: Writing,
+    pub commit_state: CommitState,
 }
 
 impl Job {
@@ -76,19 +76,19 @@
             version,
             record,
             spec,
-            born: now,
-            settled: now,
+            first_seen: now,
+            last_placement_change: now,
             pages: BTreeMap::new(),
             placed: 0,
             done: 0,
             changes: BTreeMap::new(),
             departed: BTreeMap::new(),
-            writing: Writing::Idle,
+            commit_state: CommitState::Idle,
         }
     }
 
     /// Whether its tasks may be placed: neither done nor cancelled.
-    pub fn active(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.record.phase == Phase::Active
     }
 
@@ -97,7 +97,7 @@
         self.pages
             .get(&(index / self.record.page))
             .and_then(|page| page.tasks.get((index % self.record.page) as usize))
-            .unwrap_or(&Task::FRESH)
+            .unwrap_or(&Task::NEVER_PLACED)
     }
 
     /// The version of a page; zero if it does not exist.
@@ -109,12 +109,12 @@
     pub fn page_tasks(&self, page: u32) -> Vec<Task> {
         match self.pages.get(&page) {
             Some(page) => page.tasks.clone(),
-            None => vec![Task::FRESH; self.record.page_len(page) as usize],
+            None => vec![Task::NEVER_PLACED; self.record.page_len(page) as usize],
         }
     }
 
     /// Tasks that are on no machine, not done, and not about to be placed.
-    pub fn waiting(&self) -> u32 {
+    pub fn waiting_tasks(&self) -> u32 {
         let placing = self.noted_placements().count() as u32;
         self.record
             .tasks
@@ -136,7 +136,7 @@
                     return found;
                 }
                 let task = content.and_then(|content| content.tasks.get(offset as usize));
-                if let Task::Waiting { tried } = task.unwrap_or(&Task::FRESH)
+                if let Task::Waiting { tried } = task.unwrap_or(&Task::NEVER_PLACED)
                     && !self.changes.contains_key(&(first + offset))
                 {
                     found.push((first + offset, *tried));
@@ -181,7 +181,7 @@
     }
 
     /// Tasks per zone, those about to be placed included.
-    pub fn zones(&self) -> BTreeMap<Zone, u32> {
+    pub fn tasks_per_zone(&self) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
         let written = self.placements().map(|(_, placement)| placement);
         for placement in written.chain(self.noted_placements()) {
@@ -196,19 +196,22 @@
         if !spec.one_zone && !spec.spread {
             return true;
         }
-        let zones = self.zones();
+        let zones = self.tasks_per_zone();
         (!spec.one_zone || zones.len() <= 1)
-            && (!spec.spread || zones.values().all(|tasks| *tasks <= spec.zone_share()))
+            && (!spec.spread
+                || zones
+                    .values()
+                    .all(|tasks| *tasks <= spec.max_tasks_per_zone()))
     }
 
     /// Whether this is a gang of several tasks, which are placed and complete together.
-    pub fn whole_gang(&self) -> bool {
+    pub fn is_gang_of_several(&self) -> bool {
         self.spec.kind == JobKind::Gang && self.record.tasks > 1
     }
 
     /// Whether this is a gang of which some tasks are placed and others are not. It can't go on: what is
     /// left of the attempt has to be released first.
-    pub fn broken_gang(&self) -> bool {
+    pub fn is_broken_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
             && self.placed > 0
             && self.placed + self.done < self.record.tasks
--- a/src/jobs/cache/machine_usage.rs
+++ b/src/jobs/cache/machine_usage.rs
@@ -25,7 +25,7 @@
     /// By committed tasks and reservations.
     pub allocated: Resources,
     /// By committed tasks that can be preempted without much loss.
-    pub soft: Resources,
+    pub preemptible: Resources,
     /// By committed tasks of each priority, the lowest first.
     by_priority: [Resources; PRIORITY_CLASSES],
     tasks: u32,
@@ -35,12 +35,12 @@
 
 impl MachineUsage {
     /// Whether all committed tasks can be preempted without much loss.
-    pub fn yielding(&self) -> bool {
+    pub fn is_preemptible(&self) -> bool {
         self.firm == 0
     }
 
     /// What committed tasks of lower priority allocate.
-    pub fn below(&self, priority: PriorityClass) -> Resources {
+    pub fn below_priority(&self, priority: PriorityClass) -> Resources {
         let lower = self.by_priority.iter().take(priority as usize);
         lower.fold(Resources::default(), |sum, resources| sum.plus(*resources))
     }
@@ -53,8 +53,8 @@
         }
         let of_priority = &mut self.by_priority[spec.priority as usize];
         *of_priority = of_priority.plus(spec.resources);
-        if spec.yields() {
-            self.soft = self.soft.plus(spec.resources);
+        if spec.is_cheaply_preemptible() {
+            self.preemptible = self.preemptible.plus(spec.resources);
         } else {
             self.firm += 1;
         }
@@ -68,8 +68,8 @@
         }
         let of_priority = &mut self.by_priority[spec.priority as usize];
         *of_priority = of_priority.minus(spec.resources);
-        if spec.yields() {
-            self.soft = self.soft.minus(spec.resources);
+        if spec.is_cheaply_preemptible() {
+            self.preemptible = self.preemptible.minus(spec.resources);
         } else {
             self.firm -= 1;
         }
--- a/src/jobs/cache/mod.rs
+++ b/src/jobs/cache/mod.rs
@@ -19,7 +19,7 @@
 use super::api::JobState;
 use crate::types::{JobId, MachineId, Resources, Revision, ShardId, Team};
 pub use apply::RecordChange;
-pub use change::{Evidence, TaskChange, Writing};
+pub use change::{CommitState, Evidence, TaskChange};
 use job::FinishedJob;
 pub use job::Job;
 pub use machine_usage::MachineUsage;
@@ -70,7 +70,7 @@
     }
 
     /// The tasks that the records place on a machine.
-    pub fn on_machine(&self, machine_id: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+    pub fn tasks_on(&self, machine_id: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
         self.usage.tasks_on(machine_id)
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Whether anything is allocated on a machine.
-    pub fn busy(&self, machine_id: &MachineId) -> bool {
+    pub fn is_occupied(&self, machine_id: &MachineId) -> bool {
         self.usage.machines.is_occupied(machine_id)
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Whether all committed tasks on a machine can be preempted without much loss.
-    pub fn yielding(&self, machine_id: &MachineId) -> bool {
-        self.machine_usage(machine_id).yielding()
+    pub fn is_preemptible(&self, machine_id: &MachineId) -> bool {
+        self.machine_usage(machine_id).is_preemptible()
     }
 
     /// What a team's tasks use, by the records and by reservations.
@@ -111,17 +111,17 @@
 
     /// What a team's tasks use, without those that are known to have left. Quota limits rest on the
     /// records, allocations of quota on what is observed.
-    pub fn standing(&self, team: &Team) -> Resources {
+    pub fn observed_usage(&self, team: &Team) -> Resources {
         self.usage.teams.observed(team)
     }
 
     /// What a team's tasks use in one shard, reservations included.
-    pub fn used_in(&self, team: &Team, shard: &ShardId) -> Resources {
+    pub fn usage_in_shard(&self, team: &Team, shard: &ShardId) -> Resources {
         self.usage.teams.in_shard(team, shard)
     }
 
     /// What is reserved for a team's tasks in one shard, and not yet in the records.
-    pub fn reserved_in(&self, team: &Team, shard: &ShardId) -> Resources {
+    pub fn reserved_in_shard(&self, team: &Team, shard: &ShardId) -> Resources {
         self.usage.teams.reserved_in_shard(team, shard)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Counts usage by other groups of teams from now on.
-    pub fn regroup(&mut self, groups: Groups) {
+    pub fn set_groups(&mut self, groups: Groups) {
         self.usage.teams.reset(groups);
         for job in self.jobs.values() {
             self.usage.teams.count(job);
@@ -141,7 +141,7 @@
     /// What the active jobs of each team could use at once.
     pub fn demands(&self) -> HashMap<&Team, Resources> {
         let mut demands: HashMap<&Team, Resources> = HashMap::default();
-        for job in self.jobs.values().filter(|job| job.active()) {
+        for job in self.jobs.values().filter(|job| job.is_active()) {
             let undone = job.record.tasks.saturating_sub(job.done);
             let demand = demands.entry(&job.spec.team).or_default();
             *demand = demand.plus(job.spec.resources.times(f64::from(undone)));
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -88,7 +88,7 @@
             let Task::Placed(placement) = placed("vm-3") else {
                 unreachable!()
             };
-            jobs.want(&id, index, TaskChange::Place(placement));
+            jobs.note_change(&id, index, TaskChange::Place(placement));
         }
         let found = jobs.get(&id).unwrap().next_waiting(3);
         let found: Vec<(u32, u64)> = found.into_iter().map(|(i, a)| (i, a.0)).collect();
@@ -101,30 +101,45 @@
 #[test]
 fn what_is_taken_of_a_machine_follows_its_tasks() {
     let (mut jobs, id) = jobs(4, &[(0, vec![placed("vm-1"), placed("vm-1")])]);
-    assert!(!jobs.busy(&"vm-1".into()), "a page of the wrong length");
+    assert!(
+        !jobs.is_occupied(&"vm-1".into()),
+        "a page of the wrong length"
+    );
     let page = |tasks: &[Task]| encode_page(tasks);
-    let first = [placed("vm-1"), placed("vm-1"), Task::FRESH, Task::FRESH];
+    let first = [
+        placed("vm-1"),
+        placed("vm-1"),
+        Task::NEVER_PLACED,
+        Task::NEVER_PLACED,
+    ];
     let key = page_key(&id, 0);
     jobs.apply(&key, Some(&page(&first)), Revision(3), Millis(1));
     let each = jobs.get(&id).unwrap().spec.resources.gpus;
     let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
     assert_eq!(gpus(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
-    jobs.want(&id, 0, TaskChange::Finish { attempt });
+    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
     assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
     let used = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
-        jobs.used_in(&team, &ShardId::parse("a.0").unwrap()).gpus / each
+        jobs.usage_in_shard(&team, &ShardId::parse("a.0").unwrap())
+            .gpus
+            / each
     };
     assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
     jobs.discard(&id, &[0]);
     assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
-    jobs.want(&id, 0, TaskChange::Finish { attempt });
-    let second = [Task::Done, placed("vm-1"), placed("vm-2"), Task::FRESH];
+    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
+    let second = [
+        Task::Done,
+        placed("vm-1"),
+        placed("vm-2"),
+        Task::NEVER_PLACED,
+    ];
     jobs.apply(&key, Some(&page(&second)), Revision(4), Millis(2));
     jobs.discard(&id, &[0]);
     assert_eq!((gpus(&jobs, "vm-1"), gpus(&jobs, "vm-2")), (1.0, 1.0));
     assert_eq!(used(&jobs), 2.0);
     jobs.apply(&key, None, Revision(5), Millis(3));
-    assert!(!jobs.busy(&"vm-1".into()) && !jobs.busy(&"vm-2".into()));
+    assert!(!jobs.is_occupied(&"vm-1".into()) && !jobs.is_occupied(&"vm-2".into()));
 }
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -12,7 +12,7 @@
         let (mut jobs, id) = jobs(4 * count, &[]);
         for index in 0..count {
             let attempt = Attempt(1);
-            jobs.want(&id, index, TaskChange::Finish { attempt });
+            jobs.note_change(&id, index, TaskChange::Finish { attempt });
         }
         let job = jobs.get(&id).unwrap();
         let mut forwarder = CompletionForwarder::default();
--- a/src/jobs/crash_loop.rs
+++ b/src/jobs/crash_loop.rs
@@ -51,7 +51,7 @@
 impl CrashLoopTracker {
     /// Records that a task of the job failed on a machine. Returns true if the job is crash-looping
     /// since this failure.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         job: &JobId,
         kind: JobKind,
@@ -81,19 +81,19 @@
     }
 
     /// Records that a task of the job completed on some machine: the job is sound.
-    pub fn succeeded(&mut self, job: &JobId) {
+    pub fn record_success(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
     /// Whether a job is crash-looping.
-    pub fn suspect(&self, job: &JobId) -> bool {
+    pub fn is_crash_looping(&self, job: &JobId) -> bool {
         self.jobs
             .get(job)
             .is_some_and(|crash_loop| crash_loop.is_crash_looping)
     }
 
     /// Records that a machine is quarantined: failures on it don't count against jobs any more.
-    pub fn quarantined(&mut self, machine_id: &MachineId, now: Millis) {
+    pub fn forget_machine(&mut self, machine_id: &MachineId, now: Millis) {
         for crash_loop in self.jobs.values_mut() {
             if crash_loop.failed_on.remove(machine_id) {
                 crash_loop.is_crash_looping &= crash_loop.failed_on.len() >= MAX_FAILED_MACHINES;
--- a/src/jobs/crash_loop/tests.rs
+++ b/src/jobs/crash_loop/tests.rs
@@ -17,35 +17,43 @@
     for (kind, failed, suspect) in cases {
         let mut tracker = CrashLoopTracker::default();
         for index in failed {
-            tracker.failed(&job, kind, &machine_ids[*index], Millis(5));
+            tracker.record_failure(&job, kind, &machine_ids[*index], Millis(5));
         }
-        assert_eq!(tracker.suspect(&job), suspect, "{kind:?} on {failed:?}");
+        assert_eq!(
+            tracker.is_crash_looping(&job),
+            suspect,
+            "{kind:?} on {failed:?}"
+        );
         assert_eq!(tracker.not_before(&job).is_some(), suspect);
-        tracker.succeeded(&job);
-        assert!(!tracker.suspect(&job), "one success clears it");
+        tracker.record_success(&job);
+        assert!(!tracker.is_crash_looping(&job), "one success clears it");
     }
     let mut tracker = CrashLoopTracker::default();
     for (machine_id, at) in [(0, 5), (1, 5), (2, 6), (0, 9)] {
-        tracker.failed(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
+        tracker.record_failure(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
     }
     // It was the machines after all.
     for (quarantined, suspect) in [(2, true), (1, false), (0, false)] {
-        tracker.quarantined(&machine_ids[quarantined], Millis(20));
-        assert_eq!(tracker.suspect(&job), suspect, "{quarantined} is sick");
+        tracker.forget_machine(&machine_ids[quarantined], Millis(20));
+        assert_eq!(
+            tracker.is_crash_looping(&job),
+            suspect,
+            "{quarantined} is sick"
+        );
     }
     // A service meets a faulty machine every ten minutes.
     let mut tracker = CrashLoopTracker::default();
     for (round, machine_id) in machine_ids.iter().enumerate() {
         let at = Millis(5 + 600_000 * round as u64);
-        tracker.failed(&job, JobKind::Service, machine_id, at);
+        tracker.record_failure(&job, JobKind::Service, machine_id, at);
     }
-    assert!(!tracker.suspect(&job));
+    assert!(!tracker.is_crash_looping(&job));
     let mut tracker = CrashLoopTracker::default();
     let mut now = Millis(1_000);
     let mut waits = Vec::new();
     for round in 0..8 {
         for machine_id in &machine_ids[..2] {
-            let newly = tracker.failed(&job, JobKind::Array, machine_id, now);
+            let newly = tracker.record_failure(&job, JobKind::Array, machine_id, now);
             assert_eq!(newly, round == 0 && *machine_id == machine_ids[1]);
         }
         let next = tracker.not_before(&job).unwrap();
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// Whether its tasks can be preempted by urgent jobs without much loss.
-    pub fn yields(&self) -> bool {
+    pub fn is_cheaply_preemptible(&self) -> bool {
         self.priority < PriorityClass::Urgent
             && self.checkpoint_s > 0.0
             && self.kind == JobKind::Array
@@ -120,12 +120,12 @@
 
     /// Whether killing a task wastes about as little as a graceful eviction: the work since its last
     /// checkpoint, against the time to save, during which its resources are of no use.
-    pub fn cheap_to_kill(&self) -> bool {
+    pub fn is_cheap_to_kill(&self) -> bool {
         self.checkpoint_s > 0.0 && self.checkpoint_s <= CHEAP_CHECKPOINT_RATIO * self.save_s
     }
 
     /// With `spread`, how many tasks may be in one zone.
-    pub fn zone_share(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         self.tasks.div_ceil(2)
     }
 }
@@ -159,7 +159,7 @@
 
 impl Task {
     /// A task that was never placed.
-    pub const FRESH: Task = Task::Waiting { tried: Attempt(0) };
+    pub const NEVER_PLACED: Task = Task::Waiting { tried: Attempt(0) };
 
     /// Where the task is placed, if it is.
     pub fn placement(&self) -> Option<&Placement> {
--- a/src/jobs/record/tests.rs
+++ b/src/jobs/record/tests.rs
@@ -12,10 +12,16 @@
 #[test]
 fn pages_survive_writing_and_reading() {
     let cases = [
-        vec![Task::FRESH; 128],
+        vec![Task::NEVER_PLACED; 128],
         vec![Task::Done; 3],
-        vec![Task::FRESH, placed(1), placed(2), Task::Done, Task::Done],
-        vec![Task::Waiting { tried: Attempt(3) }, Task::FRESH],
+        vec![
+            Task::NEVER_PLACED,
+            placed(1),
+            placed(2),
+            Task::Done,
+            Task::Done,
+        ],
+        vec![Task::Waiting { tried: Attempt(3) }, Task::NEVER_PLACED],
     ];
     for tasks in cases {
         let text = encode_page(&tasks);
@@ -25,7 +31,7 @@
             "{text}"
         );
     }
-    assert!(encode_page(&vec![Task::FRESH; 128]).len() < 20);
+    assert!(encode_page(&vec![Task::NEVER_PLACED; 128]).len() < 20);
 }
 
 #[test]
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -142,7 +142,7 @@
 
     /// Whether the process with this lease is known to have ended, so that its messages are outdated.
     #[must_use]
-    pub fn is_over(&self, lease_id: LeaseId) -> bool {
+    pub fn has_ended(&self, lease_id: LeaseId) -> bool {
         self.ended.contains(&lease_id)
     }
 
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -193,7 +193,7 @@
     for (data, version, over) in steps {
         let (key, version) = (controller_key(&"n1".into()), Revision(version));
         leases.apply(&"n0".into(), &key, data.as_deref(), version);
-        let found: Vec<u64> = (1..12).filter(|p| leases.is_over(LeaseId(*p))).collect();
+        let found: Vec<u64> = (1..12).filter(|p| leases.has_ended(LeaseId(*p))).collect();
         assert_eq!(found, over, "at {version:?}");
     }
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -47,7 +47,7 @@
     },
     /// From the leader: the receiver is to preempt tasks for one of this job on that machine, and to
     /// reserve the resources; the leader places the job's gang over the shards of several holders.
-    MakeRoom {
+    Preempt {
         /// The job.
         job: String,
         /// The machine to preempt tasks on.
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -80,7 +80,7 @@
             job: job(),
             preempt: Some(machine_id()),
         },
-        Message::MakeRoom {
+        Message::Preempt {
             job: job(),
             machine_id: machine_id(),
         },
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -24,16 +24,16 @@
     /// It is being stopped already.
     pub leaving: bool,
     /// It may be stopped whatever its team's share is: by priority, or for a flat guarantee.
-    pub lower: bool,
+    pub unconditional: bool,
     /// Its team, if the quota tree may let it be stopped.
-    pub team: Option<Team>,
+    pub borrowing_team: Option<Team>,
     /// For work that its team borrowed: how far the team is over its share, in steps.
-    pub over: Option<i64>,
+    pub overuse_steps: Option<i64>,
 }
 
 /// A machine on which room could be made.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PreemptionSite {
     /// The machine.
     pub machine_id: MachineId,
     /// What is available on it without stopping anybody.
@@ -44,7 +44,7 @@
     pub delay_s: f64,
     /// Shares of a quota tree count: nobody is stopped without need, then borrowed work is, that
     /// of the team furthest over its share first.
-    pub nested: bool,
+    pub under_quota_tree: bool,
 }
 
 /// What room for a task costs on one machine.
@@ -69,7 +69,7 @@
 }
 
 /// What room for a task costs on a machine; `None` if it can't be made there.
-pub fn offer(resources: Resources, site: &Site) -> Option<PreemptionOffer> {
+pub fn offer_on_site(resources: Resources, site: &PreemptionSite) -> Option<PreemptionOffer> {
     let chosen = cheapest_victims(resources, site)?;
     let needed = without_unneeded(resources, chosen);
     let highest_priority = needed.iter().map(|victim| victim.priority).max();
@@ -92,10 +92,10 @@
 }
 
 /// The machine where room for a task costs least, and whom to stop there.
-pub fn cheapest_offer(resources: Resources, sites: Vec<Site>) -> Option<PreemptionOffer> {
+pub fn cheapest_offer(resources: Resources, sites: Vec<PreemptionSite>) -> Option<PreemptionOffer> {
     let offers = sites
         .iter()
-        .filter_map(|site| offer(resources, site))
+        .filter_map(|site| offer_on_site(resources, site))
         .collect();
     cheapest_set(std::iter::once(offers), 1)?.pop()
 }
@@ -140,9 +140,9 @@
 
 /// How costly it is, by the quota tree, to stop a victim: the further its team is over its share,
 /// the cheaper; work within the share is the dearest. Zero without a tree.
-fn entitlement_rank(site: &Site, victim: &Victim) -> i64 {
-    match victim.over {
-        _ if !site.nested => 0,
+fn entitlement_rank(site: &PreemptionSite, victim: &Victim) -> i64 {
+    match victim.overuse_steps {
+        _ if !site.under_quota_tree => 0,
         Some(overuse_steps) => BORROWED_RANK - overuse_steps,
         None => ENTITLED_RANK,
     }
@@ -156,7 +156,7 @@
 }
 
 /// Takes victims, the cheapest first, until the task fits; `None` if it never does.
-fn cheapest_victims(resources: Resources, site: &Site) -> Option<ChosenVictims<'_>> {
+fn cheapest_victims(resources: Resources, site: &PreemptionSite) -> Option<ChosenVictims<'_>> {
     let mut by_cost: Vec<&Victim> = site.victims.iter().collect();
     by_cost.sort_by(|left, right| {
         let rank = |victim: &Victim| {
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -12,8 +12,8 @@
     machine_id: &str,
     available: f64,
     victims: &[(u32, f64, PriorityClass, f64, bool)],
-) -> Site {
-    Site {
+) -> PreemptionSite {
+    PreemptionSite {
         machine_id: machine_id.into(),
         available: resources(available),
         victims: victims
@@ -27,13 +27,13 @@
                 priority: *priority,
                 waste_s: *waste_s,
                 leaving: *leaving,
-                lower: true,
-                team: None,
-                over: None,
+                unconditional: true,
+                borrowing_team: None,
+                overuse_steps: None,
             })
             .collect(),
         delay_s: 0.0,
-        nested: false,
+        under_quota_tree: false,
     }
 }
 
@@ -76,7 +76,7 @@
         // An empty machine without the image is no better than one where little work is lost.
         (
             vec![
-                Site {
+                PreemptionSite {
                     delay_s: 58.0,
                     ..site("a", 4.0, &[])
                 },
@@ -86,7 +86,7 @@
         ),
         (
             vec![
-                Site {
+                PreemptionSite {
                     delay_s: 58.0,
                     ..site("a", 4.0, &[])
                 },
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -184,7 +184,7 @@
     /// Brings back a job after a failed cycle. With `checks`, every machine was rejected by one of
     /// them, and the job is parked until an event helps one; without, it only backs off.
     /// `failures` counts the failed cycles before this one.
-    pub fn fail(
+    pub fn requeue_after_failure(
         &mut self,
         job: &JobId,
         failures: u32,
@@ -217,7 +217,7 @@
     /// Parks a job that was nominated for machines on which tasks are being preempted. It becomes
     /// active as soon as their resources are released: the wait is no failure, so no backoff
     /// applies.
-    pub fn expect_room(&mut self, job: &JobId, failures: u32, key: QueueKey, now: Millis) {
+    pub fn park_nominated(&mut self, job: &JobId, failures: u32, key: QueueKey, now: Millis) {
         self.detach(job);
         let part = Part::Parked {
             checks: BTreeSet::from([Check::Resources]),
--- a/src/queue/reason.rs
+++ b/src/queue/reason.rs
@@ -47,17 +47,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterEvent {
     /// A machine joined, or became schedulable.
-    Machine(MachineId),
+    MachineSchedulable(MachineId),
     /// Resources were released on a machine.
-    Freed(MachineId),
+    ResourcesReleased(MachineId),
     /// A task of this job left its machine.
     TaskLeft(JobId),
     /// The team uses less of its quota.
-    TeamFreed(Team),
+    TeamUsageReduced(Team),
     /// The teams' quotas were allocated to shards anew.
     QuotaReallocated,
     /// Another quota tree became active.
-    NewTree,
+    QuotaTreeReplaced,
     /// The quota tree entitles the team to more than before.
-    Entitled(Team),
+    EntitlementRaised(Team),
 }
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -84,7 +84,7 @@
     let job = JobId::from("job-1");
     for (failures, least, most) in [(0, 1_000, 1_100), (1, 2_000, 2_200), (9, 10_000, 11_000)] {
         let key = key(PriorityClass::Normal, 0);
-        queue.fail(&job, failures, BTreeSet::new(), key, Millis(0), &mut rng);
+        queue.requeue_after_failure(&job, failures, BTreeSet::new(), key, Millis(0), &mut rng);
         queue.tick(Millis(least - 1));
         assert!(queue.pop().is_none(), "too early after {failures}");
         queue.tick(Millis(most));
@@ -109,7 +109,7 @@
         let (mut queue, mut rng) = queue();
         let job = JobId::from("job-1");
         let key = key(PriorityClass::Normal, 0);
-        queue.fail(
+        queue.requeue_after_failure(
             &job,
             0,
             BTreeSet::from([rejected]),
@@ -133,7 +133,7 @@
     let (mut queue, mut rng) = queue();
     let job = JobId::from("job-1");
     let key = key(PriorityClass::Normal, 0);
-    queue.fail(
+    queue.requeue_after_failure(
         &job,
         0,
         BTreeSet::from([Check::Resources]),
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -7,11 +7,11 @@
 use crate::types::{Resources, Revision, ShardId, Team};
 
 /// Prefix of the keys of the shards' allocation records.
-pub const SHARES: &str = "jt/share/";
+pub const ALLOCATION_KEY_PREFIX: &str = "jt/share/";
 
 /// The key of a shard's allocation record.
-pub fn share_key(shard: &ShardId) -> String {
-    format!("{SHARES}{shard}")
+pub fn allocation_key(shard: &ShardId) -> String {
+    format!("{ALLOCATION_KEY_PREFIX}{shard}")
 }
 
 /// What a team may use in one shard, of each kind of resource that its limit names.
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -2,11 +2,13 @@
 
 use std::sync::Arc;
 
-use hierarchical_quota::{NodeIx, NodeSpec, Shares, Tree, TreeError, TreeProblem, TreeSpec};
+use hierarchical_quota::{
+    Entitlements, NodeIndex, NodeSpec, Tree, TreeError, TreeProblem, TreeSpec,
+};
 use rustc_hash::FxHashMap as HashMap;
 
 use super::pages::{Head, hash_of};
-use super::{HEAD, flat_limits, group_name, outers};
+use super::{TREE_HEAD_KEY, flat_limits, group_name, platform_teams};
 use crate::jobs::cache::Groups;
 use crate::settings::TeamSettings;
 use crate::types::{Millis, Resources, Team};
@@ -14,7 +16,7 @@
 /// The active tree, and what its nodes are entitled to.
 pub struct ActiveTree {
     /// Entitlements of the nodes by the teams' demands.
-    pub shares: Shares,
+    pub entitlements: Entitlements,
     /// By team: the limits that apply to it, its own first.
     limits: HashMap<Team, Vec<TeamSettings>>,
     /// By team: the nodes above it, under their groups' names.
@@ -38,7 +40,7 @@
             return Ok(None);
         }
         let problem = |reason: TreeProblem| TreeError {
-            file: HEAD.into(),
+            file: TREE_HEAD_KEY.into(),
             field: format!("revision {}", head.revision),
             reason,
         };
@@ -57,7 +59,7 @@
             enabled: true,
             nodes,
         };
-        let tree = spec.adopt(HEAD, &outers(teams))?;
+        let tree = spec.adopt(TREE_HEAD_KEY, &platform_teams(teams))?;
         Ok(Some(Self::new(Arc::new(tree), teams)))
     }
 
@@ -76,7 +78,7 @@
             groups.insert(team.name.clone(), above);
         }
         Self {
-            shares: Shares::new(tree),
+            entitlements: Entitlements::new(tree),
             limits,
             groups,
             names,
@@ -94,19 +96,19 @@
     }
 
     /// The node that stands for a team, if the team is in the tree.
-    pub fn leaf(&self, team: &Team) -> Option<NodeIx> {
-        self.shares.tree().leaf(team.as_str())
+    pub fn leaf(&self, team: &Team) -> Option<NodeIndex> {
+        self.entitlements.tree().leaf(team.as_str())
     }
 
     /// The name under which a node's usage is counted.
-    pub fn usage_name(&self, ix: NodeIx) -> &Team {
+    pub fn usage_name(&self, ix: NodeIndex) -> &Team {
         &self.names[ix.0 as usize]
     }
 
     /// Whether a team's leaf is a node or below it, so that its usage counts there.
-    pub fn is_below(&self, team: &Team, ix: NodeIx) -> bool {
+    pub fn is_below(&self, team: &Team, ix: NodeIndex) -> bool {
         let leaf = self.leaf(team);
-        leaf.is_some_and(|leaf| self.shares.tree().path(leaf).any(|at| at == ix))
+        leaf.is_some_and(|leaf| self.entitlements.tree().path(leaf).any(|at| at == ix))
     }
 
     /// Takes the teams' demands and recomputes the entitlements. Returns the teams that are
@@ -116,15 +118,15 @@
         now: Millis,
         demands: &HashMap<&Team, Resources>,
     ) -> Vec<Team> {
-        let tree = self.shares.tree().clone();
+        let tree = self.entitlements.tree().clone();
         for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
             let demand = demands
                 .get(self.usage_name(ix))
                 .copied()
                 .unwrap_or_default();
-            self.shares.set_demand(ix, demand.into(), now.0);
+            self.entitlements.set_demand(ix, demand.into(), now.0);
         }
-        let raised = self.shares.refresh();
+        let raised = self.entitlements.refresh();
         raised
             .into_iter()
             .map(|ix| self.usage_name(ix).clone())
@@ -144,7 +146,7 @@
 
 /// The limits of a leaf and of the nodes above it, the leaf's first; nodes without one are left
 /// out.
-fn path_limits(tree: &Tree, leaf: NodeIx, names: &[Team]) -> Vec<TeamSettings> {
+fn path_limits(tree: &Tree, leaf: NodeIndex, names: &[Team]) -> Vec<TeamSettings> {
     let settings = tree.path(leaf).map(|ix| {
         let node = tree.node(ix);
         TeamSettings {
@@ -155,5 +157,5 @@
             gpus_max: node.limit.gpus,
         }
     });
-    settings.filter(TeamSettings::limited).collect()
+    settings.filter(TeamSettings::has_limit).collect()
 }
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -8,7 +8,7 @@
 mod active;
 mod pages;
 
-use hierarchical_quota::{Amount, Outer, Tree, TreeSpec};
+use hierarchical_quota::{Amount, PlatformTeam, Tree, TreeSpec};
 use rustc_hash::FxHashMap as HashMap;
 
 pub use self::active::ActiveTree;
@@ -19,7 +19,7 @@
 
 /// The key of the head record, which says which tree is active. Its version is a condition of
 /// every placement.
-pub const HEAD: &str = "jt/tree";
+pub const TREE_HEAD_KEY: &str = "jt/tree";
 
 /// Prefix of the keys of the pages, which hold the nodes.
 pub const TREE_PAGES_PREFIX: &str = "jt/tree/";
@@ -35,8 +35,8 @@
 }
 
 /// The platform's teams in the form that the tree is checked against.
-pub fn outers(teams: &[TeamSettings]) -> Vec<Outer> {
-    let outer = |team: &TeamSettings| Outer {
+pub fn platform_teams(teams: &[TeamSettings]) -> Vec<PlatformTeam> {
+    let outer = |team: &TeamSettings| PlatformTeam {
         team: team.name.to_string(),
         guarantee: Amount::new(team.cpus, team.gpus),
         limit: Amount::new(team.cpus_max, team.gpus_max),
@@ -51,8 +51,8 @@
 
 /// The most bytes of a shard's allocation record: every team and node with a limit has an
 /// allocation there.
-pub fn share_bytes(teams: &[TeamSettings], tree: &Tree) -> usize {
-    let teams = teams.iter().filter(|team| team.limited());
+pub fn max_allocation_record_bytes(teams: &[TeamSettings], tree: &Tree) -> usize {
+    let teams = teams.iter().filter(|team| team.has_limit());
     let nodes = tree.nodes.iter().filter(|node| !node.own_limit.is_zero());
     let team_names = teams.map(|team| team.name.as_str().len());
     let node_names = nodes.map(|node| node.name.len());
@@ -112,7 +112,7 @@
 
 /// A team's own limit, if it has one.
 fn flat_limits(team: &TeamSettings) -> Vec<TeamSettings> {
-    team.limited().then(|| team.clone()).into_iter().collect()
+    team.has_limit().then(|| team.clone()).into_iter().collect()
 }
 
 impl HierarchicalQuota {
@@ -142,7 +142,7 @@
     }
 
     /// The active tree; `None` if quotas are flat.
-    pub fn force(&self) -> Option<&ActiveTree> {
+    pub fn active_tree(&self) -> Option<&ActiveTree> {
         self.active.as_ref()
     }
 
@@ -221,7 +221,7 @@
     /// Applies a watch event of the head or a page: its new content, or `None` if it was deleted.
     /// Returns whether that activated another tree.
     pub fn apply(&mut self, key: &str, data: Option<&str>, version: Revision) -> bool {
-        if key == HEAD {
+        if key == TREE_HEAD_KEY {
             if version <= self.head_version {
                 return false;
             }
@@ -263,7 +263,7 @@
         };
         let nodes = active
             .as_ref()
-            .map_or(0, |tree| tree.shares.tree().nodes.len());
+            .map_or(0, |tree| tree.entitlements.tree().nodes.len());
         tracing::info!(revision = head.revision, nodes, "quota tree activated");
         self.active = active;
         self.active_version = self.head_version;
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -34,7 +34,7 @@
         let changes = match nested.pending_write(1) {
             PendingTreeWrite::Nothing => return writes,
             PendingTreeWrite::Pages(pages) => pages,
-            PendingTreeWrite::Head(text, _) => vec![(HEAD.to_string(), text)],
+            PendingTreeWrite::Head(text, _) => vec![(TREE_HEAD_KEY.to_string(), text)],
         };
         for (key, text) in changes {
             *revision += 1;
@@ -94,7 +94,7 @@
         reader.apply(&key, Some(&other), version);
     }
     let head = serde_json::to_string_pretty(writer.head.as_ref().unwrap()).unwrap();
-    assert!(reader.apply(HEAD, Some(&head), writer.head_version));
+    assert!(reader.apply(TREE_HEAD_KEY, Some(&head), writer.head_version));
     assert!(reader.is_settled());
 }
 
@@ -108,7 +108,7 @@
     write(&mut writer, &mut [], &mut revision);
     let mut reader = nested(None);
     let head = serde_json::to_string(writer.head.as_ref().unwrap()).unwrap();
-    assert!(!reader.apply(HEAD, Some(&head), Revision(revision)));
+    assert!(!reader.apply(TREE_HEAD_KEY, Some(&head), Revision(revision)));
     assert!(!reader.is_settled());
     assert_eq!(reader.active_version(), Revision(0));
     let pages: Vec<_> = writer.pages.by_key.clone().into_iter().collect();
@@ -140,5 +140,5 @@
     let off = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
     nested.file = Some(PagedTree::new(&off, 8.0));
     write(&mut nested, &mut [], &mut 100);
-    assert!(nested.force().is_none() && nested.limits(&"b".into()).is_empty());
+    assert!(nested.active_tree().is_none() && nested.limits(&"b".into()).is_empty());
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -22,7 +22,8 @@
     within_allocation,
 };
 pub use allocation::{
-    AllocationRecord, QuotaAllocation, QuotaAllocations, SHARES, StoredAllocations, share_key,
+    ALLOCATION_KEY_PREFIX, AllocationRecord, QuotaAllocation, QuotaAllocations, StoredAllocations,
+    allocation_key,
 };
 
 use crate::settings::TeamSettings;
@@ -39,7 +40,7 @@
 
 /// What a team that uses `resources` may still use before it reaches its limit. Infinite where it
 /// has no limit, negative where it is beyond it.
-pub fn left(resources: Resources, team: &TeamSettings) -> Resources {
+pub fn headroom(resources: Resources, team: &TeamSettings) -> Resources {
     let headroom = |limit: f64, used: f64| {
         if limit > 0.0 {
             limit - used
@@ -55,13 +56,13 @@
 }
 
 /// Whether a team that uses `resources` is within its limit.
-pub fn within(resources: Resources, team: &TeamSettings) -> bool {
+pub fn within_limit(resources: Resources, team: &TeamSettings) -> bool {
     within_amount(resources.cpus, team.cpus_max) && within_amount(resources.gpus, team.gpus_max)
 }
 
 /// Whether a team that uses `resources` is within its guarantee. A team that is guaranteed nothing
 /// never is.
-pub fn guaranteed(resources: Resources, team: &TeamSettings) -> bool {
+pub fn within_guarantee(resources: Resources, team: &TeamSettings) -> bool {
     (team.cpus > 0.0 || team.gpus > 0.0)
         && within_amount(resources.cpus, team.cpus)
         && within_amount(resources.gpus, team.gpus)
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -7,12 +7,12 @@
 
 use std::cell::RefCell;
 
-use hierarchical_quota::{Amount, NodeIx, Wanted};
+use hierarchical_quota::{Amount, NodeIndex, ResourceRequest};
 use rustc_hash::FxHashMap as HashMap;
 
 use super::hierarchical::ActiveTree;
 use crate::jobs::cache::JobCache;
-use crate::preempt::{PreemptionOffer, Site, Victim, cheapest_set, offer};
+use crate::preempt::{PreemptionOffer, PreemptionSite, Victim, cheapest_set, offer_on_site};
 use crate::types::{MachineId, Resources, TaskId, Team};
 
 /// Overuse is rounded up to steps of this fraction of what the tree's root has: among borrowers
@@ -68,8 +68,8 @@
     jobs: &'a JobCache,
     /// The job's team and its node.
     team: Team,
-    leaf: NodeIx,
-    wanted: Wanted,
+    leaf: NodeIndex,
+    wanted: ResourceRequest,
     pending: PendingUsage,
     /// Overuse by victim, as long as no further stop is planned; `None`: must not be stopped.
     known_overuse: RefCell<HashMap<VictimKey, Option<i64>>>,
@@ -81,7 +81,7 @@
         tree: &'a ActiveTree,
         jobs: &'a JobCache,
         team: &Team,
-        wanted: Wanted,
+        wanted: ResourceRequest,
         pending: PendingUsage,
     ) -> Option<Self> {
         Some(Self {
@@ -97,14 +97,14 @@
 
     /// What the teams below a node use once all that is pending, and `also` stopping these, is
     /// carried out.
-    fn used(&self, ix: NodeIx, also: &[TeamUsage]) -> Amount {
+    fn used(&self, ix: NodeIndex, also: &[TeamUsage]) -> Amount {
         let sum = |usages: &[TeamUsage]| {
             usages
                 .iter()
                 .filter(|usage| self.tree.is_below(&usage.team, ix))
                 .fold(Resources::default(), |sum, usage| sum.plus(usage.resources))
         };
-        let now = self.jobs.standing(self.tree.usage_name(ix));
+        let now = self.jobs.observed_usage(self.tree.usage_name(ix));
         let lost = sum(&self.pending.lost).plus(sum(also));
         now.plus(sum(&self.pending.gained)).minus(lost).into()
     }
@@ -112,7 +112,7 @@
     /// Whether one more task is within the team's entitlement.
     fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
-        self.tree.shares.within(self.leaf, used, self.wanted)
+        self.tree.entitlements.within(self.leaf, used, self.wanted)
     }
 
     /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
@@ -138,7 +138,7 @@
             resources: resources.times(f64::from(stopped_before)),
         }];
         let used = |ix| self.used(ix, &also);
-        let shares = &self.tree.shares;
+        let shares = &self.tree.entitlements;
         let allowed = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
         let overuse = allowed.then(|| overuse_steps(self.tree, from, used(from)));
         self.known_overuse.borrow_mut().insert(key, overuse);
@@ -147,27 +147,27 @@
 
     /// A site with only those victims that may be stopped. All of them may be chosen, so tasks of
     /// one team are counted one after the other.
-    fn with_allowed_victims(&self, site: &Site) -> Site {
+    fn with_allowed_victims(&self, site: &PreemptionSite) -> PreemptionSite {
         let mut stopped: HashMap<&Team, u32> = HashMap::default();
         let mut victims = Vec::with_capacity(site.victims.len());
         for victim in &site.victims {
             let mut over = None;
-            if let Some(team) = victim.team.as_ref().filter(|_| !victim.leaving) {
+            if let Some(team) = victim.borrowing_team.as_ref().filter(|_| !victim.leaving) {
                 let stopped_before = stopped.entry(team).or_default();
                 over = self.reclaimable_overuse(team, victim.resources, *stopped_before);
                 *stopped_before += u32::from(over.is_some());
             }
-            if victim.leaving || victim.lower || over.is_some() {
+            if victim.leaving || victim.unconditional || over.is_some() {
                 victims.push(Victim {
-                    over,
+                    overuse_steps: over,
                     ..victim.clone()
                 });
             }
         }
-        Site {
+        PreemptionSite {
             victims,
             machine_id: site.machine_id.clone(),
-            nested: true,
+            under_quota_tree: true,
             ..*site
         }
     }
@@ -176,18 +176,18 @@
     fn take_cheapest(
         &mut self,
         resources: Resources,
-        sites: &mut Vec<Site>,
+        sites: &mut Vec<PreemptionSite>,
     ) -> Option<PreemptionOffer> {
         let offers = sites
             .iter()
-            .filter_map(|site| offer(resources, &self.with_allowed_victims(site)));
+            .filter_map(|site| offer_on_site(resources, &self.with_allowed_victims(site)));
         let best = cheapest_set(std::iter::once(offers.collect()), 1)?.pop()?;
         let position = sites
             .iter()
             .position(|site| site.machine_id == best.machine_id)?;
         let site = sites.swap_remove(position);
         for victim in site.victims.iter().filter(|victim| !victim.leaving) {
-            if let Some(team) = &victim.team
+            if let Some(team) = &victim.borrowing_team
                 && best.victims.contains(&victim.task)
             {
                 self.pending.lost.push(TeamUsage {
@@ -205,7 +205,7 @@
     pub fn plan(
         mut self,
         resources: Resources,
-        mut sites: Vec<Site>,
+        mut sites: Vec<PreemptionSite>,
         max_tasks: usize,
     ) -> Vec<PreemptionOffer> {
         let mut chosen = Vec::new();
@@ -227,7 +227,7 @@
     pub fn plan_all(
         mut self,
         resources: Resources,
-        mut sites: Vec<Site>,
+        mut sites: Vec<PreemptionSite>,
         count: usize,
     ) -> Vec<PreemptionOffer> {
         let offers = (0..count).map_while(|_| self.take_cheapest(resources, &mut sites));
@@ -248,8 +248,8 @@
     pub fn plan_reservation(
         self,
         resources: Resources,
-        sites: &[Site],
-        remaining_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
+        sites: &[PreemptionSite],
+        remaining_s: impl Fn(&PreemptionSite, &[TaskId]) -> Option<f64>,
     ) -> Option<MachineReservation> {
         if !self.within_entitlement() {
             return None;
@@ -272,14 +272,14 @@
     fn reservation_candidate<'s>(
         &self,
         resources: Resources,
-        site: &'s Site,
-        remaining_s: impl Fn(&Site, &[TaskId]) -> Option<f64>,
+        site: &'s PreemptionSite,
+        remaining_s: impl Fn(&PreemptionSite, &[TaskId]) -> Option<f64>,
     ) -> Option<ReservationCandidate<'s>> {
         let site_with_victims = self.with_allowed_victims(site);
         let freed = site_with_victims
             .victims
             .iter()
-            .filter(|victim| victim.leaving || victim.over.is_some());
+            .filter(|victim| victim.leaving || victim.overuse_steps.is_some());
         let available = freed
             .clone()
             .fold(site.available, |sum, victim| sum.plus(victim.resources));
@@ -310,6 +310,6 @@
 }
 
 /// How far a leaf that uses so much is over its entitlement, in steps.
-pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIx, used: Amount) -> i64 {
-    (tree.shares.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
+pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIndex, used: Amount) -> i64 {
+    (tree.entitlements.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -111,7 +111,11 @@
         (team(4.0, 8.0, 0.0, 0.0), resources(9.0, 0.0), false, false),
     ];
     for (team, used, limit, guarantee) in cases {
-        assert_eq!(within(used, &team), limit, "{used:?} of {team:?}");
-        assert_eq!(guaranteed(used, &team), guarantee, "{used:?} of {team:?}");
+        assert_eq!(within_limit(used, &team), limit, "{used:?} of {team:?}");
+        assert_eq!(
+            within_guarantee(used, &team),
+            guarantee,
+            "{used:?} of {team:?}"
+        );
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,7 +12,8 @@
 pub use error::{SettingsError, problem, read_file};
 pub use operator::Operator;
 pub use platform::{
-    Cloud, Deployment, Member, Objective, Outside, Quota, Settings, State, TeamSettings, Workers,
+    CloudLimits, Deployment, Endpoints, Member, Objective, ProcessLimits, Settings, StoreLimits,
+    TeamSettings, WorkerTimings,
 };
 
 #[cfg(test)]
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -13,7 +13,7 @@
     /// Back-off of a job that can't be placed, at first.
     pub backoff_first: Millis,
     /// Upper bound of the back-off, which doubles.
-    pub backoff_most: Millis,
+    pub backoff_max: Millis,
     /// Jobs that can't be placed are all tried again after this time, whatever their back-off.
     pub flush: Millis,
     /// Time to live of a controller's lease in the store.
@@ -21,13 +21,13 @@
     /// A controller places nothing in the last part of its lease, this long.
     pub stop_before: Millis,
     /// Shards into which the machines of each zone are divided.
-    pub blocks_per_zone: u32,
+    pub shards_per_zone: u32,
     /// An idle machine is returned to the cloud after this time.
     pub idle_return: Millis,
     /// How long a controller that can't reach the store keeps its workers' leases.
-    pub keep: Millis,
+    pub partition_lease_keep: Millis,
     /// How long the leader leaves the machines of a partitioned zone alone.
-    pub hold: Millis,
+    pub partitioned_zone_hold: Millis,
     /// The file with the tree of nested quotas.
     pub tree: Option<PathBuf>,
 }
@@ -36,14 +36,14 @@
     fn default() -> Self {
         Self {
             backoff_first: Millis(1_000),
-            backoff_most: Millis(10_000),
+            backoff_max: Millis(10_000),
             flush: Millis(30_000),
             lease: Millis(5_000),
             stop_before: Millis(1_500),
-            blocks_per_zone: 2,
+            shards_per_zone: 2,
             idle_return: Millis(20_000),
-            keep: Millis(900_000),
-            hold: Millis(180_000),
+            partition_lease_keep: Millis(900_000),
+            partitioned_zone_hold: Millis(180_000),
             tree: None,
         }
     }
@@ -89,7 +89,7 @@
         o.backoff_first = Millis::from_secs(seconds);
     }),
     NumberKey::new(("queue", "backoff_most_s"), (0.1, 3600.0), |o, seconds| {
-        o.backoff_most = Millis::from_secs(seconds);
+        o.backoff_max = Millis::from_secs(seconds);
     }),
     NumberKey::new(("queue", "flush_s"), (1.0, 3600.0), |o, seconds| {
         o.flush = Millis::from_secs(seconds);
@@ -101,16 +101,16 @@
         o.stop_before = Millis::from_secs(seconds);
     }),
     NumberKey::new(("lease", "blocks_per_zone"), (1.0, 64.0), |o, count| {
-        o.blocks_per_zone = count as u32;
+        o.shards_per_zone = count as u32;
     }),
     NumberKey::new(("fleet", "idle_return_s"), (0.0, 86_400.0), |o, seconds| {
         o.idle_return = Millis::from_secs(seconds);
     }),
     NumberKey::new(("zones", "keep_s"), (5.0, 86_400.0), |o, seconds| {
-        o.keep = Millis::from_secs(seconds);
+        o.partition_lease_keep = Millis::from_secs(seconds);
     }),
     NumberKey::new(("zones", "hold_s"), (0.0, 86_400.0), |o, seconds| {
-        o.hold = Millis::from_secs(seconds);
+        o.partitioned_zone_hold = Millis::from_secs(seconds);
     }),
 ];
 
@@ -180,7 +180,7 @@
 
     /// What the values must be in relation to each other.
     fn check(&self, file: &str) -> Result<(), SettingsError> {
-        if self.backoff_most < self.backoff_first {
+        if self.backoff_max < self.backoff_first {
             let reason = "must not be below backoff_first_s";
             return Err(problem(file, "[queue] backoff_most_s", reason));
         }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -25,7 +25,7 @@
     /// The other controllers.
     pub members: Vec<Member>,
     /// The services that it calls.
-    pub outside: Outside,
+    pub outside: Endpoints,
     /// What is the same for all controllers.
     pub deployment: Deployment,
     /// The operator's settings; the defaults without a file.
@@ -55,7 +55,7 @@
 
 /// Addresses of the services that a controller calls.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Outside {
+pub struct Endpoints {
     /// The cloud's API.
     pub cloud: SocketAddr,
     /// The store.
@@ -74,13 +74,13 @@
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
     /// Times of the workers' protocol.
-    pub workers: Workers,
+    pub workers: WorkerTimings,
     /// Limits of the store.
-    pub state: State,
+    pub state: StoreLimits,
     /// Limits of the cloud's API.
-    pub cloud: Cloud,
+    pub cloud: CloudLimits,
     /// Limits of this process.
-    pub quota: Quota,
+    pub quota: ProcessLimits,
     /// Bound on the error of clocks between controllers and workers, in milliseconds.
     pub clock_error_ms: f64,
 }
@@ -103,7 +103,7 @@
 impl TeamSettings {
     /// Whether the team has a limit.
     #[must_use]
-    pub fn limited(&self) -> bool {
+    pub fn has_limit(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
 }
@@ -126,7 +126,7 @@
 
 /// Times of the workers' protocol, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     /// Time between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
@@ -142,7 +142,7 @@
 
 /// Limits of the store, for all controllers together.
 #[derive(Clone, Debug, Deserialize)]
-pub struct State {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Puts and deletes a second.
@@ -155,7 +155,7 @@
 
 /// Limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Requests a second, for all controllers together.
     pub rps: f64,
     /// A list may be out of date by this much, in seconds.
@@ -164,7 +164,7 @@
 
 /// Limits that the platform sets this process.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Quota {
+pub struct ProcessLimits {
     /// CPU cores.
     pub cores: f64,
     /// Memory, in MB.
--- a/src/settings/summary.rs
+++ b/src/settings/summary.rs
@@ -77,13 +77,13 @@
 
 impl Operator {
     fn write_summary(&self, out: &mut impl fmt::Write) -> fmt::Result {
-        let (first, most) = (self.backoff_first.secs(), self.backoff_most.secs());
+        let (first, most) = (self.backoff_first.secs(), self.backoff_max.secs());
         line(out, "back-off", format!("{first} s doubling to {most} s"))?;
         line(out, "flush", format!("{} s", self.flush.secs()))?;
         let (lease, last) = (self.lease.secs(), self.stop_before.secs());
         let value = format!("{lease} s, no placing in its last {last} s");
         line(out, "lease", value)?;
-        line(out, "blocks per zone", self.blocks_per_zone)?;
+        line(out, "blocks per zone", self.shards_per_zone)?;
         let value = format!("after {} s", self.idle_return.secs());
         line(out, "idle machines return", value)
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -95,7 +95,7 @@
     };
     let fits = names.iter().map(|name| team(name, 0.0)).collect();
     let mut good = platform(fits, 8.0);
-    good.take_tree("tree.ini", sample).unwrap();
+    good.load_quota_tree("tree.ini", sample).unwrap();
     assert!(good.tree_notes.is_empty(), "{:?}", good.tree_notes);
     assert!(
         good.summary()
@@ -111,7 +111,7 @@
         (vec![], 0.1, "[node ...] gpus_max, cpus_max"),
     ];
     for (teams, value_kb, field) in cases {
-        let error = platform(teams, value_kb).take_tree("tree.ini", sample);
+        let error = platform(teams, value_kb).load_quota_tree("tree.ini", sample);
         let error = error.unwrap_err().to_string();
         assert!(
             error.starts_with(&format!("tree.ini: {field}: ")),
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -30,7 +30,7 @@
         }
         if let Some(path) = settings.operator.tree.clone() {
             let text = read_file(&path)?;
-            settings.take_tree(&path.display().to_string(), &text)?;
+            settings.load_quota_tree(&path.display().to_string(), &text)?;
         }
         Ok(settings)
     }
@@ -39,10 +39,10 @@
     ///
     /// # Errors
     /// The text is no tree, or the tree does not fit the platform.
-    pub fn take_tree(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
+    pub fn load_quota_tree(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
         let spec = TreeSpec::parse(file, text)?;
         let teams = &self.deployment.teams;
-        let (tree, notes) = spec.build(file, &hierarchical::outers(teams))?;
+        let (tree, notes) = spec.build(file, &hierarchical::platform_teams(teams))?;
         let max_bytes = (self.deployment.state.value_kb * 1024.0) as usize;
         check_record_size(file, teams, &tree, max_bytes)?;
         check_node_names(file, &spec.nodes)?;
@@ -60,7 +60,7 @@
     tree: &Tree,
     max_bytes: usize,
 ) -> Result<(), SettingsError> {
-    let bytes = hierarchical::share_bytes(teams, tree);
+    let bytes = hierarchical::max_allocation_record_bytes(teams, tree);
     if bytes <= max_bytes {
         return Ok(());
     }
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -13,7 +13,7 @@
 
 /// A token bucket that holds one second's worth of its rate.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens a second.
     rate: f64,
     /// Tokens now; negative after a call that took more than there were.
@@ -21,7 +21,7 @@
     refilled_at: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket that gains `rate` tokens a second.
     pub fn new(rate: f64, now: Millis) -> Self {
         Self {
@@ -39,7 +39,7 @@
 
     /// How long until `amount` may be taken; zero if it may be now. An amount above the capacity may be
     /// taken once the bucket is full.
-    pub fn wait(&mut self, amount: f64, now: Millis) -> Millis {
+    pub fn time_until_available(&mut self, amount: f64, now: Millis) -> Millis {
         self.refill(now);
         let missing = amount.min(self.rate.max(MIN_CAPACITY)) - self.level;
         if missing <= TOKEN_TOLERANCE {
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 pub struct Allowance {
     /// What paces the calls.
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// Assigned rate, in tokens a second.
     allowed: f64,
     /// Fraction of the assigned rate that is used.
@@ -93,7 +93,7 @@
     /// Starts with the whole of the `allowed` rate, in tokens a second.
     pub fn new(allowed: f64, now: Millis) -> Self {
         Self {
-            bucket: Bucket::new(allowed, now),
+            bucket: TokenBucket::new(allowed, now),
             allowed,
             fraction: 1.0,
             adjusted_at: now,
@@ -146,9 +146,9 @@
 /// rate grows by steps while no call is rejected, and falls by a factor when one is (additive increase,
 /// multiplicative decrease).
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct AdaptiveShare {
     /// What paces the calls.
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// The limit divided by the number of controllers, in tokens a second.
     equal_share: f64,
     max_rate: f64,
@@ -156,13 +156,13 @@
     adjusted_at: Millis,
 }
 
-impl Share {
+impl AdaptiveShare {
     /// Starts with an equal share of `limit`, in tokens a second for all `controllers` together.
     pub fn new(limit: f64, controllers: usize, now: Millis) -> Self {
         let equal_share = limit / controllers.max(1) as f64;
         let max_rate = limit * MAX_SHARE;
         Self {
-            bucket: Bucket::new(equal_share.min(max_rate), now),
+            bucket: TokenBucket::new(equal_share.min(max_rate), now),
             equal_share,
             max_rate,
             adjusted_at: now,
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -10,10 +10,10 @@
         (0.5, 4, 3),
     ];
     for (rate, seconds, most) in cases {
-        let mut bucket = Bucket::new(rate, Millis(0));
+        let mut bucket = TokenBucket::new(rate, Millis(0));
         let mut passed = 0;
         for ms in 0..=seconds * 1000 {
-            while bucket.wait(1.0, Millis(ms)) == Millis(0) {
+            while bucket.time_until_available(1.0, Millis(ms)) == Millis(0) {
                 bucket.take(1.0);
                 passed += 1;
             }
@@ -26,8 +26,10 @@
 /// refused.
 #[test]
 fn shares_adapt_to_what_the_others_use() {
-    let mut shares: Vec<Share> = (0..5).map(|_| Share::new(30.0, 5, Millis(0))).collect();
-    let mut service = Bucket::new(30.0, Millis(0));
+    let mut shares: Vec<AdaptiveShare> = (0..5)
+        .map(|_| AdaptiveShare::new(30.0, 5, Millis(0)))
+        .collect();
+    let mut service = TokenBucket::new(30.0, Millis(0));
     let (mut passed, mut refused) = (0, 0);
     for ms in (0..60_000).step_by(10) {
         let now = Millis(ms);
@@ -35,11 +37,11 @@
         let busy = if ms < 30_000 { 5 } else { 1 };
         for share in &mut shares[..busy] {
             share.increase(now);
-            if share.bucket.wait(1.0, now) > Millis(0) {
+            if share.bucket.time_until_available(1.0, now) > Millis(0) {
                 continue;
             }
             share.bucket.take(1.0);
-            if service.wait(1.0, now) == Millis(0) {
+            if service.time_until_available(1.0, now) == Millis(0) {
                 service.take(1.0);
                 passed += 1;
             } else {
@@ -57,16 +59,16 @@
 fn what_is_allowed_but_refused_is_not_asked_for_again_and_again() {
     for (limit, least, most_refused) in [(20.0, 1_150, 5), (10.0, 540, 120)] {
         let mut ours = Allowance::new(20.0, Millis(0));
-        let mut service = Bucket::new(limit, Millis(0));
+        let mut service = TokenBucket::new(limit, Millis(0));
         let (mut passed, mut refused) = (0, 0);
         for ms in (0..60_000).step_by(10) {
             let now = Millis(ms);
             ours.increase(now);
-            if ours.bucket.wait(1.0, now) > Millis(0) {
+            if ours.bucket.time_until_available(1.0, now) > Millis(0) {
                 continue;
             }
             ours.bucket.take(1.0);
-            if service.wait(1.0, now) == Millis(0) {
+            if service.time_until_available(1.0, now) == Millis(0) {
                 service.take(1.0);
                 passed += 1;
             } else {
@@ -81,8 +83,8 @@
 
 #[test]
 fn a_large_amount_passes_once_the_bucket_is_full() {
-    let mut bucket = Bucket::new(10.0, Millis(0));
-    assert_eq!(bucket.wait(12.0, Millis(0)), Millis(0));
+    let mut bucket = TokenBucket::new(10.0, Millis(0));
+    assert_eq!(bucket.time_until_available(12.0, Millis(0)), Millis(0));
     bucket.take(12.0);
-    assert_eq!(bucket.wait(1.0, Millis(0)), Millis(300));
+    assert_eq!(bucket.time_until_available(1.0, Millis(0)), Millis(300));
 }
--- a/src/store/call.rs
+++ b/src/store/call.rs
@@ -12,7 +12,7 @@
     /// Leases, and what depends on their time: membership, elections, the watch.
     Leases,
     /// Read barriers, which polls wait for. They write nothing, and do not queue behind calls that do.
-    Proofs,
+    ReadBarriers,
     /// Cancellations by users.
     Cancellations,
     /// Submissions by users.
@@ -20,29 +20,29 @@
     /// Starts and ends of tasks.
     Jobs,
     /// What other controllers depend on: quota allocations, and transactions that resolve an unknown outcome.
-    Duties,
+    Coordination,
     /// Everything that can wait.
-    Rest,
+    Background,
 }
 
 impl CallClass {
     /// All classes, the most urgent first.
     pub const ALL: [CallClass; 7] = [
         CallClass::Leases,
-        CallClass::Proofs,
+        CallClass::ReadBarriers,
         CallClass::Cancellations,
         CallClass::Submissions,
         CallClass::Jobs,
-        CallClass::Duties,
-        CallClass::Rest,
+        CallClass::Coordination,
+        CallClass::Background,
     ];
 
     /// Whether a user waits for the call, and can be asked to retry later.
     #[must_use]
-    pub fn of_users(self) -> bool {
+    pub fn is_for_user(self) -> bool {
         matches!(
             self,
-            CallClass::Proofs | CallClass::Cancellations | CallClass::Submissions
+            CallClass::ReadBarriers | CallClass::Cancellations | CallClass::Submissions
         )
     }
 
@@ -50,12 +50,12 @@
     #[must_use]
     pub fn weight(&self) -> f64 {
         match self {
-            CallClass::Leases | CallClass::Proofs => 0.0,
+            CallClass::Leases | CallClass::ReadBarriers => 0.0,
             CallClass::Cancellations => 0.15,
             CallClass::Submissions => 0.35,
             CallClass::Jobs => 0.35,
-            CallClass::Duties => 0.1,
-            CallClass::Rest => 0.05,
+            CallClass::Coordination => 0.1,
+            CallClass::Background => 0.05,
         }
     }
 }
@@ -66,12 +66,12 @@
     /// Grants a lease.
     Grant {
         /// Time to live without a renewal, in milliseconds.
-        life_ms: u64,
+        ttl_ms: u64,
     },
     /// Renews a lease.
     Renew(LeaseId),
     /// Revokes a lease, which deletes the keys attached to it.
-    End(LeaseId),
+    Revoke(LeaseId),
     /// A compare-and-swap on several keys.
     Transaction(Transaction),
     /// Reads the store's revision; a linearizable read, which makes it a read barrier.
@@ -118,7 +118,7 @@
     /// The key was written.
     Put(Entry),
     /// The key was deleted, or its lease expired.
-    Dropped {
+    Deleted {
         /// The whole key, prefix included.
         key: String,
         /// The revision that deleted it.
@@ -134,9 +134,9 @@
     /// The lease is renewed.
     Renewed,
     /// The lease is revoked, or had expired before.
-    Ended,
+    Revoked,
     /// The lease has expired.
-    NoLease,
+    LeaseExpired,
     /// The transaction is committed at this revision.
     Committed(Revision),
     /// A condition of the transaction does not hold at this revision; nothing was written.
@@ -160,7 +160,7 @@
         revision: Revision,
     },
     /// The changes that the watch asked for are compacted away.
-    TooOld,
+    Compacted,
     /// The call was not executed.
     Refused,
     /// The call may have been executed, or may still be.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -6,7 +6,7 @@
 use tokio::task::JoinSet;
 
 use super::exchange::{Outcome, perform};
-use super::lanes::{Lanes, Next, Waiting};
+use super::lanes::{Lanes, NextCall, QueuedCall};
 use super::{CallClass, StoreCall, StoreResponse};
 use crate::clock::Clock;
 use crate::http_client::HttpClient;
@@ -106,7 +106,7 @@
     lanes: Lanes<TaggedCall>,
     clock: Clock,
     answers: mpsc::UnboundedSender<StoreReply>,
-    rate_limited: mpsc::UnboundedSender<Waiting<TaggedCall>>,
+    rate_limited: mpsc::UnboundedSender<QueuedCall<TaggedCall>>,
     in_flight: JoinSet<()>,
 }
 
@@ -114,7 +114,7 @@
     async fn run(
         mut self,
         mut commands: mpsc::UnboundedReceiver<Command>,
-        mut rejections: mpsc::UnboundedReceiver<Waiting<TaggedCall>>,
+        mut rejections: mpsc::UnboundedReceiver<QueuedCall<TaggedCall>>,
     ) {
         loop {
             let pause = self.dispatch();
@@ -125,7 +125,7 @@
                 },
                 Some(call) = rejections.recv() => {
                     tracing::debug!(call.writes, ?call.class, "store rate limit exceeded");
-                    self.lanes.over_limit(call, self.clock.now());
+                    self.lanes.requeue_rate_limited(call, self.clock.now());
                 }
                 () = tokio::time::sleep(Duration::from_millis(pause.0)) => {}
             }
@@ -138,7 +138,7 @@
                 let writes = call.call.writes();
                 self.lanes.push(class, writes, call, asked);
             }
-            Command::SetWriteRate(writes) => self.lanes.allow(writes, self.clock.now()),
+            Command::SetWriteRate(writes) => self.lanes.set_write_rate(writes, self.clock.now()),
         }
     }
 
@@ -149,18 +149,18 @@
         loop {
             let now = self.clock.now();
             match self.lanes.next(now) {
-                Next::StoreCall(call) => self.start_call(call, now),
-                Next::Refuse(call) => {
+                NextCall::Start(call) => self.start_call(call, now),
+                NextCall::Refuse(call) => {
                     send_reply(&self.answers, call.tag, StoreResponse::Refused);
                 }
-                Next::Wait(wait) => return wait,
-                Next::Nothing => return IDLE_PAUSE,
+                NextCall::Wait(wait) => return wait,
+                NextCall::Nothing => return IDLE_PAUSE,
             }
         }
     }
 
-    fn start_call(&mut self, call: Waiting<TaggedCall>, now: Millis) {
-        let waited = now.since(call.asked).0;
+    fn start_call(&mut self, call: QueuedCall<TaggedCall>, now: Millis) {
+        let waited = now.since(call.enqueued_at).0;
         if waited > LOGGED_DELAY_MS {
             let class = call.class;
             tracing::debug!(?class, waited, "store call delayed by rate limit");
@@ -168,7 +168,7 @@
         let (client, answers) = (self.client.clone(), self.answers.clone());
         let rate_limited = self.rate_limited.clone();
         self.in_flight.spawn(async move {
-            let answer = match perform(&client, &call.what.call).await {
+            let answer = match perform(&client, &call.payload.call).await {
                 Outcome::Response(answer) => answer,
                 // A lease can't be queued again: its owner must know now, and asks again by itself.
                 Outcome::RateLimited if call.class == CallClass::Leases => StoreResponse::Refused,
@@ -178,7 +178,7 @@
                     return;
                 }
             };
-            send_reply(&answers, call.what.tag, answer);
+            send_reply(&answers, call.payload.tag, answer);
         });
     }
 }
--- a/src/store/exchange.rs
+++ b/src/store/exchange.rs
@@ -86,7 +86,7 @@
 
 fn encode(call: &StoreCall) -> serde_json::Result<HttpRequest> {
     Ok(match call {
-        StoreCall::Grant { life_ms } => {
+        StoreCall::Grant { ttl_ms: life_ms } => {
             let body = serde_json::to_vec(&GrantRequest { life_ms: *life_ms })?;
             HttpRequest::new(Method::POST, "/leases").body(body)
         }
@@ -94,7 +94,7 @@
             let path = format!("/leases/{}/renew", lease_id.0);
             HttpRequest::new(Method::POST, path).body(b"{}".to_vec())
         }
-        StoreCall::End(lease_id) => {
+        StoreCall::Revoke(lease_id) => {
             HttpRequest::new(Method::DELETE, format!("/leases/{}", lease_id.0))
         }
         StoreCall::Transaction(transaction) => {
@@ -125,8 +125,8 @@
             StoreResponse::Granted(granted.lease_id)
         }),
         (StoreCall::Renew(_), 200) => StoreResponse::Renewed,
-        (StoreCall::Renew(_), 404) => StoreResponse::NoLease,
-        (StoreCall::End(_), 200 | 204 | 404) => StoreResponse::Ended,
+        (StoreCall::Renew(_), 404) => StoreResponse::LeaseExpired,
+        (StoreCall::Revoke(_), 200 | 204 | 404) => StoreResponse::Revoked,
         (StoreCall::Transaction(_), 200) => parse(body, |at: RevisionResponse| {
             StoreResponse::Committed(at.revision)
         }),
@@ -136,7 +136,7 @@
         // What is well-formed is rejected with this status if a lease in it has expired.
         (StoreCall::Transaction(_), 400) => {
             tracing::info!(body = %String::from_utf8_lossy(body), "transaction refused");
-            StoreResponse::NoLease
+            StoreResponse::LeaseExpired
         }
         (StoreCall::ReadRevision, 404) => parse(body, |at: RevisionResponse| {
             StoreResponse::Revision(at.revision)
@@ -156,7 +156,7 @@
                 revision: watch.revision,
             })
         }
-        (StoreCall::Watch { .. }, 410) => StoreResponse::TooOld,
+        (StoreCall::Watch { .. }, 410) => StoreResponse::Compacted,
         (_, status) => {
             tracing::error!(status, path, "unexpected store response status");
             StoreResponse::Unknown
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -6,8 +6,8 @@
 use admission_control::floors::Floors;
 
 use super::CallClass;
-use super::budget::{Allowance, Share};
-use crate::settings::State;
+use super::budget::{AdaptiveShare, Allowance};
+use crate::settings::StoreLimits;
 use crate::types::Millis;
 
 /// Part of the write rate that is guaranteed to the classes by their weights; the rest goes by urgency.
@@ -18,22 +18,22 @@
 
 /// A call that is queued, or was.
 #[derive(Debug)]
-pub struct Waiting<T> {
+pub struct QueuedCall<T> {
     /// The call, as its owner gave it.
-    pub what: T,
+    pub payload: T,
     /// Its lane.
     pub class: CallClass,
     /// Puts and deletes.
     pub writes: f64,
     /// When its owner asked for it; stays when the call is queued again.
-    pub asked: Millis,
+    pub enqueued_at: Millis,
 }
 
 /// What the owner of the lanes does next.
 #[derive(Debug)]
-pub enum Next<T> {
+pub enum NextCall<T> {
     /// Make this call now.
-    StoreCall(Waiting<T>),
+    Start(QueuedCall<T>),
     /// Tell this call's owner that it is refused: it was queued for too long.
     Refuse(T),
     /// Make no call before this time has passed.
@@ -44,17 +44,17 @@
 
 /// The queues of all classes, and the rate limits that they share.
 pub struct Lanes<T> {
-    requests: Share,
+    requests: AdaptiveShare,
     writes: Allowance,
-    queues: [VecDeque<Waiting<T>>; CallClass::ALL.len()],
+    queues: [VecDeque<QueuedCall<T>>; CallClass::ALL.len()],
     floors: Floors<CallClass>,
 }
 
 impl<T> Lanes<T> {
     /// Empty lanes within `limits`, which `controllers` share.
-    pub fn new(limits: &State, controllers: usize, now: Millis) -> Self {
+    pub fn new(limits: &StoreLimits, controllers: usize, now: Millis) -> Self {
         Self {
-            requests: Share::new(limits.rps, controllers, now),
+            requests: AdaptiveShare::new(limits.rps, controllers, now),
             writes: Allowance::new(
                 admission_control::plan::base(limits.write_rps, controllers),
                 now,
@@ -66,22 +66,22 @@
 
     /// Queues a call behind those of its class.
     pub fn push(&mut self, class: CallClass, writes: f64, what: T, asked: Millis) {
-        self.queue(class).push_back(Waiting {
-            what,
+        self.queue(class).push_back(QueuedCall {
+            payload: what,
             class,
             writes,
-            asked,
+            enqueued_at: asked,
         });
     }
 
     /// Sets the write rate that the admission plan assigns to this controller, in writes a second.
-    pub fn allow(&mut self, writes: f64, now: Millis) {
+    pub fn set_write_rate(&mut self, writes: f64, now: Millis) {
         self.writes.allow(writes, now);
     }
 
     /// The store rejected the call because its limit is exceeded: it was not executed, and is queued again before
     /// all others of its class.
-    pub fn over_limit(&mut self, call: Waiting<T>, now: Millis) {
+    pub fn requeue_rate_limited(&mut self, call: QueuedCall<T>, now: Millis) {
         if call.writes > 0.0 {
             self.writes.on_rejection(now);
         } else {
@@ -91,35 +91,35 @@
     }
 
     /// What to do next; to be called until it says [`Next::Wait`] or [`Next::Nothing`].
-    pub fn next(&mut self, now: Millis) -> Next<T> {
+    pub fn next(&mut self, now: Millis) -> NextCall<T> {
         self.requests.increase(now);
         self.writes.increase(now);
         if let Some(expired) = self.pop_expired(now) {
-            return Next::Refuse(expired);
+            return NextCall::Refuse(expired);
         }
         let Some(class) = self.next_class() else {
-            return Next::Nothing;
+            return NextCall::Nothing;
         };
         let Some(call) = self.queue(class).pop_front() else {
-            return Next::Nothing;
+            return NextCall::Nothing;
         };
-        let wait = self.requests.bucket.wait(1.0, now);
-        let wait = wait.max(self.writes.bucket.wait(call.writes, now));
+        let wait = self.requests.bucket.time_until_available(1.0, now);
+        let wait = wait.max(self.writes.bucket.time_until_available(call.writes, now));
         // A lease that is renewed too late costs more than a rejected call.
         if wait.0 > 0 && class != CallClass::Leases {
             self.queue(class).push_front(call);
-            return Next::Wait(wait);
+            return NextCall::Wait(wait);
         }
         self.charge(&call);
-        Next::StoreCall(call)
+        NextCall::Start(call)
     }
 
-    fn queue(&mut self, class: CallClass) -> &mut VecDeque<Waiting<T>> {
+    fn queue(&mut self, class: CallClass) -> &mut VecDeque<QueuedCall<T>> {
         &mut self.queues[class as usize]
     }
 
     /// Takes the call's tokens, and what it owes to the classes that wait.
-    fn charge(&mut self, call: &Waiting<T>) {
+    fn charge(&mut self, call: &QueuedCall<T>) {
         self.requests.bucket.take(1.0);
         self.writes.bucket.take(call.writes);
         if call.writes > 0.0 && call.class != CallClass::Leases {
@@ -133,14 +133,16 @@
 
     /// Takes a user's call that has been queued for too long.
     fn pop_expired(&mut self, now: Millis) -> Option<T> {
-        let users = CallClass::ALL.into_iter().filter(|class| class.of_users());
+        let users = CallClass::ALL
+            .into_iter()
+            .filter(|class| class.is_for_user());
         for class in users {
             let queue = self.queue(class);
             let expired = queue
                 .front()
-                .is_some_and(|first| now.since(first.asked) > MAX_USER_WAIT);
+                .is_some_and(|first| now.since(first.enqueued_at) > MAX_USER_WAIT);
             if expired {
-                return queue.pop_front().map(|call| call.what);
+                return queue.pop_front().map(|call| call.payload);
             }
         }
         None
@@ -155,7 +157,7 @@
 
     /// Leases first, then read barriers, then the writers by their guaranteed parts.
     fn next_class(&self) -> Option<CallClass> {
-        let first = [CallClass::Leases, CallClass::Proofs]
+        let first = [CallClass::Leases, CallClass::ReadBarriers]
             .into_iter()
             .find(|class| !self.queues[*class as usize].is_empty());
         first.or_else(|| {
--- a/src/store/lanes/tests.rs
+++ b/src/store/lanes/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 fn lanes() -> Lanes<u32> {
-    let limits = State {
+    let limits = StoreLimits {
         rps: 1_000.0,
         write_rps: 20.0,
         value_kb: 8.0,
         txn_ops: 20,
     };
     let mut lanes = Lanes::new(&limits, 1, Millis(0));
-    lanes.allow(20.0, Millis(0));
+    lanes.set_write_rate(20.0, Millis(0));
     lanes
 }
 
@@ -21,9 +21,11 @@
         asks(&mut lanes, now);
         loop {
             match lanes.next(now) {
-                Next::StoreCall(call) => made.push((call.class, Millis(now.0 - call.asked.0))),
-                Next::Refuse(_) => {}
-                Next::Wait(_) | Next::Nothing => break,
+                NextCall::Start(call) => {
+                    made.push((call.class, Millis(now.0 - call.enqueued_at.0)))
+                }
+                NextCall::Refuse(_) => {}
+                NextCall::Wait(_) | NextCall::Nothing => break,
             }
         }
     }
@@ -40,13 +42,13 @@
         }
         lanes.push(CallClass::Jobs, 1.0, 0, now);
         if now.0 % 4_000 == 0 {
-            lanes.push(CallClass::Duties, 6.0, 0, now);
+            lanes.push(CallClass::Coordination, 6.0, 0, now);
         }
     });
     let count = |class| made.iter().filter(|(c, _)| *c == class).count();
     assert!(count(CallClass::Jobs) > 110, "{}", count(CallClass::Jobs));
     assert!(count(CallClass::Submissions) > 100);
-    let duties = made.iter().filter(|(c, _)| *c == CallClass::Duties);
+    let duties = made.iter().filter(|(c, _)| *c == CallClass::Coordination);
     let waited: Vec<Millis> = duties.map(|(_, waited)| *waited).collect();
     assert!(
         waited.len() == 5 && waited.iter().all(|w| w.0 < 3_500),
@@ -61,8 +63,10 @@
         for n in 0..20 {
             lanes.push(CallClass::Submissions, 1.0, n, now);
         }
-        lanes.push(CallClass::Proofs, 0.0, 0, now);
+        lanes.push(CallClass::ReadBarriers, 0.0, 0, now);
     });
-    let proofs = made.iter().filter(|(class, _)| *class == CallClass::Proofs);
+    let proofs = made
+        .iter()
+        .filter(|(class, _)| *class == CallClass::ReadBarriers);
     assert_eq!(proofs.filter(|(_, waited)| waited.0 == 0).count(), 50);
 }
--- a/src/store/transaction.rs
+++ b/src/store/transaction.rs
@@ -17,7 +17,7 @@
         lease_id: Option<LeaseId>,
     },
     /// Deletes the key.
-    Drop {
+    Delete {
         /// The whole key, prefix included.
         key: String,
     },
@@ -42,7 +42,7 @@
 
     /// Writes a record that stays until it is deleted.
     pub fn put(&mut self, key: String, record: &(impl Serialize + ?Sized)) {
-        self.put_text(key, to_json(record), None);
+        self.put_json(key, to_json(record), None);
     }
 
     /// Writes a record that is deleted when the lease expires.
@@ -52,11 +52,11 @@
         record: &(impl Serialize + ?Sized),
         lease_id: LeaseId,
     ) {
-        self.put_text(key, to_json(record), Some(lease_id));
+        self.put_json(key, to_json(record), Some(lease_id));
     }
 
     /// Writes a value that is JSON already.
-    pub fn put_text(&mut self, key: String, data: String, lease_id: Option<LeaseId>) {
+    pub fn put_json(&mut self, key: String, data: String, lease_id: Option<LeaseId>) {
         self.changes.push(Mutation::Put {
             key,
             data,
@@ -65,8 +65,8 @@
     }
 
     /// Deletes the key.
-    pub fn drop_key(&mut self, key: String) {
-        self.changes.push(Mutation::Drop { key });
+    pub fn delete(&mut self, key: String) {
+        self.changes.push(Mutation::Delete { key });
     }
 }
 
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -90,7 +90,7 @@
         let version = self.version;
         match (self.put, self.data, self.drop) {
             (Some(key), Some(data), _) => Some(Update::Put(Entry { key, data, version })),
-            (_, _, Some(key)) => Some(Update::Dropped { key, version }),
+            (_, _, Some(key)) => Some(Update::Deleted { key, version }),
             _ => None,
         }
     }
@@ -132,7 +132,7 @@
                 data: serde_json::from_str(data)?,
                 lease_id: *lease_id,
             },
-            Mutation::Drop { key } => ChangeBody::Drop { drop: key },
+            Mutation::Delete { key } => ChangeBody::Drop { drop: key },
         })
     }
 }
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -11,7 +11,7 @@
         .filter_map(WatchItem::into_update)
         .map(|update| match update {
             Update::Put(e) => format!("{}={}@{}", e.key, e.data.get(), e.version.0),
-            Update::Dropped { key, version } => format!("-{key}@{}", version.0),
+            Update::Deleted { key, version } => format!("-{key}@{}", version.0),
         })
         .collect();
     assert_eq!(shown, ["c/9={\"a\":[1]}@433", "-c/d@432"]);
@@ -21,8 +21,8 @@
 fn transactions_are_written_as_the_protocol_has_them() {
     let mut txn = Transaction::default();
     txn.require("a/b".into(), Revision(0));
-    txn.put_text("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
-    txn.drop_key("c/d".into());
+    txn.put_json("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
+    txn.delete("c/d".into());
     let text = String::from_utf8(encode_transaction(&txn).unwrap()).unwrap();
     assert_eq!(
         text,
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -29,13 +29,13 @@
     /// Where the worker takes commands directly.
     pub address: SocketAddr,
     /// What to send.
-    pub what: DirectRequestKind,
+    pub kind: DirectRequestKind,
 }
 
 /// The kinds of requests to a worker.
 pub enum DirectRequestKind {
     /// Commands; without any, the request is a probe that only shows the token.
-    Orders {
+    Commands {
         /// The token that fences the commands.
         worker_token: WorkerToken,
         /// The agent epoch that they are meant for; the worker refuses them in any other.
@@ -66,18 +66,20 @@
 
 impl DirectRequest {
     fn class(&self) -> RequestClass {
-        match &self.what {
-            DirectRequestKind::Orders { commands, .. } if commands.is_empty() => {
+        match &self.kind {
+            DirectRequestKind::Commands { commands, .. } if commands.is_empty() => {
                 RequestClass::Probe
             }
-            DirectRequestKind::Orders { .. } | DirectRequestKind::Inspect => RequestClass::Command,
+            DirectRequestKind::Commands { .. } | DirectRequestKind::Inspect => {
+                RequestClass::Command
+            }
         }
     }
 
     /// Nothing was sent, so nothing can come late.
     fn unsent(self) -> DirectResponse {
-        match self.what {
-            DirectRequestKind::Orders { .. } => {
+        match self.kind {
+            DirectRequestKind::Commands { .. } => {
                 DirectResponse::Commands(self.machine_id, Some(CommandReply { heartbeat: None }))
             }
             DirectRequestKind::Inspect => DirectResponse::Inspected(false),
@@ -85,8 +87,8 @@
     }
 
     async fn exchange(self, client: HttpClient) -> DirectResponse {
-        match self.what {
-            DirectRequestKind::Orders {
+        match self.kind {
+            DirectRequestKind::Commands {
                 worker_token,
                 agent_epoch,
                 commands,
--- a/src/workers/failures.rs
+++ b/src/workers/failures.rs
@@ -31,22 +31,33 @@
 
 impl Machine {
     /// A task of a job failed here.
-    pub fn note_failure(&mut self, job: &JobId, now: Millis) {
-        self.failed.entry(job.clone()).or_default().record(now);
+    pub fn record_failure(&mut self, job: &JobId, now: Millis) {
+        self.failure_streaks
+            .entry(job.clone())
+            .or_default()
+            .record(now);
     }
 
     /// Decides anew whether the machine fails tasks, or the jobs do. `crash_looping` tells which
     /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any sound machine that
     /// they are tried on.
-    pub fn judge(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
-        let sound_jobs = self.failed.keys().filter(|job| !crash_looping(job)).count();
-        let tries: u32 = self.failed.values().map(|streak| streak.tries).sum();
+    pub fn update_quarantine(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
+        let sound_jobs = self
+            .failure_streaks
+            .keys()
+            .filter(|job| !crash_looping(job))
+            .count();
+        let tries: u32 = self
+            .failure_streaks
+            .values()
+            .map(|streak| streak.tries)
+            .sum();
         self.quarantined = sound_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
     }
 
     /// A task succeeded here, so the machine is sound.
     pub fn record_success(&mut self) {
-        self.failed.clear();
+        self.failure_streaks.clear();
         self.quarantined = false;
     }
 }
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -30,9 +30,9 @@
     /// An image was used just now. The cache keeps the most recently used ones within `cache_gb`:
     /// those that fell out must not attract tasks. Returns whether that changes which images are
     /// cached, or on their way.
-    pub fn note_image(&mut self, image: &Image, gb: f64, cache_gb: f64, now: Millis) -> bool {
+    pub fn record_image_use(&mut self, image: &Image, gb: f64, cache_gb: f64, now: Millis) -> bool {
         let cached = CachedImage { last_used: now, gb };
-        let arrived = self.coming.remove(image).is_some();
+        let arrived = self.pending_fetches.remove(image).is_some();
         if self.images.insert(image.clone(), cached).is_some() {
             return arrived;
         }
@@ -49,39 +49,42 @@
     }
 
     /// A task that waits for an image was placed here.
-    pub fn expect_image(&mut self, image: &Image, gb: f64, now: Millis) {
+    pub fn add_pending_fetch(&mut self, image: &Image, gb: f64, now: Millis) {
         if !self.images.contains_key(image) {
             let coming = CachedImage { last_used: now, gb };
-            self.coming.entry(image.clone()).or_insert(coming);
+            self.pending_fetches.entry(image.clone()).or_insert(coming);
         }
     }
 
     /// Forgets fetches whose image has arrived, or that were given up. `rate` is in gigabytes a
     /// second.
     pub fn expire_fetches(&mut self, rate: f64, now: Millis) {
-        let all_gb = total_gb(&self.coming);
+        let all_gb = total_gb(&self.pending_fetches);
         let timeout =
             Millis::from_secs(FETCH_TIMEOUT_BASE_S + FETCH_TIMEOUT_FACTOR * all_gb / rate);
         let images = &self.images;
-        self.coming.retain(|image, coming| {
+        self.pending_fetches.retain(|image, coming| {
             !images.contains_key(image) && now.since(coming.last_used) < timeout
         });
     }
 
     /// Seconds until an image would be here, with `rate` gigabytes a second shared by all fetches.
     #[must_use]
-    pub fn image_s(&self, image: &Image, gb: f64, rate: f64, now: Millis) -> f64 {
+    pub fn image_wait_s(&self, image: &Image, gb: f64, rate: f64, now: Millis) -> f64 {
         if self.images.contains_key(image) {
             return 0.0;
         }
-        let rate_each = rate / self.coming.len().max(1) as f64;
+        let rate_each = rate / self.pending_fetches.len().max(1) as f64;
         let remaining_gb = |coming: &CachedImage| {
             let fetched = now.since(coming.last_used).secs() * rate_each;
             (coming.gb - fetched).max(coming.gb * MIN_REMAINING_FETCH)
         };
-        let own = self.coming.get(image).map_or(gb, remaining_gb);
+        let own = self.pending_fetches.get(image).map_or(gb, remaining_gb);
         // Of each other fetch as much comes meanwhile as of this one.
-        let others = self.coming.iter().filter(|(other, _)| *other != image);
+        let others = self
+            .pending_fetches
+            .iter()
+            .filter(|(other, _)| *other != image);
         let others_gb: f64 = others
             .map(|(_, coming)| remaining_gb(coming).min(own))
             .sum();
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -46,24 +46,24 @@
     /// The token that the worker had seen when it last reported to us.
     pub worker_token: WorkerToken,
     /// The token of ours under which we answered a heartbeat last, and when that was received.
-    pub answered: Option<(FencingToken, Millis)>,
+    pub last_answer: Option<(FencingToken, Millis)>,
     /// The token of ours that the worker was first known to have seen, and since when. Until then
     /// an earlier holder's answers may have renewed its lease.
     pub token_confirmed: Option<(FencingToken, Millis)>,
     /// When any controller last received a heartbeat that counts as a sign of life.
-    pub heard: Millis,
+    pub last_contact: Millis,
     /// When we last received a heartbeat, rather than only an answer to direct commands.
-    pub reported: Millis,
+    pub last_heartbeat: Millis,
     /// In which directions messages arrive.
     pub reachability: Reachability,
     /// The controller that received the last sign of life.
-    pub heard_by: ControllerId,
+    pub last_contact_by: ControllerId,
     /// The tasks in the newest heartbeat.
     pub tasks: BTreeMap<TaskId, TaskObservation>,
     /// The cloud has announced that it will take the machine away.
-    pub warned: bool,
+    pub termination_announced: bool,
     /// Jobs whose tasks failed here since the last success.
-    pub failed: BTreeMap<JobId, FailureStreak>,
+    pub failure_streaks: BTreeMap<JobId, FailureStreak>,
     /// Tasks fail here for reasons of the machine: it gets none.
     pub quarantined: bool,
     /// The leader wants to scale it in.
@@ -77,7 +77,7 @@
     /// Images in the cache.
     pub images: HashMap<Image, CachedImage>,
     /// Images that tasks placed here wait for, as far as we placed them.
-    pub coming: HashMap<Image, CachedImage>,
+    pub pending_fetches: HashMap<Image, CachedImage>,
 }
 
 impl Machine {
@@ -89,7 +89,7 @@
         zone: Zone,
         spot: bool,
         shard: ShardId,
-        heard_by: ControllerId,
+        last_contact_by: ControllerId,
     ) -> Self {
         Self {
             machine_id,
@@ -100,28 +100,28 @@
             agent_epoch: AgentEpoch(0),
             heartbeat_sequence: 0,
             worker_token: WorkerToken(0),
-            answered: None,
+            last_answer: None,
             token_confirmed: None,
-            heard: Millis(0),
-            reported: Millis(0),
+            last_contact: Millis(0),
+            last_heartbeat: Millis(0),
             reachability: Reachability::default(),
-            heard_by,
+            last_contact_by,
             tasks: BTreeMap::new(),
-            warned: false,
-            failed: BTreeMap::new(),
+            termination_announced: false,
+            failure_streaks: BTreeMap::new(),
             quarantined: false,
             draining: false,
             starts_paused_until: Millis(0),
             address: None,
             direct: DirectChannel::default(),
             images: HashMap::default(),
-            coming: HashMap::default(),
+            pending_fetches: HashMap::default(),
         }
     }
 
     /// Whether a heartbeat is newer than what is known. The list of tasks in a late one is outdated.
     #[must_use]
-    pub fn newer(&self, agent_epoch: AgentEpoch, heartbeat_sequence: u64) -> bool {
+    pub fn is_newer(&self, agent_epoch: AgentEpoch, heartbeat_sequence: u64) -> bool {
         (agent_epoch, heartbeat_sequence) > (self.agent_epoch, self.heartbeat_sequence)
     }
 
@@ -131,14 +131,14 @@
         self.agent_epoch = heartbeat.agent_epoch;
         self.heartbeat_sequence = heartbeat.heartbeat_sequence;
         self.worker_token = heartbeat.worker_token;
-        if self.reachability.is_confirmed() || self.heard == Millis(0) {
-            self.heard = now;
+        if self.reachability.is_confirmed() || self.last_contact == Millis(0) {
+            self.last_contact = now;
         }
-        self.heard_by = by.clone();
+        self.last_contact_by = by.clone();
         // An earlier holder of the shard said so. Kept, it would exclude the machine for ever.
         self.draining = false;
         self.address = heartbeat.address.parse().ok();
-        self.warned = heartbeat.warning_s.is_some();
+        self.termination_announced = heartbeat.warning_s.is_some();
         self.tasks = heartbeat.tasks.iter().filter_map(observation).collect();
     }
 
@@ -160,8 +160,8 @@
         let Some((_, confirmed)) = under_token(self.token_confirmed) else {
             return false;
         };
-        let renewed =
-            under_token(self.answered).map_or(confirmed, |(_, answered)| answered.max(confirmed));
+        let renewed = under_token(self.last_answer)
+            .map_or(confirmed, |(_, answered)| answered.max(confirmed));
         now.since(renewed) > lease
     }
 
@@ -183,19 +183,19 @@
     /// Whether the machine's own condition lets it take new tasks. It must have been heard within
     /// `silence`.
     #[must_use]
-    pub fn fit(&self, now: Millis, silence: Millis) -> bool {
+    pub fn is_schedulable(&self, now: Millis, silence: Millis) -> bool {
         self.reachability.is_confirmed()
-            && !self.warned
+            && !self.termination_announced
             && !self.quarantined
             && !self.draining
             && now >= self.starts_paused_until
-            && now.since(self.heard) <= silence
+            && now.since(self.last_contact) <= silence
     }
 
     /// Whether the machine can take new tasks, and its worker has seen the token.
     #[must_use]
-    pub fn fit_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
-        self.fit(now, silence) && self.worker_token.token() >= token
+    pub fn is_schedulable_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
+        self.is_schedulable(now, silence) && self.worker_token.token() >= token
     }
 }
 
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -62,7 +62,7 @@
     }
 
     /// The worker answered what we sent it.
-    pub fn prove(&mut self) {
+    pub fn confirm(&mut self) {
         self.contact = Contact::Confirmed;
         self.lost_answers = 0;
     }
@@ -113,7 +113,7 @@
             return self.mark_unconfirmed(agent_epoch, now);
         }
         match observation.starts_shown {
-            Some(true) => self.prove(),
+            Some(true) => self.confirm(),
             Some(false) => {
                 self.lost_answers += 1;
                 if self.lost_answers >= MAX_LOST_ANSWERS {
@@ -133,13 +133,13 @@
         if agent_epoch != self.unconfirmed_epoch {
             self.begin_doubt(agent_epoch, now);
         } else if now.since(self.unconfirmed_since) > lease {
-            self.prove();
+            self.confirm();
         }
     }
 
     /// Whether the machine sent something within `silence`, though nothing confirms the contact.
     #[must_use]
-    pub fn doubtful(&self, now: Millis, silence: Millis) -> bool {
+    pub fn is_doubtful(&self, now: Millis, silence: Millis) -> bool {
         !self.is_confirmed() && now.since(self.last_message) <= silence
     }
 }
--- a/src/workers/reachability/tests.rs
+++ b/src/workers/reachability/tests.rs
@@ -79,7 +79,7 @@
             let now = Millis(at * 1_000);
             match said {
                 Some(said) => reachability.observe_heartbeat(said, LEASE, now),
-                None => reachability.prove(),
+                None => reachability.confirm(),
             }
             assert_eq!(reachability.is_confirmed(), proved, "{name}, step {index}");
         }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -193,7 +193,7 @@
     /// Looks at the tasks that the records place here and the heartbeat does not show as current.
     fn reconcile_unreported_tasks(&mut self, current: &HashSet<&TaskId>) {
         let jobs = self.jobs;
-        for (id, index) in jobs.on_machine(&self.machine.machine_id) {
+        for (id, index) in jobs.tasks_on(&self.machine.machine_id) {
             let task = TaskId {
                 job: id.clone(),
                 index: *index,
@@ -312,7 +312,7 @@
 
 /// Whether a job's tasks should run.
 fn is_wanted(job: &Job) -> bool {
-    job.record.phase == Phase::Active && !job.broken_gang()
+    job.record.phase == Phase::Active && !job.is_broken_gang()
 }
 
 /// Whether an exit counts against the job or the machine.
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -134,7 +134,7 @@
         (machine.agent_epoch, machine.worker_token) =
             (AgentEpoch(now), WorkerToken::of(FencingToken(4)));
         if proved {
-            machine.reachability.prove();
+            machine.reachability.confirm();
         }
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
             false
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -15,9 +15,9 @@
         "baton":41,"picks":[]}"#;
     let heartbeat: Heartbeat = serde_json::from_str(heartbeat).unwrap();
     let (now, silence) = (Millis(9_000), Millis(10_000));
-    assert!(!machine.fit(now, silence));
+    assert!(!machine.is_schedulable(now, silence));
     machine.apply_heartbeat(&heartbeat, now, &"n0".into());
-    assert!(machine.fit(now, silence));
+    assert!(machine.is_schedulable(now, silence));
 }
 
 /// Two jobs with a mistake had any sound machine deleted that they were tried on; and a gang whose
@@ -69,9 +69,9 @@
         let shard = ShardId::parse("a.0").unwrap();
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         for (job, at) in failures {
-            machine.note_failure(&(*job).into(), Millis(at * 1_000));
+            machine.record_failure(&(*job).into(), Millis(at * 1_000));
         }
-        machine.judge(|job| suspects.contains(&job.as_str()));
+        machine.update_quarantine(|job| suspects.contains(&job.as_str()));
         assert_eq!(
             machine.quarantined, quarantined,
             "{failures:?}, suspect: {suspects:?}"
@@ -104,15 +104,15 @@
             shard.clone(),
             "n0".into(),
         );
-        machine.note_image(&"here".into(), 12.0, 80.0, Millis(0));
+        machine.record_image_use(&"here".into(), 12.0, 80.0, Millis(0));
         for (image, gb) in coming {
-            machine.expect_image(&(*image).into(), *gb, Millis(0));
+            machine.add_pending_fetch(&(*image).into(), *gb, Millis(0));
         }
         let now = Millis(now_s * 1000);
         machine.expire_fetches(0.1, now);
-        let got = machine.image_s(&asked.into(), 12.0, 0.1, now);
+        let got = machine.image_wait_s(&asked.into(), 12.0, 0.1, now);
         assert!((got - expected).abs() < 0.01, "{asked}, {coming:?}: {got}");
         machine.expire_fetches(0.1, Millis(3_000_000));
-        assert!(machine.coming.is_empty());
+        assert!(machine.pending_fetches.is_empty());
     }
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -208,7 +208,7 @@
 impl WorkerCommandBody {
     /// The command that is written so; `None` if the task's name is malformed.
     #[must_use]
-    pub fn order(&self) -> Option<WorkerCommand> {
+    pub fn command(&self) -> Option<WorkerCommand> {
         let (WorkerCommandBody::Start { task, attempt }
         | WorkerCommandBody::Kill { task, attempt, .. }
         | WorkerCommandBody::Reap { task, attempt }) = self;
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -28,7 +28,7 @@
     for (order, text) in cases {
         assert_eq!(serde_json::to_string(&order).unwrap(), text);
         let body: WorkerCommandBody = serde_json::from_str(text).unwrap();
-        assert_eq!(body.order(), Some(order));
+        assert_eq!(body.command(), Some(order));
     }
 }
 
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -43,7 +43,7 @@
 impl PartitionMode {
     /// Whether this controller is in partition mode.
     #[must_use]
-    pub fn on(&self) -> bool {
+    pub fn is_on(&self) -> bool {
         self.entered.is_some()
     }
 
@@ -54,7 +54,7 @@
             return false;
         }
         let suspected = *self.suspected.get_or_insert(now);
-        if self.on() || now.since(suspected) < CONFIRMATION_TIME {
+        if self.is_on() || now.since(suspected) < CONFIRMATION_TIME {
             return false;
         }
         self.entered = Some(now);
--- a/src/zones/partition_mode/tests.rs
+++ b/src/zones/partition_mode/tests.rs
@@ -34,7 +34,7 @@
             partition_mode.leave(Millis(1_519)),
             entered.then_some(Millis(10))
         );
-        assert!(!partition_mode.on());
+        assert!(!partition_mode.is_on());
     }
 }
 
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -228,7 +228,7 @@
     /// bound. `max_deletions` is what the caller can delete now; `hold` is how long a partitioned zone is left
     /// alone.
     #[must_use]
-    pub fn give_up(
+    pub fn choose_deletions(
         &mut self,
         mut lost: Vec<SuspectedMachine>,
         max_deletions: usize,
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -109,7 +109,7 @@
         let mut left = suspects("a", silent as usize);
         let mut given_up = 0;
         for (at_s, expected) in [0, 59, 60, 70, 80, 110].into_iter().zip(expected) {
-            let gone = zones.give_up(left.clone(), ANY, HOLD, Millis(at_s * 1_000));
+            let gone = zones.choose_deletions(left.clone(), ANY, HOLD, Millis(at_s * 1_000));
             left.retain(|suspect| !gone.contains(&suspect.machine_id));
             given_up += gone.len();
             assert_eq!(given_up, expected, "{silent} silent, after {at_s} s");
@@ -122,7 +122,7 @@
     let mut zones = ZoneHealthTracker::default();
     let zone = Zone::from("a");
     zones.observe(&zone, seen(40, 40, true), Millis(0));
-    let gone = zones.give_up(suspects("a", 40), ANY, Millis(0), Millis(30_000));
+    let gone = zones.choose_deletions(suspects("a", 40), ANY, Millis(0), Millis(30_000));
     let expected: Vec<MachineId> = (0..7)
         .map(|i| format!("vm-{:04}", 4 * i + 1).into())
         .collect();
@@ -137,7 +137,7 @@
     zones.observe(&Zone::from("a"), seen(1_000, 200, false), Millis(0));
     let mut lost = suspects("a", 200);
     for at in [1_000, 2_000] {
-        let gone = zones.give_up(lost.clone(), 100, HOLD, Millis(at));
+        let gone = zones.choose_deletions(lost.clone(), 100, HOLD, Millis(at));
         assert_eq!(gone.len(), 100, "at {at}");
         lost.retain(|suspect| !gone.contains(&suspect.machine_id));
     }
@@ -162,14 +162,18 @@
                     }),
             );
         }
-        let first = zones.give_up(lost.clone(), ANY, HOLD, Millis(1_000));
+        let first = zones.choose_deletions(lost.clone(), ANY, HOLD, Millis(1_000));
         assert_eq!(first.len(), expected, "{zones_silent} zones");
         lost.retain(|suspect| !first.contains(&suspect.machine_id));
         assert!(
             zones
-                .give_up(lost.clone(), ANY, HOLD, Millis(30_000))
+                .choose_deletions(lost.clone(), ANY, HOLD, Millis(30_000))
+                .is_empty()
+        );
+        assert!(
+            !zones
+                .choose_deletions(lost, ANY, HOLD, Millis(32_000))
                 .is_empty()
         );
-        assert!(!zones.give_up(lost, ANY, HOLD, Millis(32_000)).is_empty());
     }
 }
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -40,7 +40,10 @@
             let shown: Vec<String> = type_specs.iter().map(show_type_spec).collect();
             format!("types: {}", shown.join("; "))
         }
-        CloudResponse::Page { machine_ids, more } => {
+        CloudResponse::Page {
+            machines: machine_ids,
+            more,
+        } => {
             let machine_ids = machine_ids.iter().map(|h| {
                 let (stage, age) = (stage(h.stage), h.age.0);
                 format!(
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -133,7 +133,7 @@
         ),
         (
             "make-room",
-            Message::MakeRoom {
+            Message::Preempt {
                 job: job(),
                 machine_id: machine_id(),
             },
