--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -2,7 +2,7 @@
 
 use admission_control::plan::Plan;
 use hierarchical_quota::TreeSpec;
-use jaspertiller::admission::shared::{self, PLAN};
+use jaspertiller::admission::shared::{self, PLAN_KEY};
 use jaspertiller::fleet::{MACHINE_TYPES_KEY, MachineTypeSpec};
 use jaspertiller::jobs::cache::JobCache;
 use jaspertiller::jobs::record::{
@@ -13,9 +13,9 @@
     ControllerRecord, LEADER, LeaderRecord, Leases, ShardRecord, controller_key, shard_key,
 };
 use jaspertiller::quota::hierarchical::{
-    HEAD, HierarchicalQuota, PendingTreeWrite, TreeStatus, group_name,
+    HierarchicalQuota, PendingTreeWrite, TREE_HEAD_KEY, TreeStatus, group_name,
 };
-use jaspertiller::quota::{AllocationRecord, QuotaAllocation, QuotaAllocations, share_key};
+use jaspertiller::quota::{AllocationRecord, QuotaAllocation, QuotaAllocations, allocation_key};
 use jaspertiller::types::{
     AgentEpoch, Attempt, ControllerId, LeaseId, Millis, Resources, Revision, ShardId,
 };
@@ -164,10 +164,10 @@
         ("controller", controller_key(&controller_id("n2"))),
         ("leader", LEADER.to_string()),
         ("block", shard_key(&shard("a.1"))),
-        ("share", share_key(&shard("a.1"))),
-        ("admission-plan", PLAN.to_string()),
+        ("share", allocation_key(&shard("a.1"))),
+        ("admission-plan", PLAN_KEY.to_string()),
         ("machine-types", MACHINE_TYPES_KEY.to_string()),
-        ("quota-tree-head", HEAD.to_string()),
+        ("quota-tree-head", TREE_HEAD_KEY.to_string()),
     ];
     for (name, key) in &cases {
         fixtures.writes(name, key);
@@ -223,15 +223,15 @@
 fn task_pages() {
     let mut fixtures = Fixtures::new("task-pages.txt", include_str!("fixtures/task-pages.txt"));
     let cases = [
-        ("never-placed", vec![Task::FRESH; 64]),
+        ("never-placed", vec![Task::NEVER_PLACED; 64]),
         ("waiting", vec![waiting(7); 3]),
         ("done", vec![Task::Done; 5]),
         ("placed", vec![placed("vm-000231", "a.1", 41, 6)]),
         (
             "mixed",
             vec![
-                Task::FRESH,
-                Task::FRESH,
+                Task::NEVER_PLACED,
+                Task::NEVER_PLACED,
                 waiting(3),
                 placed("vm-1", "a.0", 2, 4),
                 placed("vm-1", "a.0", 2, 4),
@@ -312,7 +312,7 @@
     shares.apply(shard("a.1"), Some(text), Revision(3));
     let known = shares.record(&shard("a.1"));
     fixtures.check("quota-shares-of-a-block", "is seen", known, share_record());
-    let mut admission = shared::Shared::default();
+    let mut admission = shared::WriteAdmission::default();
     let text = fixtures.text("admission-plan");
     admission.apply(Some(text), Revision(3));
     fixtures.check("admission-plan", "is seen", admission.plan, plan());
@@ -348,14 +348,18 @@
         let head_of = format!("{name}-head");
         fixtures.writes(&head_of, &head);
         let head = fixtures.text(&head_of);
-        writer.apply(HEAD, Some(head), Revision(6));
+        writer.apply(TREE_HEAD_KEY, Some(head), Revision(6));
         let in_force = writer.tree_status() == TreeStatus::InForce;
         fixtures.check(name, "is the writer's own", in_force, true);
-        let adopted = reader.apply(HEAD, Some(head), Revision(6));
+        let adopted = reader.apply(TREE_HEAD_KEY, Some(head), Revision(6));
         fixtures.check(name, "is adopted", adopted, true);
-        let nodes = reader.force().map(|force| force.shares.tree().nodes.len());
+        let nodes = reader
+            .active_tree()
+            .map(|force| force.entitlements.tree().nodes.len());
         fixtures.check(name, "nodes in force", nodes, spec.enabled.then_some(6));
-        let held = reader.force().map(|force| force.shares.tree().hold_ms);
+        let held = reader
+            .active_tree()
+            .map(|force| force.entitlements.tree().hold_ms);
         fixtures.check(name, "hold", held, spec.enabled.then_some(5_000));
     }
     fixtures.finish();
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -92,14 +92,14 @@
     let text = include_str!("fixtures/operator.ini");
     let expected = Operator {
         backoff_first: Millis(2_500),
-        backoff_most: Millis(41_000),
+        backoff_max: Millis(41_000),
         flush: Millis(45_500),
         lease: Millis(8_000),
         stop_before: Millis(2_250),
-        blocks_per_zone: 5,
+        shards_per_zone: 5,
         idle_return: Millis(33_000),
-        keep: Millis(601_000),
-        hold: Millis(91_000),
+        partition_lease_keep: Millis(601_000),
+        partitioned_zone_hold: Millis(91_000),
         tree: Some("trees/quota.ini".into()),
     };
     assert_eq!(Operator::parse("operator.ini", text).unwrap(), expected);
@@ -112,14 +112,14 @@
     let text = include_str!("../../deploy/jaspertiller.ini");
     let expected = Operator {
         backoff_first: Millis(1_000),
-        backoff_most: Millis(10_000),
+        backoff_max: Millis(10_000),
         flush: Millis(30_000),
         lease: Millis(5_000),
         stop_before: Millis(1_500),
-        blocks_per_zone: 2,
+        shards_per_zone: 2,
         idle_return: Millis(20_000),
-        keep: Millis(900_000),
-        hold: Millis(180_000),
+        partition_lease_keep: Millis(900_000),
+        partitioned_zone_hold: Millis(180_000),
         tree: None,
     };
     assert_eq!(Operator::parse("f", text).unwrap(), expected);
@@ -150,7 +150,7 @@
             .iter()
             .map(|node| {
                 let (parent, team) = (node.parent.as_deref(), node.team.as_deref());
-                let amounts = [node.guarantee.each(), node.limit.each()];
+                let amounts = [node.guarantee.to_array(), node.limit.to_array()];
                 let (parent, team) = (parent.unwrap_or("-"), team.unwrap_or("-"));
                 format!(
                     "{} in {parent} for {team} {amounts:?} x{}",
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -14,8 +14,8 @@
     match answer {
         StoreResponse::Granted(lease_id) => format!("lease {}", lease_id.0),
         StoreResponse::Renewed => "renewed".into(),
-        StoreResponse::Ended => "ended".into(),
-        StoreResponse::NoLease => "no lease".into(),
+        StoreResponse::Revoked => "ended".into(),
+        StoreResponse::LeaseExpired => "no lease".into(),
         StoreResponse::Committed(revision) => format!("committed at {}", revision.0),
         StoreResponse::Conflict(revision) => format!("conflict at {}", revision.0),
         StoreResponse::Revision(revision) => format!("revision {}", revision.0),
@@ -32,12 +32,12 @@
         StoreResponse::Updates { updates, revision } => {
             let updates = updates.iter().map(|update| match update {
                 Update::Put(e) => format!("{}={}@{}", e.key, e.data.get(), e.version.0),
-                Update::Dropped { key, version } => format!("-{key}@{}", version.0),
+                Update::Deleted { key, version } => format!("-{key}@{}", version.0),
             });
             let updates: Vec<String> = updates.collect();
             format!("updates {updates:?} at {}", revision.0)
         }
-        StoreResponse::TooOld => "too old".into(),
+        StoreResponse::Compacted => "too old".into(),
         StoreResponse::Refused => "refused".into(),
         StoreResponse::Unknown => "unknown".into(),
     }
@@ -48,10 +48,10 @@
     let mut txn = Transaction::default();
     txn.require("jt/job/job-000412".into(), Revision(0));
     txn.require("jt/block/a.1".into(), Revision(501));
-    txn.put_text("jt/job/job-000412".into(), r#"{"a":[1,null]}"#.into(), None);
+    txn.put_json("jt/job/job-000412".into(), r#"{"a":[1,null]}"#.into(), None);
     txn.put_leased("jt/block/a.1".into(), &["n1"], LeaseId(7001));
     txn.put("jt/flavors".into(), &0.5);
-    txn.drop_key("jt/task/job-000412/17".into());
+    txn.delete("jt/task/job-000412/17".into());
     StoreCall::Transaction(txn)
 }
 
@@ -70,8 +70,8 @@
         wait_ms: 2_500,
     };
     let renew = || StoreCall::Renew(LeaseId(7001));
-    let end = || StoreCall::End(LeaseId(7001));
-    let grant = || StoreCall::Grant { life_ms: 5_000 };
+    let end = || StoreCall::Revoke(LeaseId(7001));
+    let grant = || StoreCall::Grant { ttl_ms: 5_000 };
     let cases = [
         ("grant", grant(), "lease 7001"),
         ("grant-nonsense", grant(), "unknown"),
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -136,7 +136,7 @@
     for (name, order) in ["start", "stop", "forget"].into_iter().zip(commands()) {
         fixtures.writes(name, &serde_json::to_string(&order).unwrap());
         let read = serde_json::from_str::<WorkerCommandBody>(fixtures.text(name));
-        let read = read.ok().and_then(|body| body.order());
+        let read = read.ok().and_then(|body| body.command());
         fixtures.check(name, "is read differently", read, Some(order));
     }
     fixtures.finish();
