--- /dev/null
+++ b/src/controller/commits/mod.rs
@@ -0,0 +1,210 @@
+//! Commits of task changes: one transaction per job at a time, conditioned on every record that the
+//! decision rested on.
+//!
+//! Heartbeats and scheduling cycles note changes on a job in the cache. [`turn`] decides in which
+//! lane and when a job's changes are due, the backlog divides the write limit among due jobs,
+//! [`planned_write`] checks the changes against the records as they are by then, and this module
+//! sends the transaction and handles its outcome. [`forwarding`] hands changes to the controller
+//! that owns the job, and [`cleanup`] deletes what a finished job leaves behind.
+//!
+//! State: [`Commits`], and of each [`Job`] in the cache its noted changes and whether a transaction with
+//! them is in flight.
+
+mod cleanup;
+mod forwarding;
+mod outcome;
+mod planned_write;
+mod turn;
+
+use std::collections::BTreeMap;
+
+use admission_control::gate::Gate;
+
+use super::{CallPurpose, Controller};
+use crate::admission::Flows;
+use crate::admission::backlog::Backlog;
+use crate::admission::shared::Shared;
+use crate::jobs::Task;
+use crate::jobs::cache::{Job, Writing};
+use crate::jobs::completion_forwarding::CompletionForwarder;
+use crate::jobs::record::{encode_page, job_key, page_key};
+use crate::lease::{LEADER, shard_key};
+use crate::quota;
+use crate::settings::{Settings, TeamSettings};
+use crate::store::{CallClass, Transaction};
+use crate::types::{JobId, Millis, Revision};
+use planned_write::PlannedWrite;
+use turn::{CommitTurn, WritePressure};
+
+/// Job transactions in flight at a time, at most. One that waited long for the budget would rest on
+/// versions that others have changed since; what waits in the backlog is gathered instead, and
+/// written as it stands when its turn comes.
+const MAX_IN_FLIGHT: usize = 3;
+/// Seconds' worth of the allowed write rate that may be in flight.
+const IN_FLIGHT_S: f64 = 0.1;
+/// Time the owner of a job has to write the completions that were forwarded to it; after that this
+/// controller writes them itself.
+const OWNER_WRITE_TIMEOUT: Millis = Millis(12_000);
+/// A team above this part of its limit may have jobs that wait for each single completion.
+const NEAR_LIMIT: f64 = 0.8;
+
+/// Task changes on their way to the store, and the admission that divides its write limit.
+pub(super) struct Commits {
+    /// Jobs with changes that the scheduling cycles of this event noted.
+    pub(super) noted_jobs: Vec<JobId>,
+    /// Departures of tasks that other controllers are asked to write.
+    pub(super) completions: CompletionForwarder,
+    /// The classes and teams that have floors of their own.
+    pub(super) flows: Flows,
+    /// This controller's part of the write limit, and the plan that divides the limit.
+    pub(super) admission: Shared,
+    /// Decides whether a submission is accepted now.
+    pub(super) gate: Gate,
+    /// Jobs whose noted changes wait to be written.
+    pub(super) backlog: Backlog,
+    /// Writes count as scarce until then: scheduling cycles were stopped because placements could
+    /// not be written soon.
+    pub(super) writes_short_until: Millis,
+    /// A transaction that deletes pages of finished jobs is in flight.
+    pub(super) deleting_pages: bool,
+}
+
+impl Commits {
+    /// Nothing noted, nothing in flight, and no write allowed before the first plan.
+    pub(super) fn new(settings: &Settings) -> Self {
+        Self {
+            noted_jobs: Vec::new(),
+            completions: CompletionForwarder::default(),
+            flows: Flows::new(settings),
+            admission: Shared::default(),
+            gate: Gate::default(),
+            backlog: Backlog::default(),
+            writes_short_until: Millis(0),
+            deleting_pages: false,
+        }
+    }
+
+    /// How many job transactions may be in flight. What waits in the queue of the write budget
+    /// rests on versions that grow old, so only a fraction of a second's worth is sent ahead.
+    fn in_flight_limit(&self) -> usize {
+        let limit = (self.admission.allowed * IN_FLIGHT_S).ceil() as usize;
+        limit.clamp(1, MAX_IN_FLIGHT)
+    }
+}
+
+impl Controller {
+    /// Puts a job with noted changes into the backlog, and writes whatever is due.
+    pub(super) fn commit(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.writing != Writing::Idle
+            || job.changes.is_empty()
+            || self.commits.completions.defers_scan(job, self.now)
+        {
+            return;
+        }
+        let pressure = if self.short() {
+            WritePressure::Scarce
+        } else {
+            WritePressure::Normal
+        };
+        let near_limit = || self.limits(job).iter().any(|team| self.near_limit(team));
+        let CommitTurn { lane, due } = turn::choose(job, pressure, near_limit, self.now);
+        let class = self.commits.flows.of(&job.spec).class;
+        let due = if self.forwarded_to_owner(id) {
+            due + OWNER_WRITE_TIMEOUT
+        } else {
+            due
+        };
+        self.commits.backlog.add(id, lane, class, due);
+        self.write_next();
+    }
+
+    fn near_limit(&self, team: &TeamSettings) -> bool {
+        let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
+        !quota::within(used, team)
+    }
+
+    /// Writes the changes of jobs that are due, as far as the in-flight limit allows.
+    pub(super) fn write_next(&mut self) {
+        let limit = self.commits.in_flight_limit();
+        while self.commits.backlog.under_way < limit
+            && let Some(id) = self.commits.backlog.next(self.now)
+        {
+            self.write(&id);
+        }
+    }
+
+    /// Writes a job's noted changes, unless a transaction of the job is in flight.
+    fn write(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.writing != Writing::Idle || job.changes.is_empty() {
+            return;
+        }
+        let mut planned = self.plan_write(job);
+        planned.complete_gang(job);
+        planned.require_zone_page(job);
+        let Some(mut txn) = self.write_conditions(job, &planned) else {
+            return self.settle(id);
+        };
+        self.add_records(job, &planned, &mut txn);
+        let PlannedWrite { changes, stale, .. } = planned;
+        self.jobs.discard(id, &stale);
+        if changes.is_empty() {
+            return;
+        }
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.writing = Writing::InFlight;
+        }
+        let job = id.clone();
+        self.commits.backlog.under_way += 1;
+        self.transact(CallClass::Jobs, txn, CallPurpose::Changes { job, changes });
+    }
+
+    /// The transaction with all that the planned changes rest on, and no records yet. `None` if the
+    /// records rule out the placements among them: other controllers may have placed tasks of the
+    /// job since these were reserved.
+    fn write_conditions(&self, job: &Job, planned: &PlannedWrite) -> Option<Transaction> {
+        let mut txn = Transaction::default();
+        txn.require(job_key(&job.id), job.version);
+        for (shard, token) in &planned.shard_tokens {
+            txn.require(shard_key(shard), Revision(token.0));
+        }
+        let placements = &planned.placements;
+        // A gang is placed as a whole or not at all.
+        if placements.stale > 0 && job.whole_gang()
+            || placements.planned > 0 && !job.zones_allowed()
+            || !self.require_shares(job, &mut txn, &planned.placements_by_shard())
+        {
+            return None;
+        }
+        if placements.planned > 0 {
+            self.require_tree(&mut txn);
+        }
+        // In shards of other holders a leader places on what it knows of all: carried out after its
+        // term, that would add to what its successor has allocated meanwhile.
+        if let Some(leader_revision) = self.leading().filter(|_| placements.in_other_shards > 0) {
+            txn.require(LEADER.into(), leader_revision);
+        }
+        for page in planned.pages.keys() {
+            txn.require(page_key(&job.id, *page), job.page_version(*page));
+        }
+        Some(txn)
+    }
+
+    /// Adds the records that the planned changes lead to: the job's final record if these are its
+    /// last tasks, else the pages.
+    fn add_records(&self, job: &Job, planned: &PlannedWrite, txn: &mut Transaction) {
+        if let Some(phase) = planned.final_phase(job, self.knows_all_of(job)) {
+            // The final record needs no spec, and the pages are deleted when there is time.
+            txn.put(job_key(&job.id), &job.record.finished(phase));
+            return;
+        }
+        let pages: &BTreeMap<u32, Vec<Task>> = &planned.pages;
+        for (page, tasks) in pages {
+            txn.put_text(page_key(&job.id, *page), encode_page(tasks), None);
+        }
+    }
+}
+
+#[cfg(test)]
+pub(super) mod tests;
