--- a/crates/admission-control/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -1,5 +1,10 @@
 //! Cost of a decision of admission control, by the number of teams and of controllers.
 
+#![allow(
+    missing_docs,
+    reason = "criterion_group! makes a public function without a doc comment"
+)]
+
 use std::hint::black_box;
 
 use admission_control::floors::Floors;
--- a/crates/hierarchical-quota/benches/decisions.rs
+++ b/crates/hierarchical-quota/benches/decisions.rs
@@ -1,6 +1,11 @@
 //! What decisions cost: by depth, whatever the number of teams; working shares out anew, by what
 //! changed. Prints the memory of a tree's shares per leaf, too.
 
+#![allow(
+    missing_docs,
+    reason = "criterion_group! makes a public function without a doc comment"
+)]
+
 use std::hint::black_box;
 use std::sync::Arc;
 
--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Tolerance of comparisons, in CPUs or GPUs: sums of decimal amounts carry rounding errors.
-pub const TOLERANCE: f64 = 1e-6;
+pub(crate) const TOLERANCE: f64 = 1e-6;
 
 /// A number of CPUs and a number of GPUs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/simulator/src/cut_report.rs
+++ b/crates/simulator/src/cut_report.rs
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The page can't be drawn or written.
-pub fn run(page: Option<&Path>) -> anyhow::Result<ExitCode> {
+pub(crate) fn run(page: Option<&Path>) -> anyhow::Result<ExitCode> {
     let cases = cases();
     let bar = ProgressBar::new(cases.len() as u64);
     let mut all = Vec::new();
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// The plan can't be read, or the controllers can't be started.
-pub async fn run(seed: u64, plan: Option<&Path>) -> anyhow::Result<ExitCode> {
+pub(crate) async fn run(seed: u64, plan: Option<&Path>) -> anyhow::Result<ExitCode> {
     let config = config();
     let plan = match plan {
         Some(path) => read_plan(path, config.controllers)?,
--- a/crates/simulator/src/live/http.rs
+++ b/crates/simulator/src/live/http.rs
@@ -30,7 +30,7 @@
 
 impl Request {
     /// A parameter of the query as a number; none if it is missing or no number.
-    pub fn number(&self, key: &str) -> Option<u64> {
+    pub(super) fn number(&self, key: &str) -> Option<u64> {
         self.query.get(key)?.parse().ok()
     }
 }
@@ -43,7 +43,7 @@
 
 impl Response {
     /// An answer with a JSON body.
-    pub fn json(status: u16, body: Value) -> Self {
+    pub(super) fn json(status: u16, body: Value) -> Self {
         Self {
             status,
             body: Some(body),
@@ -51,17 +51,17 @@
     }
 
     /// Status 200 with a JSON body.
-    pub fn ok(body: Value) -> Self {
+    pub(super) fn ok(body: Value) -> Self {
         Self::json(200, body)
     }
 
     /// An answer without a body.
-    pub fn empty(status: u16) -> Self {
+    pub(super) fn empty(status: u16) -> Self {
         Self { status, body: None }
     }
 
     /// A failure, with its reason in the body's `error`.
-    pub fn error(status: u16, reason: impl ToString) -> Self {
+    pub(super) fn error(status: u16, reason: impl ToString) -> Self {
         Self::json(status, json!({"error": reason.to_string()}))
     }
 
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -16,7 +16,7 @@
 use plotters::prelude::*;
 
 /// The style sheet of all pages.
-pub const STYLE: &str = "body{font-family:sans-serif;max-width:70em;margin:2em auto;color:#222}\
+pub(crate) const STYLE: &str = "body{font-family:sans-serif;max-width:70em;margin:2em auto;color:#222}\
     table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;\
     border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}\
     figure{margin:1em 0}figcaption{font-size:90%;color:#555}";
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// The page can't be drawn or written.
-pub fn run(seeds: u64, page: Option<&Path>) -> anyhow::Result<ExitCode> {
+pub(crate) fn run(seeds: u64, page: Option<&Path>) -> anyhow::Result<ExitCode> {
     let count = Kind::ALL.len() as u64 * seeds;
     let bar = ProgressBar::new(count);
     let mut replays = Vec::new();
@@ -137,7 +137,7 @@
 }
 
 /// One line of a figure.
-pub struct Line {
+pub(crate) struct Line {
     /// Its color.
     pub color: RGBColor,
     /// Its width in pixels.
@@ -151,7 +151,7 @@
 ///
 /// # Errors
 /// The figure can't be drawn.
-pub fn figure(
+pub(crate) fn figure(
     seconds: Range<u64>,
     highest: f64,
     unit: &str,
--- a/crates/simulator/src/scale/faults.rs
+++ b/crates/simulator/src/scale/faults.rs
@@ -45,7 +45,7 @@
 
 impl FaultSchedule {
     /// A schedule without faults.
-    pub fn empty() -> Self {
+    pub(super) fn empty() -> Self {
         Self {
             faults: Vec::new(),
             restarts: Vec::new(),
@@ -53,7 +53,7 @@
     }
 
     /// The schedule of a run of so many seconds.
-    pub fn of_run(seconds: u64) -> Self {
+    pub(super) fn of_run(seconds: u64) -> Self {
         let faults = SCHEDULE.into_iter().map(|(part, kind)| ScheduledFault {
             at: Duration::from_secs_f64(seconds as f64 * part),
             kind,
@@ -65,7 +65,7 @@
     }
 
     /// Takes the faults that are due.
-    pub fn take_due_faults(&mut self, now: Duration) -> Vec<FaultKind> {
+    pub(super) fn take_due_faults(&mut self, now: Duration) -> Vec<FaultKind> {
         let is_due = |fault: &ScheduledFault| fault.at <= now;
         let (due, pending) = std::mem::take(&mut self.faults)
             .into_iter()
@@ -76,7 +76,7 @@
     }
 
     /// Takes the controllers that are to be started again.
-    pub fn take_due_restarts(&mut self, now: Duration) -> Vec<usize> {
+    pub(super) fn take_due_restarts(&mut self, now: Duration) -> Vec<usize> {
         let is_due = |restart: &ScheduledRestart| restart.at <= now;
         let (due, pending) = std::mem::take(&mut self.restarts)
             .into_iter()
@@ -87,7 +87,7 @@
     }
 
     /// Schedules the restart of a controller that was killed now.
-    pub fn schedule_restart(&mut self, controller: usize, now: Duration) {
+    pub(super) fn schedule_restart(&mut self, controller: usize, now: Duration) {
         let at = now + RESTART_DELAY;
         self.restarts.push(ScheduledRestart { at, controller });
     }
--- a/crates/simulator/src/scale/load.rs
+++ b/crates/simulator/src/scale/load.rs
@@ -37,7 +37,7 @@
 
 impl Class {
     /// The class's name in the deployment.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Self::Serve => "serve",
             Self::Batch => "batch",
--- a/crates/simulator/src/scale/sampling.rs
+++ b/crates/simulator/src/scale/sampling.rs
@@ -32,7 +32,7 @@
 
 impl Sampler {
     /// A sampler without a previous sample.
-    pub fn new(controllers: usize) -> Self {
+    pub(super) fn new(controllers: usize) -> Self {
         Self {
             controllers: vec![None; controllers],
             own: ProcessSample::default(),
@@ -41,12 +41,12 @@
     }
 
     /// Forgets the last sample of a controller whose process is a new one.
-    pub fn reset(&mut self, controller: usize) {
+    pub(super) fn reset(&mut self, controller: usize) {
         self.controllers[controller] = None;
     }
 
     /// Samples the second that ends `at` seconds after the run began.
-    pub fn sample(
+    pub(super) fn sample(
         &mut self,
         at: u64,
         leader: Option<usize>,
--- a/crates/simulator/src/scale/users.rs
+++ b/crates/simulator/src/scale/users.rs
@@ -34,7 +34,7 @@
 
 impl SharedUserTimes {
     /// No times yet.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self(Arc::new(Mutex::new(UserTimes {
             submissions: histogram(),
             polls: histogram(),
@@ -43,7 +43,7 @@
     }
 
     /// Exclusive access to the times.
-    pub fn lock(&self) -> MutexGuard<'_, UserTimes> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, UserTimes> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/simulator/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -25,7 +25,7 @@
 const COMMAND_LINE: &str = "command line";
 
 /// The arguments of the command.
-pub struct Asked {
+pub(crate) struct Asked {
     /// The part of the target that is played; none: the small default.
     pub part: Option<f64>,
     /// A settings file, which overrides the counts of the target or the default.
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The settings can't be used, a controller can't be started, or a file can't be written.
-pub async fn play(asked: Asked) -> anyhow::Result<ExitCode> {
+pub(crate) async fn play(asked: Asked) -> anyhow::Result<ExitCode> {
     let settings = asked.settings()?;
     if !print_limits(&settings) {
         return Ok(ExitCode::from(STATUS_INSUFFICIENT_LIMITS));
--- a/crates/simulator/src/serve.rs
+++ b/crates/simulator/src/serve.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// A file can't be read, an address can't be opened, or a controller can't be started.
-pub async fn run(
+pub(crate) async fn run(
     config: Option<PathBuf>,
     operator: Option<PathBuf>,
     plan: Option<PathBuf>,
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// No region answers at the address.
-pub async fn ask(
+pub(crate) async fn ask(
     region: SocketAddr,
     kind: Kind,
     target: String,
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -15,7 +15,7 @@
 const EMPTY_ANSWER: usize = 28;
 
 /// The kind of an event, and the size of the message that brought it.
-pub fn received(event: &Event) -> (&'static str, usize) {
+pub(super) fn received(event: &Event) -> (&'static str, usize) {
     match event {
         Event::Tick => ("tick", 0),
         Event::Store { answer, .. } => (answer_kind(answer), answer_bytes(answer)),
@@ -35,7 +35,7 @@
 }
 
 /// Notes a message that a controller sends.
-pub fn sent(meter: &mut NodeMeter, effect: &Effect) {
+pub(super) fn sent(meter: &mut NodeMeter, effect: &Effect) {
     let (kind, bytes) = match effect {
         Effect::Store { call, .. } => (call_kind(call), call_bytes(call)),
         Effect::Cloud { call, .. } => (cloud_kind(call), 0),
--- a/crates/simulator/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// The CSV can't be written.
-pub fn run(
+pub(crate) fn run(
     sizes: impl Iterator<Item = Size>,
     seed: u64,
     csv: Option<&Path>,
--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// Who leads, by the records.
-pub fn leader(world: &World) -> usize {
+pub(crate) fn leader(world: &World) -> usize {
     let (record, ..) = world.store.get("jt/lead").expect("somebody leads");
     let record: serde_json::Value = serde_json::from_str(record).unwrap();
     let label = record["leader"].as_str().unwrap();
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -55,7 +55,7 @@
     ]
 }
 
-pub const MEETINGS: &[Meeting] = &[
+pub(super) const MEETINGS: &[Meeting] = &[
     Meeting {
         name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
         controllers: 3,
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -23,11 +23,11 @@
 }
 
 /// A controller that holds shard a.0 under token 5 and knows one machine there and one in b.0.
-pub fn controller(spec: JobSpec, tasks: Vec<Task>) -> (Controller, JobId) {
+pub(crate) fn controller(spec: JobSpec, tasks: Vec<Task>) -> (Controller, JobId) {
     controller_with(&settings(), spec, tasks)
 }
 
-pub fn controller_with(
+pub(crate) fn controller_with(
     settings: &serde_json::Value,
     spec: JobSpec,
     tasks: Vec<Task>,
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -20,7 +20,7 @@
 
 impl Silence {
     /// Whether the worker's lease has expired, whichever controller it reported to before.
-    pub fn outlasts(&self, lease: Millis) -> bool {
+    pub(crate) fn outlasts(&self, lease: Millis) -> bool {
         self.since_contact.min(self.held) > lease
     }
 }
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -111,4 +111,4 @@
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -2,7 +2,7 @@
 use crate::types::Millis;
 use serde_json::{Value, json};
 
-pub fn settings() -> Value {
+pub(crate) fn settings() -> Value {
     json!({"label": "n0", "zone": "a", "public_addr": "10.0.0.1:80", "peer_bind": "10.0.0.1:81",
         "members": [{"label": "n1", "zone": "b", "address": "10.0.0.2:81"}],
         "outside": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"}, "new": "ignored",
--- a/tests/wire_format/loopback.rs
+++ b/tests/wire_format/loopback.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-pub async fn free_address() -> SocketAddr {
+pub(crate) async fn free_address() -> SocketAddr {
     let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
     free.local_addr().unwrap()
 }
@@ -46,7 +46,7 @@
 
 /// A service that gives these answers, `status body`, one after the other, and tells what it was
 /// asked.
-pub async fn service(answers: Vec<String>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
+pub(crate) async fn service(answers: Vec<String>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (tell, asked) = mpsc::unbounded_channel();
@@ -76,7 +76,7 @@
 }
 
 /// What the controller answers next.
-pub enum Reply {
+pub(crate) enum Reply {
     User(Response),
     Worker(HeartbeatResponse),
     Ready(bool),
@@ -84,7 +84,7 @@
 
 /// The daemon's server before a controller that answers this, one after the other. What the server
 /// makes of users' requests is told.
-pub async fn server(replies: Vec<Reply>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
+pub(crate) async fn server(replies: Vec<Reply>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let address = free_address().await;
     let (inbox, mut requests) = mpsc::channel(64);
     let (tell, told) = mpsc::unbounded_channel();
@@ -130,7 +130,7 @@
 }
 
 /// Asks the server; `status body`, with the wait that it asks for, if any, in between.
-pub async fn ask(address: SocketAddr, asked: &str, body: &str) -> String {
+pub(crate) async fn ask(address: SocketAddr, asked: &str, body: &str) -> String {
     let mut stream = loop {
         match TcpStream::connect(address).await {
             Ok(stream) => break stream,
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -23,7 +23,7 @@
 use crate::Fixtures;
 use crate::settings::settings;
 
-pub fn shard(text: &str) -> ShardId {
+pub(crate) fn shard(text: &str) -> ShardId {
     ShardId::parse(text).expect("a block's name")
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// Every field set, each number another.
-pub fn full_spec() -> JobSpec {
+pub(crate) fn full_spec() -> JobSpec {
     JobSpec {
         class: "nightly-batch".into(),
         team: "huye-slotting".into(),
@@ -59,7 +59,7 @@
 }
 
 /// Without the optional fields; the flags are off.
-pub fn bare_spec() -> JobSpec {
+pub(crate) fn bare_spec() -> JobSpec {
     JobSpec {
         machine_types: None,
         zone: None,
@@ -71,7 +71,7 @@
     }
 }
 
-pub fn spec_of(kind: JobKind, priority: PriorityClass) -> JobSpec {
+pub(crate) fn spec_of(kind: JobKind, priority: PriorityClass) -> JobSpec {
     JobSpec {
         kind,
         priority,
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -7,7 +7,7 @@
 use jaspertiller::types::Millis;
 
 /// The platform's settings with every field, each number another.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings::parse("settings.json", include_str!("fixtures/settings.json")).unwrap()
 }
 
