--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -77,10 +77,10 @@
                     after.as_ref().is_none_or(|after| *machine_id > after)
                 };
                 let machine_ids = machines
-                    .machine_ids
+                    .by_id
                     .iter()
                     .filter(|(machine_id, m)| after(machine_id) && !self.gone(machine_id, m, now))
-                    .filter(|(_, m)| m.rented + self.config.list_lag < now)
+                    .filter(|(_, m)| m.rented_at + self.config.list_lag < now)
                     .map(|(machine_id, machine)| self.listed(machine_id, machine, now))
                     .collect();
                 CloudResponse::Page {
@@ -93,7 +93,9 @@
 
     /// A machine that died stays listed for a while, one that was deleted doesn't.
     fn gone(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> bool {
-        let died = machine.dead.is_some_and(|at| now.since(at).0 > 30_000);
+        let died = machine
+            .stopped_at
+            .is_some_and(|at| now.since(at).0 > 30_000);
         self.deleted.contains(machine_id) || died
     }
 
@@ -109,7 +111,7 @@
             } else {
                 MachineStage::Running
             },
-            age: seen - machine.rented,
+            age: seen - machine.rented_at,
         }
     }
 
@@ -130,9 +132,9 @@
             return CloudResponse::Rented(machine_ids.clone());
         }
         let alive = machines
-            .machine_ids
+            .by_id
             .values()
-            .filter(|m| m.dead.is_none())
+            .filter(|m| m.stopped_at.is_none())
             .count() as u32;
         let count = count.min(self.config.capacity.saturating_sub(alive));
         let known =
--- a/crates/simulator/src/contention.rs
+++ b/crates/simulator/src/contention.rs
@@ -223,7 +223,7 @@
             *settings = Arc::new(with_tree);
         }
     }
-    world.machines.spread = 0.5;
+    world.machines.run_time_spread = 0.5;
     load(&mut world);
     if kind == Kind::Faults {
         faults(&mut world);
@@ -264,13 +264,13 @@
 
 fn faults(world: &mut World) {
     let at = |phase: u64, second: u64| (START_S + phase * PHASE_S + second) * 1_000;
-    world.lost_answers = 0.03;
+    world.store_faults.lost_response_share = 0.03;
     world.crash(0, at(2, 2), 5_000);
     world.crash(1, at(4, 1), 4_000);
     world.crash(2, at(4, 7), 4_000);
-    world.outages.push((at(3, 1), at(3, 9)));
-    world.cuts.push(Cut {
-        node: 1,
+    world.store_faults.outages.push((at(3, 1), at(3, 9)));
+    world.network.cuts.push(Cut {
+        controller: 1,
         from_store: true,
         from_workers: true,
         from_peers: true,
@@ -314,7 +314,7 @@
 
 /// Adds what each team holds, in GPUs, to its mean over a second.
 fn look_at(world: &World, held: &mut BTreeMap<Team, f64>) {
-    for task in world.machines.holding(Millis(world.now)) {
+    for task in world.machines.tasks_allocated(Millis(world.now)) {
         if let Some(job) = world.machines.jobs.get(&task.job) {
             let sum = held.entry(job.spec.team.clone()).or_default();
             *sum += job.spec.resources.gpus / LOOKS as f64;
@@ -373,7 +373,7 @@
         levels,
         reclaimed,
         broken: world.rules.violations.iter().cloned().collect(),
-        lost_s: world.machines.lost.secs(),
+        lost_s: world.machines.lost_run_time.secs(),
         used,
         changes: world.store.written,
     }
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -83,16 +83,19 @@
     let jobs: Vec<JobPlan> = standing.chain(arrays).map(plan).collect();
     let mut world = World::new(config, seed, jobs);
     if !kept {
-        world.operate(|operator| (operator.keep, operator.hold) = (Millis(14_000), Millis(0)));
+        world.change_operator_settings(|operator| {
+            (operator.keep, operator.hold) = (Millis(14_000), Millis(0))
+        });
     }
     world.run_until(FROM_S * 1_000);
     let zone = Zone::from(CUT);
-    let machine_ids = world.machines.machine_ids.iter();
-    let up = machine_ids.filter(|(_, m)| m.zone == zone && m.dead.is_none() && !m.tasks.is_empty());
+    let machine_ids = world.machines.by_id.iter();
+    let up = machine_ids
+        .filter(|(_, m)| m.zone == zone && m.stopped_at.is_none() && !m.tasks.is_empty());
     let up: Vec<_> = up
         .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
         .collect();
-    world.zone_cuts.push(ZoneCut {
+    world.network.zone_cuts.push(ZoneCut {
         zone: zone.clone(),
         since: FROM_S * 1_000,
         until: (FROM_S + for_s) * 1_000,
@@ -108,14 +111,13 @@
     let mut running = Vec::new();
     for at_s in FROM_S..FROM_S + for_s + AFTER_S {
         world.run_until(at_s * 1_000);
-        let present = world.machines.present(Millis(at_s * 1_000));
-        let zones =
-            present.map(|(machine_id, _)| world.machines.machine_ids[machine_id].zone == zone);
+        let present = world.machines.tasks_started(Millis(at_s * 1_000));
+        let zones = present.map(|(machine_id, _)| world.machines.by_id[machine_id].zone == zone);
         let (inside, all) = zones.fold((0, 0), |(n, all), here| (n + usize::from(here), all + 1));
         running.push((at_s, inside, all));
     }
     let expired = |(machine_id, agent_epoch): &&(_, u64)| {
-        let machine = &world.machines.machine_ids[machine_id];
+        let machine = &world.machines.by_id[machine_id];
         machine.agent_epoch > *agent_epoch
     };
     Played {
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -137,12 +137,12 @@
 
 fn said(shared: &Shared) -> String {
     let region = shared.lock();
-    let tasks = region.machines.present(region.now()).count();
+    let tasks = region.machines.tasks_started(region.now()).count();
     let alive = region
         .machines
-        .machine_ids
+        .by_id
         .values()
-        .filter(|m| m.dead.is_none());
+        .filter(|m| m.stopped_at.is_none());
     format!("{tasks} tasks on {} machines", alive.count())
 }
 
--- a/crates/simulator/src/live/control.rs
+++ b/crates/simulator/src/live/control.rs
@@ -12,7 +12,7 @@
 use super::Shared;
 use super::faults::Fault;
 use super::http::{self, Reaction, Request};
-use crate::machines::Description;
+use crate::machines::JobDescription;
 
 /// Beside what the controllers are told, how long a task runs; left out: as long as expected.
 #[derive(Deserialize)]
@@ -40,9 +40,9 @@
     let now = region.now();
     region.rules.submit(&id, now);
     let answer = json!({"id": id, "runS": run.secs()});
-    let description = Description {
+    let description = JobDescription {
         spec,
-        run,
+        run_time: run,
         broken: false,
     };
     region.machines.jobs.insert(id, description);
--- a/crates/simulator/src/live/faults.rs
+++ b/crates/simulator/src/live/faults.rs
@@ -75,8 +75,8 @@
             Kind::Cloud => region.trouble.cloud = until,
             Kind::Hang | Kind::Stop => {
                 let machine_id = MachineId::from(self.target.as_str());
-                let machine = region.machines.machine_ids.get_mut(&machine_id);
-                let Some(machine) = machine.filter(|m| m.dead.is_none()) else {
+                let machine = region.machines.by_id.get_mut(&machine_id);
+                let Some(machine) = machine.filter(|m| m.stopped_at.is_none()) else {
                     return Err(format!("there is no machine {machine_id}"));
                 };
                 if self.kind == Kind::Hang {
--- a/crates/simulator/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::cloud::Cloud;
 use crate::config::Config;
-use crate::machines::{Machines, Outgoing};
+use crate::machines::{Machines, OutgoingHeartbeat};
 use crate::rules::Rules;
 use crate::state::StateService;
 
@@ -75,8 +75,8 @@
     /// Every machine of a zone stops; how many there were.
     pub fn lose_zone(&mut self, zone: &Zone) -> usize {
         let now = self.now();
-        let machine_ids = self.machines.machine_ids.iter();
-        let inside = machine_ids.filter(|(_, m)| m.zone == *zone && m.dead.is_none());
+        let machine_ids = self.machines.by_id.iter();
+        let inside = machine_ids.filter(|(_, m)| m.zone == *zone && m.stopped_at.is_none());
         let inside: Vec<MachineId> = inside.map(|(machine_id, _)| machine_id.clone()).collect();
         for machine_id in &inside {
             self.machines.kill(machine_id, now);
@@ -85,7 +85,7 @@
     }
 
     /// Lets time pass for the state service and the machines; the heartbeats to be carried.
-    fn step(&mut self) -> Vec<Outgoing> {
+    fn step(&mut self) -> Vec<OutgoingHeartbeat> {
         let now = self.now();
         self.store.pass(now, now < self.trouble.state);
         let (started, heartbeats) = self.machines.step(now);
--- a/crates/simulator/src/live/services.rs
+++ b/crates/simulator/src/live/services.rs
@@ -301,7 +301,7 @@
                     MachineStage::Running => "running",
                     MachineStage::Failed => "failed",
                 };
-                let address = region.machines.machine_ids.get(&m.machine_id).map(|h| &h.address);
+                let address = region.machines.by_id.get(&m.machine_id).map(|h| &h.address);
                 json!({"id": m.machine_id, "address": address, "rig": m.machine_type, "yard": m.zone,
                     "loaners": m.spot, "stage": stage, "ageS": m.age.secs()})
             });
--- a/crates/simulator/src/live/users.rs
+++ b/crates/simulator/src/live/users.rs
@@ -11,7 +11,7 @@
 use warp::http::Method;
 
 use super::Shared;
-use crate::machines::Description;
+use crate::machines::JobDescription;
 use crate::rules::Told;
 use crate::sim::JobPlan;
 
@@ -102,9 +102,9 @@
         let (id, spec) = api::parse(&body).ok()?;
         let region = &mut *self.shared.lock();
         let run = Millis(plan.run_ms);
-        let description = Description {
+        let description = JobDescription {
             spec,
-            run,
+            run_time: run,
             broken: false,
         };
         region.machines.jobs.insert(id.clone(), description);
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -13,7 +13,7 @@
 
 use super::Shared;
 use super::http::{self, Reaction, Request};
-use crate::machines::Outgoing;
+use crate::machines::OutgoingHeartbeat;
 
 const ANSWER: Duration = Duration::from_secs(4);
 
@@ -75,15 +75,15 @@
 }
 
 /// Carries one heartbeat to the controller and its answer back.
-pub async fn heartbeat(shared: Shared, client: HttpClient, out: Outgoing) {
+pub async fn heartbeat(shared: Shared, client: HttpClient, out: OutgoingHeartbeat) {
     let address = {
         let region = shared.lock();
         let now = region.now();
-        let cut = now < region.trouble.cut[out.node];
+        let cut = now < region.trouble.cut[out.controller];
         if cut || !region.machines.reachable(&out.machine_id, now) {
             return;
         }
-        region.controllers[out.node]
+        region.controllers[out.controller]
     };
     let bytes = heartbeat_body(&out.heartbeat).to_string().into_bytes();
     let client = client.at(address);
@@ -111,17 +111,18 @@
     };
     let region = &mut *shared.lock();
     let now = region.now();
-    if now >= region.trouble.cut[out.node] && region.machines.reachable(&out.machine_id, now) {
-        region.machines.answered(&out, answer, now);
+    if now >= region.trouble.cut[out.controller] && region.machines.reachable(&out.machine_id, now)
+    {
+        region.machines.receive_response(&out, answer, now);
     }
 }
 
 /// Every machine that is up has an address; one that is gone has none.
 pub fn keep_listeners(shared: &Shared) {
     let region = &mut *shared.lock();
-    for (machine_id, machine) in &mut region.machines.machine_ids {
+    for (machine_id, machine) in &mut region.machines.by_id {
         let known = region.listeners.contains_key(machine_id);
-        if machine.dead.is_some() {
+        if machine.stopped_at.is_some() {
             if let Some(listener) = region.listeners.remove(machine_id) {
                 listener.abort();
             }
@@ -162,7 +163,7 @@
                 commands: bodies,
             }) => {
                 let machines = &mut region.machines;
-                if !machines.direct(
+                if !machines.execute_direct(
                     &machine_id,
                     worker_token,
                     agent_epoch,
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -24,9 +24,9 @@
 
 /// What users uploaded of a job.
 #[derive(Clone, Debug)]
-pub struct Description {
+pub struct JobDescription {
     pub spec: JobSpec,
-    pub run: Millis,
+    pub run_time: Millis,
     /// It was submitted with a mistake: its tasks fail on every machine.
     pub broken: bool,
 }
@@ -36,13 +36,13 @@
     pub attempt: Attempt,
     pub stage: TaskStage,
     cause: Option<ExitCause>,
-    kept: bool,
+    checkpointed: bool,
     /// When the present stage ends.
-    until: Millis,
+    stage_ends_at: Millis,
     /// When it began to run.
-    began: Millis,
+    running_since: Millis,
     /// When it was first told to stop.
-    told: Option<Millis>,
+    stop_requested_at: Option<Millis>,
 }
 
 impl Task {
@@ -60,23 +60,23 @@
 pub struct Machine {
     pub zone: Zone,
     pub spot: bool,
-    pub rented: Millis,
+    pub rented_at: Millis,
     pub up_at: Millis,
     pub agent_epoch: u64,
     heartbeat_sequence: u64,
     /// The highest token that it has seen.
     pub worker_token: WorkerToken,
-    lease_from: Millis,
+    lease_start: Millis,
     /// The controller that it reports to.
-    pub node: usize,
+    pub controller: usize,
     next_heartbeat: Millis,
     /// The report that waits for its answer: when it was sent, and its number.
     in_flight: Option<(Millis, u64)>,
     pub tasks: BTreeMap<TaskId, Task>,
     /// When each image is there.
-    images: HashMap<Image, Millis>,
-    pub dead: Option<Millis>,
-    pub quarantined: bool,
+    image_ready_at: HashMap<Image, Millis>,
+    pub stopped_at: Option<Millis>,
+    pub faulty: bool,
     pub unreachable_until: Millis,
     /// It does nothing until then.
     pub hung_until: Millis,
@@ -87,9 +87,9 @@
     /// Only this controller's answers and commands reach it until then.
     pub reached_only_by: Option<(usize, Millis)>,
     /// Whose answer renewed its lease last, and when.
-    pub renewed: Option<(usize, Millis)>,
+    pub last_renewal: Option<(usize, Millis)>,
     /// When it last stopped and was back at once.
-    pub back: Millis,
+    pub rebooted_at: Millis,
     pub address: String,
 }
 
@@ -100,7 +100,7 @@
             attempt: task.attempt,
             stage: task.stage,
             cause: task.cause,
-            kept: task.kept.then_some(true),
+            kept: task.checkpointed.then_some(true),
         };
         Heartbeat {
             machine_id: machine_id.clone(),
@@ -119,9 +119,9 @@
 
 /// A report to be carried to a controller.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingHeartbeat {
     pub machine_id: MachineId,
-    pub node: usize,
+    pub controller: usize,
     pub heartbeat: Heartbeat,
 }
 
@@ -135,26 +135,26 @@
 }
 
 pub struct Machines {
-    pub machine_ids: BTreeMap<MachineId, Machine>,
-    pub jobs: HashMap<JobId, Description>,
+    pub by_id: BTreeMap<MachineId, Machine>,
+    pub jobs: HashMap<JobId, JobDescription>,
     pub completed: HashSet<TaskId>,
     gangs: BTreeMap<JobId, GangRun>,
     /// Saved progress: of a gang under its first task.
     progress: HashMap<TaskId, Millis>,
     machine_type: MachineType,
     timing: Timing,
-    nodes: usize,
+    controllers: usize,
     rng: SmallRng,
     /// How long any fetch takes, instead of by size and rate.
-    pub fetch: Option<std::ops::Range<u64>>,
+    pub fetch_duration: Option<std::ops::Range<u64>>,
     /// Tasks of an array run up to this part shorter or longer than their job says.
-    pub spread: f64,
+    pub run_time_spread: f64,
     /// A guard that a test takes out: workers keep their tasks when their lease is over.
-    pub keep_past_lease: bool,
+    pub ignore_lease_expiry: bool,
     /// Attempts of gangs that ended because a task of theirs was gone.
     pub broken_gangs: u64,
     /// Run time that was lost to stops and failures.
-    pub lost: Millis,
+    pub lost_run_time: Millis,
     /// Tasks that their worker killed since nobody had answered it for a lease.
     pub killed_by_lease: u64,
 }
@@ -162,20 +162,20 @@
 impl Machines {
     pub fn new(config: &Config, seed: u64) -> Self {
         Self {
-            machine_ids: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             jobs: HashMap::new(),
             completed: HashSet::new(),
             gangs: BTreeMap::new(),
             progress: HashMap::new(),
             machine_type: config.machine_type.clone(),
             timing: config.timing,
-            nodes: config.controllers,
+            controllers: config.controllers,
             rng: SmallRng::seed_from_u64(seed),
-            fetch: None,
-            spread: 0.0,
-            keep_past_lease: false,
+            fetch_duration: None,
+            run_time_spread: 0.0,
+            ignore_lease_expiry: false,
             broken_gangs: 0,
-            lost: Millis(0),
+            lost_run_time: Millis(0),
             killed_by_lease: 0,
         }
     }
@@ -191,65 +191,69 @@
         let machine = Machine {
             zone,
             spot,
-            rented,
+            rented_at: rented,
             up_at,
             agent_epoch: 1,
             heartbeat_sequence: 0,
             worker_token: WorkerToken(0),
-            lease_from: up_at,
-            node: self.rng.random_range(0..self.nodes),
+            lease_start: up_at,
+            controller: self.rng.random_range(0..self.controllers),
             next_heartbeat: up_at,
             in_flight: None,
             tasks: BTreeMap::new(),
-            images: HashMap::new(),
-            dead: None,
-            quarantined: false,
+            image_ready_at: HashMap::new(),
+            stopped_at: None,
+            faulty: false,
             unreachable_until: Millis(0),
             hung_until: Millis(0),
             commands_lost_until: Millis(0),
             heartbeats_lost_until: Millis(0),
             reached_only_by: None,
-            renewed: None,
-            back: Millis(0),
+            last_renewal: None,
+            rebooted_at: Millis(0),
             address: "10.1.0.1:1".into(),
         };
-        self.machine_ids.insert(machine_id.clone(), machine);
+        self.by_id.insert(machine_id.clone(), machine);
     }
 
     /// The cloud deletes a machine; whether it was well and at work.
     pub fn delete(&mut self, machine_id: &MachineId, now: Millis) -> bool {
-        let Some(machine) = self.machine_ids.get_mut(machine_id) else {
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
             return false;
         };
         let well =
-            machine.dead.is_none() && !machine.quarantined && machine.unreachable_until <= now;
+            machine.stopped_at.is_none() && !machine.faulty && machine.unreachable_until <= now;
         let at_work = well && machine.tasks.values().any(Task::on_machine);
-        machine.dead.get_or_insert(now);
+        machine.stopped_at.get_or_insert(now);
         machine.tasks.clear();
         at_work
     }
 
     pub fn kill(&mut self, machine_id: &MachineId, now: Millis) {
-        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
-            machine.dead.get_or_insert(now);
+        if let Some(machine) = self.by_id.get_mut(machine_id) {
+            machine.stopped_at.get_or_insert(now);
             machine.tasks.clear();
         }
     }
 
     /// A machine stops and is back at once, with nothing on it. Its counters may begin anew.
     pub fn reboot(&mut self, machine_id: &MachineId, anew: bool, now: Millis) {
-        let node = self.rng.random_range(0..self.nodes);
+        let node = self.rng.random_range(0..self.controllers);
         let Some(machine) = self
-            .machine_ids
+            .by_id
             .get_mut(machine_id)
-            .filter(|m| m.dead.is_none())
+            .filter(|m| m.stopped_at.is_none())
         else {
             return;
         };
-        machine.back = now;
+        machine.rebooted_at = now;
         machine.tasks.clear();
         machine.in_flight = None;
-        (machine.lease_from, machine.next_heartbeat, machine.node) = (now, now, node);
+        (
+            machine.lease_start,
+            machine.next_heartbeat,
+            machine.controller,
+        ) = (now, now, node);
         if anew {
             (
                 machine.agent_epoch,
@@ -262,13 +266,13 @@
     }
 
     fn lease_over(&self, machine: &Machine, now: Millis) -> bool {
-        now > machine.lease_from + self.timing.lease && !self.keep_past_lease
+        now > machine.lease_start + self.timing.lease && !self.ignore_lease_expiry
     }
 
     /// Every task that a machine has now, in whatever state.
     fn tasks(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId, &Task)> {
-        let alive = move |m: &&Machine| m.dead.is_none() && !self.lease_over(m, now);
-        let machine_ids = self.machine_ids.iter().filter(move |(_, m)| alive(m));
+        let alive = move |m: &&Machine| m.stopped_at.is_none() && !self.lease_over(m, now);
+        let machine_ids = self.by_id.iter().filter(move |(_, m)| alive(m));
         machine_ids.flat_map(|(machine_id, machine)| {
             let tasks = machine.tasks.iter();
             tasks.map(move |(id, task)| (machine_id, id, task))
@@ -276,7 +280,7 @@
     }
 
     /// Every task that is on a machine now.
-    pub fn present(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
+    pub fn tasks_started(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now).filter(|(.., task)| task.on_machine());
         tasks.map(|(machine_id, id, _)| (machine_id, id))
     }
@@ -284,35 +288,32 @@
     /// Whether a task is on this machine.
     pub fn is_on(&self, machine_id: &MachineId, task: &TaskId) -> bool {
         let machine = self
-            .machine_ids
+            .by_id
             .get(machine_id)
-            .filter(|m| m.dead.is_none());
+            .filter(|m| m.stopped_at.is_none());
         let task = machine.and_then(|machine| machine.tasks.get(task));
         task.is_some_and(Task::on_machine)
     }
 
     /// Every task that holds room on a machine now: those that fetch their image, too.
-    pub fn holding(&self, now: Millis) -> impl Iterator<Item = &TaskId> {
-        self.on_machines(now).map(|(_, task)| task)
+    pub fn tasks_allocated(&self, now: Millis) -> impl Iterator<Item = &TaskId> {
+        self.allocations(now).map(|(_, task)| task)
     }
 
     /// The same with their machines.
-    pub fn on_machines(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
+    pub fn allocations(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now);
         let alive = tasks.filter(|(.., task)| task.stage != TaskStage::Exited);
         alive.map(|(machine_id, id, _)| (machine_id, id))
     }
 
     /// Machines that are up, well, in touch with everybody, and what is free there.
-    pub fn sound(&self, now: Millis) -> impl Iterator<Item = (&Machine, Resources)> {
+    pub fn healthy(&self, now: Millis) -> impl Iterator<Item = (&Machine, Resources)> {
         let sound = move |(machine_id, m): &(&MachineId, &Machine)| {
             let apart = m.reached_only_by.is_some_and(|(_, until)| until > now);
-            self.reachable(machine_id, now)
-                && !m.quarantined
-                && m.heartbeats_lost_until <= now
-                && !apart
+            self.reachable(machine_id, now) && !m.faulty && m.heartbeats_lost_until <= now && !apart
         };
-        let sound = self.machine_ids.iter().filter(sound);
+        let sound = self.by_id.iter().filter(sound);
         sound.map(|(_, machine)| {
             (
                 machine,
@@ -326,27 +327,27 @@
     }
 
     /// Lets time pass; returns the tasks that came on a machine, and reports to be carried.
-    pub fn step(&mut self, now: Millis) -> (Vec<(MachineId, TaskId)>, Vec<Outgoing>) {
+    pub fn step(&mut self, now: Millis) -> (Vec<(MachineId, TaskId)>, Vec<OutgoingHeartbeat>) {
         let (mut started, mut heartbeats) = (Vec::new(), Vec::new());
-        let (timing, nodes, keep) = (self.timing, self.nodes, self.keep_past_lease);
-        let spread = self.spread;
-        for (machine_id, machine) in &mut self.machine_ids {
-            let idle = machine.dead.is_some() || now < machine.up_at;
+        let (timing, nodes, keep) = (self.timing, self.controllers, self.ignore_lease_expiry);
+        let spread = self.run_time_spread;
+        for (machine_id, machine) in &mut self.by_id {
+            let idle = machine.stopped_at.is_some() || now < machine.up_at;
             if idle || now < machine.hung_until {
                 continue;
             }
-            if now > machine.lease_from + timing.lease && !keep {
+            if now > machine.lease_start + timing.lease && !keep {
                 machine.agent_epoch += 1;
-                machine.lease_from = now;
+                machine.lease_start = now;
                 let killed = machine.tasks.values().filter(|task| task.on_machine());
                 self.killed_by_lease += killed.count() as u64;
                 machine.tasks.clear();
                 machine.in_flight = None;
             }
-            let quarantined = machine.quarantined;
+            let quarantined = machine.faulty;
             let mut changed = false;
             for (id, task) in &mut machine.tasks {
-                if task.stage == TaskStage::Exited || now < task.until {
+                if task.stage == TaskStage::Exited || now < task.stage_ends_at {
                     continue;
                 }
                 let Some(job) = self.jobs.get(&id.job) else {
@@ -361,19 +362,19 @@
                         let done = self.completed.contains(id);
                         if job.spec.kind == JobKind::Gang && !done {
                             task.stage = TaskStage::Waiting;
-                            task.until = now + timing.gang_wait;
+                            task.stage_ends_at = now + timing.gang_wait;
                             continue;
                         }
                         let saved = self.progress.get(id).copied().unwrap_or_default();
                         let luck = f64::from(id.index.wrapping_mul(2_654_435_761) >> 8)
                             / f64::from(1u32 << 23)
                             - 1.0;
-                        let takes = Millis((job.run.0 as f64 * (1.0 + spread * luck)) as u64);
+                        let takes = Millis((job.run_time.0 as f64 * (1.0 + spread * luck)) as u64);
                         let run = if done { Millis(0) } else { takes - saved };
                         let service = job.spec.kind == JobKind::Service;
                         task.stage = TaskStage::Running;
-                        task.began = now;
-                        task.until = if service { NEVER } else { now + run };
+                        task.running_since = now;
+                        task.stage_ends_at = if service { NEVER } else { now + run };
                     }
                     TaskStage::Waiting => task.exit(ExitCause::Alone),
                     TaskStage::Running => {
@@ -381,11 +382,11 @@
                         self.completed.insert(id.clone());
                     }
                     TaskStage::Saving => {
-                        let told = task.told.unwrap_or(now);
+                        let told = task.stop_requested_at.unwrap_or(now);
                         let progress = self.progress.entry(id.clone()).or_default();
-                        *progress = *progress + told.since(task.began);
-                        self.lost = self.lost + now.since(told);
-                        task.kept = true;
+                        *progress = *progress + told.since(task.running_since);
+                        self.lost_run_time = self.lost_run_time + now.since(told);
+                        task.checkpointed = true;
                         task.exit(ExitCause::Stopped);
                     }
                     TaskStage::Exited => {}
@@ -399,16 +400,16 @@
                 .is_some_and(|(sent, _)| now.since(sent) > ANSWER)
             {
                 machine.in_flight = None;
-                machine.node = (machine.node + 1) % nodes;
+                machine.controller = (machine.controller + 1) % nodes;
                 machine.next_heartbeat = now + Millis(1_000);
             }
             if machine.in_flight.is_none() && now >= machine.next_heartbeat {
                 machine.heartbeat_sequence += 1;
                 machine.in_flight = Some((now, machine.heartbeat_sequence));
                 machine.next_heartbeat = now + timing.heartbeat;
-                heartbeats.push(Outgoing {
+                heartbeats.push(OutgoingHeartbeat {
                     machine_id: machine_id.clone(),
-                    node: machine.node,
+                    controller: machine.controller,
                     heartbeat: machine.heartbeat(machine_id, &self.machine_type),
                 });
             }
@@ -419,17 +420,17 @@
 
     /// Gangs start together, complete together, save together, and exit when a member is gone.
     fn step_gangs(&mut self, now: Millis) {
-        let keep = self.keep_past_lease;
+        let keep = self.ignore_lease_expiry;
         let mut attempts: BTreeMap<(JobId, Attempt), Vec<(TaskId, &mut Task)>> = BTreeMap::new();
-        for machine in self.machine_ids.values_mut() {
-            let over = now > machine.lease_from + self.timing.lease && !keep;
-            if machine.dead.is_some() || over || now < machine.hung_until {
+        for machine in self.by_id.values_mut() {
+            let over = now > machine.lease_start + self.timing.lease && !keep;
+            if machine.stopped_at.is_some() || over || now < machine.hung_until {
                 continue;
             }
             let before = machine.tasks.len();
             for (id, task) in &mut machine.tasks {
-                let gang = |job: &Description| job.spec.kind == JobKind::Gang;
-                let alive = task.stage != TaskStage::Exited || task.kept;
+                let gang = |job: &JobDescription| job.spec.kind == JobKind::Gang;
+                let alive = task.stage != TaskStage::Exited || task.checkpointed;
                 if alive && self.jobs.get(&id.job).is_some_and(gang) {
                     let members = attempts.entry((id.job.clone(), task.attempt)).or_default();
                     members.push((id.clone(), task));
@@ -458,19 +459,20 @@
                     let run = GangRun {
                         attempt,
                         began: now,
-                        end: now + (job.run - saved),
+                        end: now + (job.run_time - saved),
                         told: None,
                         saved: false,
                     };
                     self.gangs.insert(id, run);
                     for (_, task) in members {
-                        (task.stage, task.began, task.until) = (TaskStage::Running, now, NEVER);
+                        (task.stage, task.running_since, task.stage_ends_at) =
+                            (TaskStage::Running, now, NEVER);
                     }
                 }
                 continue;
             };
             let running = count(&members, TaskStage::Running);
-            let kept = members.iter().filter(|(_, t)| t.kept).count();
+            let kept = members.iter().filter(|(_, t)| t.checkpointed).count();
             let saving = count(&members, TaskStage::Saving);
             if saving > 0 {
                 run.told.get_or_insert(now);
@@ -501,7 +503,7 @@
                 if !run.saved {
                     run.saved = true;
                     self.broken_gangs += 1;
-                    self.lost = self.lost + (ran - Millis(marks));
+                    self.lost_run_time = self.lost_run_time + (ran - Millis(marks));
                     self.progress.insert(first, saved + Millis(marks));
                 }
                 for (_, task) in members.iter_mut().filter(|(_, t)| t.on_machine()) {
@@ -513,7 +515,7 @@
 
     pub fn heartbeat(&self, machine_id: &MachineId) -> Option<Heartbeat> {
         Some(
-            self.machine_ids
+            self.by_id
                 .get(machine_id)?
                 .heartbeat(machine_id, &self.machine_type),
         )
@@ -522,41 +524,43 @@
     /// Whether anything from outside reaches the machine.
     pub fn reachable(&self, machine_id: &MachineId, now: Millis) -> bool {
         let receives_heartbeats = |m: &Machine| m.commands_lost_until <= now;
-        self.speaks(machine_id, now)
-            && self
-                .machine_ids
-                .get(machine_id)
-                .is_some_and(receives_heartbeats)
+        self.can_send(machine_id, now)
+            && self.by_id.get(machine_id).is_some_and(receives_heartbeats)
     }
 
     /// Whether what the machine sends arrives.
-    pub fn speaks(&self, machine_id: &MachineId, now: Millis) -> bool {
-        self.machine_ids.get(machine_id).is_some_and(|m| {
-            m.dead.is_none() && m.unreachable_until <= now && m.hung_until <= now && m.up_at <= now
+    pub fn can_send(&self, machine_id: &MachineId, now: Millis) -> bool {
+        self.by_id.get(machine_id).is_some_and(|m| {
+            m.stopped_at.is_none()
+                && m.unreachable_until <= now
+                && m.hung_until <= now
+                && m.up_at <= now
         })
     }
 
     /// Whether what this controller sends reaches the machine.
-    pub fn receives_heartbeats(&self, machine_id: &MachineId, node: usize, now: Millis) -> bool {
-        let only = self
-            .machine_ids
-            .get(machine_id)
-            .and_then(|m| m.reached_only_by);
+    pub fn is_reachable_from(&self, machine_id: &MachineId, node: usize, now: Millis) -> bool {
+        let only = self.by_id.get(machine_id).and_then(|m| m.reached_only_by);
         only.is_none_or(|(only, until)| only == node || until <= now)
     }
 
     /// A controller's answer to a heartbeat.
-    pub fn answered(&mut self, out: &Outgoing, answer: HeartbeatResponse, now: Millis) {
-        let nodes = self.nodes;
-        let receives_heartbeats = self.receives_heartbeats(&out.machine_id, out.node, now);
+    pub fn receive_response(
+        &mut self,
+        out: &OutgoingHeartbeat,
+        answer: HeartbeatResponse,
+        now: Millis,
+    ) {
+        let nodes = self.controllers;
+        let receives_heartbeats = self.is_reachable_from(&out.machine_id, out.controller, now);
         let Some(machine) = self
-            .machine_ids
+            .by_id
             .get_mut(&out.machine_id)
             .filter(|_| receives_heartbeats)
         else {
             return;
         };
-        let alive = machine.dead.is_none() && machine.commands_lost_until <= now;
+        let alive = machine.stopped_at.is_none() && machine.commands_lost_until <= now;
         let number = out.heartbeat.heartbeat_sequence;
         let Some((sent, _)) = machine.in_flight.filter(|(_, n)| alive && *n == number) else {
             return;
@@ -575,24 +579,24 @@
                     machine.worker_token = worker_token;
                     machine.next_heartbeat = now + SOON;
                 }
-                machine.lease_from = sent;
-                machine.renewed = Some((out.node, now));
+                machine.lease_start = sent;
+                machine.last_renewal = Some((out.controller, now));
                 self.execute(&out.machine_id, commands, now);
             }
             HeartbeatResponse::Redirect(Some(redirect_to)) => {
                 let node = (0..nodes).find(|i| Config::label(*i) == redirect_to.as_str());
-                machine.node = node.unwrap_or((machine.node + 1) % nodes);
+                machine.controller = node.unwrap_or((machine.controller + 1) % nodes);
                 machine.next_heartbeat = now + Millis(100);
             }
             _ => {
-                machine.node = (machine.node + 1) % nodes;
+                machine.controller = (machine.controller + 1) % nodes;
                 machine.next_heartbeat = now + Millis(1_000);
             }
         }
     }
 
     /// Orders sent directly; whether they were executed.
-    pub fn direct(
+    pub fn execute_direct(
         &mut self,
         machine_id: &MachineId,
         worker_token: WorkerToken,
@@ -600,7 +604,7 @@
         commands: Vec<WorkerCommand>,
         now: Millis,
     ) -> bool {
-        let Some(machine) = self.machine_ids.get_mut(machine_id) else {
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
             return false;
         };
         let obeyed = worker_token >= machine.worker_token && agent_epoch.0 == machine.agent_epoch;
@@ -608,7 +612,7 @@
             machine.worker_token = machine.worker_token.max(worker_token);
             self.execute(machine_id, commands, now);
         }
-        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
+        if let Some(machine) = self.by_id.get_mut(machine_id) {
             machine.heartbeat_sequence += 1;
             machine.next_heartbeat = machine.next_heartbeat.min(now + Millis(500));
         }
@@ -631,13 +635,13 @@
         gb: f64,
         now: Millis,
     ) -> Millis {
-        let takes = match self.fetch.clone() {
+        let takes = match self.fetch_duration.clone() {
             Some(range) => self.rng.random_range(range) as f64,
             None => gb / self.machine_type.fetch_gb_per_s * self.rng.random_range(670.0..1_330.0),
         };
-        let machine = self.machine_ids.get_mut(machine_id);
+        let machine = self.by_id.get_mut(machine_id);
         let Some(machine) = machine else { return NEVER };
-        let there = machine.images.entry(image.clone());
+        let there = machine.image_ready_at.entry(image.clone());
         *there.or_insert(now + Millis(takes as u64))
     }
 
@@ -653,7 +657,7 @@
                     grace_s,
                 } => self.stop(machine_id, &task, attempt, grace_s, now),
                 WorkerCommand::Forget { task, attempt } => {
-                    let Some(machine) = self.machine_ids.get_mut(machine_id) else {
+                    let Some(machine) = self.by_id.get_mut(machine_id) else {
                         continue;
                     };
                     let over = |t: &Task| t.attempt == attempt && t.stage == TaskStage::Exited;
@@ -666,7 +670,7 @@
     }
 
     fn start(&mut self, machine_id: &MachineId, id: TaskId, attempt: Attempt, now: Millis) {
-        let Some(machine) = self.machine_ids.get(machine_id) else {
+        let Some(machine) = self.by_id.get(machine_id) else {
             return;
         };
         let known = machine.tasks.get(&id);
@@ -685,10 +689,10 @@
             attempt,
             stage: TaskStage::Fetching,
             cause: None,
-            kept: false,
-            until: now,
-            began: now,
-            told: None,
+            checkpointed: false,
+            stage_ends_at: now,
+            running_since: now,
+            stop_requested_at: None,
         };
         match job {
             None => task.exit(ExitCause::Unknown),
@@ -698,13 +702,13 @@
                     .plus(resources)
                     .fits_in(self.machine_type.resources)
                 {
-                    task.until = self.fetched_at(machine_id, &image, gb, now);
+                    task.stage_ends_at = self.fetched_at(machine_id, &image, gb, now);
                 } else {
                     task.exit(ExitCause::NoRoom);
                 }
             }
         }
-        if let Some(machine) = self.machine_ids.get_mut(machine_id) {
+        if let Some(machine) = self.by_id.get_mut(machine_id) {
             machine.tasks.insert(id, task);
             machine.next_heartbeat = machine.next_heartbeat.min(now + Millis(500));
         }
@@ -718,8 +722,7 @@
         grace_s: f64,
         now: Millis,
     ) {
-        let (Some(machine), Some(job)) =
-            (self.machine_ids.get_mut(machine_id), self.jobs.get(&id.job))
+        let (Some(machine), Some(job)) = (self.by_id.get_mut(machine_id), self.jobs.get(&id.job))
         else {
             return;
         };
@@ -735,12 +738,15 @@
         match task.stage {
             TaskStage::Running if saves => {
                 task.stage = TaskStage::Saving;
-                task.told = Some(now);
-                task.until = now + Millis::from_secs(spec.save_s);
+                task.stop_requested_at = Some(now);
+                task.stage_ends_at = now + Millis::from_secs(spec.save_s);
             }
             TaskStage::Saving if grace_s > 0.0 => {}
             TaskStage::Running | TaskStage::Saving => {
-                let ran = task.told.unwrap_or(now).since(task.began);
+                let ran = task
+                    .stop_requested_at
+                    .unwrap_or(now)
+                    .since(task.running_since);
                 let mark = Millis::from_secs(spec.checkpoint_s);
                 let marks = ran.0.checked_div(mark.0).unwrap_or(0) * mark.0;
                 if spec.kind == JobKind::Array {
@@ -748,7 +754,7 @@
                     *progress = *progress + Millis(marks);
                 }
                 if spec.kind != JobKind::Service {
-                    self.lost = self.lost + (ran - Millis(marks));
+                    self.lost_run_time = self.lost_run_time + (ran - Millis(marks));
                 }
                 task.exit(ExitCause::Stopped);
             }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -222,7 +222,7 @@
     /// Looks at all machines after a step in which these tasks came on theirs.
     pub fn check(&mut self, started: &[(MachineId, TaskId)], machines: &Machines, now: Millis) {
         self.starts += started.len() as u64;
-        let present: Vec<(&MachineId, &TaskId)> = machines.present(now).collect();
+        let present: Vec<(&MachineId, &TaskId)> = machines.tasks_started(now).collect();
         let spec = |id: &JobId| machines.jobs.get(id).map(|job| &job.spec);
         for (machine_id, task) in &present {
             let told = self.aborted.get(&task.job);
@@ -304,7 +304,7 @@
     of_its_job: &[(&MachineId, &TaskId)],
     machines: &Machines,
 ) -> Option<String> {
-    let machine = machines.machine_ids.get(machine_id)?;
+    let machine = machines.by_id.get(machine_id)?;
     if machine.spot && !spec.spot {
         return Some(format!("{task} on a spot machine"));
     }
@@ -313,7 +313,7 @@
     }
     let mut zones: BTreeMap<_, u32> = BTreeMap::new();
     for (machine_id, _) in of_its_job {
-        if let Some(machine) = machines.machine_ids.get(*machine_id) {
+        if let Some(machine) = machines.by_id.get(*machine_id) {
             *zones.entry(&machine.zone).or_default() += 1;
         }
     }
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -259,8 +259,8 @@
         let totals = {
             let region = &mut *self.shared.lock();
             let now = region.now();
-            second.running = region.machines.present(now).count();
-            second.machines = region.machines.sound(now).count();
+            second.running = region.machines.tasks_started(now).count();
+            second.machines = region.machines.healthy(now).count();
             second.longest_step_ms = std::mem::take(&mut region.longest_step_ms);
             Totals {
                 starts: region.rules.starts,
--- /dev/null
+++ b/crates/simulator/src/sim/effects.rs
@@ -0,0 +1,178 @@
+//! Carrying out of what a controller asks for: calls, messages, commands and responses.
+
+use jaspertiller::controller::{Effect, Event};
+use jaspertiller::fleet::{CloudCall, CloudResponse};
+use jaspertiller::jobs::api::Response;
+use jaspertiller::peers::Message;
+use jaspertiller::types::{ControllerId, MachineId, Millis, ReplyId};
+use jaspertiller::workers::wire::HeartbeatResponse;
+use rand::Rng;
+
+use super::World;
+use super::message::{DirectCommands, PendingReply, Reply, ScheduledMessage};
+use crate::config::Config;
+
+/// A controller gives up on direct commands after this many milliseconds.
+pub(super) const DIRECT_TIMEOUT: u64 = 3_000;
+/// Duration of a call to the cloud in milliseconds.
+const CLOUD_CALL_DURATION: u64 = 80;
+/// Duration of a probe of a worker in milliseconds.
+const INSPECTION_DURATION: u64 = 50;
+
+impl World {
+    /// Carries out one effect of a controller.
+    pub(super) fn carry_out(&mut self, controller: usize, effect: Effect) {
+        // Drawn for every effect, so that the kinds of effects do not change the draws after them.
+        let delay = 2 + self.rng.random_range(0..6) + self.slow_link_delay();
+        let now = Millis(self.now);
+        match effect {
+            Effect::Store { tag, class, call } => {
+                let writes = call.writes();
+                self.store_lanes[controller].push(class, writes, (tag, call), now);
+                self.send_store_calls(controller);
+            }
+            Effect::Allow { writes } => {
+                self.store_lanes[controller].allow(writes, now);
+                self.send_store_calls(controller);
+            }
+            Effect::Cloud { tag, call } => self.call_cloud(controller, tag, call),
+            Effect::Peer { to, message } => self.send_to_peer(controller, &to, &message, delay),
+            Effect::Direct {
+                machine_id,
+                worker_token,
+                agent_epoch,
+                commands,
+                ..
+            } => {
+                let direct = DirectCommands {
+                    sender: self.process(controller),
+                    machine_id,
+                    worker_token,
+                    agent_epoch,
+                    commands,
+                    sent_at: self.now,
+                    reply: Reply::Expected,
+                };
+                self.send_direct_commands(direct, delay);
+            }
+            Effect::Inspect { machine_id, .. } => self.inspect(controller, &machine_id),
+            Effect::Worker { reply, answer } => {
+                self.respond_to_worker(controller, reply, answer, delay);
+            }
+            Effect::User { reply, response } => self.respond_to_user(controller, reply, &response),
+            Effect::Ready { .. } => {}
+        }
+    }
+
+    /// Draws how much longer than usual a message is on its way, in milliseconds.
+    pub(super) fn slow_link_delay(&mut self) -> u64 {
+        let delay_ms = self.network.slow_links.clone();
+        delay_ms.map_or(0, |delay_ms| self.rng.random_range(delay_ms))
+    }
+
+    fn call_cloud(&mut self, controller: usize, tag: u64, call: CloudCall) {
+        let answer = if self.is_cloud_down() {
+            CloudResponse::Failed
+        } else {
+            let now = Millis(self.now);
+            self.cloud
+                .call(call, &mut self.machines, now, &mut self.rng)
+        };
+        let at = self.now + CLOUD_CALL_DURATION;
+        self.send_to(controller, at, Event::Cloud { tag, answer });
+    }
+
+    fn send_to_peer(&mut self, sender: usize, to: &ControllerId, message: &Message, delay: u64) {
+        let Some(target) = self.controller_index(to) else {
+            return;
+        };
+        if self.are_peers_cut(sender, target) || self.controllers[target].is_none() {
+            return;
+        }
+        let from = ControllerId::from(Config::label(sender));
+        // Through the wire format, so that a message carries just what a frame can.
+        let frame = bitcode::encode(message);
+        if let Ok(message) = bitcode::decode::<Message>(&frame) {
+            self.duplicate_to_peer(target, &from, &message);
+            let event = Event::Peer { from, message };
+            self.send_to(target, self.now + delay, event);
+        }
+    }
+
+    fn controller_index(&self, label: &ControllerId) -> Option<usize> {
+        (0..self.controllers.len()).find(|index| Config::label(*index) == label.as_str())
+    }
+
+    /// Schedules a duplicate of a message between controllers, if that fault is injected.
+    fn duplicate_to_peer(&mut self, target: usize, from: &ControllerId, message: &Message) {
+        let Some(copies) = self.network.peer_copies.clone() else {
+            return;
+        };
+        if self.rng.random_bool(copies.share) {
+            let at = self.now + self.rng.random_range(copies.delay_ms);
+            let (from, message) = (from.clone(), message.clone());
+            self.fault_counts.peer_copies += 1;
+            self.send_to(target, at, Event::Peer { from, message });
+        }
+    }
+
+    fn send_direct_commands(&mut self, mut direct: DirectCommands, delay: u64) {
+        let controller = direct.sender.controller;
+        if let Some(cut) = self.worker_cut(controller, &direct.machine_id) {
+            let machine_id = direct.machine_id.clone();
+            if cut.hold {
+                direct.reply = Reply::Abandoned;
+                self.post(cut.until + 1, ScheduledMessage::DirectCommands(direct));
+            }
+            return self.time_out_direct_commands(controller, machine_id);
+        }
+        let held = self.network.held_commands.clone();
+        let held = held.filter(|held| self.rng.random_bool(held.share));
+        let held_ms = held.map_or(0, |held| self.rng.random_range(held.delay_ms));
+        // The worker executes commands that their sender has given up on all the same.
+        if held_ms >= DIRECT_TIMEOUT {
+            direct.reply = Reply::Abandoned;
+            self.time_out_direct_commands(controller, direct.machine_id.clone());
+        }
+        let at = self.now + delay + held_ms;
+        self.post(at, ScheduledMessage::DirectCommands(direct));
+    }
+
+    fn time_out_direct_commands(&mut self, controller: usize, machine_id: MachineId) {
+        let answer = None;
+        let event = Event::Direct { machine_id, answer };
+        self.send_to(controller, self.now + DIRECT_TIMEOUT, event);
+    }
+
+    fn inspect(&mut self, controller: usize, machine_id: &MachineId) {
+        let answered = self.worker_cut(controller, machine_id).is_none()
+            && self.machines.reachable(machine_id, Millis(self.now));
+        let at = self.now + INSPECTION_DURATION;
+        self.send_to(controller, at, Event::Inspected { answered });
+    }
+
+    fn respond_to_worker(
+        &mut self,
+        controller: usize,
+        reply: ReplyId,
+        response: HeartbeatResponse,
+        delay: u64,
+    ) {
+        if let Some(PendingReply::Worker(heartbeat)) = self.pending_replies.remove(&reply)
+            && self.worker_cut(controller, &heartbeat.machine_id).is_none()
+        {
+            let message = ScheduledMessage::HeartbeatResponse {
+                heartbeat,
+                response,
+            };
+            self.post(self.now + delay, message);
+        }
+    }
+
+    fn respond_to_user(&mut self, controller: usize, reply: ReplyId, response: &Response) {
+        if let Some(PendingReply::User(id)) = self.pending_replies.remove(&reply) {
+            tracing::debug!(now = self.now, node = controller, job = %id, ?response, "told");
+            self.receive_response(id, response);
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/sim/message.rs
@@ -0,0 +1,102 @@
+//! Scheduled messages: everything that happens in the simulated cluster at a given virtual time.
+
+use jaspertiller::controller::Event;
+use jaspertiller::store::lanes::Waiting;
+use jaspertiller::store::{StoreCall, Transaction};
+use jaspertiller::types::{AgentEpoch, JobId, MachineId, WorkerToken};
+use jaspertiller::workers::wire::{HeartbeatResponse, WorkerCommand};
+
+use crate::machines::OutgoingHeartbeat;
+
+/// A store call in a controller's priority lanes, with the tag under which the controller expects the response.
+pub(super) type QueuedStoreCall = Waiting<(u64, StoreCall)>;
+
+/// One process of a controller. A restarted controller has a new epoch, so that messages for the process
+/// before it are dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ProcessId {
+    /// Index of the controller.
+    pub controller: usize,
+    /// How many times the controller has been started.
+    pub epoch: u64,
+}
+
+/// Whether the sender of a request still waits for the response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Reply {
+    /// The sender waits, so that a response is delivered.
+    Expected,
+    /// The sender timed out or the response is lost; the request takes effect all the same.
+    Abandoned,
+}
+
+impl Reply {
+    /// Whether a response is to be delivered.
+    pub fn is_expected(self) -> bool {
+        self == Self::Expected
+    }
+}
+
+/// Commands that a controller sends to a worker outside of heartbeat responses.
+pub(super) struct DirectCommands {
+    pub sender: ProcessId,
+    pub machine_id: MachineId,
+    pub worker_token: WorkerToken,
+    pub agent_epoch: AgentEpoch,
+    pub commands: Vec<WorkerCommand>,
+    /// Virtual time in milliseconds at which the controller sent them.
+    pub sent_at: u64,
+    pub reply: Reply,
+}
+
+/// What happens at a scheduled time.
+pub(super) enum ScheduledMessage {
+    /// Time passes for machines, leases and watches.
+    Step,
+    /// A controller's periodic tick.
+    Tick(ProcessId),
+    /// An event for a controller, dropped if that process has ended.
+    ControllerEvent {
+        process: ProcessId,
+        event: Box<Event>,
+    },
+    /// A call arrives at the store.
+    StoreCall {
+        sender: ProcessId,
+        call: QueuedStoreCall,
+        reply: Reply,
+    },
+    /// A transaction arrives long after its sender gave up on it.
+    LateWrite(Transaction),
+    /// A controller's call budget may allow another store call.
+    BudgetCheck(ProcessId),
+    /// Commands arrive at a worker.
+    DirectCommands(DirectCommands),
+    /// A heartbeat arrives at a controller.
+    Heartbeat(OutgoingHeartbeat),
+    /// A duplicate of a heartbeat arrives at a controller; nothing waits for the response.
+    DuplicateHeartbeat(OutgoingHeartbeat),
+    /// A controller's response arrives at the worker that sent the heartbeat.
+    HeartbeatResponse {
+        heartbeat: OutgoingHeartbeat,
+        response: HeartbeatResponse,
+    },
+    /// A user submits the job with this index in `World::jobs`.
+    Submit { job_index: usize },
+    /// A user asks for the state of a job.
+    Poll(JobId),
+    /// A user cancels a job.
+    Abort(JobId),
+    /// A controller's process ends.
+    Stop { controller: usize },
+    /// A controller's process starts.
+    Start { controller: usize },
+}
+
+/// Who waits for the response to an event that a controller handles.
+pub(super) enum PendingReply {
+    /// The worker that sent this heartbeat.
+    Worker(OutgoingHeartbeat),
+    /// The user of this job.
+    User(JobId),
+}
--- /dev/null
+++ b/crates/simulator/src/sim/queries.rs
@@ -0,0 +1,55 @@
+//! What tests and reports ask of a simulated cluster.
+
+use std::collections::HashSet;
+
+use jaspertiller::jobs::JobKind;
+use jaspertiller::types::{JobId, Millis};
+
+use super::{JobPlan, World};
+
+impl World {
+    /// Differences between the controllers' indices of free resources and a recount, by controller.
+    pub fn index_drift(&mut self) -> Vec<String> {
+        let controllers = self.controllers.iter_mut().enumerate();
+        let drift = controllers.filter_map(|(index, controller)| {
+            let drift = controller.as_mut()?.recount_pool();
+            (!drift.is_empty()).then(|| format!("n{index}: {drift:?}"))
+        });
+        drift.collect()
+    }
+
+    /// Jobs that users submitted and that are neither over, nor running, nor waiting for a reason that a
+    /// controller can name.
+    pub fn unaccounted_jobs(&self) -> Vec<String> {
+        let present: HashSet<&JobId> = self
+            .machines
+            .tasks_allocated(Millis(self.now))
+            .map(|task| &task.job)
+            .collect();
+        let ids = self.jobs.iter().map(JobPlan::id);
+        let open = ids.filter(|id| !self.is_over(id) && !present.contains(id));
+        let unaccounted = open.filter_map(|id| {
+            if !self.rules.accepted.contains(&id) {
+                return Some(format!("{id} was never accepted"));
+            }
+            let mut controllers = self.controllers.iter().flatten();
+            let has_reason = controllers.any(|controller| controller.waits_for(&id).is_some());
+            (!has_reason).then(|| format!("{id} waits for nothing"))
+        });
+        unaccounted.collect()
+    }
+
+    /// Jobs that were submitted and are neither done, cancelled nor services, sorted.
+    pub fn unfinished_jobs(&self) -> Vec<JobId> {
+        let is_service = |id: &JobId| {
+            let job = self.machines.jobs.get(id);
+            job.is_some_and(|job| job.spec.kind == JobKind::Service)
+        };
+        let ids = self.jobs.iter().map(JobPlan::id);
+        let mut unfinished: Vec<JobId> = ids
+            .filter(|id| !is_service(id) && !self.is_over(id))
+            .collect();
+        unfinished.sort();
+        unfinished
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/sim/workers.rs
@@ -0,0 +1,160 @@
+//! Traffic between workers and controllers, and the periodic step in which time passes for machines.
+
+use jaspertiller::controller::{CommandReply, Event};
+use jaspertiller::types::{Millis, ReplyId};
+use rand::Rng;
+
+use super::World;
+use super::effects::DIRECT_TIMEOUT;
+use super::faults::Blocked;
+use super::message::{DirectCommands, PendingReply, ScheduledMessage};
+use crate::machines::OutgoingHeartbeat;
+use crate::waits;
+
+/// Interval in milliseconds of the steps in which time passes for machines and leases.
+const STEP_INTERVAL: u64 = 50;
+/// Interval in milliseconds at which waiting jobs are compared with the free resources.
+const WAITING_CHECK_INTERVAL: u64 = 1_000;
+/// Duration of a message from a worker in milliseconds.
+const WORKER_MESSAGE_DELAY: u64 = 3;
+/// The response to direct commands is delayed by less than this many milliseconds, if that fault is injected.
+const MAX_RESPONSE_DELAY: u64 = 2_500;
+
+impl World {
+    /// Lets time pass for leases and machines, checks the protocol's rules, and sends heartbeats.
+    pub(super) fn step(&mut self) {
+        let now = Millis(self.now);
+        self.store.pass(now, self.is_store_down());
+        let completed = self.machines.completed.len();
+        let (started, heartbeats) = self.machines.step(now);
+        self.rules.check(&started, &self.machines, now);
+        if self.machines.completed.len() > completed {
+            self.race_completions();
+        }
+        if now >= self.rules.calm && now.0 % WAITING_CHECK_INTERVAL < STEP_INTERVAL {
+            let waiting = waits::could_run(&self.machines, &self.rules, now);
+            self.rules.note_waiting(waiting, now);
+        }
+        for heartbeat in heartbeats {
+            self.send_heartbeat(heartbeat);
+        }
+        self.post(self.now + STEP_INTERVAL, ScheduledMessage::Step);
+    }
+
+    /// Sends a heartbeat, its duplicate, or both.
+    fn send_heartbeat(&mut self, heartbeat: OutgoingHeartbeat) {
+        if let Some(copies) = self.network.heartbeat_copies.clone()
+            && self.rng.random_bool(copies.share)
+        {
+            let at = self.now + self.rng.random_range(copies.delay_ms);
+            let duplicate = ScheduledMessage::DuplicateHeartbeat(heartbeat.clone());
+            self.post(at, duplicate);
+            if self.rng.random_bool(copies.replace_share) {
+                return;
+            }
+        }
+        let at = self.now + WORKER_MESSAGE_DELAY + self.slow_link_delay();
+        self.post(at, ScheduledMessage::Heartbeat(heartbeat));
+    }
+
+    /// Hands a heartbeat that arrives to its controller, unless a fault intercepts, delays or loses it.
+    pub(super) fn receive_heartbeat(&mut self, outgoing: OutgoingHeartbeat) {
+        let machine_id = &outgoing.machine_id;
+        if self.network.intercepted_machines.contains(machine_id) {
+            return self.network.intercepted_heartbeats.push(outgoing);
+        }
+        let controller = outgoing.controller;
+        let cut = self.worker_cut(controller, machine_id);
+        if let Some(Blocked { until, hold: true }) = cut {
+            return self.post(until + 1, ScheduledMessage::Heartbeat(outgoing));
+        }
+        let now = Millis(self.now);
+        let machine = self.machines.by_id.get(machine_id);
+        let is_lost = machine.is_some_and(|machine| machine.heartbeats_lost_until > now);
+        if self.controllers[controller].is_none()
+            || cut.is_some()
+            || is_lost
+            || !self.machines.can_send(machine_id, now)
+        {
+            return;
+        }
+        let heartbeat = outgoing.heartbeat.clone();
+        let reply = self.expect_reply(PendingReply::Worker(outgoing));
+        self.handle(controller, Event::Heartbeat { reply, heartbeat });
+    }
+
+    /// Hands a duplicate heartbeat to its controller. Nothing waits for the response, and the machine may have
+    /// been deleted.
+    pub(super) fn receive_duplicate_heartbeat(&mut self, outgoing: OutgoingHeartbeat) {
+        let (controller, heartbeat) = (outgoing.controller, outgoing.heartbeat);
+        let machine = self.machines.by_id.get(&outgoing.machine_id);
+        let is_old = machine.is_some_and(|m| m.agent_epoch > heartbeat.agent_epoch.0);
+        self.fault_counts.copies_of_old_agent_epochs += u64::from(is_old);
+        if self.worker_cut(controller, &outgoing.machine_id).is_none() {
+            self.last_id += 1;
+            let reply = ReplyId(self.last_id);
+            self.handle(controller, Event::Heartbeat { reply, heartbeat });
+        }
+    }
+
+    /// Lets a worker execute direct commands that arrive.
+    pub(super) fn receive_direct_commands(&mut self, direct: DirectCommands) {
+        let machine = self.machines.by_id.get(&direct.machine_id);
+        // A machine that rebooted meanwhile has lost the connection they were sent on.
+        if machine.is_some_and(|machine| machine.rebooted_at.0 > direct.sent_at) {
+            if direct.reply.is_expected() {
+                let (machine_id, answer) = (direct.machine_id, None);
+                let event = Event::Direct { machine_id, answer };
+                self.send_to(direct.sender.controller, self.now + 1, event);
+            }
+            return;
+        }
+        let now = Millis(self.now);
+        let controller = direct.sender.controller;
+        let is_reachable = self.machines.reachable(&direct.machine_id, now)
+            && self
+                .machines
+                .is_reachable_from(&direct.machine_id, controller, now);
+        if is_reachable {
+            self.execute_direct_commands(direct);
+        } else if direct.reply.is_expected() {
+            let (machine_id, answer) = (direct.machine_id, None);
+            let message = ScheduledMessage::ControllerEvent {
+                process: direct.sender,
+                event: Box::new(Event::Direct { machine_id, answer }),
+            };
+            self.post(self.now + DIRECT_TIMEOUT, message);
+        }
+    }
+
+    fn execute_direct_commands(&mut self, direct: DirectCommands) {
+        let DirectCommands {
+            sender: process,
+            machine_id,
+            worker_token,
+            agent_epoch,
+            commands,
+            reply,
+            ..
+        } = direct;
+        let now = Millis(self.now);
+        let has_commands = !commands.is_empty();
+        let is_executed =
+            self.machines
+                .execute_direct(&machine_id, worker_token, agent_epoch, commands, now);
+        let is_late = is_executed && has_commands && !reply.is_expected();
+        self.fault_counts.late_commands_executed += u64::from(is_late);
+        if !reply.is_expected() {
+            return;
+        }
+        let heartbeat = self.machines.heartbeat(&machine_id);
+        let answer = Some(CommandReply { heartbeat });
+        // A delayed response may arrive after newer heartbeats.
+        let held = self.network.held_commands.clone();
+        let held = held.filter(|held| self.rng.random_bool(held.share));
+        let held_ms = held.map_or(0, |_| self.rng.random_range(0..MAX_RESPONSE_DELAY));
+        let event = Box::new(Event::Direct { machine_id, answer });
+        let at = self.now + WORKER_MESSAGE_DELAY + held_ms;
+        self.post(at, ScheduledMessage::ControllerEvent { process, event });
+    }
+}
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -181,7 +181,7 @@
     world.meter = Some(Meter::new(size.controllers));
     world.run_until(size.seconds * 1_000);
     let meter = world.meter.take().unwrap_or_default();
-    let roles = world.nodes.iter().zip(meter.nodes);
+    let roles = world.controllers.iter().zip(meter.nodes);
     let roles = roles.filter_map(|(node, meter)| {
         let node = node.as_ref()?;
         Some(Role {
@@ -194,12 +194,12 @@
     });
     let roles = roles.collect();
     let now = Millis(world.now);
-    let tasks: Vec<&TaskId> = world.machines.holding(now).collect();
+    let tasks: Vec<&TaskId> = world.machines.tasks_allocated(now).collect();
     Played {
         size,
         starts: world.rules.starts,
         written: world.store.written,
-        machines: world.machines.sound(now).count(),
+        machines: world.machines.healthy(now).count(),
         tasks: tasks.len(),
         roles,
         broken: world.rules.violations.iter().cloned().collect(),
--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -19,9 +19,9 @@
 /// Jobs of which a task waits, a gang's tasks together, though machines that fit have room and the
 /// team's limit leaves it.
 pub fn could_run(machines: &Machines, rules: &Rules, now: Millis) -> Vec<JobId> {
-    let on: HashSet<&TaskId> = machines.holding(now).collect();
+    let on: HashSet<&TaskId> = machines.tasks_allocated(now).collect();
     let available: Vec<Free> = machines
-        .sound(now)
+        .healthy(now)
         .map(|(machine, resources)| Free {
             zone: &machine.zone,
             spot: machine.spot,
@@ -79,12 +79,10 @@
 ) -> bool {
     let mut placed: BTreeMap<&Zone, u32> = BTreeMap::new();
     for (machine_id, _) in machines
-        .on_machines(now)
+        .allocations(now)
         .filter(|(_, task)| task.job == *id)
     {
-        *placed
-            .entry(&machines.machine_ids[machine_id].zone)
-            .or_default() += 1;
+        *placed.entry(&machines.by_id[machine_id].zone).or_default() += 1;
     }
     let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
     for machine in available {
--- a/crates/simulator/tests/admission.rs
+++ b/crates/simulator/tests/admission.rs
@@ -7,7 +7,7 @@
 use cluster_simulator::sim::{Cut, JobPlan, World, ZoneCut, job};
 use jaspertiller::types::Zone;
 
-const NODES: usize = 5;
+const CONTROLLERS: usize = 5;
 /// Users come until then, and what came is to be served by `END_S`.
 const ARRIVALS_S: u64 = 60;
 const END_S: u64 = 150;
@@ -65,7 +65,7 @@
 
 fn config() -> Config {
     let mut config = Config {
-        controllers: NODES,
+        controllers: CONTROLLERS,
         classes: ["top", "batch", "train"].map(String::from).into(),
         teams: vec![
             team("guests", 0.0, 0.0),
@@ -115,17 +115,17 @@
     }),
     ("all are back within a moment, twice", |w| {
         for at in [22_000, 47_000] {
-            (0..NODES).for_each(|n| w.crash(n, at + 7 * n as u64, 300));
+            (0..CONTROLLERS).for_each(|n| w.crash(n, at + 7 * n as u64, 300));
         }
     }),
     ("the state service is away", |w| {
-        w.outages.push((25_000, 37_000))
+        w.store_faults.outages.push((25_000, 37_000))
     }),
     ("one after the other is refused by the state service", |w| {
-        for node in 0..2 {
-            let since = 15_000 + 22_000 * node as u64;
-            w.cuts.push(Cut {
-                node,
+        for controller in 0..2 {
+            let since = 15_000 + 22_000 * controller as u64;
+            w.network.cuts.push(Cut {
+                controller,
                 from_store: true,
                 from_workers: false,
                 from_peers: false,
@@ -136,9 +136,9 @@
         }
     }),
     ("peers do not hear each other", |w| {
-        for node in 0..NODES {
-            w.cuts.push(Cut {
-                node,
+        for controller in 0..CONTROLLERS {
+            w.network.cuts.push(Cut {
+                controller,
                 from_store: false,
                 from_workers: false,
                 from_peers: true,
@@ -149,7 +149,7 @@
         }
     }),
     ("a zone is cut off", |w| {
-        w.zone_cuts.push(ZoneCut {
+        w.network.zone_cuts.push(ZoneCut {
             zone: Zone::from("b"),
             since: 20_000,
             until: 45_000,
@@ -157,7 +157,7 @@
         });
     }),
     ("answers are lost and transactions come late", |w| {
-        w.lost_answers = 0.05;
+        w.store_faults.lost_response_share = 0.05;
     }),
 ];
 
@@ -199,7 +199,8 @@
                 let share = f64::from(done) / f64::from(came);
                 assert!(share >= least, "{name}: {who} had {done} of {came}");
             }
-            let refused = world.over_limit as f64 / world.store.written as f64;
+            let refused =
+                world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
             // What a cut held back comes all at once.
             let most = if *fault == "nothing fails" {
                 0.005
@@ -222,8 +223,8 @@
     world.run_until(END_S * 1_000);
     let broken = &world.rules.violations;
     assert!(broken.is_empty(), "{broken:?}");
-    let refused = world.over_limit as f64 / world.store.written as f64;
+    let refused = world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
     assert!(refused < 0.1, "{refused} refused");
-    let left = world.unfinished().len();
+    let left = world.unfinished_jobs().len();
     assert!(left == 0, "{left} of {}", world.jobs.len());
 }
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -5,13 +5,13 @@
 use cluster_simulator::sim::{Cut, JobPlan, World, ZoneCut, job};
 use jaspertiller::types::Millis;
 
-const NODES: usize = 5;
+const CONTROLLERS: usize = 5;
 /// Fewer machines than this tell nothing of their zone, whatever is on them.
-const FEW: usize = 5;
+const MIN_ZONE_MACHINES: usize = 5;
 
 /// Which guard of the region is taken out, to see that its checks can fail.
 #[derive(Clone, Copy, Default)]
-struct Broken {
+struct DisabledSafeguards {
     /// The state service ignores conditions.
     conditions: bool,
     /// Workers keep their tasks when their lease is over.
@@ -36,20 +36,20 @@
 
 fn world(seed: u64) -> World {
     let config = Config {
-        controllers: NODES,
+        controllers: CONTROLLERS,
         ..Config::default()
     };
     World::new(config, seed, mixed_jobs())
 }
 
-struct Day {
+struct Scenario {
     name: &'static str,
     /// What goes wrong.
     plan: fn(&mut World),
 }
 
 fn cut(
-    node: usize,
+    controller: usize,
     store: bool,
     workers: bool,
     peers: bool,
@@ -58,7 +58,7 @@
     hold: bool,
 ) -> Cut {
     Cut {
-        node,
+        controller,
         from_store: store,
         from_workers: workers,
         from_peers: peers,
@@ -77,170 +77,180 @@
     }
 }
 
-const DAYS: &[Day] = &[
-    Day {
+const SCENARIOS: &[Scenario] = &[
+    Scenario {
         name: "quiet",
         plan: |_| {},
     },
-    Day {
+    Scenario {
         name: "one controller after the other crashes",
-        plan: |w| (0..NODES).for_each(|n| w.crash(n, 15_000 + 9_000 * n as u64, 3_000)),
+        plan: |w| (0..CONTROLLERS).for_each(|n| w.crash(n, 15_000 + 9_000 * n as u64, 3_000)),
     },
-    Day {
+    Scenario {
         name: "all controllers crash in a state outage",
         plan: |w| {
-            w.outages.push((18_000, 40_000));
-            (0..NODES).for_each(|n| w.crash(n, 25_000, 4_000));
+            w.store_faults.outages.push((18_000, 40_000));
+            (0..CONTROLLERS).for_each(|n| w.crash(n, 25_000, 4_000));
         },
     },
-    Day {
+    Scenario {
         name: "answers of the state service are lost, transactions come late",
-        plan: |w| w.lost_answers = 0.15,
+        plan: |w| w.store_faults.lost_response_share = 0.15,
     },
-    Day {
+    Scenario {
         name: "a holder is cut from the state service only",
-        plan: |w| w.cuts.push(cut(0, true, false, false, 14, 40, true)),
+        plan: |w| {
+            w.network
+                .cuts
+                .push(cut(0, true, false, false, 14, 40, true))
+        },
     },
-    Day {
+    Scenario {
         name: "a holder is cut from state service and peers, and holds its commands back",
-        plan: |w| w.cuts.push(cut(1, true, false, true, 14, 45, true)),
+        plan: |w| w.network.cuts.push(cut(1, true, false, true, 14, 45, true)),
     },
-    Day {
+    Scenario {
         name: "a holder is cut from workers, its commands come late",
-        plan: |w| w.cuts.push(cut(2, false, true, false, 14, 40, true)),
+        plan: |w| {
+            w.network
+                .cuts
+                .push(cut(2, false, true, false, 14, 40, true))
+        },
     },
-    Day {
+    Scenario {
         name: "a holder loses all, then another crashes",
         plan: |w| {
-            w.cuts.push(cut(0, true, true, true, 12, 30, true));
+            w.network.cuts.push(cut(0, true, true, true, 12, 30, true));
             w.crash(1, 20_000, 5_000);
         },
     },
-    Day {
+    Scenario {
         name: "the cloud is down while a machine is sick and another dies",
         plan: |w| {
             w.run_until(15_000);
-            w.cloud_down.push((15_000, 45_000));
-            w.make_quarantined(0);
+            w.network.cloud_outages.push((15_000, 45_000));
+            w.break_worker(0);
             w.kill_worker(1);
         },
     },
-    Day {
+    Scenario {
         name: "one controller after the other, leader or not, loses all for a while",
         plan: |w| {
-            for node in 0..NODES {
-                w.cuts.push(cut(
-                    node,
+            for controller in 0..CONTROLLERS {
+                w.network.cuts.push(cut(
+                    controller,
                     true,
                     true,
                     true,
-                    14 + 40 * node as u64,
+                    14 + 40 * controller as u64,
                     22,
                     false,
                 ));
             }
         },
     },
-    Day {
+    Scenario {
         name: "machines lose the network while the cloud is down",
         plan: |w| {
-            w.cloud_down.push((16_000, 50_000));
+            w.network.cloud_outages.push((16_000, 50_000));
             w.cut_workers(&[0, 1, 2], 16_000, 50_000);
         },
     },
-    Day {
+    Scenario {
         name: "fetches take longer than a gang's tasks wait for each other",
-        plan: |w| w.machines.fetch = Some(2_000..25_000),
+        plan: |w| w.machines.fetch_duration = Some(2_000..25_000),
     },
-    Day {
+    Scenario {
         name: "slow fetches, lost answers, all controllers crash one after the other",
         plan: |w| {
-            w.machines.fetch = Some(2_000..25_000);
-            w.lost_answers = 0.05;
-            (0..NODES).for_each(|n| w.crash(n, 20_000 + 11_000 * n as u64, 5_000));
+            w.machines.fetch_duration = Some(2_000..25_000);
+            w.store_faults.lost_response_share = 0.05;
+            (0..CONTROLLERS).for_each(|n| w.crash(n, 20_000 + 11_000 * n as u64, 5_000));
         },
     },
-    Day {
+    Scenario {
         name: "a zone is cut off for 20 s",
-        plan: |w| w.zone_cuts.push(zone_cut("b", 18, 20, true)),
+        plan: |w| w.network.zone_cuts.push(zone_cut("b", 18, 20, true)),
     },
-    Day {
+    Scenario {
         name: "a zone is cut off for 50 s, its controllers crash meanwhile",
         plan: |w| {
-            w.zone_cuts.push(zone_cut("b", 20, 50, true));
+            w.network.zone_cuts.push(zone_cut("b", 20, 50, true));
             w.crash(1, 31_000, 3_000);
             w.crash(3, 31_500, 5_000);
         },
     },
-    Day {
+    Scenario {
         name: "a zone is cut off for 120 s, its controllers crash early and late",
         plan: |w| {
-            w.zone_cuts.push(zone_cut("b", 21, 120, false));
+            w.network.zone_cuts.push(zone_cut("b", 21, 120, false));
             w.crash(1, 23_000, 3_000);
             w.crash(3, 60_000, 8_000);
         },
     },
-    Day {
+    Scenario {
         name: "a zone is cut off time and again, with lost answers",
         plan: |w| {
-            w.lost_answers = 0.05;
+            w.store_faults.lost_response_share = 0.05;
             for round in 0..6 {
-                w.zone_cuts.push(zone_cut("a", 15 + 20 * round, 10, true));
+                w.network
+                    .zone_cuts
+                    .push(zone_cut("a", 15 + 20 * round, 10, true));
             }
         },
     },
-    Day {
+    Scenario {
         name: "a zone loses its power, its controllers with it",
         plan: |w| {
             w.crash(1, 20_000, 70_000);
             w.crash(3, 20_000, 70_000);
             w.run_until(20_000);
-            w.lose_power("b");
+            w.power_off_zone("b");
         },
     },
-    Day {
+    Scenario {
         name: "half a zone is cut off, then the other half",
         plan: |w| {
             w.cut_workers(&[0, 2, 4, 6], 18_000, 58_000);
             w.cut_workers(&[1, 3, 5, 7], 45_000, 80_000);
         },
     },
-    Day {
+    Scenario {
         name: "a silent zone is given up while its cut ends",
         plan: |w| {
-            w.operate(|operator| operator.hold = Millis(1_000));
-            w.zone_cuts.push(zone_cut("b", 18, 34, true));
-            w.zone_cuts.push(zone_cut("a", 70, 33, true));
+            w.change_operator_settings(|operator| operator.hold = Millis(1_000));
+            w.network.zone_cuts.push(zone_cut("b", 18, 34, true));
+            w.network.zone_cuts.push(zone_cut("a", 70, 33, true));
         },
     },
-    Day {
+    Scenario {
         name: "one zone is cut off after the other, in an outage too",
         plan: |w| {
-            w.zone_cuts.push(zone_cut("a", 18, 35, true));
-            w.zone_cuts.push(zone_cut("b", 50, 40, true));
-            w.outages.push((60_000, 75_000));
+            w.network.zone_cuts.push(zone_cut("a", 18, 35, true));
+            w.network.zone_cuts.push(zone_cut("b", 50, 40, true));
+            w.store_faults.outages.push((60_000, 75_000));
             w.crash(2, 25_000, 4_000);
             w.crash(3, 64_000, 4_000);
         },
     },
-    Day {
+    Scenario {
         name: "lost answers, a crash and a cut at once",
         plan: |w| {
-            w.lost_answers = 0.08;
+            w.store_faults.lost_response_share = 0.08;
             w.crash(2, 16_000, 6_000);
-            w.cuts.push(cut(0, false, true, true, 18, 25, true));
+            w.network.cuts.push(cut(0, false, true, true, 18, 25, true));
         },
     },
 ];
 
-fn play(seed: u64, day: &Day, broken: Broken) -> World {
+fn play(seed: u64, scenario: &Scenario, broken: DisabledSafeguards) -> World {
     let mut world = world(seed);
     world.store.ignore_conditions = broken.conditions;
-    world.machines.keep_past_lease = broken.leases;
+    world.machines.ignore_lease_expiry = broken.leases;
     for (index, at) in [(2, 22_000), (3, 17_000), (9, 33_000), (0, 26_000)] {
         world.abort_at(at + (seed % 7) * 500, index);
     }
-    (day.plan)(&mut world);
+    (scenario.plan)(&mut world);
     // The last trouble of any day is over by then.
     world.rules.calm = Millis(200_000);
     world.run_until(300_000);
@@ -249,24 +259,24 @@
 
 #[test]
 fn no_rule_breaks_and_all_work_ends_whatever_fails() {
-    for day in DAYS {
+    for scenario in SCENARIOS {
         for seed in 1..=3 {
-            let world = play(seed, day, Broken::default());
-            let name = format!("{} (seed {seed})", day.name);
+            let world = play(seed, scenario, DisabledSafeguards::default());
+            let name = format!("{} (seed {seed})", scenario.name);
             assert!(
                 world.rules.violations.is_empty(),
                 "{name}: {:?}",
                 world.rules.violations
             );
             assert!(
-                world.unfinished().is_empty(),
+                world.unfinished_jobs().is_empty(),
                 "{name}: {:?}",
-                world.unfinished()
+                world.unfinished_jobs()
             );
             assert!(
-                world.unaccounted().is_empty(),
+                world.unaccounted_jobs().is_empty(),
                 "{name}: {:?}",
-                world.unaccounted()
+                world.unaccounted_jobs()
             );
             let unheard = world.rules.unheard();
             assert!(unheard.is_empty(), "{name}: {unheard:?}");
@@ -282,13 +292,17 @@
 /// A leader that was cut off thinks its machines dead; what it thinks must not reach the cloud.
 #[test]
 fn machines_at_work_are_not_deleted_for_a_controller_that_was_cut_off() {
-    let days = DAYS
+    let scenarios = SCENARIOS
         .iter()
-        .filter(|day| day.name.starts_with("one controller") || day.name == "quiet");
-    for day in days {
+        .filter(|scenario| scenario.name.starts_with("one controller") || scenario.name == "quiet");
+    for scenario in scenarios {
         for seed in 1..=6 {
-            let world = play(seed, day, Broken::default());
-            assert_eq!(world.cloud.deleted_at_work, 0, "{} (seed {seed})", day.name);
+            let world = play(seed, scenario, DisabledSafeguards::default());
+            assert_eq!(
+                world.cloud.deleted_at_work, 0,
+                "{} (seed {seed})",
+                scenario.name
+            );
         }
     }
 }
@@ -310,23 +324,23 @@
         let mut seen = 0;
         for seed in 1..=41 {
             let mut config = Config {
-                controllers: NODES,
+                controllers: CONTROLLERS,
                 ..Config::default()
             };
             // A worker that looks for another controller spends 5 s on each that it can't reach.
             config.timing.lease = Millis(26_000);
             config.timing.cancel = Millis(46_000);
             let mut world = World::new(config, seed, mixed_jobs());
-            world.zone_cuts.push(zone_cut("b", 20, 60, true));
-            for (node, at) in *crashes {
-                world.crash(*node, *at, 3_000);
+            world.network.zone_cuts.push(zone_cut("b", 20, 60, true));
+            for (controller, at) in *crashes {
+                world.crash(*controller, *at, 3_000);
             }
             world.run_until(20_000);
-            let machine_ids = world.machines.machine_ids.iter();
-            let up = machine_ids.filter(|(_, m)| m.dead.is_none() && m.zone.as_str() == "b");
+            let machines = world.machines.by_id.iter();
+            let up = machines.filter(|(_, m)| m.stopped_at.is_none() && m.zone.as_str() == "b");
             let inside: Vec<_> = up.collect();
             // Of a zone with very few machines nobody can tell whether it is cut off.
-            if inside.len() < FEW {
+            if inside.len() < MIN_ZONE_MACHINES {
                 continue;
             }
             // One whose tasks have all ended may be known to be idle, and is not held.
@@ -339,12 +353,12 @@
             seen += usize::from(!inside.is_empty());
             world.run_until(79_000);
             for (machine_id, agent_epoch) in inside {
-                let machine = &world.machines.machine_ids[&machine_id];
-                let kept = machine.dead.is_none() && machine.agent_epoch == agent_epoch;
+                let machine = &world.machines.by_id[&machine_id];
+                let kept = machine.stopped_at.is_none() && machine.agent_epoch == agent_epoch;
                 assert!(
                     kept,
                     "{name} (seed {seed}): {machine_id} {agent_epoch} {} {:?}",
-                    machine.agent_epoch, machine.dead
+                    machine.agent_epoch, machine.stopped_at
                 );
             }
         }
@@ -357,7 +371,7 @@
 fn a_zone_that_is_cut_off_for_a_minute_keeps_its_machines() {
     for seed in 1..=4 {
         let mut world = world(seed);
-        world.zone_cuts.push(zone_cut("b", 20, 60, true));
+        world.network.zone_cuts.push(zone_cut("b", 20, 60, true));
         world.run_until(79_900);
         assert_eq!(world.cloud.deleted_at_work, 0, "seed {seed}");
         // The services hold room that others of their team wait for.
@@ -365,7 +379,7 @@
             world.abort_at(90_000, index);
         }
         world.run_until(240_000);
-        assert!(world.unfinished().is_empty(), "seed {seed}");
+        assert!(world.unfinished_jobs().is_empty(), "seed {seed}");
     }
 }
 
@@ -375,24 +389,24 @@
     let guards = [
         (
             "conditions",
-            Broken {
+            DisabledSafeguards {
                 conditions: true,
-                ..Broken::default()
+                ..DisabledSafeguards::default()
             },
         ),
         (
             "leases",
-            Broken {
+            DisabledSafeguards {
                 leases: true,
-                ..Broken::default()
+                ..DisabledSafeguards::default()
             },
         ),
     ];
     for (name, broken) in guards {
-        let found = DAYS
+        let found = SCENARIOS
             .iter()
-            .flat_map(|day| (1..=8).map(move |seed| (day, seed)))
-            .any(|(day, seed)| !play(seed, day, broken).rules.violations.is_empty());
+            .flat_map(|scenario| (1..=8).map(move |seed| (scenario, seed)))
+            .any(|(scenario, seed)| !play(seed, scenario, broken).rules.violations.is_empty());
         assert!(found, "nothing broke without {name}");
     }
 }
@@ -400,7 +414,7 @@
 #[test]
 fn the_same_seed_gives_the_same_day() {
     let shown = |_| {
-        let world = play(5, &DAYS[3], Broken::default());
+        let world = play(5, &SCENARIOS[3], DisabledSafeguards::default());
         let mut done: Vec<_> = world.rules.done.iter().cloned().collect();
         done.sort();
         (world.rules.starts, done)
@@ -412,8 +426,8 @@
 #[test]
 fn jobs_are_taken_after_a_restart_without_the_cloud() {
     let mut world = world(1);
-    world.cloud_down.push((8_000, 200_000));
-    (0..NODES).for_each(|n| world.crash(n, 9_000, 2_000));
+    world.network.cloud_outages.push((8_000, 200_000));
+    (0..CONTROLLERS).for_each(|n| world.crash(n, 9_000, 2_000));
     world.run_until(60_000);
     assert_eq!(world.rules.accepted.len(), world.jobs.len());
     assert!(
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -5,15 +5,15 @@
 use cluster_simulator::sim::{JobPlan, World, ZoneCut, job};
 use jaspertiller::types::{JobId, MachineId, Millis, TaskId};
 
-use super::super::alone;
+use super::super::cut_except_workers;
 use super::holders::holds;
-use super::{AT, Meeting, at_work, leader, told};
+use super::{FAULT_START, Scenario, at_work, leader, told};
 
 /// Machines that are up now and have tasks.
 fn busy(world: &World) -> Vec<MachineId> {
     let machine_ids: HashSet<&MachineId> = world
         .machines
-        .present(Millis(world.now))
+        .tasks_started(Millis(world.now))
         .map(|(machine_id, _)| machine_id)
         .collect();
     let mut machine_ids: Vec<MachineId> = machine_ids.into_iter().cloned().collect();
@@ -22,7 +22,7 @@
 }
 
 fn jobs_on(world: &World, machine_ids: &[MachineId]) -> HashSet<JobId> {
-    let present = world.machines.present(Millis(world.now));
+    let present = world.machines.tasks_started(Millis(world.now));
     let here = present.filter(|(machine_id, _)| machine_ids.contains(machine_id));
     here.map(|(_, task)| task.job.clone()).collect()
 }
@@ -35,14 +35,14 @@
     for machine_id in machine_ids {
         world
             .machines
-            .machine_ids
+            .by_id
             .get_mut(machine_id)
             .unwrap()
             .heartbeats_lost_until = Millis(until);
     }
     let on = |world: &World| -> HashSet<(MachineId, TaskId, u64)> {
         let tasks = machine_ids.iter().flat_map(|machine_id| {
-            let machine = &world.machines.machine_ids[machine_id];
+            let machine = &world.machines.by_id[machine_id];
             let tasks = machine.tasks.iter();
             tasks.map(|(task, known)| (machine_id.clone(), task.clone(), known.attempt.0))
         });
@@ -95,56 +95,56 @@
 
 /// What a team's tasks use now.
 fn gpus_of(world: &World, team: &str) -> f64 {
-    let tasks = world.machines.holding(Millis(world.now));
+    let tasks = world.machines.tasks_allocated(Millis(world.now));
     let specs = tasks.map(|task| &world.machines.jobs[&task.job].spec);
     let its = specs.filter(|spec| spec.team.as_str() == team);
     its.map(|spec| spec.resources.gpus).sum()
 }
 
-pub const MEETINGS: &[Meeting] = &[
-    Meeting {
+pub const SCENARIOS: &[Scenario] = &[
+    Scenario {
         name: "some machines reach no controller while direct commands reach them, and jobs are cancelled",
         controllers: 3,
         lease_s: None,
         play: |w| {
             large_fleet(w);
-            stream(w, AT - 10_000, AT + 45_000);
-            w.run_until(AT);
+            stream(w, FAULT_START - 10_000, FAULT_START + 45_000);
+            w.run_until(FAULT_START);
             let machine_ids: Vec<MachineId> = busy(w).into_iter().step_by(7).collect();
             let began = jobs_on(w, &machine_ids);
             for index in 0..6 {
-                w.abort_at(AT + 3_000 * index, index as usize);
+                w.abort_at(FAULT_START + 3_000 * index, index as usize);
             }
             unable_to_report(w, &machine_ids, 40_000);
-            let heard = told(w, &began, AT, AT + 40_000);
+            let heard = told(w, &began, FAULT_START, FAULT_START + 40_000);
             vec![
                 ("mute with tasks", machine_ids.len() as u64),
                 ("cancelled there", heard),
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "most machines reach no controller for longer than a lease, then all do again",
         controllers: 5,
         lease_s: None,
         play: |w| {
             large_fleet(w);
-            stream(w, AT - 10_000, AT + 25_000);
-            w.run_until(AT);
+            stream(w, FAULT_START - 10_000, FAULT_START + 25_000);
+            w.run_until(FAULT_START);
             let machine_ids: Vec<MachineId> = busy(w);
             let machine_ids = &machine_ids[..machine_ids.len() * 3 / 4];
             for index in 0..4 {
-                w.abort_at(AT + 4_000 * index, 2 * index as usize);
+                w.abort_at(FAULT_START + 4_000 * index, 2 * index as usize);
             }
             let before = w.cloud.deleted.len();
             for machine_id in machine_ids {
                 w.machines
-                    .machine_ids
+                    .by_id
                     .get_mut(machine_id)
                     .unwrap()
-                    .heartbeats_lost_until = Millis(AT + 20_000);
+                    .heartbeats_lost_until = Millis(FAULT_START + 20_000);
             }
-            w.run_until(AT + 20_000);
+            w.run_until(FAULT_START + 20_000);
             let deleted = w.cloud.deleted.len() - before;
             // They live, as their answers show: many at once are no reason to destroy. A controller of
             // whose machines only a few are so replaces these.
@@ -159,23 +159,23 @@
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "no machine reaches any controller, shorter than a lease and longer, and jobs are cancelled",
         controllers: 3,
         lease_s: None,
         play: |w| {
             let (mut began, mut changes) = (HashSet::new(), 0);
             for (round, span) in [9_000, 22_000].into_iter().enumerate() {
-                w.run_until(AT - 10_000 + 35_000 * round as u64);
+                w.run_until(FAULT_START - 10_000 + 35_000 * round as u64);
                 began.extend(at_work(w));
-                let machine_ids: Vec<MachineId> = w.machines.machine_ids.keys().cloned().collect();
+                let machine_ids: Vec<MachineId> = w.machines.by_id.keys().cloned().collect();
                 let (from, deleted) = (w.now, w.cloud.deleted_at_work);
                 for index in 0..4 {
                     w.abort_at(from + 1_500 * index, 2 * index as usize + round);
                 }
                 for machine_id in &machine_ids {
                     w.machines
-                        .machine_ids
+                        .by_id
                         .get_mut(machine_id)
                         .unwrap()
                         .heartbeats_lost_until = Millis(from + span);
@@ -187,12 +187,15 @@
             // One controller hears them as well as another.
             assert!(changes <= 5, "a block changed hands {changes} times");
             vec![
-                ("cancelled meanwhile", told(w, &began, AT - 10_000, w.now)),
+                (
+                    "cancelled meanwhile",
+                    told(w, &began, FAULT_START - 10_000, w.now),
+                ),
                 ("killed by their lease", w.machines.killed_by_lease),
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "jobs are cancelled within a fifth of a second and their machines hang, for all spans",
         controllers: 5,
         lease_s: None,
@@ -201,7 +204,7 @@
             let spans = [2_000, 9_000, 11_800, 12_500, 14_500, 24_000, 30_500, 45_000];
             let (mut began, mut hung) = (HashSet::new(), 0);
             for round in 0..2 {
-                w.run_until(AT - 8_000 + 20_000 * round);
+                w.run_until(FAULT_START - 8_000 + 20_000 * round);
                 let jobs: Vec<usize> = (0..7).map(|index| 2 * index + round as usize).collect();
                 let now = w.now;
                 for (index, job) in jobs.iter().enumerate() {
@@ -210,7 +213,7 @@
                 let ids: HashSet<JobId> = jobs.iter().map(|job| w.jobs[*job].id()).collect();
                 began.extend(ids.intersection(&at_work(w)).cloned());
                 let on: HashSet<MachineId> = {
-                    let present = w.machines.present(Millis(now));
+                    let present = w.machines.tasks_started(Millis(now));
                     let its = present.filter(|(_, task)| ids.contains(&task.job));
                     its.map(|(machine_id, _)| machine_id.clone()).collect()
                 };
@@ -220,22 +223,18 @@
                 for (machine_id, span) in
                     on.iter().zip(spans.iter().cycle().skip(3 * round as usize))
                 {
-                    w.machines
-                        .machine_ids
-                        .get_mut(machine_id)
-                        .unwrap()
-                        .hung_until = Millis(now + span);
+                    w.machines.by_id.get_mut(machine_id).unwrap().hung_until = Millis(now + span);
                     hung += 1;
                 }
             }
             w.run_until(115_000);
             vec![
                 ("machines of theirs that hang", hung),
-                ("cancelled", told(w, &began, AT - 8_000, 115_000)),
+                ("cancelled", told(w, &began, FAULT_START - 8_000, 115_000)),
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "jobs bound to one zone, arrays too, lose machines, and some cannot be asked",
         controllers: 5,
         lease_s: None,
@@ -246,7 +245,7 @@
                 w.run_until(16_000 + 14_000 * round);
                 let machine_ids = busy(w);
                 let its = |w: &World, machine_id: &MachineId| {
-                    let mut tasks = w.machines.machine_ids[machine_id].tasks.keys();
+                    let mut tasks = w.machines.by_id[machine_id].tasks.keys();
                     tasks.any(|task| task.job.as_str() >= "job-000100")
                 };
                 let machine_ids: Vec<MachineId> = machine_ids
@@ -259,7 +258,7 @@
                     match (index + round as usize) % 3 {
                         0 => w.machines.kill(machine_id, Millis(now)),
                         1 => {
-                            let machine = w.machines.machine_ids.get_mut(machine_id).unwrap();
+                            let machine = w.machines.by_id.get_mut(machine_id).unwrap();
                             machine.unreachable_until = Millis(now + 13_000);
                         }
                         _ => lost -= 1,
@@ -271,7 +270,7 @@
             vec![("machines lost under them", lost)]
         },
     },
-    Meeting {
+    Scenario {
         name: "reports are held back until a new leader has acted, and then arrive there",
         controllers: 5,
         lease_s: None,
@@ -280,12 +279,14 @@
             for round in 0..3 {
                 w.run_until(25_000 + 28_000 * round);
                 let (old, began) = (leader(w), busy(w));
-                w.holds_heartbeats.extend(began);
+                w.network.intercepted_machines.extend(began);
                 w.run_until(w.now + 1_700);
-                w.holds_heartbeats.clear();
+                w.network.intercepted_machines.clear();
                 let now = w.now;
                 if round == 1 {
-                    w.cuts.push(alone(old, now / 1_000, 12, true));
+                    w.network
+                        .cuts
+                        .push(cut_except_workers(old, now / 1_000, 12, true));
                 } else {
                     w.crash(old, now, 9_000);
                 }
@@ -298,16 +299,16 @@
                 w.reboot_worker(round as usize + 1, false);
                 w.run_until(now + 8_000);
                 if leader(w) != old {
-                    arrived += w.held_heartbeats.len() as u64;
+                    arrived += w.network.intercepted_heartbeats.len() as u64;
                     let to = leader(w);
-                    w.let_heartbeats_through(to);
+                    w.release_heartbeats(to);
                 }
                 w.run_until(now + 15_000);
             }
             vec![("reports that arrive at the new leader", arrived)]
         },
     },
-    Meeting {
+    Scenario {
         name: "a team is at its limit when the leader changes, machines cannot be asked, jobs are cancelled",
         controllers: 5,
         lease_s: None,
@@ -317,31 +318,31 @@
                 plan.at = Some(4_000 + 400 * index as u64);
                 w.submit(plan);
             }
-            w.run_until(AT);
+            w.run_until(FAULT_START);
             let full = gpus_of(w, "small");
             let (old, began) = (leader(w), at_work(w));
             let machine_ids: Vec<MachineId> = {
-                let present = w.machines.present(Millis(w.now));
+                let present = w.machines.tasks_started(Millis(w.now));
                 let its = present.filter(|(_, task)| task.job.as_str() >= "job-000100");
                 its.map(|(machine_id, _)| machine_id.clone()).collect()
             };
             for machine_id in machine_ids.iter().step_by(2) {
                 w.machines
-                    .machine_ids
+                    .by_id
                     .get_mut(machine_id)
                     .unwrap()
-                    .unreachable_until = Millis(AT + 18_000);
+                    .unreachable_until = Millis(FAULT_START + 18_000);
             }
-            w.crash(old, AT + 300, 6_000);
+            w.crash(old, FAULT_START + 300, 6_000);
             // Of the team's jobs some, and some of others.
             for (index, job) in [14, 0, 15, 1, 16, 2, 3, 6].into_iter().enumerate() {
-                w.abort_at(AT + 2_000 + 900 * index as u64, job);
+                w.abort_at(FAULT_START + 2_000 + 900 * index as u64, job);
             }
-            w.run_until(AT + 18_000);
-            let cancelled = told(w, &began, AT, AT + 18_000);
+            w.run_until(FAULT_START + 18_000);
+            let cancelled = told(w, &began, FAULT_START, FAULT_START + 18_000);
             // Once all is heard again the team has its whole limit within seconds.
             let mut again = 0;
-            while w.now < AT + 30_000 && again == 0 {
+            while w.now < FAULT_START + 30_000 && again == 0 {
                 w.run_until(w.now + 100);
                 again = u64::from(gpus_of(w, "small") >= 6.0);
             }
@@ -352,29 +353,29 @@
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "the leader's zone is cut off for longer than a lease, and jobs are cancelled outside",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            w.run_until(AT);
+            w.run_until(FAULT_START);
             let zone = w.settings[leader(w)].zone.clone();
             let inside: Vec<MachineId> = {
-                let machine_ids = w.machines.machine_ids.iter();
-                let inside = machine_ids.filter(|(_, m)| m.zone == zone);
+                let machines = w.machines.by_id.iter();
+                let inside = machines.filter(|(_, m)| m.zone == zone);
                 inside.map(|(machine_id, _)| machine_id.clone()).collect()
             };
             let began = jobs_on(w, &inside);
-            w.zone_cuts.push(ZoneCut {
+            w.network.zone_cuts.push(ZoneCut {
                 zone,
-                since: AT,
-                until: AT + 32_000,
+                since: FAULT_START,
+                until: FAULT_START + 32_000,
                 hold: true,
             });
             for index in 0..8 {
-                w.abort_at(AT + 5_000 + 3_000 * index, index as usize);
+                w.abort_at(FAULT_START + 5_000 + 3_000 * index, index as usize);
             }
-            w.run_until(AT + 31_000);
+            w.run_until(FAULT_START + 31_000);
             let asked = began
                 .iter()
                 .filter(|id| w.rules.wanted_aborts.contains_key(*id));
@@ -384,12 +385,12 @@
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "there is more work than room, urgent and not, over slow links, and jobs are cancelled",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            w.slow_links = Some(100..1_900);
+            w.network.slow_links = Some(100..1_900);
             for index in 0..18 {
                 let kind = ["sweep", "gang", "sweep"][index % 3];
                 let mut plan = job(100 + index, "large", kind, 6, 1.0, 22_000);
@@ -403,11 +404,11 @@
                 w.abort_at(12_000 + 2_700 * index, 2 * index as usize);
             }
             let mut full = false;
-            while w.now < AT {
+            while w.now < FAULT_START {
                 w.run_until(w.now + 500);
                 let resources = w
                     .machines
-                    .sound(Millis(w.now))
+                    .healthy(Millis(w.now))
                     .map(|(_, resources)| resources.gpus);
                 full |= w.now > 20_000 && resources.sum::<f64>() < 4.0;
             }
--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -12,20 +12,20 @@
 use cluster_simulator::sim::{JobPlan, Refusal, World, job};
 use jaspertiller::types::{JobId, Millis};
 
-use super::{CALM, alone, finish, seeds};
+use super::{FAULTS_END, cut_except_workers, finish, seeds};
 
 /// A trouble begins here: all jobs are at work.
-const AT: u64 = 40_000;
+const FAULT_START: u64 = 40_000;
 
 /// What shows that the meeting took place, and how often it was seen.
-type Seen = Vec<(&'static str, u64)>;
+type Observations = Vec<(&'static str, u64)>;
 
-struct Meeting {
+struct Scenario {
     name: &'static str,
     controllers: usize,
     /// None: the region's.
     lease_s: Option<u64>,
-    play: fn(&mut World) -> Seen,
+    play: fn(&mut World) -> Observations,
 }
 
 fn long_jobs() -> Vec<JobPlan> {
@@ -44,7 +44,7 @@
     jobs
 }
 
-impl Meeting {
+impl Scenario {
     fn world(&self, seed: u64) -> World {
         let mut config = Config {
             controllers: self.controllers,
@@ -55,7 +55,7 @@
             config.timing.cancel = Millis(lease_s * 1_000 + 20_000);
         }
         let mut world = World::new(config, seed, long_jobs());
-        world.rules.calm = Millis(CALM);
+        world.rules.calm = Millis(FAULTS_END);
         world
     }
 }
@@ -65,13 +65,13 @@
     let (record, ..) = world.store.get("jt/lead").expect("somebody leads");
     let record: serde_json::Value = serde_json::from_str(record).unwrap();
     let label = record["leader"].as_str().unwrap();
-    let index = (0..world.nodes.len()).find(|i| Config::label(*i) == label);
+    let index = (0..world.controllers.len()).find(|i| Config::label(*i) == label);
     index.expect("it is one of ours")
 }
 
 /// Jobs with a task on a machine now.
 fn at_work(world: &World) -> HashSet<JobId> {
-    let present = world.machines.present(Millis(world.now));
+    let present = world.machines.tasks_started(Millis(world.now));
     present.map(|(_, task)| task.job.clone()).collect()
 }
 
@@ -83,19 +83,21 @@
 }
 
 /// Machines whose lease was renewed by this controller after a moment.
-fn renewed_by(world: &World, node: usize, after: u64) -> u64 {
-    let machine_ids = world.machines.machine_ids.values();
-    let renewed =
-        machine_ids.filter(|m| m.renewed.is_some_and(|(by, at)| by == node && at.0 > after));
+fn renewed_by(world: &World, controller: usize, after: u64) -> u64 {
+    let machines = world.machines.by_id.values();
+    let renewed = machines.filter(|m| {
+        m.last_renewal
+            .is_some_and(|(by, at)| by == controller && at.0 > after)
+    });
     renewed.count() as u64
 }
 
 /// Every other machine that reports to this controller, or all, hears nobody else for a while.
-fn hear_only(world: &mut World, node: usize, until: u64, all: bool) {
-    let machine_ids = world.machines.machine_ids.values_mut();
-    for (index, machine) in machine_ids.filter(|m| m.node == node).enumerate() {
+fn hear_only(world: &mut World, controller: usize, until: u64, all: bool) {
+    let machines = world.machines.by_id.values_mut();
+    for (index, machine) in machines.filter(|m| m.controller == controller).enumerate() {
         if all || index % 2 == 0 {
-            machine.reached_only_by = Some((node, Millis(until)));
+            machine.reached_only_by = Some((controller, Millis(until)));
         }
     }
 }
@@ -104,24 +106,24 @@
 fn meetings_of_troubles_take_place_and_break_no_rule() {
     let seeds = seeds("MEETING", 6);
     let least = (seeds.end - seeds.start) / 2;
-    let rows = [holders::MEETINGS, machines::MEETINGS, users::MEETINGS];
+    let rows = [holders::SCENARIOS, machines::SCENARIOS, users::SCENARIOS];
     let asked = std::env::var("MEETING_NAME").unwrap_or_default();
-    let asked = |meeting: &&Meeting| meeting.name.contains(&asked);
-    for meeting in rows.into_iter().flatten().filter(asked) {
+    let asked = |scenario: &&Scenario| scenario.name.contains(&asked);
+    for scenario in rows.into_iter().flatten().filter(asked) {
         let mut seen: Vec<(&str, u64)> = Vec::new();
         for seed in seeds.clone() {
-            let mut world = meeting.world(seed);
+            let mut world = scenario.world(seed);
             super::log_if_asked();
-            for (what, count) in (meeting.play)(&mut world) {
+            for (what, count) in (scenario.play)(&mut world) {
                 match seen.iter_mut().find(|(known, _)| *known == what) {
                     Some((_, sum)) => *sum += count,
                     None => seen.push((what, count)),
                 }
             }
-            finish(&mut world, &format!("{} (seed {seed})", meeting.name));
+            finish(&mut world, &format!("{} (seed {seed})", scenario.name));
         }
         for (what, count) in seen {
-            let name = meeting.name;
+            let name = scenario.name;
             assert!(count >= least, "{name}: {what} was seen {count} times only");
         }
     }
@@ -137,10 +139,10 @@
         (
             "the state service refuses the leader alone",
             |w, old| {
-                w.refusals.push(Refusal {
-                    node: old,
-                    since: AT,
-                    until: AT + 20_000,
+                w.store_faults.refusals.push(Refusal {
+                    controller: old,
+                    since: FAULT_START,
+                    until: FAULT_START + 20_000,
                 });
             },
             500,
@@ -148,7 +150,11 @@
         ),
         (
             "the leader keeps workers only",
-            |w, old| w.cuts.push(alone(old, AT / 1_000, 20, true)),
+            |w, old| {
+                w.network
+                    .cuts
+                    .push(cut_except_workers(old, FAULT_START / 1_000, 20, true))
+            },
             2_500,
             10_000,
         ),
@@ -156,14 +162,14 @@
     for (name, trouble, half, last) in cases {
         let mut waits = Vec::new();
         for seed in 1..=6 {
-            let mut world = holders::MEETINGS[0].world(seed);
-            world.run_until(AT);
+            let mut world = holders::SCENARIOS[0].world(seed);
+            world.run_until(FAULT_START);
             let (old, began) = (leader(&world), at_work(&world));
             trouble(&mut world, old);
             for index in 0..12 {
-                world.abort_at(AT + 500 + 900 * index, index as usize);
+                world.abort_at(FAULT_START + 500 + 900 * index, index as usize);
             }
-            world.run_until(AT + 60_000);
+            world.run_until(FAULT_START + 60_000);
             for id in began {
                 if let Some(asked) = world.rules.wanted_aborts.get(&id)
                     && !world.rules.done.contains(&id)
--- a/crates/simulator/tests/faults/combined_faults/pairs.rs
+++ b/crates/simulator/tests/faults/combined_faults/pairs.rs
@@ -1,104 +1,120 @@
 //! A seeded search over pairs of troubles, each placed relative to a step of the one before.
 
-use cluster_simulator::sim::{Refusal, World, ZoneCut, job};
+use cluster_simulator::sim::{
+    HeartbeatCopies, RandomDelay, Refusal, SlowStore, World, ZoneCut, job,
+};
 use jaspertiller::types::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::super::{CALM, alone, finish, log_if_asked, seeds};
-use super::holders::MEETINGS;
-use super::{AT, hear_only, leader};
+use super::super::{FAULTS_END, cut_except_workers, finish, log_if_asked, seeds};
+use super::holders::SCENARIOS;
+use super::{FAULT_START, hear_only, leader};
 
 /// Begins one trouble now; returns when its steps come, in ms from now: its begin, the change of hands
 /// that it brings, its end.
-fn strike(world: &mut World, kind: u32, luck: &mut SmallRng) -> Vec<u64> {
-    let (now, old, nodes) = (world.now, leader_or_first(world), world.nodes.len());
-    let long = luck.random_range(4_000..40_000);
-    let hand_over = luck.random_range(4_800..7_500);
-    let some = |luck: &mut SmallRng| luck.random_range(0..8);
+fn inject(world: &mut World, kind: u32, rng: &mut SmallRng) -> Vec<u64> {
+    let (now, old, nodes) = (world.now, leader_or_first(world), world.controllers.len());
+    let long = rng.random_range(4_000..40_000);
+    let hand_over = rng.random_range(4_800..7_500);
+    let some = |rng: &mut SmallRng| rng.random_range(0..8);
     match kind {
         0 => {
             let until = now + long / 2;
-            world.refusals.push(Refusal {
-                node: old,
+            world.store_faults.refusals.push(Refusal {
+                controller: old,
                 since: now,
                 until,
             });
             return vec![0, hand_over, long / 2];
         }
         1 => {
-            let mut cut = alone(old, 0, 0, luck.random_bool(0.5));
+            let mut cut = cut_except_workers(old, 0, 0, rng.random_bool(0.5));
             (cut.since, cut.until) = (now, now + long);
-            world.cuts.push(cut);
+            world.network.cuts.push(cut);
             return vec![0, hand_over, long];
         }
         2 => {
-            world.outages.push((now, now + long));
+            world.store_faults.outages.push((now, now + long));
             return vec![0, long];
         }
         3 => {
-            let back = luck.random_range(50..3_000);
+            let back = rng.random_range(50..3_000);
             world.crash(old, now, back);
             return vec![0, back, back + hand_over];
         }
         4 => {
-            for node in 0..nodes {
-                let at = now + luck.random_range(0..400);
-                world.crash(node, at, luck.random_range(50..4_000));
+            for controller in 0..nodes {
+                let at = now + rng.random_range(0..400);
+                world.crash(controller, at, rng.random_range(50..4_000));
             }
             return vec![0, 900, hand_over];
         }
-        5 => (0..6).for_each(|_| world.drop_commands_to_worker(some(luck), now + long)),
-        6 => (0..4).for_each(|_| world.hang_worker(some(luck), now + long / 3)),
-        7 => hear_only(world, old, now + long, luck.random_bool(0.5)),
-        8 => world.late_writes = luck.random_range(0.05..0.5),
-        9 => world.copies = Some((luck.random_range(0.1..0.6), 1_000..50_000, 0.2)),
-        10 => world.held_commands = Some((luck.random_range(0.1..0.6), 300..9_000)),
-        11 => (0..3).for_each(|_| world.reboot_worker(some(luck), luck.random_bool(0.3))),
+        5 => (0..6).for_each(|_| world.drop_commands_to_worker(some(rng), now + long)),
+        6 => (0..4).for_each(|_| world.hang_worker(some(rng), now + long / 3)),
+        7 => hear_only(world, old, now + long, rng.random_bool(0.5)),
+        8 => world.store_faults.late_write_share = rng.random_range(0.05..0.5),
+        9 => {
+            world.network.heartbeat_copies = Some(HeartbeatCopies {
+                share: rng.random_range(0.1..0.6),
+                delay_ms: 1_000..50_000,
+                replace_share: 0.2,
+            })
+        }
+        10 => {
+            world.network.held_commands = Some(RandomDelay {
+                share: rng.random_range(0.1..0.6),
+                delay_ms: 300..9_000,
+            })
+        }
+        11 => (0..3).for_each(|_| world.reboot_worker(some(rng), rng.random_bool(0.3))),
         12 => {
-            let by = luck.random_range(100..2_300);
-            world.slow_store = Some((now + long, by / 4..by));
+            let by = rng.random_range(100..2_300);
+            world.store_faults.slow = Some(SlowStore {
+                until: now + long,
+                delay_ms: by / 4..by,
+            });
         }
         13 => {
-            let machine_ids = world.machines.machine_ids.values_mut();
-            for machine in machine_ids.filter(|_| luck.random_bool(0.4)) {
+            let machines = world.machines.by_id.values_mut();
+            for machine in machines.filter(|_| rng.random_bool(0.4)) {
                 machine.unreachable_until = Millis(now + long);
             }
         }
         14 => {
-            let share = luck.random_range(0.1..1.0);
-            let machine_ids = world.machines.machine_ids.values_mut();
-            for machine in machine_ids.filter(|_| luck.random_bool(share)) {
+            let share = rng.random_range(0.1..1.0);
+            let machines = world.machines.by_id.values_mut();
+            for machine in machines.filter(|_| rng.random_bool(share)) {
                 machine.heartbeats_lost_until = Millis(now + long);
             }
         }
         15 => {
             // Users call off half of what runs, and its machines hang.
             for index in 0..world.jobs.len() {
-                if luck.random_bool(0.5) {
-                    world.abort_at(now + luck.random_range(0..200), index);
+                if rng.random_bool(0.5) {
+                    world.abort_at(now + rng.random_range(0..200), index);
                 }
             }
-            (0..4).for_each(|_| world.hang_worker(some(luck), now + long));
+            (0..4).for_each(|_| world.hang_worker(some(rng), now + long));
         }
-        16 => world.meet_ends = luck.random_range(0.2..1.0),
+        16 => world.completion_race_share = rng.random_range(0.2..1.0),
         17 => {
-            let by = luck.random_range(200..1_900);
-            world.slow_links = Some(by / 4..by);
+            let by = rng.random_range(200..1_900);
+            world.network.slow_links = Some(by / 4..by);
         }
         18 => {
             let zone = world.settings[old].zone.clone();
-            world.zone_cuts.push(ZoneCut {
+            world.network.zone_cuts.push(ZoneCut {
                 zone,
                 since: now,
                 until: now + long,
-                hold: luck.random_bool(0.5),
+                hold: rng.random_bool(0.5),
             });
         }
         _ => {
-            let machine_ids: Vec<_> = world.machines.machine_ids.keys().cloned().collect();
-            let held = machine_ids.into_iter().filter(|_| luck.random_bool(0.4));
-            world.holds_heartbeats.extend(held);
+            let machine_ids: Vec<_> = world.machines.by_id.keys().cloned().collect();
+            let held = machine_ids.into_iter().filter(|_| rng.random_bool(0.4));
+            world.network.intercepted_machines.extend(held);
         }
     }
     vec![0, long / 3, long]
@@ -111,41 +127,41 @@
 
 /// Two troubles or three, each placed relative to a step of the one before.
 fn pair(seed: u64) -> World {
-    let mut luck = SmallRng::seed_from_u64(seed ^ 0x3ee7);
-    let mut world = MEETINGS[luck.random_range(0..MEETINGS.len())].world(seed);
-    if luck.random_bool(0.4) {
-        world.machines.spread = 0.9;
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x3ee7);
+    let mut world = SCENARIOS[rng.random_range(0..SCENARIOS.len())].world(seed);
+    if rng.random_bool(0.4) {
+        world.machines.run_time_spread = 0.9;
     }
-    let begin = luck.random_range(14_000..AT + 15_000);
-    if luck.random_bool(0.6) {
+    let begin = rng.random_range(14_000..FAULT_START + 15_000);
+    if rng.random_bool(0.6) {
         // A team that uses all of its limit, in tasks that come and go.
         for index in 0..12 {
-            let (run, team) = (luck.random_range(2_000..9_000), "small");
+            let (run, team) = (rng.random_range(2_000..9_000), "small");
             let mut plan = job(50 + index, team, "sweep", 4, 1.0, run);
-            plan.at = Some(begin - 9_000 + luck.random_range(0..55_000));
+            plan.at = Some(begin - 9_000 + rng.random_range(0..55_000));
             world.submit(plan);
         }
     }
     for index in 0..9 {
-        let at = begin + luck.random_range(0..45_000);
+        let at = begin + rng.random_range(0..45_000);
         world.abort_at(at.saturating_sub(3_000), index);
     }
     world.run_until(begin);
-    let count = luck.random_range(2..4);
+    let count = rng.random_range(2..4);
     for _ in 0..count {
-        let kind = luck.random_range(0..20);
+        let kind = rng.random_range(0..20);
         // What was held back before arrives now, at whoever leads.
         let to = leader_or_first(&world);
-        world.let_heartbeats_through(to);
+        world.release_heartbeats(to);
         let from = world.now;
         tracing::info!(kind, from, "a trouble begins");
-        let steps = strike(&mut world, kind, &mut luck);
-        let step = steps[luck.random_range(0..steps.len())];
-        let next = from + (step + luck.random_range(0..2_000)).saturating_sub(500);
-        world.run_until(next.max(from).min(CALM - 45_000));
+        let steps = inject(&mut world, kind, &mut rng);
+        let step = steps[rng.random_range(0..steps.len())];
+        let next = from + (step + rng.random_range(0..2_000)).saturating_sub(500);
+        world.run_until(next.max(from).min(FAULTS_END - 45_000));
     }
     let to = leader_or_first(&world);
-    world.let_heartbeats_through(to);
+    world.release_heartbeats(to);
     world
 }
 
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -3,65 +3,65 @@
 use cluster_simulator::sim::{Refusal, World, job};
 use jaspertiller::types::Millis;
 
-use super::super::{alone, restarts};
-use super::{AT, Meeting, Seen, at_work, leader, told};
+use super::super::{cut_except_workers, restart_repeatedly};
+use super::{FAULT_START, Observations, Scenario, at_work, leader, told};
 
 /// Jobs are cancelled within a fifth of a second of the state service's refusing the leader alone; a while
 /// later it is out for longer than cancelled tasks may stay.
-fn refused(world: &mut World, gap: u64) -> Seen {
-    world.run_until(AT);
+fn refused(world: &mut World, gap: u64) -> Observations {
+    world.run_until(FAULT_START);
     let (old, began) = (leader(world), at_work(world));
-    world.refusals.push(Refusal {
-        node: old,
-        since: AT,
-        until: AT + 14_000,
+    world.store_faults.refusals.push(Refusal {
+        controller: old,
+        since: FAULT_START,
+        until: FAULT_START + 14_000,
     });
     let cancel = world.config.timing.cancel.0;
-    let back = AT + gap + cancel + 8_000;
-    world.outages.push((AT + gap, back));
+    let back = FAULT_START + gap + cancel + 8_000;
+    world.store_faults.outages.push((FAULT_START + gap, back));
     for index in 0..12 {
-        world.abort_at(AT + 16 * index, index as usize);
+        world.abort_at(FAULT_START + 16 * index, index as usize);
     }
     world.run_until(back + 10_000);
-    let before = told(world, &began, AT, AT + gap);
+    let before = told(world, &began, FAULT_START, FAULT_START + gap);
     vec![(
         "cancelled in all",
-        told(world, &began, AT, back + 10_000) + before,
+        told(world, &began, FAULT_START, back + 10_000) + before,
     )]
 }
 
 /// All controllers are away for longer than a lease, and come back so many milliseconds apart.
-fn all_away(world: &mut World, apart: u64) -> Seen {
-    world.run_until(AT);
+fn all_away(world: &mut World, apart: u64) -> Observations {
+    world.run_until(FAULT_START);
     let began = at_work(world);
     let lease = world.config.timing.lease.0;
-    (0..4).for_each(|index| world.abort_at(AT - 200 + 60 * index, index as usize));
-    for node in 0..world.nodes.len() {
+    (0..4).for_each(|index| world.abort_at(FAULT_START - 200 + 60 * index, index as usize));
+    for controller in 0..world.controllers.len() {
         world.crash(
-            node,
-            AT + 10 * node as u64,
-            lease + 4_000 + apart * node as u64,
+            controller,
+            FAULT_START + 10 * controller as u64,
+            lease + 4_000 + apart * controller as u64,
         );
     }
-    (4..8).for_each(|index| world.abort_at(AT + 3_000 * index, index as usize));
+    (4..8).for_each(|index| world.abort_at(FAULT_START + 3_000 * index, index as usize));
     // One dies and one begins anew while nobody looks.
-    world.run_until(AT + 6_000);
+    world.run_until(FAULT_START + 6_000);
     world.kill_worker(0);
     world.reboot_worker(1, false);
-    world.run_until(AT + lease + 30_000);
+    world.run_until(FAULT_START + lease + 30_000);
     vec![
         ("killed by their lease", world.machines.killed_by_lease),
-        ("cancelled", told(world, &began, AT, world.now)),
+        ("cancelled", told(world, &began, FAULT_START, world.now)),
     ]
 }
 
-pub const MEETINGS: &[Meeting] = &[
-    Meeting {
+pub const SCENARIOS: &[Scenario] = &[
+    Scenario {
         name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
         controllers: 3,
         lease_s: None,
         play: |w| {
-            w.meet_ends = 1.0;
+            w.completion_race_share = 1.0;
             for index in 0..24 {
                 let (kind, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 5)][index % 3];
                 let run = 3_000 + 400 * index as u64;
@@ -72,18 +72,22 @@
             w.run_until(100_000);
             let cancelled = w.rules.aborted.len() as u64;
             vec![
-                ("ends that were met", w.ends_met),
+                ("ends that were met", w.fault_counts.completion_races),
                 ("told cancelled", cancelled),
                 ("told done", w.rules.done.len() as u64),
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "the same while transactions get no answer or come late",
         controllers: 3,
         lease_s: None,
         play: |w| {
-            (w.meet_ends, w.late_writes, w.lost_answers) = (1.0, 0.15, 0.1);
+            (
+                w.completion_race_share,
+                w.store_faults.late_write_share,
+                w.store_faults.lost_response_share,
+            ) = (1.0, 0.15, 0.1);
             for index in 0..16 {
                 let (kind, tasks) = [("sweep", 1), ("gang", 2), ("sweep", 3)][index % 3];
                 let mut plan = job(100 + index, "large", kind, tasks, 1.0, 5_000);
@@ -91,55 +95,58 @@
                 w.submit(plan);
             }
             w.run_until(100_000);
-            let (done, nothing) = w.late_written;
+            let (done, nothing) = (
+                w.fault_counts.late_writes_committed,
+                w.fault_counts.late_writes_rejected,
+            );
             vec![
-                ("ends that were met", w.ends_met),
+                ("ends that were met", w.fault_counts.completion_races),
                 ("late transactions", done + nothing),
             ]
         },
     },
-    Meeting {
+    Scenario {
         name: "cancelled at the moment of the refusal, the outage half a second later",
         controllers: 5,
         lease_s: None,
         play: |w| refused(w, 500),
     },
-    Meeting {
+    Scenario {
         name: "cancelled at the moment of the refusal, the outage a second later",
         controllers: 3,
         lease_s: None,
         play: |w| refused(w, 1_000),
     },
-    Meeting {
+    Scenario {
         name: "cancelled at the moment of the refusal, the outage two seconds later",
         controllers: 5,
         lease_s: None,
         play: |w| refused(w, 2_000),
     },
-    Meeting {
+    Scenario {
         name: "cancelled at the moment of the refusal, the outage five seconds later",
         controllers: 5,
         lease_s: None,
         play: |w| refused(w, 5_000),
     },
-    Meeting {
+    Scenario {
         name: "all controllers are away for longer than a lease, and back at once",
         controllers: 5,
         lease_s: None,
         play: |w| all_away(w, 3),
     },
-    Meeting {
+    Scenario {
         name: "all controllers are away for longer than a lease, and back one after the other",
         controllers: 5,
         lease_s: None,
         play: |w| all_away(w, 4_000),
     },
-    Meeting {
+    Scenario {
         name: "leaders change ten times in two minutes, also inside an outage",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            w.outages.push((61_000, 66_000));
+            w.store_faults.outages.push((61_000, 66_000));
             for index in 0..8 {
                 w.abort_at(20_000 + 11_000 * index, index as usize);
             }
@@ -148,9 +155,11 @@
             for round in 0..10 {
                 let (now, old, before) = (w.now, leader(w), w.rules.starts);
                 if round % 3 == 1 {
-                    w.cuts.push(alone(old, now / 1_000, 9, round % 2 == 0));
+                    w.network
+                        .cuts
+                        .push(cut_except_workers(old, now / 1_000, 9, round % 2 == 0));
                 } else {
-                    restarts(w, old, now, 2, 3_500);
+                    restart_repeatedly(w, old, now, 2, 3_500);
                 }
                 let mut plan = job(100 + round as usize, "large", "sweep", 3, 1.0, 6_000);
                 plan.at = Some(now + 1_000);
@@ -175,12 +184,12 @@
 #[test]
 fn what_is_over_stays_as_it_was_told() {
     for seed in 1..=3 {
-        let mut world = MEETINGS[0].world(seed);
-        (MEETINGS[0].play)(&mut world);
+        let mut world = SCENARIOS[0].world(seed);
+        (SCENARIOS[0].play)(&mut world);
         let (done, aborted) = (world.rules.done.clone(), world.rules.aborted.clone());
         assert!(done.len() > 3 && aborted.len() > 3);
-        for node in 0..3 {
-            world.crash(node, world.now + 2_000 * node as u64, 500);
+        for controller in 0..3 {
+            world.crash(controller, world.now + 2_000 * controller as u64, 500);
         }
         world.run_until(world.now + 60_000);
         assert_eq!(
--- a/crates/simulator/tests/faults/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -9,13 +9,13 @@
 use std::ops::Range;
 
 use cluster_simulator::config::Config;
-use cluster_simulator::sim::{Cut, JobPlan, World, job};
+use cluster_simulator::sim::{Cut, HeartbeatCopies, JobPlan, World, job};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const NODES: usize = 5;
+const CONTROLLERS: usize = 5;
 /// All troubles are over by then.
-const CALM: u64 = 120_000;
+const FAULTS_END: u64 = 120_000;
 const END: u64 = 260_000;
 
 fn jobs() -> Vec<JobPlan> {
@@ -42,18 +42,18 @@
 
 fn world(seed: u64) -> World {
     let config = Config {
-        controllers: NODES,
+        controllers: CONTROLLERS,
         ..Config::default()
     };
     let mut world = World::new(config, seed, jobs());
-    world.rules.calm = jaspertiller::types::Millis(CALM);
+    world.rules.calm = jaspertiller::types::Millis(FAULTS_END);
     world
 }
 
 /// It keeps its workers and loses state service and peers.
-fn alone(node: usize, from_s: u64, for_s: u64, hold: bool) -> Cut {
+fn cut_except_workers(controller: usize, from_s: u64, for_s: u64, hold: bool) -> Cut {
     Cut {
-        node,
+        controller,
         from_store: true,
         from_workers: false,
         from_peers: true,
@@ -64,19 +64,19 @@
 }
 
 /// A process is killed and back after so many milliseconds, time and again.
-fn restarts(world: &mut World, node: usize, from: u64, count: u64, back: u64) {
+fn restart_repeatedly(world: &mut World, controller: usize, from: u64, count: u64, back: u64) {
     for round in 0..count {
-        world.crash(node, from + round * (back + 250), back);
+        world.crash(controller, from + round * (back + 250), back);
     }
 }
 
-struct Day {
+struct Scenario {
     name: &'static str,
     play: fn(&mut World),
 }
 
-const DAYS: &[Day] = &[
-    Day {
+const SCENARIOS: &[Scenario] = &[
+    Scenario {
         name: "machines that do not hear, for 50 s and for good",
         play: |w| {
             for (at, index, until) in [
@@ -90,7 +90,7 @@
             }
         },
     },
-    Day {
+    Scenario {
         name: "no machine hears for 20 s, then half of them for 40 s",
         play: |w| {
             w.run_until(18_000);
@@ -101,56 +101,76 @@
                 .for_each(|index| w.drop_commands_to_worker(index, 100_000));
         },
     },
-    Day {
+    Scenario {
         name: "copies of reports, by half a second to well over a lease",
-        play: |w| w.copies = Some((0.5, 500..60_000, 0.0)),
+        play: |w| {
+            w.network.heartbeat_copies = Some(HeartbeatCopies {
+                share: 0.5,
+                delay_ms: 500..60_000,
+                replace_share: 0.0,
+            })
+        },
     },
-    Day {
+    Scenario {
         name: "copies of reports whose originals are lost, and controllers that restart",
         play: |w| {
-            w.copies = Some((0.3, 500..40_000, 0.5));
-            (0..NODES).for_each(|n| w.crash(n, 20_000 + 9_000 * n as u64, 300));
+            w.network.heartbeat_copies = Some(HeartbeatCopies {
+                share: 0.3,
+                delay_ms: 500..40_000,
+                replace_share: 0.5,
+            });
+            (0..CONTROLLERS).for_each(|n| w.crash(n, 20_000 + 9_000 * n as u64, 300));
             w.run_until(25_000);
             w.kill_worker(0);
             w.run_until(33_000);
             w.kill_worker(1);
         },
     },
-    Day {
+    Scenario {
         name: "a controller keeps its workers and loses all else",
-        play: |w| w.cuts.push(alone(1, 16, 50, true)),
+        play: |w| w.network.cuts.push(cut_except_workers(1, 16, 50, true)),
     },
-    Day {
+    Scenario {
         name: "the leader and another keep their workers and lose all else",
         play: |w| {
-            w.cuts.push(alone(0, 16, 60, true));
-            w.cuts.push(alone(2, 22, 40, false));
+            w.network.cuts.push(cut_except_workers(0, 16, 60, true));
+            w.network.cuts.push(cut_except_workers(2, 22, 40, false));
         },
     },
-    Day {
+    Scenario {
         name: "each in turn keeps its workers and loses all else",
-        play: |w| (0..NODES).for_each(|n| w.cuts.push(alone(n, 14 + 20 * n as u64, 18, true))),
+        play: |w| {
+            (0..CONTROLLERS).for_each(|n| {
+                w.network
+                    .cuts
+                    .push(cut_except_workers(n, 14 + 20 * n as u64, 18, true))
+            })
+        },
     },
-    Day {
+    Scenario {
         name: "each restarts five times in two seconds, one after the other",
-        play: |w| (0..NODES).for_each(|n| restarts(w, n, 15_000 + 12_000 * n as u64, 5, 150)),
+        play: |w| {
+            (0..CONTROLLERS)
+                .for_each(|n| restart_repeatedly(w, n, 15_000 + 12_000 * n as u64, 5, 150))
+        },
     },
-    Day {
+    Scenario {
         name: "all restart at once, twice, and again in the middle of the election",
         play: |w| {
             for at in [18_000, 18_700, 19_300, 50_000] {
-                (0..NODES).for_each(|n| w.crash(n, at + 13 * n as u64, 100 + 70 * n as u64));
+                (0..CONTROLLERS).for_each(|n| w.crash(n, at + 13 * n as u64, 100 + 70 * n as u64));
             }
         },
     },
-    Day {
+    Scenario {
         name: "restarts at once while answers are lost and transactions come late",
         play: |w| {
-            w.lost_answers = 0.15;
-            (0..NODES).for_each(|n| restarts(w, n, 14_000 + 7_000 * n as u64, 3, 80));
+            w.store_faults.lost_response_share = 0.15;
+            (0..CONTROLLERS)
+                .for_each(|n| restart_repeatedly(w, n, 14_000 + 7_000 * n as u64, 3, 80));
         },
     },
-    Day {
+    Scenario {
         name: "machines that are back at once, with counters begun anew or not",
         play: |w| {
             for round in 0..12 {
@@ -159,7 +179,7 @@
             }
         },
     },
-    Day {
+    Scenario {
         name: "jobs that fail everywhere, beside a machine that fails all",
         play: |w| {
             for index in 0..6 {
@@ -170,17 +190,21 @@
                 w.submit(plan);
             }
             w.run_until(15_000);
-            w.make_quarantined(1);
+            w.break_worker(1);
         },
     },
-    Day {
+    Scenario {
         name: "a bit of all",
         play: |w| {
-            w.copies = Some((0.2, 500..40_000, 0.3));
-            w.lost_answers = 0.05;
-            w.cuts.push(alone(3, 18, 30, true));
-            restarts(w, 1, 24_000, 4, 120);
-            w.outages.push((52_000, 64_000));
+            w.network.heartbeat_copies = Some(HeartbeatCopies {
+                share: 0.2,
+                delay_ms: 500..40_000,
+                replace_share: 0.3,
+            });
+            w.store_faults.lost_response_share = 0.05;
+            w.network.cuts.push(cut_except_workers(3, 18, 30, true));
+            restart_repeatedly(w, 1, 24_000, 4, 120);
+            w.store_faults.outages.push((52_000, 64_000));
             for (at, index) in [(16_000, 0), (21_000, 3), (35_000, 2)] {
                 w.run_until(at);
                 w.drop_commands_to_worker(index, at + 30_000);
@@ -191,12 +215,15 @@
 ];
 
 fn finish(world: &mut World, name: &str) {
-    world.run_until(CALM.max(world.now));
-    world.copies = None;
-    world.held_commands = None;
-    (world.lost_answers, world.late_writes) = (0.0, 0.0);
-    (world.slow_links, world.meet_ends) = (None, 0.0);
-    world.peer_copies = None;
+    world.run_until(FAULTS_END.max(world.now));
+    world.network.heartbeat_copies = None;
+    world.network.held_commands = None;
+    (
+        world.store_faults.lost_response_share,
+        world.store_faults.late_write_share,
+    ) = (0.0, 0.0);
+    (world.network.slow_links, world.completion_race_share) = (None, 0.0);
+    world.network.peer_copies = None;
     world.run_until(END);
     let broken: Vec<_> = world
         .jobs
@@ -204,14 +231,14 @@
         .filter(|j| j.broken)
         .map(JobPlan::id)
         .collect();
-    let mut unfinished = world.unfinished();
+    let mut unfinished = world.unfinished_jobs();
     unfinished.retain(|id| !broken.contains(id));
     let violations = &world.rules.violations;
     assert!(violations.is_empty(), "{name}: {violations:?}");
     assert!(unfinished.is_empty(), "{name}: {unfinished:?}");
     let drift = world.index_drift();
     assert!(drift.is_empty(), "{name}: {drift:?}");
-    let unaccounted = world.unaccounted();
+    let unaccounted = world.unaccounted_jobs();
     assert!(unaccounted.is_empty(), "{name}: {unaccounted:?}");
     let mut left = world.rules.left_waiting();
     left.retain(|(id, _)| !broken.contains(id));
@@ -222,79 +249,85 @@
 
 #[test]
 fn unlisted_troubles_break_no_rule_and_leave_no_work_behind() {
-    for day in DAYS {
+    for scenario in SCENARIOS {
         for seed in 1..=3 {
             let mut world = world(seed);
             for (index, at) in [(2, 34_000), (3, 17_000), (9, 63_000), (0, 26_000)] {
                 world.abort_at(at + seed % 3 * 700, index);
             }
-            (day.play)(&mut world);
-            finish(&mut world, &format!("{} (seed {seed})", day.name));
+            (scenario.play)(&mut world);
+            finish(&mut world, &format!("{} (seed {seed})", scenario.name));
         }
     }
 }
 
 /// One day of random troubles.
-fn random_day(seed: u64) -> World {
-    let mut luck = SmallRng::seed_from_u64(seed ^ 0x5eed);
+fn random_scenario(seed: u64) -> World {
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let mut world = world(seed);
-    let span = |luck: &mut SmallRng, range: Range<u64>| luck.random_range(range);
+    let span = |rng: &mut SmallRng, range: Range<u64>| rng.random_range(range);
     for index in [2, 3, 9, 0] {
-        world.abort_at(span(&mut luck, 15_000..90_000), index);
+        world.abort_at(span(&mut rng, 15_000..90_000), index);
     }
-    if luck.random_bool(0.5) {
-        let instead = luck.random_range(0.0..0.6);
-        let most = span(&mut luck, 5_000..70_000);
-        world.copies = Some((luck.random_range(0.05..0.5), 500..most, instead));
+    if rng.random_bool(0.5) {
+        let instead = rng.random_range(0.0..0.6);
+        let most = span(&mut rng, 5_000..70_000);
+        world.network.heartbeat_copies = Some(HeartbeatCopies {
+            share: rng.random_range(0.05..0.5),
+            delay_ms: 500..most,
+            replace_share: instead,
+        });
     }
-    if luck.random_bool(0.4) {
-        world.lost_answers = luck.random_range(0.01..0.15);
+    if rng.random_bool(0.4) {
+        world.store_faults.lost_response_share = rng.random_range(0.01..0.15);
     }
-    for node in 0..NODES {
-        if luck.random_bool(0.3) {
-            let (from, long) = (luck.random_range(12..70), luck.random_range(4..45));
-            let mut cut = alone(node, from, long, luck.random_bool(0.5));
-            if luck.random_bool(0.4) {
-                cut.from_workers = luck.random_bool(0.5);
-                cut.from_peers = luck.random_bool(0.5);
-                cut.from_store = luck.random_bool(0.6);
+    for controller in 0..CONTROLLERS {
+        if rng.random_bool(0.3) {
+            let (from, long) = (rng.random_range(12..70), rng.random_range(4..45));
+            let mut cut = cut_except_workers(controller, from, long, rng.random_bool(0.5));
+            if rng.random_bool(0.4) {
+                cut.from_workers = rng.random_bool(0.5);
+                cut.from_peers = rng.random_bool(0.5);
+                cut.from_store = rng.random_bool(0.6);
             }
-            world.cuts.push(cut);
+            world.network.cuts.push(cut);
         }
-        if luck.random_bool(0.5) {
-            let (from, back) = (span(&mut luck, 12_000..90_000), span(&mut luck, 30..4_000));
-            let count = span(&mut luck, 1..5);
-            restarts(&mut world, node, from, count, back);
+        if rng.random_bool(0.5) {
+            let (from, back) = (span(&mut rng, 12_000..90_000), span(&mut rng, 30..4_000));
+            let count = span(&mut rng, 1..5);
+            restart_repeatedly(&mut world, controller, from, count, back);
         }
     }
-    if luck.random_bool(0.3) {
-        let from = span(&mut luck, 14_000..90_000);
+    if rng.random_bool(0.3) {
+        let from = span(&mut rng, 14_000..90_000);
         world
+            .store_faults
             .outages
-            .push((from, from + span(&mut luck, 2_000..25_000)));
+            .push((from, from + span(&mut rng, 2_000..25_000)));
     }
-    if luck.random_bool(0.3) {
-        let from = span(&mut luck, 14_000..60_000);
+    if rng.random_bool(0.3) {
+        let from = span(&mut rng, 14_000..60_000);
         world
-            .cloud_down
-            .push((from, from + span(&mut luck, 5_000..50_000)));
+            .network
+            .cloud_outages
+            .push((from, from + span(&mut rng, 5_000..50_000)));
     }
     let mut at = 12_000;
-    while at < CALM - 35_000 {
-        at += span(&mut luck, 500..9_000);
+    while at < FAULTS_END - 35_000 {
+        at += span(&mut rng, 500..9_000);
         world.run_until(at);
-        let index = span(&mut luck, 0..8) as usize;
-        let long = span(&mut luck, 2_000..60_000);
-        let until = (at + long).min(CALM);
-        match span(&mut luck, 0..9) {
+        let index = span(&mut rng, 0..8) as usize;
+        let long = span(&mut rng, 2_000..60_000);
+        let until = (at + long).min(FAULTS_END);
+        match span(&mut rng, 0..9) {
             0 | 1 => world.drop_commands_to_worker(index, until),
             2 | 3 => {
-                let anew = luck.random_bool(0.5);
+                let anew = rng.random_bool(0.5);
                 world.reboot_worker(index, anew);
             }
             4 => world.hang_worker(index, until),
             5 => world.kill_worker(index),
-            6 => world.make_quarantined(index),
+            6 => world.break_worker(index),
             _ => {}
         }
     }
@@ -326,7 +359,7 @@
 fn a_seeded_search_of_mixed_troubles_finds_nothing() {
     log_if_asked();
     for seed in seeds("TROUBLE", 12) {
-        let mut world = random_day(seed);
+        let mut world = random_scenario(seed);
         finish(&mut world, &format!("seed {seed}"));
     }
 }
@@ -338,25 +371,31 @@
 fn machines_change_hands_without_a_kill() {
     let mut seen = 0;
     for seed in 1..=12 {
-        for node in [0, 1] {
+        for controller in [0, 1] {
             let mut world = world(seed);
-            world.cuts.push(alone(node, 20, 60, seed % 2 == 0));
+            world
+                .network
+                .cuts
+                .push(cut_except_workers(controller, 20, 60, seed % 2 == 0));
             world.run_until(20_000);
             let at_work: Vec<_> = world
                 .machines
-                .machine_ids
+                .by_id
                 .iter()
-                .filter(|(_, m)| m.dead.is_none() && m.node == node)
+                .filter(|(_, m)| m.stopped_at.is_none() && m.controller == controller)
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()))
                 .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
                 .collect();
             seen += at_work.len();
             world.run_until(79_000);
             for (machine_id, agent_epoch) in at_work {
-                let now = world.machines.machine_ids[&machine_id].agent_epoch;
-                assert_eq!(now, agent_epoch, "{machine_id} of {node} (seed {seed})");
+                let now = world.machines.by_id[&machine_id].agent_epoch;
+                assert_eq!(
+                    now, agent_epoch,
+                    "{machine_id} of {controller} (seed {seed})"
+                );
             }
-            assert_eq!(world.cloud.deleted_at_work, 0, "{node} (seed {seed})");
+            assert_eq!(world.cloud.deleted_at_work, 0, "{controller} (seed {seed})");
         }
     }
     assert!(seen > 10, "only {seen} machines show it");
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -31,20 +31,20 @@
         ..Config::default()
     };
     let mut world = World::new(config, seed, jobs);
-    for node in 0..world.settings.len() {
-        give_tree(&mut world, node, tree);
+    for controller in 0..world.settings.len() {
+        give_tree(&mut world, controller, tree);
     }
     world
 }
 
 /// What a controller reads at its next start.
-fn give_tree(world: &mut World, node: usize, tree: Option<&str>) {
-    let mut settings: Settings = (*world.settings[node]).clone();
+fn give_tree(world: &mut World, controller: usize, tree: Option<&str>) {
+    let mut settings: Settings = (*world.settings[controller]).clone();
     settings.tree = None;
     if let Some(text) = tree {
         settings.take_tree("tree.ini", text).unwrap();
     }
-    world.settings[node] = Arc::new(settings);
+    world.settings[controller] = Arc::new(settings);
 }
 
 /// From now on these teams may together use so much.
@@ -74,7 +74,10 @@
 fn used(world: &World, name: &str) -> f64 {
     let now = Millis(world.now);
     let spec = |id: &JobId| &world.machines.jobs[id].spec;
-    let amounts = world.machines.present(now).map(|(_, task)| spec(&task.job));
+    let amounts = world
+        .machines
+        .tasks_started(now)
+        .map(|(_, task)| spec(&task.job));
     let its = amounts.filter(|spec| spec.team == Team::from(name));
     its.fold(Resources::default(), |sum, s| sum.plus(s.resources))
         .gpus
@@ -96,14 +99,14 @@
         (0..3).for_each(|n| w.crash(n, 61_000 + 5_000 * n as u64, 4_000));
     }),
     ("an outage of the state service during reclaim", |w| {
-        w.outages.push((61_500, 70_000));
+        w.store_faults.outages.push((61_500, 70_000));
     }),
     ("answers of the state service are lost", |w| {
-        w.lost_answers = 0.1
+        w.store_faults.lost_response_share = 0.1
     }),
     ("a holder is cut off, and its commands come late", |w| {
-        w.cuts.push(Cut {
-            node: 1,
+        w.network.cuts.push(Cut {
+            controller: 1,
             from_store: true,
             from_workers: true,
             from_peers: true,
@@ -199,9 +202,9 @@
             let name = format!("{name} (seed {seed})");
             sound(&world, &name);
             assert!(
-                world.unfinished().is_empty(),
+                world.unfinished_jobs().is_empty(),
                 "{name}: {:?}",
-                world.unfinished()
+                world.unfinished_jobs()
             );
         }
     }
@@ -224,7 +227,7 @@
         let low = tree(2, 8)
             .replace("gpus = 20\ngpus_max", "gpus = 8\ngpus_max")
             .replace("gpus = 8\n[node e2", "gpus = 4\n[node e2");
-        world.lost_answers = world.lost_answers.max(0.05);
+        world.store_faults.lost_response_share = world.store_faults.lost_response_share.max(0.05);
         world.run_until(58_000);
         assert!(used(&world, "e1") + used(&world, "e2") > 16.0, "{name}");
         give_tree(&mut world, 1, Some(&low));
@@ -244,18 +247,18 @@
         );
         assert!(!world.rules.done.contains(&"job-000004".into()), "{name}");
         world.rules.groups.clear();
-        for node in 0..3 {
+        for controller in 0..3 {
             give_tree(
                 &mut world,
-                node,
+                controller,
                 Some("[tree]\nrevision = 3\nenabled = no\n"),
             );
-            world.crash(node, 301_000 + 4_000 * node as u64, 500);
+            world.crash(controller, 301_000 + 4_000 * controller as u64, 500);
         }
         world.run_until(400_000);
         sound(&world, name);
         assert_eq!(
-            world.unfinished(),
+            world.unfinished_jobs(),
             [JobId::from("job-000003")][..0],
             "{name}"
         );
@@ -275,7 +278,7 @@
         cap(&mut world, &["e1", "e2"], 24.0);
         world.run_until(90_000);
         sound(&world, &format!("seed {seed}"));
-        assert!(world.unfinished().is_empty());
+        assert!(world.unfinished_jobs().is_empty());
     }
 }
 
