--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -116,7 +116,7 @@
 pub fn play(case: Case, seed: u64) -> Played {
     let mut world = World::new(config(case), seed, jobs(case.machines));
     if case.policy == Policy::GiveUp {
-        world.operate(|operator| {
+        world.change_operator_settings(|operator| {
             (
                 operator.partition_lease_keep,
                 operator.partitioned_zone_hold,
@@ -136,7 +136,7 @@
     });
     let running = running.collect();
     let expired = |(machine_id, agent_epoch): &&(MachineId, u64)| {
-        world.machines.machine_ids[machine_id].agent_epoch > *agent_epoch
+        world.machines.by_id[machine_id].agent_epoch > *agent_epoch
     };
     let told_at = world.rules.aborted.get(&cancelled);
     Played {
@@ -176,9 +176,9 @@
 
 /// Machines of a zone that are up and have tasks, with their agent epochs.
 fn busy_machines(world: &World, zone: &Zone) -> Vec<(MachineId, u64)> {
-    let machines = world.machines.machine_ids.iter();
+    let machines = world.machines.by_id.iter();
     let busy = machines.filter(|(_, machine)| {
-        machine.zone == *zone && machine.dead.is_none() && !machine.tasks.is_empty()
+        machine.zone == *zone && machine.stopped_at.is_none() && !machine.tasks.is_empty()
     });
     busy.map(|(machine_id, machine)| (machine_id.clone(), machine.agent_epoch))
         .collect()
@@ -186,7 +186,7 @@
 
 /// Schedules the cut, and the crash of the zone's controller.
 fn cut(world: &mut World, case: Case) {
-    world.zone_cuts.push(ZoneCut {
+    world.network.zone_cuts.push(ZoneCut {
         zone: Zone::from(ZONE),
         since: FROM_S * 1_000,
         until: (FROM_S + case.for_s) * 1_000,
@@ -206,8 +206,8 @@
         in_zone: 0,
         all: 0,
     };
-    for (machine_id, _) in world.machines.present(Millis(at_s * 1_000)) {
-        let is_in_zone = world.machines.machine_ids[machine_id].zone == *zone;
+    for (machine_id, _) in world.machines.tasks_started(Millis(at_s * 1_000)) {
+        let is_in_zone = world.machines.by_id[machine_id].zone == *zone;
         running.in_zone += usize::from(is_in_zone);
         running.all += 1;
     }
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -193,9 +193,11 @@
 /// How much runs at present.
 fn status_line(shared: &SharedRegion) -> String {
     let region = shared.lock();
-    let tasks = region.machines.present(region.now()).count();
-    let machines = region.machines.machine_ids.values();
-    let up = machines.filter(|machine| machine.dead.is_none()).count();
+    let tasks = region.machines.tasks_started(region.now()).count();
+    let machines = region.machines.by_id.values();
+    let up = machines
+        .filter(|machine| machine.stopped_at.is_none())
+        .count();
     format!("{tasks} tasks on {up} machines")
 }
 
--- a/crates/simulator/src/live/control.rs
+++ b/crates/simulator/src/live/control.rs
@@ -15,7 +15,7 @@
 use super::SharedRegion;
 use super::faults::{Fault, FaultError};
 use super::http::{self, Request, Response};
-use crate::machines::Description;
+use crate::machines::JobDescription;
 
 /// The part of an uploaded description that controllers ignore.
 #[derive(Deserialize)]
@@ -93,9 +93,9 @@
     let now = region.now();
     region.rules.submit(&id, now);
     let answer = json!({"id": id, "runS": run.secs()});
-    let description = Description {
+    let description = JobDescription {
         spec,
-        run,
+        run_time: run,
         broken: false,
     };
     region.machines.jobs.insert(id, description);
--- a/crates/simulator/src/live/faults/mod.rs
+++ b/crates/simulator/src/live/faults/mod.rs
@@ -140,8 +140,8 @@
             Kind::Cloud => region.faults.cloud_down_until = until,
             Kind::Hang | Kind::Stop => {
                 let machine_id = MachineId::from(self.target.as_str());
-                let machine = region.machines.machine_ids.get_mut(&machine_id);
-                let Some(machine) = machine.filter(|machine| machine.dead.is_none()) else {
+                let machine = region.machines.by_id.get_mut(&machine_id);
+                let Some(machine) = machine.filter(|machine| machine.stopped_at.is_none()) else {
                     return Err(FaultError::UnknownMachine(machine_id));
                 };
                 if self.kind == Kind::Hang {
--- a/crates/simulator/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::cloud::Cloud;
 use crate::config::Config;
-use crate::machines::{Machines, Outgoing};
+use crate::machines::{Machines, OutgoingHeartbeat};
 use crate::rules::Rules;
 use crate::state::StateService;
 
@@ -111,9 +111,9 @@
     /// Stops every machine of a zone, and returns how many there were.
     pub fn lose_zone(&mut self, zone: &Zone) -> usize {
         let now = self.now();
-        let machines = self.machines.machine_ids.iter();
+        let machines = self.machines.by_id.iter();
         let in_zone =
-            machines.filter(|(_, machine)| machine.zone == *zone && machine.dead.is_none());
+            machines.filter(|(_, machine)| machine.zone == *zone && machine.stopped_at.is_none());
         let in_zone: Vec<MachineId> = in_zone.map(|(machine_id, _)| machine_id.clone()).collect();
         for machine_id in &in_zone {
             self.machines.kill(machine_id, now);
@@ -122,7 +122,7 @@
     }
 
     /// Advances the store and the machines to the present. Returns the heartbeats that are to be delivered.
-    fn step(&mut self) -> Vec<Outgoing> {
+    fn step(&mut self) -> Vec<OutgoingHeartbeat> {
         let now = self.now();
         self.store.pass(now, now < self.faults.store_down_until);
         let (started, heartbeats) = self.machines.step(now);
--- a/crates/simulator/src/live/services/cloud_api.rs
+++ b/crates/simulator/src/live/services/cloud_api.rs
@@ -95,7 +95,7 @@
             more,
         } => {
             let listed = machine_ids.iter().map(|listed| {
-                let machine = machines.machine_ids.get(&listed.machine_id);
+                let machine = machines.by_id.get(&listed.machine_id);
                 let address = machine.map(|machine| &machine.address);
                 json!({"id": listed.machine_id, "address": address, "rig": listed.machine_type,
                     "yard": listed.zone, "loaners": listed.spot, "stage": stage_name(listed.stage),
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -16,7 +16,7 @@
 
 use super::http::{self, Request, Response};
 use super::{Region, SharedRegion};
-use crate::machines::Outgoing;
+use crate::machines::OutgoingHeartbeat;
 
 /// How long a worker waits for the answer to a heartbeat, and how long a command to an unreachable machine
 /// goes unanswered.
@@ -88,13 +88,13 @@
 }
 
 /// Delivers one heartbeat to its controller, and the controller's answer to the machine.
-pub(super) async fn deliver(shared: SharedRegion, client: HttpClient, outgoing: Outgoing) {
+pub(super) async fn deliver(shared: SharedRegion, client: HttpClient, outgoing: OutgoingHeartbeat) {
     let address = {
         let region = shared.lock();
         if !is_connected(&region, &outgoing) {
             return;
         }
-        region.controllers[outgoing.node]
+        region.controllers[outgoing.controller]
     };
     let body = heartbeat_body(&outgoing.heartbeat).to_string().into_bytes();
     let client = client.at(address);
@@ -113,14 +113,14 @@
     let region = &mut *shared.lock();
     if is_connected(region, &outgoing) {
         let now = region.now();
-        region.machines.answered(&outgoing, response, now);
+        region.machines.receive_response(&outgoing, response, now);
     }
 }
 
 /// Whether messages pass between a heartbeat's machine and its controller.
-fn is_connected(region: &Region, outgoing: &Outgoing) -> bool {
+fn is_connected(region: &Region, outgoing: &OutgoingHeartbeat) -> bool {
     let now = region.now();
-    !region.faults.is_cut_off(outgoing.node, now)
+    !region.faults.is_cut_off(outgoing.controller, now)
         && region.machines.reachable(&outgoing.machine_id, now)
 }
 
@@ -146,9 +146,9 @@
 /// Opens a server for each machine that came up, and closes those of machines that are gone.
 pub(super) fn update_listeners(shared: &SharedRegion) {
     let region = &mut *shared.lock();
-    for (machine_id, machine) in &mut region.machines.machine_ids {
+    for (machine_id, machine) in &mut region.machines.by_id {
         let is_served = region.listeners.contains_key(machine_id);
-        if machine.dead.is_some() {
+        if machine.stopped_at.is_some() {
             if let Some(server) = region.listeners.remove(machine_id) {
                 server.abort();
             }
@@ -200,8 +200,9 @@
         return 400;
     };
     let (commands, now) = (body.commands(), region.now());
-    let accepted = region
-        .machines
-        .direct(machine_id, worker_token, agent_epoch, commands, now);
+    let accepted =
+        region
+            .machines
+            .execute_direct(machine_id, worker_token, agent_epoch, commands, now);
     if accepted { 200 } else { 409 }
 }
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -227,7 +227,7 @@
     world.meter = Some(Meter::new(size.controllers));
     world.run_until(size.seconds * 1_000);
     let meter = world.meter.take().unwrap_or_default();
-    let controllers = world.nodes.iter().zip(meter.nodes);
+    let controllers = world.controllers.iter().zip(meter.nodes);
     let roles = controllers.filter_map(|(controller, meter)| {
         let controller = controller.as_ref()?;
         Some(Role {
@@ -240,12 +240,12 @@
     });
     let roles = roles.collect();
     let now = Millis(world.now);
-    let tasks: Vec<&TaskId> = world.machines.holding(now).collect();
+    let tasks: Vec<&TaskId> = world.machines.tasks_allocated(now).collect();
     Played {
         size,
         starts: world.rules.starts,
         written: world.store.written,
-        machines: world.machines.sound(now).count(),
+        machines: world.machines.healthy(now).count(),
         tasks: tasks.len(),
         roles,
         violations: world.rules.violations.iter().cloned().collect(),
