--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,11 @@
 //! jaspertiller, a cluster scheduler: see README.md, and docs/design.md for how it works.
+//!
+//! - Decisions, free of I/O: [`controller`], with the rules that it uses in [`admission`], [`cycle`], [`fleet`],
+//!   [`jobs`], [`lease`], [`preempt`], [`queue`], [`quota`], [`workers`] and [`zones`].
+//! - I/O: [`daemon`] owns the controller and starts the actors for the [`store`], the cloud ([`fleet::client`]), the
+//!   other controllers ([`peers`]), direct commands ([`workers::direct`]) and the [`http_server`].
+//! - Between the two: [`requests`] and [`request_queue`]; [`sockets`] divides the connections.
+//! - Start: [`cli`], [`settings_loader`] and [`settings`].
 
 pub mod admission;
 pub mod cli;
