--- a/crates/simulator/src/cut_report.rs
+++ b/crates/simulator/src/cut_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region cuts`: plays cuts of a zone, kept and given up, and shows their table and their page.
+//! `cluster-simulator cuts`: plays cuts of a zone, kept and given up, and shows their table and their page.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -1,4 +1,4 @@
-//! `tiller-region demo`: runs a mixed set of jobs on three controllers, kills one of them meanwhile, and prints
+//! `cluster-simulator demo`: runs a mixed set of jobs on three controllers, kills one of them meanwhile, and prints
 //! what came of the jobs and whether the protocol's rules held.
 
 use std::collections::BTreeMap;
--- a/crates/simulator/src/live/controllers.rs
+++ b/crates/simulator/src/live/controllers.rs
@@ -53,7 +53,7 @@
         }
         let public: Vec<SocketAddr> = addresses.iter().map(|(public, _)| *public).collect();
         let shared = SharedRegion::new(config.clone(), seed, public.clone());
-        let folder = std::env::temp_dir().join(format!("tiller-region-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("cluster-simulator-{}", std::process::id()));
         fs::create_dir_all(&folder).with_context(|| folder.display().to_string())?;
         for index in 0..config.controllers {
             let (store, cloud) = (listen()?, listen()?);
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `tiller-region`: a region on loopback to try the daemon in, and replays in virtual time.
+//! `cluster-simulator`: a region on loopback to try the daemon in, and replays in virtual time.
 
 mod cut_report;
 mod demo;
@@ -180,7 +180,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("tiller-region: {error}");
+            eprintln!("cluster-simulator: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -252,7 +252,7 @@
         }
     });
     ended.unwrap_or_else(|error| {
-        eprintln!("tiller-region: {error:#}");
+        eprintln!("cluster-simulator: {error:#}");
         let settings = error.is::<jaspertiller::settings::SettingsError>();
         ExitCode::from(if settings { BAD_SETTINGS } else { 1 })
     })
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region contention`: plays the replays of contention, and shows their table and their page. Also the
+//! `cluster-simulator contention`: plays the replays of contention, and shows their table and their page. Also the
 //! figures and the style that the other reports' pages share.
 
 use std::ops::Range;
--- a/crates/simulator/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region scale`: plays a scale run, and shows its progress, its table, its CSV and its page.
+//! `cluster-simulator scale`: plays a scale run, and shows its progress, its table, its CSV and its page.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
--- a/crates/simulator/src/serve.rs
+++ b/crates/simulator/src/serve.rs
@@ -1,4 +1,4 @@
-//! `tiller-region serve`, which keeps a live region up, and `tiller-region fault`, which asks one for a fault.
+//! `cluster-simulator serve`, which keeps a live region up, and `cluster-simulator fault`, which asks one for a fault.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/simulator/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region slopes`: plays the sizes, and prints the table and writes the CSV of what controllers cost.
+//! `cluster-simulator slopes`: plays the sizes, and prints the table and writes the CSV of what controllers cost.
 
 use std::fmt::Write as _;
 use std::path::Path;
