--- /dev/null
+++ b/crates/simulator/src/machines/commands.rs
@@ -0,0 +1,223 @@
+//! Commands that workers execute: start, stop and forget tasks.
+
+use jaspertiller::jobs::{JobKind, JobSpec};
+use jaspertiller::types::{AgentEpoch, Attempt, Image, MachineId, Millis, TaskId, WorkerToken};
+use jaspertiller::workers::wire::{ExitCause, HeartbeatResponse, TaskStage, WorkerCommand};
+use rand::Rng;
+
+use super::machine::{NEVER, OutgoingHeartbeat, Task};
+use super::{HEARTBEAT_AFTER_CHANGE, Machines, RETRY_DELAY, last_checkpoint};
+use crate::config::Config;
+
+/// A worker heartbeats this soon to a controller that it was redirected to.
+const REDIRECT_DELAY: Millis = Millis(100);
+/// A worker heartbeats this soon after direct commands.
+const HEARTBEAT_AFTER_COMMAND: Millis = Millis(500);
+
+impl Machines {
+    /// Takes a controller's response to a heartbeat, if it reaches the machine and the machine still waits for it.
+    pub fn receive_response(
+        &mut self,
+        outgoing: &OutgoingHeartbeat,
+        response: HeartbeatResponse,
+        now: Millis,
+    ) {
+        let (machine_id, controllers) = (&outgoing.machine_id, self.controllers);
+        if !self.is_reachable_from(machine_id, outgoing.controller, now) {
+            return;
+        }
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
+            return;
+        };
+        let arrives = machine.is_running() && machine.commands_lost_until <= now;
+        let sequence = outgoing.heartbeat.heartbeat_sequence;
+        let in_flight = machine.in_flight;
+        let Some((sent_at, _)) = in_flight.filter(|(_, number)| arrives && *number == sequence)
+        else {
+            return;
+        };
+        machine.in_flight = None;
+        match response {
+            HeartbeatResponse::Commands {
+                worker_token,
+                commands,
+            } => {
+                // A fenced controller neither renews the lease nor commands the worker.
+                if worker_token < machine.worker_token {
+                    return;
+                }
+                if worker_token > machine.worker_token {
+                    machine.worker_token = worker_token;
+                    machine.next_heartbeat = now + HEARTBEAT_AFTER_CHANGE;
+                }
+                machine.lease_start = sent_at;
+                machine.last_renewal = Some((outgoing.controller, now));
+                self.execute(machine_id, commands, now);
+            }
+            HeartbeatResponse::Redirect(Some(redirect_to)) => {
+                let target = (0..controllers).find(|i| Config::label(*i) == redirect_to.as_str());
+                machine.controller = target.unwrap_or((machine.controller + 1) % controllers);
+                machine.next_heartbeat = now + REDIRECT_DELAY;
+            }
+            _ => machine.try_next_controller(controllers, now + RETRY_DELAY),
+        }
+    }
+
+    /// Lets a worker execute direct commands, unless its token or agent epoch fences them off; whether it did.
+    pub fn execute_direct(
+        &mut self,
+        machine_id: &MachineId,
+        worker_token: WorkerToken,
+        agent_epoch: AgentEpoch,
+        commands: Vec<WorkerCommand>,
+        now: Millis,
+    ) -> bool {
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
+            return false;
+        };
+        let is_accepted =
+            worker_token >= machine.worker_token && agent_epoch.0 == machine.agent_epoch;
+        if is_accepted {
+            machine.worker_token = machine.worker_token.max(worker_token);
+            self.execute(machine_id, commands, now);
+        }
+        if let Some(machine) = self.by_id.get_mut(machine_id) {
+            machine.heartbeat_sequence += 1;
+            machine.heartbeat_by(now + HEARTBEAT_AFTER_COMMAND);
+        }
+        is_accepted
+    }
+
+    fn execute(&mut self, machine_id: &MachineId, commands: Vec<WorkerCommand>, now: Millis) {
+        for command in commands {
+            match command {
+                WorkerCommand::Start { task, attempt } => {
+                    self.start(machine_id, task, attempt, now);
+                }
+                WorkerCommand::Stop {
+                    task,
+                    attempt,
+                    grace_s,
+                } => self.stop(machine_id, &task, attempt, grace_s, now),
+                WorkerCommand::Forget { task, attempt } => self.forget(machine_id, &task, attempt),
+            }
+        }
+    }
+
+    fn forget(&mut self, machine_id: &MachineId, id: &TaskId, attempt: Attempt) {
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
+            return;
+        };
+        let is_over = |task: &Task| task.attempt == attempt && task.is_exited();
+        if machine.tasks.get(id).is_some_and(is_over) {
+            machine.tasks.remove(id);
+        }
+    }
+
+    fn start(&mut self, machine_id: &MachineId, id: TaskId, attempt: Attempt, now: Millis) {
+        let Some(machine) = self.by_id.get(machine_id) else {
+            return;
+        };
+        let known = machine.tasks.get(&id);
+        if known.is_some_and(|task| task.attempt == attempt || !task.is_exited()) {
+            return;
+        }
+        let mut task = Task {
+            attempt,
+            stage: TaskStage::Fetching,
+            cause: None,
+            checkpointed: false,
+            stage_ends_at: now,
+            running_since: now,
+            stop_requested_at: None,
+        };
+        let job = self.jobs.get(&id.job);
+        let spec = job.map(|job| &job.spec).filter(|s| id.index < s.tasks);
+        match spec {
+            None => task.exit(ExitCause::Unknown),
+            Some(spec) => {
+                let allocated = self.allocated_on(machine).plus(spec.resources);
+                if allocated.fits_in(self.machine_type.resources) {
+                    let (image, size_gb) = (spec.image.clone(), spec.image_gb);
+                    task.stage_ends_at = self.image_ready_at(machine_id, &image, size_gb, now);
+                } else {
+                    task.exit(ExitCause::NoRoom);
+                }
+            }
+        }
+        if let Some(machine) = self.by_id.get_mut(machine_id) {
+            machine.tasks.insert(id, task);
+            machine.heartbeat_by(now + HEARTBEAT_AFTER_COMMAND);
+        }
+    }
+
+    /// When an image is on a machine; fetches it unless the machine has it or fetches it already.
+    fn image_ready_at(
+        &mut self,
+        machine_id: &MachineId,
+        image: &Image,
+        size_gb: f64,
+        now: Millis,
+    ) -> Millis {
+        // Drawn for images that are there, too: the draws of other machines do not depend on it.
+        let duration_ms = match self.fetch_duration.clone() {
+            Some(range) => self.rng.random_range(range) as f64,
+            None => {
+                size_gb / self.machine_type.fetch_gb_per_s * self.rng.random_range(670.0..1_330.0)
+            }
+        };
+        let Some(machine) = self.by_id.get_mut(machine_id) else {
+            return NEVER;
+        };
+        let ready_at = machine.image_ready_at.entry(image.clone());
+        *ready_at.or_insert(now + Millis(duration_ms as u64))
+    }
+
+    fn stop(
+        &mut self,
+        machine_id: &MachineId,
+        id: &TaskId,
+        attempt: Attempt,
+        grace_s: f64,
+        now: Millis,
+    ) {
+        let (Some(machine), Some(job)) = (self.by_id.get_mut(machine_id), self.jobs.get(&id.job))
+        else {
+            return;
+        };
+        let spec = &job.spec;
+        let task = machine.tasks.get_mut(id);
+        let Some(task) = task.filter(|task| !task.is_exited() && task.attempt == attempt) else {
+            return;
+        };
+        machine.next_heartbeat = machine.next_heartbeat.min(now + HEARTBEAT_AFTER_CHANGE);
+        match task.stage {
+            TaskStage::Running if can_save(spec, grace_s) => {
+                task.stage = TaskStage::Saving;
+                task.stop_requested_at = Some(now);
+                task.stage_ends_at = now + Millis::from_secs(spec.save_s);
+            }
+            // It may go on with saving; only a stop without grace ends that.
+            TaskStage::Saving if grace_s > 0.0 => {}
+            TaskStage::Running | TaskStage::Saving => {
+                let ran = task.stop_requested_at.unwrap_or(now);
+                let ran = ran.since(task.running_since);
+                let checkpoint = last_checkpoint(ran, spec);
+                if spec.kind == JobKind::Array {
+                    let progress = self.progress.entry(id.clone()).or_default();
+                    *progress = *progress + checkpoint;
+                }
+                if spec.kind != JobKind::Service {
+                    self.lost_run_time = self.lost_run_time + (ran - checkpoint);
+                }
+                task.exit(ExitCause::Stopped);
+            }
+            _ => task.exit(ExitCause::Stopped),
+        }
+    }
+}
+
+/// Whether a task can save its progress within a grace period.
+fn can_save(spec: &JobSpec, grace_s: f64) -> bool {
+    spec.checkpoint_s > 0.0 && grace_s >= spec.save_s
+}
--- /dev/null
+++ b/crates/simulator/src/machines/gangs.rs
@@ -0,0 +1,163 @@
+//! Gangs: their tasks start together, complete together, save together, and exit when a member is gone.
+
+use std::collections::{BTreeMap, HashMap, HashSet};
+
+use jaspertiller::jobs::JobKind;
+use jaspertiller::types::{Attempt, JobId, Millis, TaskId};
+use jaspertiller::workers::wire::{ExitCause, TaskStage};
+
+use super::machine::{Machine, NEVER, Task};
+use super::{JobDescription, Machines, last_checkpoint};
+
+/// A machine with tasks sends its next heartbeat within this time.
+const BUSY_HEARTBEAT_INTERVAL: Millis = Millis(1_000);
+
+/// The run of a gang's attempt.
+pub(super) struct GangRun {
+    attempt: Attempt,
+    running_since: Millis,
+    ends_at: Millis,
+    stop_requested_at: Option<Millis>,
+    /// Its progress has been recorded.
+    saved: bool,
+}
+
+/// Tasks of one attempt of a gang on all machines.
+type Members<'a> = Vec<(TaskId, &'a mut Task)>;
+
+fn count(members: &Members, stage: TaskStage) -> usize {
+    let members = members.iter();
+    members.filter(|(_, task)| task.stage == stage).count()
+}
+
+/// What the runs of gangs depend on and change besides the tasks.
+struct GangRuns<'a> {
+    now: Millis,
+    /// How long members may go on after one was asked to stop.
+    peer_timeout: Millis,
+    runs: &'a mut BTreeMap<JobId, GangRun>,
+    completed: &'a mut HashSet<TaskId>,
+    progress: &'a mut HashMap<TaskId, Millis>,
+    broken_gangs: &'a mut u64,
+    lost_run_time: &'a mut Millis,
+}
+
+impl GangRuns<'_> {
+    fn advance(&mut self, id: JobId, attempt: Attempt, members: Members, job: &JobDescription) {
+        let tasks = job.spec.tasks as usize;
+        let first = TaskId {
+            job: id.clone(),
+            index: 0,
+        };
+        let saved = self.progress.get(&first).copied().unwrap_or_default();
+        let now = self.now;
+        let run = self.runs.get_mut(&id).filter(|run| run.attempt == attempt);
+        let Some(run) = run else {
+            if count(&members, TaskStage::Waiting) == tasks {
+                self.start(id, attempt, members, job.run_time - saved);
+            }
+            return;
+        };
+        let saving = count(&members, TaskStage::Saving);
+        if saving > 0 {
+            run.stop_requested_at.get_or_insert(now);
+        }
+        if count(&members, TaskStage::Running) == tasks && now >= run.ends_at {
+            return self.complete(members);
+        }
+        let checkpointed = members.iter().filter(|(_, task)| task.checkpointed).count();
+        if saving + checkpointed == tasks || run.saved {
+            if checkpointed > 0 && !run.saved {
+                run.saved = true;
+                let stop_requested_at = run.stop_requested_at.unwrap_or(now);
+                let progress = saved + stop_requested_at.since(run.running_since);
+                self.progress.insert(first, progress);
+            }
+            return;
+        }
+        let requested_at = run.stop_requested_at;
+        let is_late = requested_at.is_some_and(|at| now.since(at) > self.peer_timeout);
+        let is_member_gone = members.len() < tasks && requested_at.is_none();
+        if is_late || is_member_gone {
+            let ran = requested_at.unwrap_or(now).since(run.running_since);
+            // No attempt gets here with its progress saved.
+            run.saved = true;
+            let checkpoint = last_checkpoint(ran, &job.spec);
+            *self.broken_gangs += 1;
+            *self.lost_run_time = *self.lost_run_time + (ran - checkpoint);
+            self.progress.insert(first, saved + checkpoint);
+            let running = members.into_iter().filter(|(_, task)| task.on_machine());
+            running.for_each(|(_, task)| task.exit(ExitCause::PeersGone));
+        }
+    }
+
+    fn start(&mut self, id: JobId, attempt: Attempt, members: Members, remaining: Millis) {
+        let run = GangRun {
+            attempt,
+            running_since: self.now,
+            ends_at: self.now + remaining,
+            stop_requested_at: None,
+            saved: false,
+        };
+        self.runs.insert(id, run);
+        for (_, task) in members {
+            // The run ends for all members at once.
+            task.run(self.now, NEVER);
+        }
+    }
+
+    fn complete(&mut self, members: Members) {
+        for (id, task) in members {
+            task.exit(ExitCause::Done);
+            self.completed.insert(id);
+        }
+    }
+}
+
+impl Machines {
+    /// Lets time pass for gangs.
+    pub(super) fn step_gangs(&mut self, now: Millis) {
+        let lease = self.timing.lease;
+        let mut attempts: BTreeMap<(JobId, Attempt), Members> = BTreeMap::new();
+        for machine in self.by_id.values_mut() {
+            let is_expired = machine.is_lease_expired(lease, now) && !self.ignore_lease_expiry;
+            if !machine.is_running() || is_expired || now < machine.hung_until {
+                continue;
+            }
+            if !machine.tasks.is_empty() {
+                machine.heartbeat_by(now + BUSY_HEARTBEAT_INTERVAL);
+            }
+            collect_members(machine, &self.jobs, &mut attempts);
+        }
+        let mut runs = GangRuns {
+            now,
+            peer_timeout: self.timing.gang_peer,
+            runs: &mut self.gangs,
+            completed: &mut self.completed,
+            progress: &mut self.progress,
+            broken_gangs: &mut self.broken_gangs,
+            lost_run_time: &mut self.lost_run_time,
+        };
+        for ((id, attempt), members) in attempts {
+            if let Some(job) = self.jobs.get(&id) {
+                runs.advance(id, attempt, members, job);
+            }
+        }
+    }
+}
+
+/// Adds a machine's tasks of gangs that have not exited, or exited with their progress saved.
+fn collect_members<'a>(
+    machine: &'a mut Machine,
+    jobs: &HashMap<JobId, JobDescription>,
+    attempts: &mut BTreeMap<(JobId, Attempt), Members<'a>>,
+) {
+    let is_gang = |job: &JobDescription| job.spec.kind == JobKind::Gang;
+    for (id, task) in &mut machine.tasks {
+        let is_member = !task.is_exited() || task.checkpointed;
+        if is_member && jobs.get(&id.job).is_some_and(is_gang) {
+            let members = attempts.entry((id.job.clone(), task.attempt)).or_default();
+            members.push((id.clone(), task));
+        }
+    }
+}
