--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -11,9 +11,11 @@
 use crate::config::Config;
 use crate::machines::{Machine, Machines};
 
+/// The simulated cloud.
 pub struct Cloud {
     config: Config,
     rental_requests: HashMap<String, Vec<MachineId>>,
+    /// Machines that were deleted.
     pub deleted: BTreeSet<MachineId>,
     made: u32,
     /// Machines that were well, reachable and at work when they were deleted.
@@ -21,6 +23,7 @@
 }
 
 impl Cloud {
+    /// A cloud that has rented nothing yet.
     pub fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
@@ -36,6 +39,7 @@
         self.config.capacity = capacity;
     }
 
+    /// The body that lists the machine types.
     pub fn type_specs(&self) -> Value {
         let machine_type = &self.config.machine_type;
         json!({"rigs": [{"sku": machine_type.id, "vcpus": machine_type.resources.cpus, "accelerators": machine_type.resources.gpus,
@@ -44,6 +48,7 @@
             "yards": self.config.zones}]})
     }
 
+    /// Executes a call of a controller and returns its response.
     pub fn call(
         &mut self,
         call: CloudCall,
--- a/crates/simulator/src/contention.rs
+++ b/crates/simulator/src/contention.rs
@@ -102,6 +102,7 @@
 /// What a task of the replay takes to save, and workers' heartbeats are apart.
 pub const STASH_S: f64 = 1.0;
 
+/// What a replay plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Nested quotas, nothing fails.
@@ -113,8 +114,10 @@
 }
 
 impl Kind {
+    /// All kinds, in the order of the table.
     pub const ALL: [Kind; 3] = [Kind::Quiet, Kind::Faults, Kind::Flat];
 
+    /// The name in tables and pages.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Quiet => "nested, quiet",
@@ -127,48 +130,66 @@
 /// One second of one node: its mean share, and what it is entitled to at the end.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
+    /// Second of the replay.
     pub at_s: u64,
+    /// Mean use, as a part of the parent node's capacity.
     pub share: f64,
+    /// The part that the tree entitles the node to.
     pub entitled: f64,
 }
 
+/// One node of the tree over a whole replay.
 #[derive(Clone, Debug)]
 pub struct Level {
+    /// The node's name.
     pub name: String,
+    /// Distance from the root.
     pub depth: u32,
+    /// One sample a second.
     pub samples: Vec<Sample>,
     /// How far its share may be off.
     pub allowed: f64,
-    /// The furthest off it was, and in how many samples it was too far, once settled.
+    /// The furthest off it was, once settled.
     pub worst: f64,
+    /// Settled samples whose share is off by more than the tolerance.
     pub outside: usize,
+    /// Samples taken long enough after demand last changed.
     pub settled: usize,
 }
 
+/// The result of one replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
+    /// What was played.
     pub kind: Kind,
+    /// The seed of its random choices.
     pub seed: u64,
+    /// All nodes of the tree, the root first.
     pub levels: Vec<Level>,
     /// By phase: after how many seconds every node was within its tolerance.
     pub reclaimed: Vec<(&'static str, Option<u64>)>,
+    /// Rules of the protocol that were violated.
     pub broken: Vec<String>,
-    /// Run time lost to stops and failures, in seconds, and used, in GPU seconds.
+    /// Run time lost to stops and failures, in seconds.
     pub lost_s: f64,
+    /// GPU seconds that were used.
     pub used: f64,
     /// Changes that the state service carried out.
     pub changes: u64,
 }
 
 impl Replay {
+    /// Settled samples of all nodes whose share is off by more than the tolerance.
     pub fn outside(&self) -> usize {
         self.levels.iter().map(|level| level.outside).sum()
     }
 
+    /// Settled samples of all nodes.
     pub fn settled(&self) -> usize {
         self.levels.iter().map(|level| level.settled).sum()
     }
 
+    /// The longest time, in seconds, that a share took to follow demand; none if one never did.
     pub fn longest(&self) -> Option<u64> {
         let all: Option<Vec<u64>> = self.reclaimed.iter().map(|(_, s)| *s).collect();
         all?.into_iter().max()
@@ -182,6 +203,7 @@
         .map(|(i, (name, _))| (START_S + i * PHASE_S, name))
 }
 
+/// The last second of a replay.
 pub fn end_s() -> u64 {
     START_S + PHASES.len() as u64 * PHASE_S
 }
@@ -330,6 +352,7 @@
     }
 }
 
+/// Plays one replay in virtual time.
 pub fn replay(kind: Kind, seed: u64) -> Replay {
     let tree = tree();
     let mut world = world(kind, seed);
--- a/crates/simulator/src/meter.rs
+++ b/crates/simulator/src/meter.rs
@@ -6,7 +6,9 @@
 /// Whether a controller received a message or sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
+    /// The controller received it.
     Received,
+    /// The controller sent it.
     Sent,
 }
 
@@ -23,13 +25,16 @@
 /// Messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
+    /// Number of messages.
     pub messages: u64,
+    /// Their bytes.
     pub bytes: u64,
 }
 
 /// Events of one kind that a controller handled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Handling {
+    /// Number of events.
     pub events: u64,
     /// Processor time of this machine: it varies from run to run, the counts do not.
     pub time: Duration,
@@ -38,7 +43,9 @@
 /// What one controller exchanged and handled.
 #[derive(Clone, Debug, Default)]
 pub struct NodeMeter {
+    /// Messages by direction and kind.
     pub traffic: BTreeMap<(Direction, &'static str), Traffic>,
+    /// Events by kind.
     pub handling: BTreeMap<&'static str, Handling>,
 }
 
@@ -66,10 +73,12 @@
 /// Meters of all controllers of a simulated region.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
+    /// One meter for each controller.
     pub nodes: Vec<NodeMeter>,
 }
 
 impl Meter {
+    /// Meters that have counted nothing yet.
     pub fn new(controllers: usize) -> Self {
         Self {
             nodes: vec![NodeMeter::default(); controllers],
--- a/crates/simulator/src/sim/message.rs
+++ b/crates/simulator/src/sim/message.rs
@@ -32,7 +32,7 @@
 
 impl Reply {
     /// Whether a response is to be delivered.
-    pub fn is_expected(self) -> bool {
+    pub(super) fn is_expected(self) -> bool {
         self == Self::Expected
     }
 }
--- a/crates/simulator/tests/faults/combined_faults/holders.rs
+++ b/crates/simulator/tests/faults/combined_faults/holders.rs
@@ -45,7 +45,7 @@
 }
 
 /// Every version that a shard's key had meanwhile: each is another hold.
-pub fn holds(world: &mut World, until: u64) -> u64 {
+pub(super) fn holds(world: &mut World, until: u64) -> u64 {
     let mut seen = HashSet::new();
     while world.now < until {
         world.run_until((world.now + 100).min(until));
@@ -62,7 +62,7 @@
     (ended.filter(|task| task.job == id).count(), tasks as usize)
 }
 
-pub const SCENARIOS: &[Scenario] = &[
+pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "the gap, 2.5 s long: blocks have not changed hands",
         controllers: 5,
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -101,7 +101,7 @@
     its.map(|spec| spec.resources.gpus).sum()
 }
 
-pub const SCENARIOS: &[Scenario] = &[
+pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "some machines reach no controller while direct commands reach them, and jobs are cancelled",
         controllers: 3,
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -55,7 +55,7 @@
     ]
 }
 
-pub const SCENARIOS: &[Scenario] = &[
+pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
         controllers: 3,
