--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -60,7 +60,7 @@
         (machine.agent_epoch, machine.heartbeat_sequence) = (AgentEpoch(1), 50);
         let held = r#"{"holder":"n1","permit":2}"#;
         controller.apply("jt/block/a.0", Some(held), Revision(20));
-        let pulse = MachineHeartbeat {
+        let heartbeat = MachineHeartbeat {
             machine_id: machine_id.to_string(),
             silent_ms: 0,
             agent_epoch: told,
@@ -70,7 +70,7 @@
             draining: false,
         };
         let status = Status {
-            machines: vec![pulse],
+            machines: vec![heartbeat],
             ..Status::default()
         };
         controller.on_peer("n1".into(), Message::Status(status));
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -31,7 +31,7 @@
     frame
 }
 
-fn pulse(machine_id: &str, flags: [bool; 4]) -> MachineHeartbeat {
+fn machine_heartbeat(machine_id: &str, flags: [bool; 4]) -> MachineHeartbeat {
     let [doubtful, warned, quarantined, draining] = flags;
     MachineHeartbeat {
         machine_id: machine_id.into(),
@@ -57,10 +57,10 @@
         waiting: 17,
         shards: vec![("a.0".into(), 501), ("b.1".into(), 502)],
         machines: vec![
-            pulse("vm-1", [true, false, false, false]),
-            pulse("vm-2", [false, true, false, false]),
-            pulse("vm-3", [false, false, true, false]),
-            pulse("vm-4", [false, false, false, true]),
+            machine_heartbeat("vm-1", [true, false, false, false]),
+            machine_heartbeat("vm-2", [false, true, false, false]),
+            machine_heartbeat("vm-3", [false, false, true, false]),
+            machine_heartbeat("vm-4", [false, false, false, true]),
         ],
         views: vec![
             MachineView {
