--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -1,4 +1,4 @@
-//! What a region is made of, with its defaults, and the settings its controllers get.
+//! Configuration of a simulated cluster, with its defaults, and the settings that its controllers get.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,53 +8,75 @@
 use jaspertiller::types::{MachineTypeId, Millis, Resources, Zone};
 use serde_json::{Value, json};
 
+/// Configuration of a simulated cluster.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// Number of controllers.
     pub controllers: usize,
+    /// Zones of machines and controllers.
     pub zones: Vec<Zone>,
     /// The classes of jobs that the deployment names.
     pub classes: Vec<String>,
+    /// Teams with their quotas.
     pub teams: Vec<TeamSettings>,
+    /// Intervals and timeouts of workers.
     pub timing: Timing,
+    /// Type of all machines.
     pub machine_type: MachineType,
-    /// Machines that the cloud has to give.
+    /// Machines that the cloud can rent out at a time.
     pub capacity: u32,
     /// How old the cloud's list of machines is.
     pub list_lag: Millis,
+    /// Rate and size limits of the store.
     pub state: StateLimits,
-    /// Calls a second that the cloud grants.
+    /// Rate limit of the cloud in calls per second.
     pub cloud_rps: f64,
-    /// What a controller may use.
+    /// Processor, memory and sockets that a controller may use.
     pub quota: Quota,
 }
 
-/// How often workers report, and how long things may take.
+/// Intervals and timeouts of workers and jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
+    /// Interval of heartbeats.
     pub heartbeat: Millis,
+    /// A worker without a response for this long kills its tasks.
     pub lease: Millis,
+    /// How long a task of a gang waits for the others to start.
     pub gang_wait: Millis,
+    /// How long tasks of a gang continue after one was asked to stop.
     pub gang_peer: Millis,
+    /// How long tasks of a job may run after its user was told that it is cancelled.
     pub cancel: Millis,
 }
 
-/// The region's machine type.
+/// A machine type.
 #[derive(Clone, Debug)]
 pub struct MachineType {
+    /// Name of the type.
     pub id: MachineTypeId,
+    /// Capacity of a machine.
     pub resources: Resources,
+    /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
+    /// Time from the rental until the machine is up.
     pub boot: Millis,
 }
 
+/// Limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StateLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Changes per second.
     pub write_rps: f64,
+    /// Largest value in KiB.
     pub value_kb: f64,
+    /// Most changes in one transaction.
     pub txn_ops: usize,
 }
 
+/// A team with a GPU guarantee and a GPU limit; a limit of 0 means none.
 pub fn team(name: &str, gpus: f64, gpus_max: f64) -> TeamSettings {
     TeamSettings {
         name: name.into(),
@@ -155,13 +177,20 @@
 ];
 
 impl Config {
+    /// Reads a configuration file.
+    ///
+    /// # Errors
+    /// If the file cannot be read, or as `parse`.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = read_file(path)?;
         Self::parse(&file, &text)
     }
 
-    /// Reads `[region]`, `[machines]`, `[workers]`, `[state]`, and a `[team NAME]` for each team.
+    /// Parses the sections `[region]`, `[machines]`, `[workers]`, `[state]`, and a `[team NAME]` for each team.
+    ///
+    /// # Errors
+    /// If the text is not INI, a key is unknown, or a value is not in its range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let problem = |field: &str, reason: String| problem(file, field, reason);
         let ini = Ini::load_from_str(text).map_err(|e| problem("file", e.to_string()))?;
@@ -216,6 +245,7 @@
         Ok(config)
     }
 
+    /// Label of a controller.
     pub fn label(index: usize) -> String {
         format!("n{index}")
     }
@@ -224,8 +254,7 @@
         &self.zones[index % self.zones.len()]
     }
 
-    /// The settings file of one controller. `addresses`: of each controller, for its users and for
-    /// the others; `cloud` and `state`: of the region's services.
+    /// Settings of one controller. `addresses` has for each controller the one for users and the one for peers.
     pub fn settings(
         &self,
         index: usize,
--- a/crates/simulator/src/cut_report.rs
+++ b/crates/simulator/src/cut_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region cuts`: cuts of a zone, with and without what keeps it, and their page.
+//! `cluster-simulator cuts`: cuts of a zone, with and without what keeps it, and their page.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -1,4 +1,4 @@
-//! `tiller-region demo`: a mixed set of jobs on three controllers, of which one is killed.
+//! `cluster-simulator demo`: a mixed set of jobs on three controllers, of which one is killed.
 
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `tiller-region`: a region on loopback to try the daemon in, and replays in virtual time.
+//! `cluster-simulator`: a region on loopback to try the daemon in, and replays in virtual time.
 
 mod cut_report;
 mod demo;
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region contention`: the replay of contention, and its page.
+//! `cluster-simulator contention`: the replay of contention, and its page.
 
 use std::ops::Range;
 use std::path::Path;
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol, checked on everything that happens, and what users were told.
+//! Invariants of the protocol, checked on everything that happens, and the responses that users got.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -10,16 +10,16 @@
 use crate::config::{Config, Timing};
 use crate::machines::Machines;
 
-/// For so long polls of one job may fail while others are answered.
+/// How long polls of one job may fail while others are answered.
 const FORGOTTEN: Millis = Millis(90_000);
 
-/// Once the troubles are over, a job that is not heard of for longer is forgotten.
+/// Longest time without a response about a job after all faults have ended.
 const UNHEARD: Millis = Millis(75_000);
 
-/// And no job waits longer while a machine that fits has room and its team is under its limit.
+/// Longest time for which a job may wait although a machine that fits has room and its team is under its limit.
 const LEFT_WAITING: Millis = Millis(90_000);
 
-/// The rules' names, as the protocol has them.
+/// Names of the rules, as in the protocol's description.
 pub const RULES: &[&str] = &[
     "ran_twice",
     "quota",
@@ -32,11 +32,12 @@
     "nothing_ran",
 ];
 
-/// What a user was told.
+/// What a response told a user.
 #[derive(Clone, Debug)]
 pub enum Told {
     /// Accepted now, or known already.
     State(JobStage),
+    /// The job is not known.
     NotFound,
     /// 400 or 422.
     Refused(u16),
@@ -50,15 +51,20 @@
     }
 }
 
-/// Teams whose tasks together may use only so much.
+/// Teams whose tasks share a limit.
 pub struct Group {
+    /// Name for violations.
     pub name: String,
+    /// The teams.
     pub teams: Vec<Team>,
+    /// Most CPUs that their tasks may use together; 0 means no limit.
     pub cpus_max: f64,
+    /// Most GPUs that their tasks may use together; 0 means no limit.
     pub gpus_max: f64,
 }
 
 impl Group {
+    /// A group of one team with its own limits.
     pub fn team(team: &TeamSettings) -> Self {
         Self {
             name: team.name.to_string(),
@@ -69,22 +75,30 @@
     }
 }
 
+/// Checks the invariants, and keeps what users know of their jobs.
 #[derive(Default)]
 pub struct Rules {
+    /// Violations found, each with the rule and what happened.
     pub violations: BTreeSet<String>,
+    /// Groups of teams with shared limits.
     pub groups: Vec<Group>,
+    /// Jobs whose users know that they were accepted.
     pub accepted: HashSet<JobId>,
+    /// Jobs whose users know that they are done.
     pub done: HashSet<JobId>,
+    /// Jobs whose users know that they are cancelled, and since when.
     pub aborted: HashMap<JobId, Millis>,
     /// Jobs whose users asked to cancel them, and when they did first.
     pub wanted_aborts: HashMap<JobId, Millis>,
-    /// When each job was first submitted, and when its first task came on a machine.
+    /// When each job was first submitted.
     pub submitted: HashMap<JobId, Millis>,
+    /// When the first task of each job started.
     pub first_start: HashMap<JobId, Millis>,
-    /// When a poll of each was last answered, and any poll.
+    /// When a poll of each job was last answered.
     polled: HashMap<JobId, Millis>,
+    /// When any poll was last answered.
     answered: Millis,
-    /// When all troubles are over: from then on a user may wait only so long for an answer.
+    /// When all faults have ended: from then on users must get responses in time.
     pub calm: Millis,
     /// Of each job when a question about it was last answered with its state, and the longest time
     /// without that since the troubles were over.
@@ -93,11 +107,14 @@
     /// were over.
     could_run: BTreeMap<JobId, Millis>,
     waited: BTreeMap<JobId, Millis>,
+    /// Tasks that started.
     pub starts: u64,
+    /// How long tasks may run after a user learned of the cancellation.
     cancel: Millis,
 }
 
 impl Rules {
+    /// Rules for a cluster: each team is a group of its own.
     pub fn new(config: &Config) -> Self {
         let Timing { cancel, .. } = config.timing;
         Self {
@@ -113,6 +130,7 @@
         }
     }
 
+    /// A user submits a job.
     pub fn submit(&mut self, id: &JobId, now: Millis) {
         self.submitted.entry(id.clone()).or_insert(now);
     }
--- a/crates/simulator/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region scale`: progress, the table, the CSV and the page of a scale run.
+//! `cluster-simulator scale`: progress, the table, the CSV and the page of a scale run.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
--- a/crates/simulator/src/serve.rs
+++ b/crates/simulator/src/serve.rs
@@ -1,4 +1,4 @@
-//! `tiller-region serve` and `tiller-region fault`.
+//! `cluster-simulator serve` and `cluster-simulator fault`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/simulator/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -1,4 +1,4 @@
-//! `tiller-region slopes`: the table and the CSV of what controllers cost by size.
+//! `cluster-simulator slopes`: the table and the CSV of what controllers cost by size.
 
 use std::fmt::Write as _;
 use std::path::Path;
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service: keys with versions, leases, watches, transactions and limits.
+//! Model of the key-value store: keys with versions, leases, watches, transactions and rate limits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +8,7 @@
 
 use crate::config::StateLimits;
 
-/// Watches that ask for older changes are refused.
+/// Changes kept for watches; a watch from an older revision is answered with `TooOld`.
 const KEPT_CHANGES: usize = 10_000;
 
 struct Value {
@@ -24,7 +24,7 @@
     until: Millis,
 }
 
-/// What is left of a limit a second, with bursts of one second's worth.
+/// A token bucket that holds at most one second of its rate.
 struct Bucket {
     rate: f64,
     left: f64,
@@ -49,7 +49,9 @@
     }
 }
 
+/// The store.
 pub struct StateService {
+    /// Revision of the latest change or lease.
     pub revision: u64,
     keys: BTreeMap<String, Value>,
     /// Newest last: key, what was put, and the revision.
@@ -62,13 +64,13 @@
     limits: StateLimits,
     requests: Bucket,
     writes: Bucket,
-    /// Puts and drops that were carried out.
+    /// Puts and drops that were applied.
     pub written: u64,
-    /// A guard that a test takes out: conditions are ignored.
+    /// Disables a safeguard for tests: conditions of transactions are ignored.
     pub ignore_conditions: bool,
 }
 
-/// Values are JSON, not text: what comes back may be written in another way than what was put.
+/// Values are JSON, not text: the store may return another spelling than the one that was put.
 fn rewritten(data: String) -> String {
     let value = serde_json::from_str::<serde_json::Value>(&data);
     value.map(|value| value.to_string()).unwrap_or(data)
@@ -79,6 +81,7 @@
 }
 
 impl StateService {
+    /// An empty store with these limits.
     pub fn new(limits: StateLimits) -> Self {
         Self {
             revision: 1,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// From now on half as many changes are taken as the settings say.
+    /// Halves the rate limit of changes from now on.
     pub fn halve_limit(&mut self) {
         self.writes.rate /= 2.0;
     }
@@ -106,12 +109,14 @@
         self.requests.take(1.0, now) && self.writes.take(changes as f64, now)
     }
 
+    /// The value of a key with its version and its lease.
     pub fn get(&self, key: &str) -> Option<(&str, Revision, Option<LeaseId>)> {
         let value = self.keys.get(key)?;
         let lease_id = value.lease_id.map(LeaseId);
         Some((&value.data, Revision(value.version), lease_id))
     }
 
+    /// A page of the keys that begin with `starts`, after the key `after`.
     pub fn list(&self, starts: &str, after: Option<&str>, most: usize) -> StoreResponse {
         let mut left = self
             .keys
@@ -134,12 +139,14 @@
         }
     }
 
+    /// Grants a lease of this duration.
     pub fn grant(&mut self, life: Millis, now: Millis) -> LeaseId {
         self.revision += 1;
         self.leases.insert(self.revision, (now + life, life));
         LeaseId(self.revision)
     }
 
+    /// Renews a lease; false if it has expired.
     pub fn renew(&mut self, lease_id: LeaseId, now: Millis) -> bool {
         let lease = self.leases.get_mut(&lease_id.0);
         lease.is_some_and(|(until, life)| {
@@ -148,6 +155,7 @@
         })
     }
 
+    /// Ends a lease and drops its keys.
     pub fn end(&mut self, lease_id: LeaseId) {
         if self.leases.remove(&lease_id.0).is_none() {
             return;
@@ -165,7 +173,7 @@
         }
     }
 
-    /// Time passes: leases end, watches give up. In an outage every lease gets its full time again.
+    /// Lets time pass: leases expire, watches time out. During an outage every lease is renewed.
     pub fn pass(&mut self, now: Millis, outage: bool) {
         if outage {
             for (until, life) in self.leases.values_mut() {
@@ -239,7 +247,7 @@
         }
     }
 
-    /// Opens a watch; its answer comes with `woken`.
+    /// Opens a watch and returns its identity; `woken` returns its response.
     pub fn watch(&mut self, starts: &str, from: Revision, wait: Millis, now: Millis) -> u64 {
         self.next_watch += 1;
         let watch = Watch {
@@ -264,7 +272,7 @@
         self.next_watch
     }
 
-    /// Watches that have their answer now.
+    /// Takes the responses of watches that have one now.
     pub fn woken(&mut self) -> Vec<(u64, StoreResponse)> {
         std::mem::take(&mut self.woken)
     }
@@ -289,6 +297,7 @@
         (txn.changes.iter().map(size).sum::<usize>() > 64 << 10).then(|| "too large".into())
     }
 
+    /// Applies a transaction if its conditions hold and its leases exist.
     pub fn apply(&mut self, txn: Transaction) -> StoreResponse {
         let version = |key: &String| self.keys.get(key).map_or(0, |value| value.version);
         let holds = |(key, stamp): &(String, Revision)| version(key) == stamp.0;
