--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -83,7 +83,7 @@
     }
 
     /// Brings a job back to the queue after so many failed cycles and one more, see
-    /// [`Queue::fail`](crate::queue::Queue::fail).
+    /// [`Queue::requeue_after_failure`](crate::queue::Queue::requeue_after_failure).
     pub(super) fn requeue(
         &mut self,
         id: &JobId,
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Takes the first active job. It leaves the queue; [`Self::push`] or
-    /// [`Self::fail`] bring it back.
+    /// [`Self::requeue_after_failure`] bring it back.
     pub fn pop(&mut self) -> Option<PoppedJob> {
         let (_, job) = self.active.first()?.clone();
         self.take(job)
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -6,7 +6,7 @@
 //! yet.
 //!
 //! - [`allocation`]: the records of what is allocated to each shard,
-//! - [`allocate`]: how the leader divides a limit among the shards,
+//! - [`mod@allocate`]: how the leader divides a limit among the shards,
 //! - [`hierarchical`]: the tree of nested quotas that is active,
 //! - [`reclaim`]: which tasks to stop so that work within its entitlement finds capacity.
 //!
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,6 +1,6 @@
 //! Client-side rate limits: a token bucket, and two policies that adjust its rate.
 //!
-//! [`Allowance`] uses a rate that the admission plan assigned to this controller; [`Share`] finds its rate
+//! [`Allowance`] uses a rate that the admission plan assigned to this controller; [`AdaptiveShare`] finds its rate
 //! by itself where no plan divides the limit. Both are free of I/O and take the time as an argument.
 
 use crate::types::Millis;
@@ -111,7 +111,7 @@
         self.update_rate(now);
     }
 
-    /// Increases the fraction if it is time to; called before [`Bucket::wait`].
+    /// Increases the fraction if it is time to; called before [`TokenBucket::time_until_available`].
     pub fn increase(&mut self, now: Millis) {
         if self.fraction < 1.0 && now.since(self.adjusted_at) >= INCREASE_INTERVAL {
             self.adjusted_at = now;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Increases the rate if it is time to; called before [`Bucket::wait`].
+    /// Increases the rate if it is time to; called before [`TokenBucket::time_until_available`].
     pub fn increase(&mut self, now: Millis) {
         if now.since(self.adjusted_at) >= INCREASE_INTERVAL {
             self.adjusted_at = now;
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -90,7 +90,7 @@
         self.queue(call.class).push_front(call);
     }
 
-    /// What to do next; to be called until it says [`Next::Wait`] or [`Next::Nothing`].
+    /// What to do next; to be called until it says [`NextCall::Wait`] or [`NextCall::Nothing`].
     pub fn next(&mut self, now: Millis) -> NextCall<T> {
         self.requests.increase(now);
         self.writes.increase(now);
