--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -5,7 +5,9 @@
 //! divides the store's write limit among controllers, and [`Flows`] maps jobs to the classes and teams
 //! that are told apart.
 
+/// Orders the jobs whose changes wait to be written.
 pub mod backlog;
+/// Divides the store's write limit among controllers.
 pub mod shared;
 
 use admission_control::slots::{Slot, Slots};
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -5,6 +5,7 @@
 //! users. The limit is kept here, so that the system never has to refuse a socket, which would hit all of them alike.
 
 mod budget;
+/// Accepts connections within the budget, and closes idle ones.
 pub mod connection_acceptor;
 mod connection_table;
 
