--- a/crates/admission-control/src/floors.rs
+++ b/crates/admission-control/src/floors.rs
@@ -1,41 +1,41 @@
-//! Floors: every flow that asks is served at a guaranteed rate, and the rest goes by priority.
+//! Floors: every waiting flow is served at a guaranteed rate, and the rest is served by priority.
 //!
-//! This is the guaranteed rate of a hierarchical token bucket with service in place of time: each
-//! unit that is served gives every waiting flow credit for its part of the floors, and a flow with
-//! credit for a unit goes before priority. What a flow does not ask for is lent to the others at once,
-//! and nothing is saved up meanwhile.
+//! This is the guaranteed rate of a hierarchical token bucket, measured in units served instead of
+//! time: each unit that is served gives every waiting flow credit for its part of the floors, and a
+//! flow with credit for a whole unit is served before flows of higher priority. The guaranteed rate of
+//! a flow with nothing to serve is lent to the others at once, and the flow earns no credit meanwhile.
 
 use std::collections::BTreeMap;
 
-/// Credit of a flow, in units, at most. A flow that could not be served for another reason must not
-/// make the others wait for long afterwards.
+/// The most credit that a flow can have, in units. A flow that could not be served for another reason
+/// must not delay the others for long afterwards.
 const MAX_CREDIT: f64 = 4.0;
-/// Factor on the credit of a flow that does not ask, each time that others are served.
+/// Factor that reduces the credit of an idle flow each time that others are served.
 const IDLE_DECAY: f64 = 0.8;
-/// Credits below this are forgotten.
+/// Credits below this, in units, are dropped.
 const MIN_CREDIT: f64 = 0.01;
 
-/// How a flow's floor weighs against the others'.
+/// Returns the weight of a flow's floor relative to the others'.
 type Weight<Flow> = fn(&Flow) -> f64;
 
 /// The credits of flows that share a resource.
 #[derive(Clone, Debug)]
 pub struct Floors<Flow> {
-    /// The part of what is served that floors divide.
+    /// The fraction of the served units that the floors divide, from 0 to 1.
     floored_part: f64,
     weight: Weight<Flow>,
-    /// Units that each flow is owed.
+    /// The credit of each flow, in units.
     credit: BTreeMap<Flow, f64>,
 }
 
 impl<Flow: Ord + Clone> Floors<Flow> {
-    /// Equal floors for all flows. `floored_part`: the part of what is served that they divide, from 0
-    /// to 1.
+    /// Equal floors for all flows. `floored_part` is the fraction of the served units that they divide,
+    /// from 0 to 1.
     pub fn equal(floored_part: f64) -> Self {
         Self::weighted(floored_part, |_| 1.0)
     }
 
-    /// Floors that are divided by weight.
+    /// Floors that are divided in proportion to weights.
     pub fn weighted(floored_part: f64, weight: Weight<Flow>) -> Self {
         Self {
             floored_part,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Which of the waiting flows is served next: the one with the most credit, if one has credit for
-    /// a unit, else the first by the priority of its first request (the least goes first).
+    /// Returns the waiting flow to serve next: the one with the most credit, if that is at least one
+    /// unit, otherwise the one whose first request has the highest priority (the least `P`).
     pub fn next<P: Ord>(&self, waiting: impl IntoIterator<Item = (Flow, P)>) -> Option<Flow> {
         let mut first: Option<(P, Flow)> = None;
         let mut due: Option<(f64, Flow)> = None;
@@ -61,12 +61,12 @@
         due.map(|(_, flow)| flow).or(first.map(|(_, flow)| flow))
     }
 
-    /// Whether a flow has credit for a unit.
+    /// Whether a flow has credit for at least one unit.
     pub fn is_due(&self, flow: &Flow) -> bool {
         self.credit.get(flow).is_some_and(|credit| *credit >= 1.0)
     }
 
-    /// Counts units of a flow that were served while these flows waited, itself included.
+    /// Records that units of a flow were served while the flows in `waiting`, itself included, waited.
     pub fn served(&mut self, flow: &Flow, units: f64, waiting: impl IntoIterator<Item = Flow>) {
         let waiting: Vec<Flow> = waiting.into_iter().collect();
         let weights: f64 = waiting.iter().map(self.weight).sum();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reduces the credit of flows that do not ask. One that asks again a moment later keeps most of it.
+    /// Reduces the credit of idle flows step by step, so that one that is idle only briefly keeps most of it.
     fn decay_idle(&mut self, waiting: &[Flow]) {
         for (flow, credit) in &mut self.credit {
             if !waiting.contains(flow) {
--- a/crates/admission-control/src/gate.rs
+++ b/crates/admission-control/src/gate.rs
@@ -1,8 +1,8 @@
-//! The gate: whether a submission is accepted now, and when its user should come back.
+//! The gate: whether a submission is accepted now, and after how long a rejected user should retry.
 //!
-//! What can't be written within a moment is rejected at once. A rejected user is asked to come back
-//! when, at the rate at which submissions are accepted, those who were rejected before have been, and
-//! with jitter, so that not all come at the same time.
+//! A submission that can't be written within `MAX_WAIT_S` is rejected at once. A rejected user is
+//! asked to retry after the time that accepting the earlier rejected submissions takes at the present
+//! rate, with jitter, so that the retries are spread out.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,37 +11,38 @@
 use crate::plan::Rate;
 use crate::slots::Slot;
 
-/// Submissions that would wait longer than this are rejected.
+/// Submissions that would wait longer than this, in seconds, are rejected.
 const MAX_WAIT_S: f64 = 1.0;
-/// The part of the allowed changes that submissions are guaranteed.
+/// The fraction of the allowed changes that submissions are guaranteed.
 const SUBMISSION_PART: f64 = 0.7;
-/// The part of what is accepted that the floors of classes divide while not all is.
+/// The fraction of the accepted submissions that the floors of classes divide while some are rejected.
 const CLASS_FLOORS: f64 = 0.5;
-/// Submissions of an urgent job, or of a class behind its floor, that are accepted beyond the bound.
+/// Additional pending submissions that are allowed for an urgent job, or for a class behind its floor.
 const EXTRA_PENDING: usize = 2;
-/// A class counts as asking for this long after one of its submissions was rejected.
+/// A class counts as waiting for this long, in seconds, after one of its submissions was rejected.
 const REJECTED_CLASS_MEMORY_S: f64 = 3.0;
-/// Bounds of the pause that users are asked to make, in seconds. They give up after 60 s, and what
-/// nobody submits again is lost; an early answer costs little.
+/// Lower bound of the retry delay, in seconds. The bounds are short because users give up after 60 s,
+/// and a job that is not submitted again is lost, whereas rejecting an early retry costs little.
 const MIN_RETRY_S: f64 = 1.0;
+/// Upper bound of the retry delay, in seconds.
 const MAX_RETRY_S: f64 = 6.0;
 /// Rates are measured over intervals of at least this, in seconds.
 const MEASUREMENT_INTERVAL_S: f64 = 1.0;
 /// Weight of the newest interval in the smoothed rates.
 const SMOOTHING: f64 = 0.3;
-/// The rate at which rejected users are assumed to be accepted, at least, in submissions a second.
+/// Lower bound of the rate at which rejected users are assumed to be accepted, in submissions a second.
 const MIN_ACCEPT_RATE: Rate = 0.1;
 
 /// How urgent a submitted job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Bounded by what can be written within a moment.
+    /// Accepted if it can be written within `MAX_WAIT_S`.
     Normal,
-    /// Accepted a little beyond that.
+    /// Accepted slightly beyond that bound.
     Urgent,
 }
 
-/// A submission, and what its acceptance depends on.
+/// A submission, with the values on which its acceptance depends.
 #[derive(Clone, Copy, Debug)]
 pub struct SubmissionRequest {
     /// The job's class.
@@ -54,14 +55,14 @@
     pub allowed: Rate,
     /// The time, in seconds.
     pub now_s: f64,
-    /// A random number from 0 to 1 that spreads the pauses.
+    /// A random number from 0 to 1 that spreads the retry delays.
     pub jitter: f64,
 }
 
-/// A submission that is not accepted now.
+/// The rejection of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// Seconds until the user should come back.
+    /// Seconds after which the user should retry.
     pub retry_after_s: u32,
 }
 
@@ -73,11 +74,11 @@
 
 impl std::error::Error for Rejected {}
 
-/// Decides about submissions, and measures how many are accepted.
+/// Accepts or rejects submissions, and measures the rate at which they are accepted.
 #[derive(Debug)]
 pub struct Gate {
     floors: Floors<Slot>,
-    /// Classes with rejected submissions, and when the last one was, in seconds.
+    /// The time, in seconds, of the last rejection in each class.
     rejected_classes: BTreeMap<Slot, f64>,
     /// When the present measurement interval began, in seconds.
     measured_at_s: f64,
@@ -87,7 +88,7 @@
     rejected: u32,
     /// Smoothed rate of accepted submissions.
     accept_rate: Rate,
-    /// The pause that users are asked to make, in seconds, before jitter.
+    /// The retry delay before jitter, in seconds.
     retry_s: f64,
 }
 
@@ -109,7 +110,7 @@
     /// Decides whether a submission is accepted now.
     ///
     /// # Errors
-    /// When the user should come back, if it is not.
+    /// The rejection with the retry delay, if the submission is not accepted.
     pub fn admit(&mut self, request: SubmissionRequest) -> Result<(), Rejected> {
         let SubmissionRequest { class, now_s, .. } = request;
         self.measure(request.allowed, now_s);
@@ -127,8 +128,8 @@
         })
     }
 
-    /// The classes that ask for submissions to be accepted: this one, and those that were rejected a
-    /// moment ago.
+    /// The waiting classes: this one, and those with a rejection in the last
+    /// `REJECTED_CLASS_MEMORY_S` seconds.
     fn asking_classes(&mut self, class: Slot, now_s: f64) -> Vec<Slot> {
         self.rejected_classes
             .retain(|_, rejected_at| now_s - *rejected_at < REJECTED_CLASS_MEMORY_S);
@@ -139,7 +140,7 @@
         asking
     }
 
-    /// How many submissions may be pending for this one to be accepted.
+    /// The largest number of pending submissions at which this one is accepted.
     fn max_pending(&self, request: &SubmissionRequest) -> usize {
         let bound = request.allowed * SUBMISSION_PART * MAX_WAIT_S;
         let bound = bound.ceil().max(1.0) as usize;
@@ -147,8 +148,8 @@
         bound + if is_preferred { EXTRA_PENDING } else { 0 }
     }
 
-    /// Updates the pause. Rejected users who will be back are about as many as are rejected in the
-    /// pause that they are asked to make; they are accepted at the rate at which submissions are.
+    /// Updates the retry delay. The number of users who will retry is about the number of rejections
+    /// within one retry delay, and they are accepted at the smoothed rate of acceptance.
     fn measure(&mut self, allowed: Rate, now_s: f64) {
         let elapsed_s = now_s - self.measured_at_s;
         if elapsed_s < MEASUREMENT_INTERVAL_S {
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission control: who is served next when there is less than is asked for.
+//! Admission control: which request is served next when demand exceeds a limit.
 //!
-//! All of it is pure: decisions follow from what is passed in. [`floors`] chooses the next flow on one
+//! All decisions are pure functions of their arguments. [`floors`] chooses the next flow on one
 //! controller, [`plan`] divides a limit among controllers that learn of changes late, [`gate`] decides
-//! whether a submission is accepted now, and [`slots`] bounds how many names are told apart.
+//! whether a submission is accepted now, and [`slots`] bounds how many names have their own state.
 
 /// Chooses which waiting flow is served next.
 pub mod floors;
--- a/crates/admission-control/src/plan.rs
+++ b/crates/admission-control/src/plan.rs
@@ -1,39 +1,41 @@
-//! A limit that several controllers share: a plan of who may use how much of it.
+//! A limit that several controllers share: a plan of how much of it each may use.
 //!
-//! The plan is one record that the leader writes and every controller follows as newly as it has seen
-//! it. Some see it late, so a share rises only as far as all that may still be in use leaves room.
+//! The plan is one record that the leader writes, and each controller follows the newest version that
+//! it has read. Some read it late, so a share rises only as far as the shares that may still be in use
+//! leave capacity.
 //!
 //! **Why the sum holds.** The record has for each controller its share, and the most that it may be
 //! using: the greatest share of any plan that it may still follow. [`Plan::next`] keeps the sum of
-//! these within the limit. What a controller may be using falls only when it reports that it follows
-//! the newest plan (it never goes back to an earlier one), or when its lease is over (then it uses its
-//! base share by its own clock, and follows a plan only once it has seen all that was written before
-//! it was back). A plan that counts a controller as absent is written on condition that it still is.
+//! these within the limit. The most that a controller may be using falls only when it reports that it
+//! follows the newest plan (it never returns to an earlier one), or when its lease has expired (then it
+//! uses its base share, by its own clock, and follows a plan again only once it has read everything
+//! that was written before it regained a lease). A plan that counts a controller as absent is written
+//! on condition that the controller is still absent.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The part of the limit that is always divided evenly, so that no controller has to wait for a plan.
+/// The fraction of the limit that is always divided evenly, so that no controller has to wait for a plan.
 const BASE_PART: f64 = 0.3;
-/// A plan that moves no share by more than this part of the fair share is not worth a write.
+/// A plan that changes no share by more than this fraction of the fair share is not written.
 const MIN_SHARE_CHANGE: f64 = 0.15;
-/// Waiting units are to be served in about this many seconds.
+/// Target time, in seconds, in which the waiting units are to be served.
 const DRAIN_S: f64 = 3.0;
-/// Raises are this factor smaller than the room for them, so that rounding does not exceed the limit.
+/// Factor on raises of shares, so that rounding errors do not exceed the limit.
 const ROUNDING_MARGIN: f64 = 1.0 - 1e-9;
-/// Divisors are at least this.
+/// Lower bound of divisors, so that none is zero.
 const MIN_DIVISOR: Rate = 1e-9;
 
-/// Units of the limited resource a second.
+/// A rate: units of the limited resource a second.
 pub type Rate = f64;
 
-/// How much a controller asks for.
+/// The demand of a controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// What it used lately.
+    /// Its recent usage.
     pub used: Rate,
-    /// How many units wait.
+    /// Number of waiting units.
     pub waiting: f64,
 }
 
@@ -54,14 +56,14 @@
     Absent,
 }
 
-/// A controller, and what it asks for.
+/// A controller and its demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerDemand {
     /// The controller's label.
     pub label: String,
     /// Which plan it follows.
     pub status: ControllerStatus,
-    /// What it asks for.
+    /// Its demand.
     pub demand: Demand,
 }
 
@@ -74,21 +76,21 @@
 /// How much each controller may use, by its label.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What each may use that follows this plan.
+    /// The share of each controller that follows this plan.
     pub shares: BTreeMap<String, Rate>,
     /// The most that each may be using, by this or an earlier plan.
     #[serde(rename = "most")]
     pub upper_bounds: BTreeMap<String, Rate>,
 }
 
-/// What a controller may use whatever it knows.
+/// The base share: what a controller may use without having read any plan.
 pub fn base(limit: Rate, controllers: usize) -> Rate {
     limit * BASE_PART / controllers.max(1) as f64
 }
 
 impl Plan {
-    /// What a controller may use that follows this plan. `is_member`: whether it has a lease, and has
-    /// seen all that was written before it took that.
+    /// What a controller that follows this plan may use. `is_member` tells whether it has a lease and
+    /// has read everything that was written before that lease was granted.
     pub fn allowance(&self, label: &str, is_member: bool, base: Rate) -> Rate {
         match self.shares.get(label) {
             Some(share) if is_member => *share,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// What a controller may be using now.
+    /// The most that a controller may be using now.
     fn in_use(&self, label: &str, status: ControllerStatus, base: Rate) -> Rate {
         let known = match status {
             ControllerStatus::Current => self.shares.get(label),
@@ -133,7 +135,7 @@
         plan
     }
 
-    /// Whether this plan is worth a write after `old`.
+    /// Whether this plan differs enough from `old` to be written.
     pub fn matters(&self, old: &Plan, limit: Rate) -> bool {
         let fair = limit / self.shares.len().max(1) as f64;
         let changed = |(label, share): (&String, &Rate)| {
@@ -144,8 +146,8 @@
     }
 }
 
-/// Divides the limit: each controller gets its base, and those that are present the rest by demand, and
-/// evenly what none asks for.
+/// Divides the limit: each controller gets its base share, and those that are present divide the rest by
+/// demand, and evenly what exceeds the demand.
 fn divide(limit: Rate, base: Rate, controllers: &[ControllerDemand]) -> Vec<Rate> {
     let asked_beyond_base: Vec<Rate> = controllers
         .iter()
--- a/crates/admission-control/src/slots.rs
+++ b/crates/admission-control/src/slots.rs
@@ -1,4 +1,4 @@
-//! Numbers for classes and teams, so that names which users make up take no memory.
+//! Numbers for classes and teams, so that names which users invent take no memory.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,7 +7,7 @@
 
 /// Unknown names share this many slots, as in stochastic fairness queueing.
 const UNKNOWN_SLOTS: u16 = 16;
-/// Names with a slot of their own, at most.
+/// The most names that get a slot of their own.
 const MAX_KNOWN_NAMES: usize = 256;
 
 /// The names with slots of their own, in the order of their slots.
@@ -17,7 +17,7 @@
 }
 
 impl Slots {
-    /// Gives each of these names a slot of its own; of more than there are slots for, the first.
+    /// Gives each of these names a slot of its own, up to `MAX_KNOWN_NAMES`, in the order given.
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         let mut known: Vec<String> = names.into_iter().collect();
         known.sort();
@@ -26,7 +26,7 @@
         Self { known }
     }
 
-    /// The slot of a name. It is the same on every controller that knows the same names.
+    /// The slot of a name. It is the same on every controller that was given the same names.
     pub fn of(&self, name: &str) -> Slot {
         let found = self
             .known
--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -21,7 +21,7 @@
         gpus: 0.0,
     };
 
-    /// An amount of so many CPUs and GPUs.
+    /// The amount with these numbers of CPUs and GPUs.
     #[must_use]
     pub fn new(cpus: f64, gpus: f64) -> Self {
         Self { cpus, gpus }
--- a/crates/hierarchical-quota/src/divide.rs
+++ b/crates/hierarchical-quota/src/divide.rs
@@ -1,5 +1,5 @@
 //! How a node's entitlement is divided among its children: first what each is guaranteed, then the
-//! rest by weighted dominant-resource fairness, and nobody gets more than it demands.
+//! rest by weighted dominant-resource fairness. No child gets more than it demands.
 //!
 //! Amounts are looped over by kind of resource: index 0 is CPUs, index 1 is GPUs.
 
@@ -19,12 +19,12 @@
 /// Relative rounding error that is allowed when a sum is compared with the pool.
 const POOL_TOLERANCE: f64 = 1e-12;
 
-/// What one child brings into a division.
+/// The claim of one child in a division.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
-    /// What its guarantees give it, whatever the others demand.
+    /// What its guarantees give it, regardless of the others' demand.
     pub floor: Amount,
-    /// All that it could use.
+    /// The most that it could use.
     pub demand: Amount,
     /// Its weight among its siblings.
     pub weight: f64,
@@ -71,8 +71,8 @@
 
 /// Divides a pool among the claims and returns the amount of each.
 ///
-/// `governed` tells for CPUs and GPUs whether they are divided at all; of what is not, everybody
-/// gets its demand. The floors must fit in the pool.
+/// `governed` tells for CPUs and GPUs whether they are divided at all; of a kind that is not, each
+/// child gets its demand. The floors must fit in the pool.
 #[must_use]
 pub fn divide(pool: Amount, governed: [bool; 2], claims: &[Claim]) -> Vec<Amount> {
     let amounts = pool.to_array();
@@ -198,7 +198,7 @@
     }
 }
 
-/// What the children have that are not open any more.
+/// The sum of what the children that are no longer open have.
 fn sum_of_closed(given: &[Amount], open: &[usize]) -> Amount {
     let mut is_open = vec![false; given.len()];
     open.iter().for_each(|index| is_open[*index] = true);
--- a/crates/hierarchical-quota/src/entitlements.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -1,4 +1,4 @@
-//! What each node of a tree is entitled to at present, and who may reclaim from whom.
+//! What each node of a tree is entitled to at present, and which teams may reclaim from which.
 //!
 //! Demands are summed up the tree, and entitlements divided down it. Both are recomputed only where
 //! something changed, a few times a second at most; a decision looks at a single path of the tree.
@@ -12,12 +12,12 @@
 /// About how many bytes an entry of the index of leaves takes besides the team's name.
 const INDEX_ENTRY_BYTES: usize = 40;
 
-/// What is known of a node.
+/// The state of a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeState {
     /// What the teams below could use, within the limits.
     demand: Amount,
-    /// What guarantees give it, whatever others demand.
+    /// What guarantees give it, regardless of the others' demand.
     floor: Amount,
     /// What it is entitled to: its floor and its part of what others leave unused.
     entitled: Amount,
@@ -39,7 +39,7 @@
     governed: Vec<[bool; 2]>,
 }
 
-/// What work would take if it were placed.
+/// The amounts that work would use if it were placed.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceRequest {
     /// All of it: one task, or all tasks of a gang.
@@ -290,7 +290,7 @@
                 || self.can_spare(branch_of_from, used(branch_of_from), task, conceded))
     }
 
-    /// How far a leaf that uses so much is beyond its entitlement, as a part of what its root is
+    /// How far a leaf with the usage `used` is beyond its entitlement, as a part of what its root is
     /// guaranteed: the largest part of any kind of resource, at least 0.
     #[must_use]
     pub fn overuse(&self, leaf: NodeIndex, used: Amount) -> f64 {
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - `tree`: the tree as an operator writes it, and as it is checked,
 //! - `divide`: how a node's entitlement is divided among its children,
-//! - `entitlements`: what each node is entitled to at present, and who may reclaim from whom.
+//! - `entitlements`: what each node is entitled to at present, and which teams may reclaim from which.
 //!
 //! All of these are pure functions of their input: no I/O, no clock, no randomness. Controllers
 //! with the same tree and demands come to the same decisions.
--- a/crates/hierarchical-quota/src/tree/error.rs
+++ b/crates/hierarchical-quota/src/tree/error.rs
@@ -62,10 +62,10 @@
     /// The tree has more levels than this.
     #[error("the tree is deeper than {0} levels")]
     TooDeep(usize),
-    /// The parent stands for a team, so it can't have children.
+    /// The parent represents a team, so it can't have children.
     #[error("{0} stands for a team and can't have children")]
     ParentIsLeaf(String),
-    /// Another node stands for the team already.
+    /// Another node already represents the team.
     #[error("another node stands for team {0} already")]
     DuplicateTeam(String),
     /// A node without children names no team.
--- a/crates/hierarchical-quota/src/tree/mod.rs
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -1,4 +1,4 @@
-//! The checked tree of quotas, and ways through it.
+//! The checked tree of quotas, and its traversal.
 //!
 //! An operator's file is read into a [`TreeSpec`], and built into a [`Tree`] that is consistent
 //! with itself and with the platform's teams.
@@ -34,7 +34,7 @@
     pub parent: Option<NodeIndex>,
     /// The nodes below it, in the order of the file.
     pub children: Vec<NodeIndex>,
-    /// The platform's team that a leaf stands for.
+    /// The platform's team that a leaf represents.
     pub team: Option<String>,
     /// What it is guaranteed: for a leaf at least what the platform guarantees its team, for others
     /// at least the sum of the children's.
@@ -68,7 +68,7 @@
         &self.nodes[ix.index()]
     }
 
-    /// The leaf that stands for a team.
+    /// The leaf that represents a team.
     pub fn leaf(&self, team: &str) -> Option<NodeIndex> {
         self.leaves.get(team).copied()
     }
--- a/crates/hierarchical-quota/src/tree/parse.rs
+++ b/crates/hierarchical-quota/src/tree/parse.rs
@@ -74,7 +74,7 @@
     fn read_section(&mut self, section: &str, entries: &Properties) -> Result<(), TreeError> {
         match section.split_once(char::is_whitespace) {
             None if section == "tree" => self.read_tree(section, entries),
-            // What precedes the first section is one without a name.
+            // The parser returns entries before the first section as a section without a name.
             None if section.is_empty() && entries.is_empty() => Ok(()),
             Some(("node", name)) if !name.trim().is_empty() => {
                 self.read_node(section, name.trim(), entries)
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// The entries of a section; an error for each key that is there again.
+    /// The entries of a section; an error for each repeated key.
     fn entries<'e>(
         &self,
         section: &'e str,
--- a/crates/hierarchical-quota/src/tree/spec.rs
+++ b/crates/hierarchical-quota/src/tree/spec.rs
@@ -23,7 +23,7 @@
     /// The name of the node above it; a root has none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
-    /// The platform's team that this leaf stands for.
+    /// The platform's team that this leaf represents.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
     /// What it is guaranteed; 0 means what its children, or its team, are guaranteed.
@@ -66,7 +66,7 @@
 pub enum TreeNote {
     /// The platform has this team and the tree does not: it keeps its flat quota.
     TeamOutside(String),
-    /// A leaf (the first name) stands for a team (the second) that the platform does not have.
+    /// A leaf (the first name) represents a team (the second) that the platform does not have.
     /// Nothing can use its guarantee, so it is lent.
     LeafWithoutTeam(String, String),
 }
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -1,7 +1,7 @@
 //! Jobs whose noted changes wait to be written, by lane, and within a lane by class.
 //!
-//! What waits here is not a finished transaction: a job's changes are written as they stand when
-//! its turn comes, so changes that are noted meanwhile go along at no cost.
+//! The backlog holds jobs, not finished transactions: a transaction is built from a job's changes only
+//! when the job's turn comes, so changes that are noted meanwhile are included at no extra cost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,12 +11,12 @@
 
 use crate::types::{JobId, Millis};
 
-/// What a job's changes are, the most urgent first.
+/// The kinds of a job's changes, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// The last completions of a job: its user waits to hear that it is over.
+    /// The last completions of a job: its user waits for the response that it is finished.
     Completions,
-    /// Placements, and what has to be written before a task can be placed again.
+    /// Placements, and changes that must be written before a task can be placed again.
     Placements,
     /// Completions of some of a job's tasks. Their resources are available already, so these can wait
     /// longest.
@@ -31,12 +31,12 @@
     Lane::PartialCompletions,
 ];
 
-/// The part of the writes that the lanes' floors divide; the rest goes to the most urgent lane.
+/// The fraction of the writes that the lanes' floors divide; the rest goes to the most urgent lane.
 const LANE_FLOORS: f64 = 0.9;
-/// The part of a lane's writes that the floors of classes divide; the rest goes by due time.
+/// The fraction of a lane's writes that the floors of classes divide; the rest goes by due time.
 const CLASS_FLOORS: f64 = 0.5;
 
-/// The part of the lanes' floors that is a lane's.
+/// The weight of a lane among the lanes' floors.
 fn lane_weight(lane: &Lane) -> f64 {
     match lane {
         Lane::Completions => 0.35,
@@ -120,7 +120,7 @@
 }
 
 impl Backlog {
-    /// Has a job wait in a lane until it is due, unless it waits in a more urgent lane already, or is
+    /// Queues a job in a lane until it is due, unless it already waits in a more urgent lane, or is
     /// due earlier in the same lane.
     pub fn add(&mut self, id: &JobId, lane: Lane, class: Slot, due: Millis) {
         let turn = Turn { lane, due, class };
@@ -167,7 +167,7 @@
         self.lanes[lane as usize].overdue(now)
     }
 
-    /// Takes the job that is to be written next, if one is due.
+    /// Removes and returns the job that is to be written next, if one is due.
     pub fn next(&mut self, now: Millis) -> Option<JobId> {
         let lane = self.next_lane(now)?;
         let queue = &self.lanes[lane as usize];
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,9 +1,9 @@
-//! Admission: who goes first when write capacity is scarce. The decisions are pure functions in
-//! `crates/admission-control`; this module has what they are made for.
+//! Admission: which writes go first when write capacity is scarce. The decisions are pure functions in
+//! `crates/admission-control`; this module applies them to jobs and to the store's write limit.
 //!
 //! [`backlog`] orders the commits of task changes on this controller, [`shared`] has the plan that
-//! divides the store's write limit among controllers, and [`Flows`] maps jobs to the classes and teams
-//! that are told apart.
+//! divides the store's write limit among controllers, and [`Flows`] maps jobs to the slots of their
+//! classes and teams.
 
 /// Orders the jobs whose changes wait to be written.
 pub mod backlog;
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -8,25 +8,25 @@
 
 /// The key of the plan's record.
 pub const PLAN_KEY: &str = "jt/admission";
-/// Time between two plans, at least: each is a write itself.
+/// Minimum time between two plans, since each is itself a write.
 const MIN_PLAN_INTERVAL: Millis = Millis(2_000);
 /// The rate of writes is measured over intervals of at least this.
 const MEASUREMENT_INTERVAL: Millis = Millis(500);
 /// Weight of the newest interval in the smoothed rate.
 const SMOOTHING: f64 = 0.35;
-/// The part of the store's limit that is kept for lease renewals, which go past the budget.
+/// The part of the store's limit that is reserved for lease renewals, which bypass the budget.
 const LEASE_RESERVE: f64 = 0.01;
 
-/// What a controller reports of itself, with every heartbeat to the others.
+/// What a controller reports of itself with every status to the others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionReport {
     /// The version of the plan that it follows; zero: none.
     pub plan_version: Revision,
-    /// What it would write.
+    /// Its demand for writes.
     pub demand: Demand,
 }
 
-/// The plan as this controller sees it, and what it knows of all controllers' demand.
+/// The newest plan that this controller has read, and the reported demand of all controllers.
 #[derive(Debug, Default)]
 pub struct WriteAdmission {
     /// The newest plan.
@@ -88,7 +88,8 @@
         write_rps * (1.0 - LEASE_RESERVE)
     }
 
-    /// The plan to be written now, if one is worth it. `has_lease`: whether a controller has a lease.
+    /// The plan to be written now, if it differs enough from the present one. `has_lease`: whether a
+    /// controller has a lease.
     pub fn next(
         &self,
         limit: Rate,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -101,7 +101,7 @@
         tracing::error!(%error, "HTTP server failed");
         eprintln!("jaspertiller: {error:#}");
     }
-    // A daemon runs until it is killed, so that any end is a failure.
+    // A daemon runs until it is killed, so any end is a failure.
     ExitCode::FAILURE
 }
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The time since the start, and one millisecond: zero stands for "never" in many places.
+    /// The time since the start plus one millisecond, since zero means "never" in many places.
     #[must_use]
     pub fn now(self) -> Millis {
         Millis(self.started.elapsed().as_millis() as u64 + 1)
--- a/src/cycle/index/level.rs
+++ b/src/cycle/index/level.rs
@@ -1,10 +1,10 @@
-//! Capacity levels: machines of a group on which the same is available look alike to a cycle.
+//! Capacity levels: machines of a group with the same available resources are equivalent to a cycle.
 
 use std::cmp::Ordering;
 
 use crate::types::Resources;
 
-/// What a cycle sees of a machine, except for its images.
+/// The properties of a machine that matter to a cycle, except for its images.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLevel {
     available: Resources,
@@ -29,8 +29,8 @@
 }
 
 impl CapacityLevel {
-    /// The level of a machine with so much available, so much of the rest preemptible at little
-    /// loss, and so many fetches under way.
+    /// The level of a machine with these available resources, these others that are preemptible at
+    /// little loss, and this number of fetches in progress.
     pub fn new(available: Resources, preemptible: Resources, fetches: usize) -> Self {
         Self {
             available: rounded(available),
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -3,9 +3,9 @@
 //! caches. It is updated as machines change, so that a cycle visits machines that fit instead of
 //! the whole fleet.
 //!
-//! Machines of one class (group and level) look alike to a cycle, except for their images: those
-//! with a job's image are found by a second index. The index gives a shortlist only; who uses it
-//! looks at the machine itself.
+//! Machines of one class (group and level) are equivalent to a cycle, except for their images: those
+//! with a job's image are found by a second index. The index gives a shortlist only; the caller
+//! checks the machine itself.
 
 mod level;
 
@@ -17,7 +17,7 @@
 use crate::types::{Image, MachineId, MachineTypeId, Resources, ShardId, Zone};
 pub use level::CapacityLevel;
 
-/// Machines that a job allows, or does not allow, as a whole. The order of the fields is the order
+/// Machines that a job either all allows or all excludes. The order of the fields is the order
 /// in which groups are visited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
@@ -135,7 +135,7 @@
         self.entries.iter()
     }
 
-    /// Whether a machine's entry shows this level, this shard and so many images. It is cheaper
+    /// Whether a machine's entry shows this level, this shard and this number of images. It is cheaper
     /// than making a new entry and comparing it.
     pub fn is_current(
         &self,
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -1,5 +1,5 @@
 //! One scheduling cycle as pure functions: a filter that says whether a machine is feasible for a
-//! task, and a score that ranks the feasible ones. The caller brings the machines one by one.
+//! task, and a score that ranks the feasible ones. The caller passes the machines one by one.
 
 /// Indexes machines by available capacity and cached images.
 pub mod index;
@@ -16,9 +16,9 @@
 pub struct Candidate<'a> {
     /// The machine itself: its type, zone, images and failures.
     pub machine: &'a Machine,
-    /// What the machine offers when it is empty.
+    /// Its resources when it is empty.
     pub capacity: Resources,
-    /// What the job may use of it now.
+    /// The resources on it that the job may use now.
     pub available: Resources,
     /// All tasks on it can be preempted by urgent work at little loss, so that for urgent work it
     /// is as good as an empty machine.
@@ -43,7 +43,7 @@
 /// Jobs that allow spot machines go to spot machines, and leave the others to those that do not.
 const SPOT_MATCH_WEIGHT: f64 = 1.5;
 /// For each second of a fetch: small long-running tasks keep apart where fetches are slow, since a
-/// machine full of them has images that nobody else can use. Scaled by the share of the machine
+/// machine full of them has images that no other job can use. Scaled by the share of the machine
 /// that work takes which cannot be preempted.
 const LONG_RUNNING_SPREAD_WEIGHT_PER_S: f64 = 0.4;
 /// For each second of a fetch: tasks that end soon and have to fetch spread where that is slow,
@@ -57,7 +57,7 @@
 /// Tasks that take a smaller share of a machine count as small.
 const SMALL_TASK_SHARE: f64 = 0.5;
 
-/// A task that looks for a machine. What holds for all machines is worked out once.
+/// A request to place a task. Values that are the same for all machines are computed once.
 pub struct PlacementRequest<'a> {
     /// The job of the task.
     pub job: &'a Job,
@@ -102,7 +102,7 @@
     }
 
     /// Whether the job may have another task in a zone. `oneZone` and `spread` count tasks of
-    /// earlier attempts, too, until they are proven gone.
+    /// earlier attempts, too, until they are proven to have left their machines.
     pub fn zone_allowed(&self, zone: &Zone) -> bool {
         let spec = &self.job.spec;
         if spec.one_zone && self.tasks_by_zone.keys().any(|other| other != zone) {
@@ -166,7 +166,7 @@
     f64::from(u8::from(holds))
 }
 
-/// The choice among candidates that come one by one.
+/// The choice among candidates that are offered one by one.
 pub struct Choice<'a> {
     rejected_by: BTreeSet<Check>,
     best: Option<(f64, &'a MachineId)>,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -31,9 +31,9 @@
 
 /// Time between two ticks of the controller: bounds how late it notices that a time has passed.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages of other controllers that wait to be handled. When they are full, the connections are not read from.
+/// Capacity of the queue of messages from other controllers. While it is full, their connections are not read.
 const MAX_QUEUED_PEER_MESSAGES: usize = 64;
-/// Requests of each kind that wait to be handled, so that an overload can't fill the memory.
+/// Most queued requests of each kind, so that an overload can't exhaust the memory.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
 /// Why the daemon ended.
@@ -160,7 +160,7 @@
 
 impl Daemon {
     fn handle_next(&mut self, queue: &mut RequestQueue<Request>) {
-        // Requests that expired in the queue are dropped: their requesters have given up.
+        // Requests that expired in the queue are dropped: their requesters have timed out.
         let mut expired = Vec::new();
         if let Some(request) = queue.pop(self.clock.now(), &mut expired)
             && !request.is_abandoned()
--- a/src/daemon/replies.rs
+++ b/src/daemon/replies.rs
@@ -1,4 +1,4 @@
-//! Replies that the controller still owes to requests.
+//! Pending replies: requests that the controller has not answered yet.
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
     Ready(oneshot::Sender<bool>),
 }
 
-/// All replies that are owed; each is removed when it is sent.
+/// All pending replies; each is removed when it is sent.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     pending: HashMap<ReplyId, PendingReply>,
@@ -26,7 +26,7 @@
 }
 
 impl PendingReplies {
-    /// Keeps where a reply goes; returns the id by which the controller refers to it.
+    /// Stores where a reply goes, and returns the id by which the controller refers to it.
     pub(super) fn insert(&mut self, reply: PendingReply) -> ReplyId {
         self.last_id += 1;
         let id = ReplyId(self.last_id);
@@ -57,6 +57,6 @@
 }
 
 fn deliver<T>(sender: oneshot::Sender<T>, reply: T) {
-    // The requester may have given up meanwhile; its reply is dropped then.
+    // The requester may have disconnected meanwhile; its reply is dropped then.
     let _ = sender.send(reply);
 }
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -16,7 +16,7 @@
 
 /// A call that takes longer counts as failed; the leader repeats what it still needs.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most machines that one page of the list is to show.
+/// Maximum number of machines on a page of the list.
 const LIST_PAGE_SIZE: u32 = 500;
 /// Fraction of the budget that this controller uses, since the other controllers read the machine
 /// types, too.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The fleet of rented machines: what the cloud offers, and what the leader knows of the machines
-//! there are. Only the leader rents, drains and returns machines.
+//! The fleet of rented machines: the cloud's offers, and the leader's view of the rented machines.
+//! Only the leader rents, drains and returns machines.
 //!
 //! [`plan`] decides what to rent and return, [`client`] performs the calls of [`cloud_api`], and
 //! [`wire`] has their JSON.
@@ -24,7 +24,7 @@
 
 use crate::types::{MachineId, MachineTypeId, Millis, Zone};
 
-/// A rented machine as far as the leader knows it.
+/// The leader's view of a rented machine.
 #[derive(Clone, Debug)]
 pub struct RentedMachine {
     /// Its type.
@@ -35,7 +35,7 @@
     pub spot: bool,
     /// Its stage, by the cloud's list or by its heartbeats.
     pub stage: MachineStage,
-    /// When it was rented, or first heard of if the list has not shown its age.
+    /// When it was rented, or first observed if the list has not shown its age.
     pub rented_at: Millis,
     /// When it was rented, last listed, or last known to send heartbeats.
     pub last_seen: Millis,
@@ -78,7 +78,7 @@
     pub count: u32,
 }
 
-/// What the leader knows of the fleet. It starts empty with each term of leadership.
+/// The leader's view of the fleet. It starts empty with each term of leadership.
 #[derive(Default)]
 pub struct Fleet {
     /// Machines that are rented, as far as lists and heartbeats show.
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -1,5 +1,5 @@
-//! What to rent and what to return, as a pure function of the machines, the tasks that need room,
-//! and the headroom that should stand ready.
+//! What to rent and what to return, as a pure function of the machines, the tasks that need
+//! capacity, and the headroom that should be ready.
 
 mod bins;
 
@@ -12,12 +12,12 @@
 use crate::jobs::{JobKind, JobSpec};
 use crate::types::{MachineId, Millis, Resources, Zone};
 
-/// Tasks of one job that need room.
+/// Tasks of one job that need capacity.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
     /// The job.
     pub spec: &'a JobSpec,
-    /// How many of its tasks need room.
+    /// How many of its tasks need capacity.
     pub count: u32,
     /// Only spot machines serve the need: the tasks run already, on more expensive machines.
     pub spot_only: bool,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whole machines that should stand ready for work to come.
+/// Whole machines that should be ready for future work.
 #[derive(Clone, Debug)]
 pub struct Headroom {
     /// Whether spot or ordinary machines.
@@ -41,7 +41,7 @@
     pub machines: u32,
     /// How many should be empty, for work that may not preempt.
     pub empty: u32,
-    /// What each should have room for.
+    /// The resources that each should have available.
     pub resources: Resources,
 }
 
@@ -100,7 +100,7 @@
     planner.plan
 }
 
-/// A plan in the making.
+/// A plan under construction.
 struct Planner<'a, Unavailable> {
     plan: Plan,
     bins: Bins,
@@ -110,7 +110,7 @@
 }
 
 impl<Unavailable: Fn(&Offer) -> bool> Planner<'_, Unavailable> {
-    /// Finds room for the tasks of one job, and rents machines for those that find none.
+    /// Assigns the tasks of one job to machines, and plans to rent machines for those that fit nowhere.
     fn serve(&mut self, need: &Need) {
         let spec = need.spec;
         let together = spec.kind == JobKind::Gang && spec.one_zone && need.count > 1;
@@ -182,7 +182,7 @@
             .filter(|bin| bin.offer.spot == wanted.spot && wanted.resources.fits_in(bin.capacity))
     }
 
-    /// Plans to rent one machine by the cheapest offer, and returns its zone; none: no offer will do.
+    /// Plans to rent one machine by the cheapest offer, and returns its zone; none if no offer is suitable.
     fn rent(&mut self, allows: impl Fn(&Offer) -> bool, resources: Resources) -> Option<Zone> {
         let PricedOffer {
             offer, capacity, ..
@@ -194,7 +194,7 @@
         Some(zone)
     }
 
-    /// The cheapest available offer of a machine with room for `resources`; among equals, in the
+    /// The cheapest available offer of a machine on which `resources` fit; among equals, in the
     /// zone with the fewest machines.
     fn cheapest(
         &self,
--- a/src/fleet/plan/bins.rs
+++ b/src/fleet/plan/bins.rs
@@ -51,7 +51,7 @@
         self.capacity.fits_in(self.available.plus(self.preemptible))
     }
 
-    /// Assigns up to `count` tasks to the machine and returns how many it had room for.
+    /// Assigns up to `count` tasks to the machine and returns how many fitted.
     fn take(&mut self, need: &Need, count: u32) -> u32 {
         let resources = need.spec.resources;
         if !resources.fits_in(self.available) || !need.allows(&self.offer) {
@@ -63,11 +63,11 @@
     }
 }
 
-/// All machines, the fullest first, and which of them have room for the smallest need, so that a
-/// full fleet is not visited for each job that waits.
+/// All machines, the fullest first, and which of them have capacity for the smallest need, so that a
+/// full fleet is not visited for each waiting job.
 pub(super) struct Bins {
     all: Vec<Bin>,
-    /// Positions of the machines with room for the smallest need, in order.
+    /// Positions of the machines with capacity for the smallest need, in order.
     open: Vec<usize>,
     /// How many machines in `open` have been filled since it was last pruned.
     filled: usize,
@@ -102,8 +102,8 @@
         self.all.push(bin);
     }
 
-    /// Assigns up to `count` tasks, only in `zone` if one is given, and returns how many found
-    /// room. Machines of the kind that the job asks for (spot or ordinary) are filled before the
+    /// Assigns up to `count` tasks, only in `zone` if one is given, and returns how many
+    /// fitted. Machines of the kind that the job asks for (spot or ordinary) are filled before the
     /// others.
     pub(super) fn take(&mut self, need: &Need, zone: Option<&Zone>, count: u32) -> u32 {
         let mut left = count;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The zone for a gang that must run in one: where most of its tasks already find room.
+    /// The zone for a gang that must run in one: the one where most of its tasks already fit.
     pub(super) fn gang_zone(&self, need: &Need) -> Option<Zone> {
         let mut tasks_by_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
         let open = self.open.iter().map(|index| &self.all[*index]);
--- a/src/http_server/mod.rs
+++ b/src/http_server/mod.rs
@@ -27,7 +27,7 @@
 use body::bounded;
 
 /// The controller must reply within this time. Workers wait 4 s and users 5: they should get a response that asks
-/// them to retry, not none.
+/// them to retry rather than time out.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3_800);
 
 /// The HTTP server can't start.
@@ -38,7 +38,7 @@
     Listen(#[from] std::io::Error),
 }
 
-/// Serves at most `max_connections` at a time, for ever.
+/// Serves at most `max_connections` at a time, until the process ends.
 ///
 /// # Errors
 /// The address can't be listened on.
@@ -65,9 +65,9 @@
     Ok(())
 }
 
-/// A route that any request may take or leave.
+/// A route, which rejects requests that it does not match.
 type Route = BoxedFilter<(HttpResponse,)>;
-/// Gives a route the way to the controller.
+/// Passes the channel to the controller to a route.
 type WithInbox = BoxedFilter<(Arc<Inbox>,)>;
 
 /// All routes; the frequent ones first, since they are tried in turn.
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -61,7 +61,7 @@
 pub struct JobState {
     /// The job's id.
     pub id: JobId,
-    /// How far it is.
+    /// Its progress.
     pub stage: JobStage,
     /// How many tasks are done.
     pub done: u32,
@@ -89,12 +89,12 @@
     NeverRuns(String),
     /// There is no such job.
     Unknown,
-    /// Not now: come back after this many seconds.
+    /// Not accepted now: the user should retry after this many seconds.
     Later(u32),
 }
 
 impl Response {
-    /// Asks the user to come back soon.
+    /// Asks the user to retry soon.
     #[must_use]
     pub fn later() -> Self {
         Response::Later(1)
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -8,11 +8,11 @@
 
 /// The largest request body, in bytes.
 pub const LARGEST_BODY: usize = 64 * 1024;
-/// Tasks of a job, at most.
+/// Maximum number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
-/// Bytes of a name, at most.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Larger amounts can only be mistakes.
+/// Largest accepted amount: larger ones can only be mistakes.
 const MAX_AMOUNT: f64 = 1e12;
 
 /// A submission's body. Fields that are not listed are ignored.
@@ -56,7 +56,7 @@
     due_s: Option<f64>,
 }
 
-/// The id alone, of a body that is wrong otherwise.
+/// The id alone, for a body that is otherwise invalid.
 #[derive(Deserialize)]
 struct OnlyId {
     id: String,
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -16,11 +16,11 @@
 /// What an applied record changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecordChange {
-    /// The job, unless the record was of no use.
+    /// The job, unless the record had no effect.
     pub job: Option<JobId>,
     /// Machines that lost a task, once for each.
     pub freed: Vec<MachineId>,
-    /// The team that uses less for it.
+    /// The team whose usage fell.
     pub team: Option<Team>,
     /// Machines that gained a task, once for each.
     pub allocated: Vec<MachineId>,
--- a/src/jobs/cache/change.rs
+++ b/src/jobs/cache/change.rs
@@ -4,7 +4,7 @@
 use crate::types::{Attempt, FencingToken, Revision};
 
 /// What this controller wants the record of a task to say next. What is known of an attempt holds
-/// for that attempt alone: by the time it is written, the task may be elsewhere with another.
+/// for that attempt alone: by the time it is written, the task may have another attempt on another machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskChange {
     /// The task is to run on a machine.
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why a task is known to be off its machine. A missing heartbeat is no evidence.
+/// The evidence that a task is off its machine. A missing heartbeat is no evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// Observed by the holder of the machine's shard under this token. Under another token, another
--- a/src/jobs/cancel.rs
+++ b/src/jobs/cancel.rs
@@ -1,13 +1,13 @@
 //! Users who wait for the end of a job that they cancelled.
 //!
-//! They are answered once no task of it is left on any machine, by evidence: a machine that no
-//! controller can reach must not make that answer untrue later.
+//! They are answered once it is proven that no task of it is left on any machine: a machine that no
+//! controller can reach must not make that answer wrong later.
 
 use std::collections::BTreeMap;
 
 use crate::types::{JobId, Millis, ReplyId};
 
-/// How long a user waits for the tasks to leave before being asked to come back.
+/// How long a user waits for the tasks to leave before being asked to retry.
 const REPLY_TIMEOUT: Millis = Millis(500);
 
 /// A request that waits for the end of a job.
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -15,7 +15,7 @@
 
 /// A departure that the records don't show is sent again after this long: a message may be lost.
 const RESEND_INTERVAL: Millis = Millis(4_000);
-/// Departures in one message, at most; a message of this size fits a frame by far.
+/// Most departures in one message; a message of this size is well below the limit of a frame.
 const MAX_DEPARTURES: usize = 2_000;
 
 /// Jobs with more noted changes than this are scanned at most every `SCAN_INTERVAL`: each scan goes
@@ -35,7 +35,7 @@
 /// What was forwarded for each task of a job: the attempt that left, and when it was last sent.
 type ForwardedTasks = BTreeMap<u32, (Attempt, Millis)>;
 
-/// Departures on their way to the owners of their jobs.
+/// Departures that are being forwarded to the owners of their jobs.
 #[derive(Debug, Default)]
 pub struct CompletionForwarder {
     /// The last scans of jobs with many noted changes.
@@ -121,7 +121,7 @@
     }
 }
 
-/// The departure that a noted change stands for. `None` if the owner can't write it: a placement, or a
+/// The departure that a noted change records. `None` if the owner can't write it: a placement, or a
 /// departure that is not proved by the holder of the machine's shard.
 fn departure(
     id: &JobId,
--- a/src/jobs/crash_loop.rs
+++ b/src/jobs/crash_loop.rs
@@ -1,9 +1,9 @@
-//! Tells jobs that fail on every machine from machines that fail every task.
+//! Distinguishes jobs that fail on every machine from machines that fail every task.
 //!
 //! A faulty machine fails every task; a job that was submitted with a mistake fails on every machine
 //! until its user cancels it. A job that failed on several machines and succeeded on none is
 //! crash-looping: its failures no longer count against machines, and it is tried one task at a time
-//! with exponential backoff. It is never given up, and one success clears it.
+//! with exponential backoff. It is retried indefinitely, and one success clears it.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
 
 /// A job is crash-looping once it failed on this many machines.
 const MAX_FAILED_MACHINES: usize = 2;
-/// The same for a service. Its replicas never complete, so no success clears it: it takes more to
-/// suspect it.
+/// The same for a service. Its replicas never complete, so no success clears it; the threshold is
+/// therefore higher.
 const MAX_FAILED_MACHINES_SERVICE: usize = 4;
 /// The first backoff of a crash-looping job; each further one is twice as long.
 const MIN_BACKOFF: Millis = Millis(2_000);
@@ -80,7 +80,7 @@
         crash_loop.is_crash_looping && !was_crash_looping
     }
 
-    /// Records that a task of the job completed on some machine: the job is sound.
+    /// Records that a task of the job completed on some machine, so the job is not faulty.
     pub fn record_success(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,6 +1,6 @@
 //! Jobs: what users ask for, how it is recorded in the key-value store, and a cache of all records.
 //!
-//! The types here are what the rest of the controller knows of a job. [`api`] is the users'
+//! The types here are shared by the rest of the controller. [`api`] is the users'
 //! interface, [`record`] the form of the records, [`cache`] all jobs with what they use, [`cancel`] the
 //! users who wait for the end of a job, [`crash_loop`] the jobs that fail everywhere, and
 //! [`completion_forwarding`] what shard holders report to the owner of a job.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// Runs on what the others leave.
+    /// Runs on resources that the others leave unused.
     BestEffort,
     /// The usual priority.
     Normal,
@@ -157,7 +157,7 @@
         /// The highest attempt so far.
         tried: Attempt,
     },
-    /// On this machine, or on its way there, or not yet proven gone from it.
+    /// On this machine, or being started there, or not yet proven to have left it.
     Placed(Placement),
     /// Complete.
     Done,
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,7 +1,7 @@
 //! How jobs are written in the key-value store: one record per job, and its tasks in run-length
 //! encoded pages.
 //!
-//! A page that does not exist stands for tasks that were never placed, so a job of 100,000 tasks
+//! A page that does not exist represents tasks that were never placed, so a job of 100,000 tasks
 //! costs one record until it starts. Neighbouring tasks in the same state share one run.
 
 use serde::{Deserialize, Serialize};
@@ -70,13 +70,13 @@
     }
 }
 
-/// Bytes that one placed task takes in a page, besides the names of its machine and zone, at most.
+/// Most bytes that one placed task takes in a page, besides the names of its machine and zone.
 const MAX_TASK_BYTES: usize = 64;
 /// Bytes that the name of a machine takes.
 const MACHINE_NAME_BYTES: usize = 24;
-/// Tasks of a page, at most.
+/// Maximum number of tasks in a page.
 const MAX_PAGE_TASKS: usize = 128;
-/// The part of a value that a page may fill.
+/// The fraction of the largest value that a page may fill.
 const MAX_VALUE_FILL: f64 = 0.9;
 
 /// Tasks per page so that a page always fits one value of `value_kb` KiB. `longest_zone`: bytes of the
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -79,7 +79,7 @@
     },
 }
 
-/// What a controller knows of all leases: its own, and the records that are attached to leases.
+/// The cache of all leases: the controller's own, and the records that are attached to leases.
 #[derive(Debug)]
 pub struct Leases {
     /// The lease of this controller.
@@ -177,7 +177,7 @@
         (leader == me).then_some(*version)
     }
 
-    /// Takes in a peer's own message that it holds a shard. True if its fencing token is higher than that of
+    /// Applies a peer's own message that it holds a shard. True if its fencing token is higher than that of
     /// another holder we know; the watch will bring the record.
     pub fn supersede(
         &mut self,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Our lease is over, and with it our leadership and our shards. The watch may bring that later: without
+    /// Our lease has expired, and with it our leadership and our shards. The watch may report that later: without
     /// this, a leader that is back from a partition would lead again under its old record and a new lease.
     pub fn lose(&mut self, me: &ControllerId) {
         self.own = OwnLease::None;
@@ -202,8 +202,8 @@
         self.shards.retain(|_, (holder, _)| holder != me);
     }
 
-    /// Takes in a record, or its deletion if there is no `data`. None if it is older than what is known, or
-    /// not a record of leases. Leadership and shards of an earlier process with our label count as nobody's.
+    /// Applies a record, or its deletion if there is no `data`. None if it is older than what is known, or
+    /// not a record of leases. Leadership and shards of an earlier process with our label count as vacant.
     pub fn apply(
         &mut self,
         me: &ControllerId,
--- a/src/peers/link/frame.rs
+++ b/src/peers/link/frame.rs
@@ -8,7 +8,7 @@
 use super::LinkError;
 use crate::peers::{LARGEST_FRAME, Message};
 
-/// A frame that the system does not take for this long means that the connection is lost.
+/// If the system accepts no data of a frame for this long, the connection counts as lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Each controller sends a status every second; silence for this long ends a connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
--- a/src/peers/link/mod.rs
+++ b/src/peers/link/mod.rs
@@ -19,7 +19,7 @@
 
 /// The byte that acknowledges a frame.
 const ACK: u8 = 1;
-/// Messages that wait for a connection; older ones are of no use by then.
+/// Most messages that wait for a connection; older ones are outdated by then.
 const MAX_QUEUED_MESSAGES: usize = 64;
 /// The pause before a connection, or the listener, is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(700);
@@ -40,7 +40,7 @@
     TimedOut {
         /// What was tried.
         action: &'static str,
-        /// How long it might take.
+        /// The time limit.
         limit: Duration,
     },
     /// The other end announced a frame larger than [`LARGEST_FRAME`](super::LARGEST_FRAME).
@@ -77,8 +77,8 @@
 
 impl Peers {
     /// Starts the listener and the connections out. Takes at most `max_incoming` connections from
-    /// others. Their messages wait for room in `inbox`: a sender that is not acknowledged in time
-    /// connects anew.
+    /// others. Their messages wait while `inbox` is full: a sender that is not acknowledged in time
+    /// reconnects.
     pub fn start(
         settings: &Settings,
         max_incoming: usize,
@@ -98,7 +98,7 @@
         Self { out }
     }
 
-    /// Sends a message if there is room in the queue; later ones make up for a lost message.
+    /// Sends a message unless the queue is full; later messages make up for a lost one.
     pub fn send(&self, to: &ControllerId, message: Message) {
         if let Some(sender) = self.out.get(to) {
             let _ = sender.try_send(message);
--- a/src/peers/link/outgoing.rs
+++ b/src/peers/link/outgoing.rs
@@ -8,11 +8,11 @@
 use super::frame::write_frame;
 use super::{ControllerId, Duration, Message, RETRY_INTERVAL, SocketAddr, VERSION};
 
-/// A connection that is not made by then is tried again.
+/// Time limit for making a connection; afterwards it is retried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection that owes an acknowledgement for this long is given up.
+/// A connection without a due acknowledgement for this long is closed.
 const ACK_TIMEOUT: Duration = Duration::from_secs(3);
-/// Acknowledgements that are read at a time.
+/// Most acknowledgements that are read at a time, in bytes.
 const ACK_BUFFER_BYTES: usize = 64;
 
 /// Keeps a connection to another controller and sends it messages, until the queue is closed.
@@ -41,7 +41,7 @@
 }
 
 /// Sends messages over one connection until it fails. Each frame is acknowledged with a byte: a
-/// connection whose other end is gone may take frames for minutes without an error.
+/// connection whose other end has failed may accept frames for minutes without an error.
 async fn run_connection(
     stream: TcpStream,
     hello: &Message,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -83,9 +83,9 @@
     pub without_store_ms: u64,
     /// Whether workers reach the sender.
     pub receives_heartbeats: bool,
-    /// The revision of the admission plan that the sender obeys; 0: none.
+    /// The revision of the admission plan that the sender follows; 0 if none.
     pub plan: u64,
-    /// Changes a second that the sender made lately, in thousandths.
+    /// The sender's recent rate of changes, in thousandths of a change a second.
     pub used_milli: u64,
     /// How many changes wait at the sender.
     pub waiting: u64,
@@ -129,7 +129,7 @@
     pub address: String,
     /// Its type.
     pub machine_type: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// The cloud may take it away at short notice.
     pub spot: bool,
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -1,11 +1,11 @@
 //! Preemption as pure functions, the post-filter of the cycle: which tasks to stop, and on which
-//! machine, so that a task finds room at the least cost.
+//! machine, so that a task fits at the least cost.
 
 use crate::jobs::PriorityClass;
 use crate::types::{MachineId, Resources, TaskId, Team};
 
 /// Cost rank of stopping borrowed work, before its overuse is subtracted. It is larger than any
-/// overuse in steps, so that the rank stays above zero (nobody is stopped).
+/// overuse in steps, so that the rank stays above zero (no task is stopped).
 const BORROWED_RANK: i64 = 1 << 20;
 /// Cost rank of stopping work that its team is entitled to: above that of any borrowed work.
 const ENTITLED_RANK: i64 = 1 << 21;
@@ -31,23 +31,23 @@
     pub overuse_steps: Option<i64>,
 }
 
-/// A machine on which room could be made.
+/// A machine on which tasks could be preempted.
 #[derive(Clone, Debug)]
 pub struct PreemptionSite {
     /// The machine.
     pub machine_id: MachineId,
-    /// What is available on it without stopping anybody.
+    /// What is available on it without stopping any task.
     pub available: Resources,
     /// The tasks on it that may be stopped.
     pub victims: Vec<Victim>,
     /// Seconds that the task would have to wait here in addition, such as for its image.
     pub delay_s: f64,
-    /// Shares of a quota tree count: nobody is stopped without need, then borrowed work is, that
-    /// of the team furthest over its share first.
+    /// Shares of a quota tree count: machines where no task has to be stopped come first, then those
+    /// with borrowed work, that of the team furthest over its share first.
     pub under_quota_tree: bool,
 }
 
-/// What room for a task costs on one machine.
+/// The cost of making one machine available to a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreemptionOffer {
     /// The machine.
@@ -60,15 +60,15 @@
 /// The cost of stopping tasks, compared field by field.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Cost {
-    /// With a quota tree: who is stopped, see [`entitlement_rank`]; otherwise zero.
+    /// With a quota tree, the rank of the victims, see [`entitlement_rank`]; otherwise zero.
     entitlement_rank: i64,
-    /// The highest priority of those that are stopped.
+    /// The highest priority of the victims.
     priority: PriorityClass,
     /// Seconds that are wasted, and that the task has to wait in addition.
     waste_s: f64,
 }
 
-/// What room for a task costs on a machine; `None` if it can't be made there.
+/// The cost of preemption for a task on a machine; `None` if the task can't be made to fit.
 pub fn offer_on_site(resources: Resources, site: &PreemptionSite) -> Option<PreemptionOffer> {
     let chosen = cheapest_victims(resources, site)?;
     let needed = without_unneeded(resources, chosen);
@@ -81,7 +81,7 @@
         victims: stopped().map(|victim| victim.task.clone()).collect(),
         cost: Cost {
             entitlement_rank: highest_rank.unwrap_or(0),
-            // Stopping nobody is no better than stopping work of normal priority if it takes
+            // Stopping no task is no better than stopping work of normal priority if it takes
             // longer.
             priority: highest_priority
                 .unwrap_or(PriorityClass::BestEffort)
@@ -91,7 +91,7 @@
     })
 }
 
-/// The machine where room for a task costs least, and whom to stop there.
+/// The machine where preemption for a task costs least, and the tasks to stop there.
 pub fn cheapest_offer(resources: Resources, sites: Vec<PreemptionSite>) -> Option<PreemptionOffer> {
     let offers = sites
         .iter()
@@ -101,7 +101,7 @@
 }
 
 /// Of several sets of machines, such as one for each zone, the `count` machines of one set where
-/// room for a task each costs least; `None` if no set has so many.
+/// preemption for one task each costs least; `None` if no set has `count` such machines.
 pub fn cheapest_set(
     sets: impl Iterator<Item = Vec<PreemptionOffer>>,
     count: usize,
--- a/src/queue/active.rs
+++ b/src/queue/active.rs
@@ -64,7 +64,7 @@
         Some(job)
     }
 
-    /// Charges a flow for one cycle that it was given by floors.
+    /// Charges a flow for one cycle that was assigned by floors.
     pub(super) fn record_served(&mut self, flow: Flow) {
         let mut classes: BTreeSet<Slot> = self.first_key_by_class().into_keys().collect();
         classes.insert(flow.class);
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! It has three parts, as in other schedulers: *active* jobs may be tried at once, jobs in
 //! *backoff* after their wait, and *unschedulable* (parked) jobs when an event in the cluster may
-//! help them. The tasks of one job are alike, so one entry stands for all of a job's waiting
-//! tasks; a cycle still takes one task.
+//! help them. The tasks of one job are identical, so one entry represents all of a job's waiting
+//! tasks; a cycle still places one task.
 //!
 //! The queue decides the order alone. The controller says which jobs are in it, and places them.
 
@@ -41,7 +41,7 @@
     Parked {
         checks: BTreeSet<Check>,
         since: Millis,
-        /// A job that is released earlier sits out the rest of its backoff.
+        /// A job that is released earlier first waits for the end of its backoff.
         backoff_until: Millis,
     },
 }
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Whether a job is queued, in whichever part.
+    /// Whether a job is in any part of the queue.
     pub fn contains(&self, job: &JobId) -> bool {
         self.entries.contains_key(job)
     }
@@ -262,7 +262,7 @@
 }
 
 impl BackoffPolicy {
-    /// The backoff after so many failures in a row, with jitter.
+    /// The backoff after `failures` failures in a row, with jitter.
     fn backoff_after(&self, failures: u32, rng: &mut impl Rng) -> Millis {
         let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let doubled = self.first.0.saturating_mul(1 << doublings);
--- a/src/queue/reason.rs
+++ b/src/queue/reason.rs
@@ -18,7 +18,7 @@
     Team,
     /// The shard's allocation of the team's quota is used up.
     ShardQuota,
-    /// Tasks of an earlier attempt are not proven gone yet.
+    /// Tasks of an earlier attempt are not proven to have left their machines yet.
     Attempt,
 }
 
--- a/src/quota/allocate.rs
+++ b/src/quota/allocate.rs
@@ -9,7 +9,7 @@
 use crate::types::Resources;
 
 /// The part of a team's unused quota that is allocated to the shards. The leader places out of the
-/// rest, in whichever shard has room.
+/// rest, in any shard with available resources.
 const ALLOCATED_PART: f64 = 0.6;
 
 /// An allocation is left as it is until it differs from its target by this part of a fair one:
@@ -61,7 +61,7 @@
     }
 }
 
-/// Whether the deciding controller holds a shard and knows everything that is placed there.
+/// Whether the deciding controller holds a shard, and so sees every placement there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardOwnership {
     /// It does: nothing is used there that it does not see.
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -95,7 +95,7 @@
         &self.groups
     }
 
-    /// The node that stands for a team, if the team is in the tree.
+    /// The node that represents a team, if the team is in the tree.
     pub fn leaf(&self, team: &Team) -> Option<NodeIndex> {
         self.entitlements.tree().leaf(team.as_str())
     }
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -1,7 +1,7 @@
 //! The tree of nested quotas: what the operator's file says, what the store holds, and which tree
 //! is active.
 //!
-//! The tree in the store applies to all controllers alike. A file with a higher revision replaces
+//! The tree in the store applies to all controllers. A file with a higher revision replaces
 //! it: its pages are written first and the head record last, so that a reader never adopts half a
 //! tree. [`HierarchicalQuota`] owns this state; the controller reads and writes the records.
 
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -76,7 +76,7 @@
 }
 
 impl<'a> ReclaimPlanner<'a> {
-    /// A planner for work of a team that wants so much. `None`: the team is not in the tree.
+    /// A planner for work of a team that wants `wanted`. `None`: the team is not in the tree.
     pub fn new(
         tree: &'a ActiveTree,
         jobs: &'a JobCache,
@@ -200,8 +200,8 @@
         Some(best)
     }
 
-    /// Where to make room for up to `max_tasks` tasks, each on a machine of its own. The first may
-    /// get room by priority alone; the others must be within the team's entitlement.
+    /// Where to stop tasks for up to `max_tasks` tasks, each on a machine of its own. For the first,
+    /// priority alone may justify the stops; the others must be within the team's entitlement.
     pub fn plan(
         mut self,
         resources: Resources,
@@ -222,7 +222,7 @@
         chosen
     }
 
-    /// Where to make room for all tasks of a gang among these sites, or nowhere. The wanted amount
+    /// The machines and stops for all tasks of a gang among these sites, or none. The wanted amount
     /// is that of the whole gang, so its tasks are not counted one by one.
     pub fn plan_all(
         mut self,
@@ -309,7 +309,7 @@
     victims: Vec<TaskId>,
 }
 
-/// How far a leaf that uses so much is over its entitlement, in steps.
+/// How far a leaf with this usage is over its entitlement, in steps.
 pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIndex, used: Amount) -> i64 {
     (tree.entitlements.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
--- a/src/request_queue/mod.rs
+++ b/src/request_queue/mod.rs
@@ -1,8 +1,8 @@
 //! Requests that wait for the controller, by kind and age. A pure data structure: the daemon pushes what it receives
 //! and pops when it has nothing more urgent to do.
 //!
-//! Heartbeats go before users, since leases depend on them, but users get their turn; and a request whose requester
-//! has given up is not worked on.
+//! Heartbeats go before users, since leases depend on them, but users still get a share; a request whose requester
+//! has timed out is not handled.
 
 use std::collections::VecDeque;
 
@@ -47,7 +47,7 @@
 /// Once the oldest request of a kind has waited this long, there are more than can be handled: the newest goes first
 /// then, since it has the most time left.
 const OVERLOAD_WAIT: Millis = Millis(1_000);
-/// A user's request goes first after so many heartbeats.
+/// A user's request goes first after this many heartbeats.
 const HEARTBEATS_PER_USER: u32 = 4;
 
 struct Queued<T> {
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -40,7 +40,7 @@
     },
     /// A health check.
     Ready {
-        /// Where it goes whether the controller is ready.
+        /// Receives whether the controller is ready.
         reply: oneshot::Sender<bool>,
     },
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether nobody waits for the response any more.
+    /// Whether the receiver of the response was dropped, so that no response is needed.
     #[must_use]
     pub fn is_abandoned(&self) -> bool {
         match self {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -162,7 +162,7 @@
     pub list_lag_s: f64,
 }
 
-/// Limits that the platform sets this process.
+/// Limits that the platform sets for this process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ProcessLimits {
     /// CPU cores.
@@ -198,7 +198,7 @@
         self.members.len() + 1
     }
 
-    /// The team of this name, if the platform knows it.
+    /// The team of this name, if the platform's file lists it.
     #[must_use]
     pub fn team(&self, name: &Team) -> Option<&TeamSettings> {
         let position = self.team_positions.get(name)?;
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -11,7 +11,7 @@
 
 /// Longest name of a node, in bytes: it is the key of the node's allocation in each shard's record.
 const MAX_NODE_NAME_BYTES: usize = 1_000;
-/// Of a name that is too long, so many characters are shown.
+/// Number of characters that an error shows of a name that is too long.
 const SHOWN_NAME_CHARS: usize = 20;
 /// Nodes are counted beside the teams under names with this prefix.
 const NODE_PREFIX: char = '#';
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -24,10 +24,10 @@
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after the system refused a connection, which it does again at once while its sockets are used up.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// Notices of connections that wait for the acceptor; a connection waits with its request until there is room.
+/// Capacity of the queue of notices to the acceptor; while it is full, a connection's request waits.
 const NOTICE_BACKLOG: usize = 256;
 
-/// What a connection tells the acceptor.
+/// A notice from a connection to the acceptor.
 enum Notice {
     RequestStarted(Id, ConnectionClass),
     RequestFinished(Id),
@@ -36,7 +36,7 @@
 struct Acceptor {
     clock: Clock,
     table: ConnectionTable<Id>,
-    /// By which a connection is told to close.
+    /// The signal for a connection to close.
     shutdowns: HashMap<Id, oneshot::Sender<()>>,
     /// The connections; they end with the acceptor.
     tasks: JoinSet<()>,
@@ -45,8 +45,8 @@
     rejected: u64,
 }
 
-/// Serves at most `max_connections` at a time, for ever. `busy` is the response when there is no room for users'
-/// requests.
+/// Serves at most `max_connections` at a time, until the process ends. `busy` is the response while there is no
+/// capacity for users' requests.
 pub async fn serve<S, B>(
     listener: TcpListener,
     service: S,
@@ -86,7 +86,7 @@
                     let id = acceptor.tasks.spawn(connection).id();
                     acceptor.on_opened(id, shutdown);
                 }
-                // The client finds another controller sooner than there is room here.
+                // The client finds another controller sooner than a connection is free here.
                 Ok(_) => acceptor.rejected += 1,
                 Err(error) => {
                     tracing::error!(%error, "connection accept failed");
--- a/src/sockets/connection_table.rs
+++ b/src/sockets/connection_table.rs
@@ -43,7 +43,7 @@
 const SHORT_IDLE_FRACTION: f64 = 0.85;
 /// Idle timeouts are divided by this when they are shortened.
 const SHORT_IDLE_DIVISOR: u64 = 5;
-/// Each fraction is of at least so many connections.
+/// Each fraction is of at least this many connections.
 const MIN_FRACTION_CONNECTIONS: usize = 2;
 
 /// What each connection needs to know of all the others.
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -1,8 +1,9 @@
 //! Open sockets, which the platform limits: how many each use gets, and which connections of the server are closed
 //! when there are too many.
 //!
-//! The order of importance is: what leases depend on (store and peers), heartbeats of workers, commands sent to workers,
-//! users. The limit is kept here, so that the system never has to refuse a socket, which would hit all of them alike.
+//! The order of importance is: what leases depend on (store and peers), heartbeats of workers, commands sent to
+//! workers, users. The limit is enforced here, so that the system never refuses a socket, which would affect all of
+//! them.
 
 mod budget;
 /// Accepts connections within the budget, and closes idle ones.
--- a/src/store/call.rs
+++ b/src/store/call.rs
@@ -126,7 +126,7 @@
     },
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug)]
 pub enum StoreResponse {
     /// The lease is granted.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -23,11 +23,11 @@
 pub struct StoreReply {
     /// The tag under which the call was sent.
     pub tag: u64,
-    /// What became of the call.
+    /// The outcome of the call.
     pub answer: StoreResponse,
 }
 
-/// What the actor is asked to do.
+/// A request to the actor.
 enum Command {
     Call {
         class: CallClass,
@@ -184,6 +184,6 @@
 }
 
 fn send_reply(answers: &mpsc::UnboundedSender<StoreReply>, tag: u64, answer: StoreResponse) {
-    // Fails only while the daemon shuts down, when nobody needs the reply.
+    // Fails only while the daemon shuts down, when the reply is no longer needed.
     let _ = answers.send(StoreReply { tag, answer });
 }
--- a/src/store/exchange.rs
+++ b/src/store/exchange.rs
@@ -22,10 +22,10 @@
 /// A call without a response after this long has an unknown outcome. Shorter than the leases, so that a lost
 /// renewal can be repeated in time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Added to the time that a watch waits in the store, for the way there and back.
+/// Added to the time that a watch waits in the store, for the round trip.
 const WATCH_MARGIN_MS: u64 = 3_000;
 
-/// What came of an exchange.
+/// The outcome of an exchange.
 pub(super) enum Outcome {
     /// The call was answered, or failed.
     Response(StoreResponse),
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -118,7 +118,7 @@
         &mut self.queues[class as usize]
     }
 
-    /// Takes the call's tokens, and what it owes to the classes that wait.
+    /// Takes the call's tokens, and charges its class in favour of the waiting ones.
     fn charge(&mut self, call: &QueuedCall<T>) {
         self.requests.bucket.take(1.0);
         self.writes.bucket.take(call.writes);
--- a/src/types.rs
+++ b/src/types.rs
@@ -175,7 +175,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// So many seconds; negative ones count as zero.
+    /// The time in seconds; negative values count as zero.
     #[must_use]
     pub fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -11,7 +11,7 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, WorkerToken};
 
-/// A worker answers at once; a later answer would be of little use to the controller's decisions.
+/// Time limit of a request: workers answer at once, and a later answer would be outdated.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Commands as they are written on the wire.
@@ -25,7 +25,7 @@
     commands: &'a [WorkerCommand],
 }
 
-/// Sends commands; `None` if it stays open whether they were, or will be, executed.
+/// Sends commands; `None` if it is unknown whether they were, or will be, executed.
 pub async fn send(
     client: HttpClient,
     address: SocketAddr,
@@ -44,7 +44,7 @@
         .call(Method::POST, "/do", body, RESPONSE_TIMEOUT)
         .await
         .ok()?;
-    // 409 and 400 mean that nothing was executed, which is as clear as 200.
+    // 409 and 400 mean that nothing was executed, which is as definite as 200.
     matches!(status, 200 | 400 | 409).then(|| CommandReply {
         heartbeat: serde_json::from_slice::<Heartbeat>(&body).ok(),
     })
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -16,15 +16,15 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, MachineId, Millis, WorkerToken};
 
-/// Commands that waited for longer were decided on an outdated heartbeat: they ride on the next
-/// answer.
+/// Commands that waited for longer were decided on an outdated heartbeat: they are sent with the
+/// next answer instead.
 const COMMANDS_TIMEOUT: Millis = Millis(2_000);
-/// The part of the exchanges under way that probes may take, so that commands find room at once.
+/// The fraction of the concurrent exchanges that probes may take, so that commands start at once.
 const MAX_PROBE_SHARE: f64 = 0.5;
 
 /// What is to be sent to a worker.
 pub struct DirectRequest {
-    /// The machine whose worker is meant.
+    /// The machine whose worker gets the request.
     pub machine_id: MachineId,
     /// Where the worker takes commands directly.
     pub address: SocketAddr,
@@ -38,7 +38,7 @@
     Commands {
         /// The token that fences the commands.
         worker_token: WorkerToken,
-        /// The agent epoch that they are meant for; the worker refuses them in any other.
+        /// The agent epoch to which they apply; the worker refuses them in any other.
         agent_epoch: AgentEpoch,
         /// The commands, in the order of their execution.
         commands: Vec<WorkerCommand>,
@@ -47,9 +47,9 @@
     Inspect,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 pub enum DirectResponse {
-    /// The answer to commands; `None` if it stays open whether they were, or will be, executed.
+    /// The answer to commands; `None` if it is unknown whether they were, or will be, executed.
     Commands(MachineId, Option<CommandReply>),
     /// Whether a worker answered an inspection.
     Inspected(bool),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Nothing was sent, so nothing can come late.
+    /// The response for a request that was not sent, so that nothing of it can arrive late.
     fn unsent(self) -> DirectResponse {
         match self.kind {
             DirectRequestKind::Commands { .. } => {
--- a/src/workers/direct_channel.rs
+++ b/src/workers/direct_channel.rs
@@ -15,7 +15,7 @@
     /// More commands came up while an exchange was under way.
     pub resend: bool,
     /// Starts that were sent under this token and agent epoch and got no answer. The network may
-    /// deliver them minutes later, so the worker may start these at any time, unless it knows
+    /// deliver them minutes later, so the worker may start these at any time, unless it has
     /// the attempt already: such a task is not proved absent, and its attempt not forgotten.
     pub unacknowledged_starts: HashSet<(TaskId, Attempt)>,
     valid_under: Validity,
--- a/src/workers/failures.rs
+++ b/src/workers/failures.rs
@@ -7,8 +7,8 @@
 /// faulty itself.
 const QUARANTINE_FAILED_JOBS: usize = 2;
 /// A machine is also quarantined after this many tries that failed in a row, though the jobs are
-/// crash-looping themselves: a job that has nowhere else to go is tried on faulty machines again
-/// and again.
+/// crash-looping themselves: a job that fits no other machine is tried on faulty machines
+/// repeatedly.
 const QUARANTINE_FAILED_TRIES: u32 = 4;
 /// Tasks that fail closer together than this were started together, and count as one try.
 const SAME_TRY_WINDOW: Millis = Millis(5_000);
@@ -39,7 +39,7 @@
     }
 
     /// Decides anew whether the machine fails tasks, or the jobs do. `crash_looping` tells which
-    /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any sound machine that
+    /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any healthy machine that
     /// they are tried on.
     pub fn update_quarantine(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
         let sound_jobs = self
@@ -55,7 +55,7 @@
         self.quarantined = sound_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
     }
 
-    /// A task succeeded here, so the machine is sound.
+    /// A task succeeded here, so the machine is healthy.
     pub fn record_success(&mut self) {
         self.failure_streaks.clear();
         self.quarantined = false;
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -28,7 +28,7 @@
 
 impl Machine {
     /// An image was used just now. The cache keeps the most recently used ones within `cache_gb`:
-    /// those that fell out must not attract tasks. Returns whether that changes which images are
+    /// evicted ones must not attract tasks. Returns whether that changes which images are
     /// cached, or on their way.
     pub fn record_image_use(&mut self, image: &Image, gb: f64, cache_gb: f64, now: Millis) -> bool {
         let cached = CachedImage { last_used: now, gb };
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as this controller knows it: identity, contact, condition, tasks and image cache.
+//! This controller's view of a machine: identity, contact, condition, tasks and image cache.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
     pub cause: Option<ExitCause>,
 }
 
-/// A machine as this controller knows it, from its worker's heartbeats or from another controller.
+/// This controller's view of a machine, from its worker's heartbeats or from another controller.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// The machine's name.
     pub machine_id: MachineId,
     /// The type it was scaled out as.
     pub machine_type: MachineTypeId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Zone,
     /// The cloud may take it away at short notice.
     pub spot: bool,
@@ -81,7 +81,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what it is, and which controller told of it.
+    /// A machine of which only the identity is known, and the controller that reported it.
     #[must_use]
     pub fn new(
         machine_id: MachineId,
@@ -125,8 +125,8 @@
         (agent_epoch, heartbeat_sequence) > (self.agent_epoch, self.heartbeat_sequence)
     }
 
-    /// Takes in a heartbeat that is known to be newer. It is a sign of life only if commands are
-    /// known to arrive: a copy may come long after the machine is gone.
+    /// Applies a heartbeat that is known to be newer. It is a sign of life only if commands are
+    /// known to arrive: a delayed copy may come long after the machine was deleted.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis, by: &ControllerId) {
         self.agent_epoch = heartbeat.agent_epoch;
         self.heartbeat_sequence = heartbeat.heartbeat_sequence;
@@ -135,7 +135,7 @@
             self.last_contact = now;
         }
         self.last_contact_by = by.clone();
-        // An earlier holder of the shard said so. Kept, it would exclude the machine for ever.
+        // An earlier holder of the shard reported this. Kept, it would exclude the machine permanently.
         self.draining = false;
         self.address = heartbeat.address.parse().ok();
         self.termination_announced = heartbeat.warning_s.is_some();
@@ -152,7 +152,7 @@
 
     /// Whether the worker's lease has expired by our clock: no controller's answer has renewed it
     /// for so long. From when it saw our token it dropped the answers of all others, and before
-    /// that nobody can tell when it was answered last.
+    /// that it is unknown when it was answered last.
     #[must_use]
     pub fn lease_expired(&self, token: FencingToken, lease: Millis, now: Millis) -> bool {
         let under_token =
@@ -165,7 +165,7 @@
         now.since(renewed) > lease
     }
 
-    /// Whether a heartbeat shows any of the starts that rode on the answer to the last one; `None`
+    /// Whether a heartbeat shows any of the starts that the answer to the last one carried; `None`
     /// if there were none, or the worker began a new agent epoch since.
     #[must_use]
     pub fn shows_piggybacked_start(&self, heartbeat: &Heartbeat) -> Option<bool> {
@@ -180,7 +180,7 @@
         Some(heartbeat.tasks.iter().any(shown))
     }
 
-    /// Whether the machine's own condition lets it take new tasks. It must have been heard within
+    /// Whether the machine's own condition lets it take new tasks. It must have sent something within
     /// `silence`.
     #[must_use]
     pub fn is_schedulable(&self, now: Millis, silence: Millis) -> bool {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Workers as a controller sees them: what they report, what they are told, and the evidence of where a
+//! Workers as a controller sees them: their reports, the commands to them, and the evidence of where a
 //! task is.
 //!
 //! [`Machine`] owns all that is known of one worker. It is filled by heartbeats, by answers to direct
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -2,7 +2,7 @@
 //!
 //! Outbound are our commands and answers, inbound the worker's heartbeats. Heartbeats prove nothing
 //! of the outbound direction: they may arrive from a machine that no answer and no command reaches,
-//! and a copy of one may arrive long after the machine is gone. So the outbound direction is
+//! and a delayed copy of one may arrive long after the machine was deleted. So the outbound direction is
 //! confirmed by effect: an answer to what we sent, a start that a later heartbeat shows, or an agent
 //! epoch that outlives a lease. Until then a machine gets no new tasks, does not count as capacity,
 //! and its heartbeats are no sign of life.
@@ -21,7 +21,7 @@
     Unconfirmed,
     /// Commands arrive and are answered, but heartbeats don't arrive: the lease expires.
     HeartbeatsLost,
-    /// Commands arrive, and nothing speaks against heartbeats.
+    /// Commands arrive, and there is no evidence that heartbeats are lost.
     Confirmed,
 }
 
@@ -74,7 +74,7 @@
         self.last_message = now;
     }
 
-    /// Takes over what the holder of the machine's shard says.
+    /// Applies what the holder of the machine's shard reports.
     pub fn set_by_holder(&mut self, confirmed: bool, now: Millis) {
         self.contact = if confirmed {
             Contact::Confirmed
@@ -100,7 +100,7 @@
         self.unconfirmed_epoch = agent_epoch;
     }
 
-    /// Takes in a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
+    /// Applies a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
     pub fn observe_heartbeat(
         &mut self,
         observation: HeartbeatObservation,
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,5 +1,5 @@
-//! A machine's newest heartbeat against the job records: what to tell the worker, and what the
-//! records should say next. It decides only; the caller commits the changes and sends the commands.
+//! Compares a machine's newest heartbeat with the job records: which commands the worker gets, and what
+//! the records should say next. It only decides; the caller commits the changes and sends the commands.
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
@@ -15,7 +15,7 @@
 /// A stop of one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// The attempt to stop; later ones are not meant.
+    /// The attempt to stop; later attempts are not stopped.
     pub attempt: Attempt,
     /// The task gets the time to save a checkpoint.
     pub save: bool,
@@ -75,7 +75,7 @@
     stops: &'a Stops,
     may_be_fetching: MayBeFetching,
     outcome: Reconciliation,
-    /// Starts and stops of attempts that nobody wants and that may still start late. They keep
+    /// Starts and stops of unwanted attempts that may still start late. They keep
     /// their order, each start before its stop.
     late_start_commands: Vec<WorkerCommand>,
 }
@@ -118,7 +118,7 @@
         let cause = observation.cause.unwrap_or(ExitCause::Error);
         let start = (task.clone(), attempt);
         if cause == ExitCause::Alone && self.machine.direct.piggybacked_starts.contains(&start) {
-            // It may have been told to start once more already. An answer to direct commands
+            // The worker may already have a command to start it once more. An answer to direct commands
             // that was written before says nothing of that.
             return;
         }
@@ -224,7 +224,7 @@
                 attempt,
             });
         } else if !self.machine.direct.may_still_start(task, attempt) {
-            // Starts ride on answers, and a worker has one heartbeat in flight: its next heartbeat
+            // Starts are sent with answers, and a worker has one heartbeat in flight: its next heartbeat
             // proves whether a start was executed; one sent directly may still come until it is
             // answered. Without either, none follows.
             self.push_change(task, self.release(attempt));
@@ -244,7 +244,7 @@
         placement.agent_epoch < self.machine.agent_epoch || counters_reset
     }
 
-    /// Nobody wants an attempt, and its start may still come. Started and stopped now, the attempt
+    /// Handles an unwanted attempt whose start may still arrive. Started and stopped now, the attempt
     /// is known to the worker, so the late start does nothing, and it is seen to have ended.
     fn cancel_late_start(&mut self, task: &TaskId, attempt: Attempt) {
         self.late_start_commands.push(WorkerCommand::Start {
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,4 +1,4 @@
-//! What workers send and get. The names on the wire are the protocol's own and are given by `serde`
+//! The messages to and from workers. The names on the wire are the protocol's own and are given by `serde`
 //! attributes; nothing else in the program uses them.
 
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
     /// The machine's type.
     #[serde(rename = "rig")]
     pub machine_type: MachineTypeId,
-    /// Where the machine stands.
+    /// The machine's zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
     /// The cloud may take the machine away at short notice.
@@ -41,7 +41,7 @@
     /// Seconds until the cloud takes the machine away, if it announced that.
     #[serde(rename = "warningS", default)]
     pub warning_s: Option<f64>,
-    /// All tasks that the worker knows, until it is told to forget them.
+    /// All tasks that the worker has, until a command removes them.
     #[serde(default)]
     #[serde(rename = "picks")]
     pub tasks: Vec<TaskStatus>,
@@ -78,7 +78,7 @@
     Waiting,
     /// It runs.
     Running,
-    /// It was told to stop, and saves a checkpoint.
+    /// It got a command to stop, and saves a checkpoint.
     Saving,
     /// It is over; [`ExitCause`] tells why.
     #[serde(rename = "ended")]
@@ -91,9 +91,9 @@
 pub enum ExitCause {
     /// It succeeded.
     Done,
-    /// It was told to stop.
+    /// It got a command to stop.
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of its gang was lost.
     #[serde(rename = "mates_gone")]
     PeersGone,
     /// The rest of its gang did not start in time.
@@ -118,7 +118,7 @@
     Start {
         /// The task to start.
         task: TaskId,
-        /// The attempt; one that the worker knows already is not started again.
+        /// The attempt; one that the worker already has is not started again.
         attempt: Attempt,
     },
     /// Stop an attempt.
@@ -206,7 +206,7 @@
 }
 
 impl WorkerCommandBody {
-    /// The command that is written so; `None` if the task's name is malformed.
+    /// The command in this form; `None` if the task's name is malformed.
     #[must_use]
     pub fn command(&self) -> Option<WorkerCommand> {
         let (WorkerCommandBody::Start { task, attempt }
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -47,7 +47,7 @@
         self.entered.is_some()
     }
 
-    /// Takes in the circumstances at `now`; true if partition mode is entered with them.
+    /// Updates the mode by the circumstances at `now`; true if partition mode is entered with them.
     pub fn update(&mut self, circumstances: Circumstances, now: Millis) -> bool {
         if !circumstances.indicate_partition() {
             self.suspected = None;
@@ -69,7 +69,7 @@
 
 /// Whether a controller that is not known to hold a worker's shard may renew the worker's lease, without
 /// commands: the worker has seen that its holder is in partition mode, this controller is cut off (or has
-/// read nothing of the store yet) and so knows no later holder, and the known holder is not in contact.
+/// read nothing of the store yet) and so has seen no later holder, and the last known holder is not in contact.
 #[must_use]
 pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_in_contact: bool) -> bool {
     worker_token.is_partitioned() && cut_off && !holder_in_contact
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -2,9 +2,9 @@
 //!
 //! A single silent machine has most likely failed: it is deleted, and its tasks start elsewhere. A zone that
 //! falls silent as a whole is most likely cut off, with its machines still running their tasks, and deleting
-//! them destroys what would be back after the partition. So deletions in such a zone are held back first, and
-//! then done in steps that double, the machines that are cheapest to lose first. Whatever the leader believes,
-//! the number of machines deleted for their silence within a time window is bounded.
+//! them destroys work that would be available again after the partition. So deletions in such a zone are held
+//! back first, and then done in steps that double, the machines that are cheapest to lose first. Regardless of
+//! the health of zones, the number of machines deleted for their silence within a time window is bounded.
 //!
 //! [`ZoneHealthTracker`] owns the health of each zone and the recent deletions; the leader's autoscaler feeds
 //! it once a second and asks it which silent machines to delete.
@@ -19,17 +19,17 @@
     /// Heartbeats arrive from nearly all machines.
     #[default]
     Healthy,
-    /// Many machines are silent while others are heard, or all are silent while a controller of the zone is in
-    /// contact: the silent ones have failed.
+    /// Many machines are silent while others send heartbeats, or all are silent while a controller of the zone is
+    /// in contact: the silent ones have failed.
     Degraded,
     /// Nearly all machines are silent and so are the zone's controllers, or many machines are in contact one
     /// way only: the zone is cut off and its machines work on.
     Partitioned,
-    /// Machines of a zone that was partitioned are heard again, but not nearly all of them yet.
+    /// Machines of a zone that was partitioned send heartbeats again, but not nearly all of them yet.
     Recovering,
 }
 
-/// What is observed of a zone at one moment.
+/// An observation of a zone at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ZoneObservation {
     /// Machines whose silence at least one controller can judge.
@@ -56,7 +56,7 @@
     Replicas,
 }
 
-/// A machine that is thought lost for its silence.
+/// A machine that is presumed lost because of its silence.
 #[derive(Clone, Debug)]
 pub struct SuspectedMachine {
     /// The machine.
@@ -95,7 +95,7 @@
 const MIN_ONE_WAY_FRACTION: f64 = 0.5;
 
 /// Deletions for silence are bounded within a window of this length, so that an error of judgement shows
-/// before a fleet is gone.
+/// before the whole fleet is deleted.
 const DELETION_WINDOW: Millis = Millis(30_000);
 /// The fraction of a zone's machines that may be deleted for silence within the window.
 const MAX_ZONE_FRACTION: f64 = 0.5;
@@ -141,7 +141,7 @@
         let was_partitioned = self.health == ZoneHealth::Partitioned;
         let silent = f64::from(observation.silent) / f64::from(observation.machines);
         let one_way = f64::from(observation.one_way) / f64::from(observation.machines);
-        // So many machines that are there and in contact one way only have not failed: it is the network.
+        // That many machines in contact one way only have not failed: the fault is in the network.
         let many_one_way = observation.one_way as usize >= MANY_ONE_WAY
             || observation.one_way >= MIN_MACHINES && one_way >= MIN_ONE_WAY_FRACTION;
         let partitioned = PARTITIONED.is_reached(silent, was_partitioned)
@@ -185,7 +185,7 @@
 }
 
 impl ZoneHealthTracker {
-    /// Takes in what is observed of a zone; returns its health if that has changed.
+    /// Applies an observation of a zone; returns its health if that has changed.
     pub fn observe(
         &mut self,
         zone: &Zone,
@@ -223,7 +223,7 @@
         self.health(zone) == ZoneHealth::Partitioned
     }
 
-    /// Chooses the machines to delete now among those that are thought lost, the cheapest first; the others
+    /// Chooses the machines to delete now among those that are presumed lost, the cheapest first; the others
     /// are left alone for the time being. The caller must delete what is returned, as it counts against the
     /// bound. `max_deletions` is what the caller can delete now; `hold` is how long a partitioned zone is left
     /// alone.
@@ -272,7 +272,7 @@
     }
 }
 
-/// How many of so many machines may be deleted for silence within the window.
+/// How many of `machines` may be deleted for silence within the window.
 fn deletion_bound(fraction: f64, machines: u32) -> usize {
     MIN_DELETION_BOUND.max((fraction * f64::from(machines)) as usize)
 }
