--- a/crates/admission-control/src/gate.rs
+++ b/crates/admission-control/src/gate.rs
@@ -140,7 +140,7 @@
         asking
     }
 
-    /// The largest number of pending submissions at which this one is accepted.
+    /// The number of pending submissions from which on this one is rejected.
     fn max_pending(&self, request: &SubmissionRequest) -> usize {
         let bound = request.allowed * SUBMISSION_PART * MAX_WAIT_S;
         let bound = bound.ceil().max(1.0) as usize;
@@ -149,7 +149,8 @@
     }
 
     /// Updates the retry delay. The number of users who will retry is about the number of rejections
-    /// within one retry delay, and they are accepted at the smoothed rate of acceptance.
+    /// within one retry delay. They are accepted at the smoothed rate of acceptance, or at the allowed
+    /// rate if that is higher.
     fn measure(&mut self, allowed: Rate, now_s: f64) {
         let elapsed_s = now_s - self.measured_at_s;
         if elapsed_s < MEASUREMENT_INTERVAL_S {
--- a/crates/admission-control/src/plan.rs
+++ b/crates/admission-control/src/plan.rs
@@ -108,7 +108,7 @@
         known.copied().unwrap_or(base).max(base)
     }
 
-    /// The plan that follows this one.
+    /// The plan that follows this one. Shares rise only out of what no controller may be using.
     #[must_use]
     pub fn next(&self, limit: Rate, controllers: &[ControllerDemand]) -> Plan {
         let base = base(limit, controllers.len());
--- a/crates/hierarchical-quota/src/tree/build.rs
+++ b/crates/hierarchical-quota/src/tree/build.rs
@@ -55,6 +55,7 @@
     Resolve,
 }
 
+/// Builds one tree.
 struct Builder<'a> {
     file: &'a str,
     spec: &'a TreeSpec,
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -25,6 +25,7 @@
 
 /// Number of lanes.
 const LANE_COUNT: usize = 3;
+/// All lanes, the most urgent first.
 const LANES: [Lane; LANE_COUNT] = [
     Lane::Completions,
     Lane::Placements,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -148,6 +148,7 @@
     }
 }
 
+/// The state of the actor: the controller, and the addresses of the other actors.
 struct Daemon {
     controller: Controller,
     clock: Clock,
--- a/src/fleet/plan/bins.rs
+++ b/src/fleet/plan/bins.rs
@@ -76,6 +76,7 @@
 }
 
 impl Bins {
+    /// The bins of `all` machines, for tasks of these needs.
     pub(super) fn new(all: Vec<Bin>, needs: &[Need]) -> Self {
         let amounts = needs.iter().map(|need| need.spec.resources);
         let smallest = amounts.reduce(|a, b| Resources {
@@ -93,10 +94,12 @@
         }
     }
 
+    /// All machines, in their order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Bin> {
         self.all.iter()
     }
 
+    /// Adds a machine at the end.
     pub(super) fn add(&mut self, bin: Bin) {
         self.open.push(self.all.len());
         self.all.push(bin);
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -108,6 +108,7 @@
     age_s: f64,
 }
 
+/// The stage of a machine in the list.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum StageBody {
--- a/src/http_server/responses.rs
+++ b/src/http_server/responses.rs
@@ -12,17 +12,20 @@
 /// When a request that could not be handled now may be repeated, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
+/// The body of a response that reports an error.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
 }
 
+/// The body of the response to an accepted submission.
 #[derive(Serialize)]
 struct AcceptedBody<'a> {
     id: &'a JobId,
     stage: api::JobStage,
 }
 
+/// The body of a response that names the controller to report to, if one is known.
 #[derive(Serialize)]
 struct RedirectBody {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -30,6 +33,7 @@
     redirect_to: Option<ControllerId>,
 }
 
+/// The body of a response that renews a worker's lease.
 #[derive(Serialize)]
 struct CommandsBody {
     #[serde(rename = "baton")]
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -21,6 +21,7 @@
 /// Jobs with more noted changes than this are scanned at most every `SCAN_INTERVAL`: each scan goes
 /// through all changes, and an array of 25,000 tasks has some in every heartbeat.
 const MAX_UNTHROTTLED_CHANGES: usize = 100;
+/// Minimum time between two scans of a job with more changes than `MAX_UNTHROTTLED_CHANGES`.
 const SCAN_INTERVAL: Millis = Millis(400);
 
 /// The last scan of a job with many noted changes.
--- a/src/queue/active.rs
+++ b/src/queue/active.rs
@@ -24,6 +24,7 @@
 }
 
 impl ActiveJobs {
+    /// No active jobs.
     pub(super) fn new() -> Self {
         Self {
             by_flow: BTreeMap::new(),
@@ -32,11 +33,13 @@
         }
     }
 
+    /// Adds a job under its key.
     pub(super) fn insert(&mut self, key: &QueueKey, job: &JobId) {
         let jobs = self.by_flow.entry(key.flow).or_default();
         jobs.insert((*key, job.clone()));
     }
 
+    /// Removes a job; `key` must be the key it was added under.
     pub(super) fn remove(&mut self, key: &QueueKey, job: &JobId) {
         if let Some(jobs) = self.by_flow.get_mut(&key.flow) {
             jobs.remove(&(*key, job.clone()));
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -46,6 +46,7 @@
     },
 }
 
+/// A queued job.
 #[derive(Clone, Debug)]
 struct Entry {
     part: Part,
--- a/src/quota/hierarchical/pages.rs
+++ b/src/quota/hierarchical/pages.rs
@@ -122,6 +122,7 @@
 /// The pages that are in the store, by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoredPages {
+    /// The pages by their keys in the store.
     pub(super) by_key: BTreeMap<String, StoredPage>,
 }
 
--- a/src/request_queue/mod.rs
+++ b/src/request_queue/mod.rs
@@ -20,6 +20,7 @@
 }
 
 impl RequestKind {
+    /// Number of kinds.
     const COUNT: usize = 3;
 
     /// After this time in the queue a response would come too late. Health checks wait 1 s, workers 4 s, and users
@@ -33,11 +34,13 @@
     }
 }
 
+/// The usual order.
 const HEARTBEATS_FIRST: [RequestKind; RequestKind::COUNT] = [
     RequestKind::Probe,
     RequestKind::Heartbeat,
     RequestKind::User,
 ];
+/// The order after `HEARTBEATS_PER_USER` heartbeats.
 const USERS_FIRST: [RequestKind; RequestKind::COUNT] = [
     RequestKind::Probe,
     RequestKind::User,
@@ -50,6 +53,7 @@
 /// A user's request goes first after this many heartbeats.
 const HEARTBEATS_PER_USER: u32 = 4;
 
+/// A request, and when it was queued.
 struct Queued<T> {
     since: Millis,
     request: T,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -80,10 +80,12 @@
     }
 }
 
-/// The section and the key that name the file of the quota tree.
+/// The section of the key that names the file of the quota tree.
 const TREE_SECTION: &str = "quota";
+/// The key that names the file of the quota tree.
 const TREE_KEY: &str = "tree";
 
+/// All keys with a number as their value, with the accepted range of each.
 const NUMBER_KEYS: &[NumberKey] = &[
     NumberKey::new(("queue", "backoff_first_s"), (0.1, 600.0), |o, seconds| {
         o.backoff_first = Millis::from_secs(seconds);
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -33,6 +33,7 @@
     RequestFinished(Id),
 }
 
+/// The state of the actor.
 struct Acceptor {
     clock: Clock,
     table: ConnectionTable<Id>,
--- a/src/sockets/connection_table.rs
+++ b/src/sockets/connection_table.rs
@@ -93,6 +93,7 @@
     }
 }
 
+/// An open connection.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     class: ConnectionClass,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -38,6 +38,7 @@
     SetWriteRate(f64),
 }
 
+/// A call, with the tag of its reply.
 #[derive(Debug)]
 struct TaggedCall {
     tag: u64,
@@ -101,6 +102,7 @@
     }
 }
 
+/// The state of the actor.
 struct Actor {
     client: HttpClient,
     lanes: Lanes<TaggedCall>,
--- a/src/store/exchange.rs
+++ b/src/store/exchange.rs
@@ -33,6 +33,7 @@
     RateLimited,
 }
 
+/// The HTTP request of a call.
 struct HttpRequest {
     method: Method,
     path: String,
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -96,6 +96,7 @@
     }
 }
 
+/// A condition of a transaction: the version that a key must have.
 #[derive(Serialize)]
 struct ConditionBody<'a> {
     key: &'a str,
@@ -103,6 +104,7 @@
     version: Revision,
 }
 
+/// A change that a transaction makes.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum ChangeBody<'a> {
@@ -137,6 +139,7 @@
     }
 }
 
+/// The request of a transaction: all conditions must hold for the changes to be made.
 #[derive(Serialize)]
 struct TransactionBody<'a> {
     #[serde(rename = "if")]
--- a/src/workers/direct_channel.rs
+++ b/src/workers/direct_channel.rs
@@ -12,7 +12,7 @@
     pub in_flight: bool,
     /// When we last sent commands that start nothing, to see whether the worker answers.
     pub probed_at: Millis,
-    /// More commands came up while an exchange was under way.
+    /// More commands became due while an exchange was under way.
     pub resend: bool,
     /// Starts that were sent under this token and agent epoch and got no answer. The network may
     /// deliver them minutes later, so the worker may start these at any time, unless it has
@@ -34,12 +34,12 @@
     agent_epoch: AgentEpoch,
 }
 
-/// What an exchange leaves to be done.
+/// The result of an exchange that has ended.
 #[derive(Debug)]
 pub struct EndedExchange {
     /// The starts that it sent for the first time.
     pub starts: Vec<(TaskId, Attempt)>,
-    /// More commands came up meanwhile.
+    /// Whether more commands became due meanwhile.
     pub resend: bool,
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The worker answered these starts, so none of them comes late.
+    /// Records that the worker answered these starts, so that none of them can arrive late.
     pub fn acknowledge(&mut self, starts: &[(TaskId, Attempt)]) {
         for start in starts {
             self.unacknowledged_starts.remove(start);
--- a/src/workers/failures.rs
+++ b/src/workers/failures.rs
@@ -13,7 +13,7 @@
 /// Tasks that fail closer together than this were started together, and count as one try.
 const SAME_TRY_WINDOW: Millis = Millis(5_000);
 
-/// Tries of a job that failed on a machine in a row, and when the last of them did first.
+/// Consecutive failed tries of a job on a machine, and the first failure of the last try.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureStreak {
     tries: u32,
@@ -30,7 +30,7 @@
 }
 
 impl Machine {
-    /// A task of a job failed here.
+    /// Records that a task of a job failed here.
     pub fn record_failure(&mut self, job: &JobId, now: Millis) {
         self.failure_streaks
             .entry(job.clone())
@@ -38,7 +38,7 @@
             .record(now);
     }
 
-    /// Decides anew whether the machine fails tasks, or the jobs do. `crash_looping` tells which
+    /// Decides again whether the machine or the jobs are the cause of the failures. `crash_looping` tells which
     /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any healthy machine that
     /// they are tried on.
     pub fn update_quarantine(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
@@ -55,7 +55,7 @@
         self.quarantined = sound_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
     }
 
-    /// A task succeeded here, so the machine is healthy.
+    /// Records that a task succeeded here, which shows that the machine is healthy.
     pub fn record_success(&mut self) {
         self.failure_streaks.clear();
         self.quarantined = false;
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -64,11 +64,11 @@
     pub termination_announced: bool,
     /// Jobs whose tasks failed here since the last success.
     pub failure_streaks: BTreeMap<JobId, FailureStreak>,
-    /// Tasks fail here for reasons of the machine: it gets none.
+    /// Tasks fail here because of the machine, so it gets none.
     pub quarantined: bool,
     /// The leader wants to scale it in.
     pub draining: bool,
-    /// A start was refused for lack of resources: no more until then.
+    /// No task is placed here before this time, since a start was refused for lack of resources.
     pub starts_paused_until: Millis,
     /// Where the worker takes commands directly.
     pub address: Option<SocketAddr>,
@@ -76,7 +76,7 @@
     pub direct: DirectChannel,
     /// Images in the cache.
     pub images: HashMap<Image, CachedImage>,
-    /// Images that tasks placed here wait for, as far as we placed them.
+    /// Images that tasks which this controller placed here wait for.
     pub pending_fetches: HashMap<Image, CachedImage>,
 }
 
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// A fetch takes longer than a task waits for its gang: the image is here now, so the task waits
-    /// once more where it is. Given up, it would take the fetches of the others with it.
+    /// Starts a task again that stopped waiting for its gang while others still fetch the image. The image
+    /// is already here, so the task waits again in place. Releasing it would discard the others' fetches.
     fn start_again(&mut self, task: &TaskId, attempt: Attempt) {
         self.forget(task, attempt);
         self.outcome.commands.push(WorkerCommand::Start {
@@ -146,7 +146,7 @@
         });
     }
 
-    /// A task exited: it is done, or leaves the machine.
+    /// Records that a task exited: it is done, or leaves the machine.
     fn record_exit(&mut self, task: &TaskId, attempt: Attempt, cause: ExitCause) {
         let change = if cause == ExitCause::Done {
             self.outcome.successes += 1;
@@ -178,19 +178,19 @@
         }
     }
 
-    /// The record has moved on, and that was committed before: an exited task may be forgotten,
-    /// any other must not run here.
+    /// Handles a task whose attempt the committed records no longer place here: an exited one may be
+    /// forgotten, any other must not run here.
     fn discard_outdated_task(&mut self, task: &TaskId, observation: &TaskObservation) {
         let attempt = observation.attempt;
         if observation.stage != TaskStage::Exited {
             self.kill(task, attempt);
         } else if !self.machine.direct.may_still_start(task, attempt) {
-            // A start that is still under way would start a forgotten attempt once more.
+            // A start that is still under way would start a forgotten attempt again.
             self.forget(task, attempt);
         }
     }
 
-    /// Looks at the tasks that the records place here and the heartbeat does not show as current.
+    /// Compares the tasks that the records place here and the heartbeat does not show as current.
     fn reconcile_unreported_tasks(&mut self, current: &HashSet<&TaskId>) {
         let jobs = self.jobs;
         for (id, index) in jobs.tasks_on(&self.machine.machine_id) {
@@ -236,9 +236,9 @@
     /// Whether the worker began a new agent epoch since a task was placed, so that it killed all
     /// it had.
     fn epoch_has_ended(&self, placement: &Placement) -> bool {
-        // A machine that came back with its counters begun anew shows a lower agent epoch than an
-        // earlier holder saw. Only one that was probed and answered: to us its agent epochs only
-        // rise.
+        // A machine that restarted its counters reports a lower agent epoch than an earlier holder saw.
+        // This counts only for a machine that answered a probe: the agent epochs that this controller
+        // sees of it only rise.
         let counters_reset = placement.agent_epoch > self.machine.agent_epoch
             && self.machine.reachability.is_confirmed();
         placement.agent_epoch < self.machine.agent_epoch || counters_reset
@@ -258,9 +258,9 @@
         });
     }
 
-    /// Whether this attempt is being stopped. A stop held against the next attempt would have that
-    /// released before it was started, and started once it was forgotten, while the release may
-    /// still be on its way.
+    /// Whether this attempt is being stopped. If a stop applied to the next attempt too, that would be
+    /// released before it was started, and started once the stop was forgotten, while the release may
+    /// still be in flight.
     fn is_stopped(&self, task: &TaskId, attempt: Attempt) -> bool {
         let stop = self.stops.get(task);
         stop.is_some_and(|stop| stop.attempt == attempt)
