--- a/src/cycle/index/level.rs
+++ b/src/cycle/index/level.rs
@@ -10,7 +10,7 @@
     available: Resources,
     /// Allocated to tasks that urgent work can preempt at little loss.
     preemptible: Resources,
-    /// Images that are being fetched: a further fetch has to share the rate.
+    /// Number of images that are being fetched: a further fetch has to share the rate.
     fetches: usize,
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -29,7 +29,7 @@
 use crate::workers::direct::{DirectClient, DirectRequest, DirectRequestKind, DirectResponse};
 use replies::{PendingReplies, PendingReply};
 
-/// Time between two ticks of the controller: bounds how late it notices that a time has passed.
+/// Time between two ticks of the controller: bounds how late it notices that a deadline has passed.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Capacity of the queue of messages from other controllers. While it is full, their connections are not read.
 const MAX_QUEUED_PEER_MESSAGES: usize = 64;
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -24,7 +24,7 @@
 /// What the body of a response with status 503 contains if an offer has no capacity.
 const NO_CAPACITY_MARK: &[u8] = b"capacity";
 
-/// Address of the cloud actor.
+/// Handle to the cloud actor, by which calls are sent to it.
 #[derive(Clone)]
 pub struct Cloud {
     inbox: mpsc::UnboundedSender<(u64, CloudCall)>,
--- a/src/jobs/cache/change.rs
+++ b/src/jobs/cache/change.rs
@@ -3,8 +3,8 @@
 use crate::jobs::Placement;
 use crate::types::{Attempt, FencingToken, Revision};
 
-/// What this controller wants the record of a task to say next. What is known of an attempt holds
-/// for that attempt alone: by the time it is written, the task may have another attempt on another machine.
+/// What this controller wants the record of a task to say next. A change applies to one attempt only:
+/// by the time it is written, the task may have another attempt on another machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskChange {
     /// The task is to run on a machine.
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -63,7 +63,7 @@
 }
 
 impl Job {
-    /// A job of which only the record is known. `now`: when that came.
+    /// A job of which only the record is known. `now`: when the record arrived.
     pub(super) fn new(
         id: JobId,
         version: Revision,
--- a/src/jobs/cache/team_usage.rs
+++ b/src/jobs/cache/team_usage.rs
@@ -85,7 +85,7 @@
 }
 
 impl TeamUsage {
-    /// Counts by other groups from now on, from nothing.
+    /// Replaces the groups and resets all sums.
     pub(super) fn reset(&mut self, groups: Groups) {
         self.groups = groups;
         self.committed.clear();
@@ -123,17 +123,17 @@
         }
     }
 
-    /// Counts a task in a shard.
+    /// Adds a task to a shard.
     pub(super) fn enter_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.add(&self.groups, shard, spec);
     }
 
-    /// Counts a task in a shard no longer.
+    /// Removes a task from a shard.
     pub(super) fn leave_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.remove(&self.groups, shard, spec);
     }
 
-    /// Counts a noted placement.
+    /// Adds a noted placement.
     pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.add(groups, &placement.shard, spec);
@@ -141,7 +141,7 @@
         add_to(&mut self.reserved, groups, &spec.team, spec.resources);
     }
 
-    /// Counts a noted placement no longer.
+    /// Removes a noted placement.
     pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.remove(groups, &placement.shard, spec);
--- a/src/jobs/cache/usage_index.rs
+++ b/src/jobs/cache/usage_index.rs
@@ -31,7 +31,7 @@
         self.tasks_by_machine.keys()
     }
 
-    /// Counts a task that the records place now; the team's sum is the caller's.
+    /// Adds a task that the records place now; the caller updates the team's sum.
     pub(super) fn add_placement(
         &mut self,
         spec: &JobSpec,
@@ -46,8 +46,8 @@
         tasks.insert(task);
     }
 
-    /// Counts a task no longer that the records placed; the team's sum and the machine's allocation
-    /// are the caller's.
+    /// Removes a task that the records placed; the caller updates the team's sum and the machine's
+    /// allocation.
     pub(super) fn remove_placement(
         &mut self,
         spec: &JobSpec,
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -139,7 +139,7 @@
 }
 
 /// How costly it is, by the quota tree, to stop a victim: the further its team is over its share,
-/// the cheaper; work within the share is the dearest. Zero without a tree.
+/// the cheaper; work within the share costs most. Zero without a tree.
 fn entitlement_rank(site: &PreemptionSite, victim: &Victim) -> i64 {
     match victim.overuse_steps {
         _ if !site.under_quota_tree => 0,
@@ -182,7 +182,7 @@
     resources.fits_in(chosen.available).then_some(chosen)
 }
 
-/// Drops victims without which the task fits, too, the dearest first.
+/// Drops victims that need not be stopped for the task to fit, the most costly first.
 fn without_unneeded(resources: Resources, chosen: ChosenVictims<'_>) -> Vec<&Victim> {
     let ChosenVictims {
         mut victims,
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -172,7 +172,7 @@
         self.take(job)
     }
 
-    /// A job that [`Self::pop_by_floors`] gave led to a write: its flow is charged for it.
+    /// Charges the flow of a job from [`Self::pop_by_floors`] whose cycle led to a write.
     pub fn record_served(&mut self, flow: Flow) {
         self.active.record_served(flow);
     }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's settings: a JSON file that says who this controller is, where everything else is, and what the
-//! deployment promises.
+//! The platform's settings: a JSON file with the identity of this controller, the addresses of all other components,
+//! and the limits and objectives of the deployment.
 
 use std::net::SocketAddr;
 
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -19,7 +19,7 @@
 /// A call that is queued, or was.
 #[derive(Debug)]
 pub struct QueuedCall<T> {
-    /// The call, as its owner gave it.
+    /// The call, as its owner passed it.
     pub payload: T,
     /// Its lane.
     pub class: CallClass,
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -175,15 +175,15 @@
     }
 }
 
-/// Address of the actor.
+/// Handle to the actor, by which requests are sent to it.
 #[derive(Clone)]
 pub struct DirectClient {
     requests: mpsc::UnboundedSender<DirectRequest>,
 }
 
 impl DirectClient {
-    /// Starts the actor, which has at most `max_in_flight` exchanges under way. `responses` holds as
-    /// much as this sends on: one for each machine at most.
+    /// Starts the actor, which has at most `max_in_flight` exchanges under way. The actor
+    /// sends each response to `responses`: at most one at a time for each machine.
     pub fn start(
         client: HttpClient,
         max_in_flight: usize,
--- a/src/workers/direct_channel.rs
+++ b/src/workers/direct_channel.rs
@@ -19,7 +19,7 @@
     /// the attempt already: such a task is not proved absent, and its attempt not forgotten.
     pub unacknowledged_starts: HashSet<(TaskId, Attempt)>,
     valid_under: Validity,
-    /// Starts of the exchange that is under way, without those that an earlier one left open.
+    /// Starts of the exchange that is under way, without those that an earlier one left unacknowledged.
     in_flight_starts: Vec<(TaskId, Attempt)>,
     /// Starts in the answer to the last heartbeat. The worker's next heartbeat shows them, or that
     /// the answer was dropped; its answer to direct commands proves neither, since it may have been
@@ -75,7 +75,7 @@
         self.resend = false;
         let unacknowledged_starts = &mut self.unacknowledged_starts;
         self.in_flight_starts = starts(commands)
-            // A start that an earlier exchange left open stays so, whatever becomes of this one.
+            // A start that an earlier exchange left unacknowledged stays so, whether or not this one is answered.
             .filter(|start| unacknowledged_starts.insert(start.clone()))
             .collect();
     }
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -6,7 +6,7 @@
 use crate::types::{Image, Millis};
 
 /// An image that has not arrived after this many times what its fetch takes by itself, plus
-/// [`FETCH_TIMEOUT_BASE_S`], is not on its way: machines that fetch several images share their rate.
+/// [`FETCH_TIMEOUT_BASE_S`], counts as not being fetched: fetches on one machine share its rate.
 pub const FETCH_TIMEOUT_FACTOR: f64 = 4.0;
 /// Seconds that a fetch may take to begin.
 const FETCH_TIMEOUT_BASE_S: f64 = 20.0;
@@ -80,7 +80,7 @@
             (coming.gb - fetched).max(coming.gb * MIN_REMAINING_FETCH)
         };
         let own = self.pending_fetches.get(image).map_or(gb, remaining_gb);
-        // Of each other fetch as much comes meanwhile as of this one.
+        // Each other fetch receives as much data meanwhile as this one.
         let others = self
             .pending_fetches
             .iter()
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -4,7 +4,7 @@
 //! Workers kill their tasks when no controller answers their heartbeats for the length of a lease. In
 //! partition mode their holder goes on answering, under a token that is marked as partitioned. If the holder
 //! crashes, any controller that a worker with such a token finds may renew its lease too, without commands.
-//! In return the holder may never take a worker's silence under this token for the expiry of its lease.
+//! In return the holder may never treat a worker's silence under this token as the expiry of its lease.
 
 use crate::types::{Millis, WorkerToken};
 
