--- a/src/request_queue/mod.rs
+++ b/src/request_queue/mod.rs
@@ -1,8 +1,8 @@
 //! Requests that wait for the controller, by kind and age. A pure data structure: the daemon pushes what it receives
 //! and pops when it has nothing more urgent to do.
 //!
-//! Heartbeats go before users, since leases depend on them, but users get their turn; and a request whose requester
-//! has given up is not worked on.
+//! Heartbeats go before users, since leases depend on them, but users still get a share; a request whose requester
+//! has timed out is not handled.
 
 use std::collections::VecDeque;
 
@@ -20,6 +20,7 @@
 }
 
 impl RequestKind {
+    /// Number of kinds.
     const COUNT: usize = 3;
 
     /// After this time in the queue a response would come too late. Health checks wait 1 s, workers 4 s, and users
@@ -33,11 +34,13 @@
     }
 }
 
+/// The usual order.
 const HEARTBEATS_FIRST: [RequestKind; RequestKind::COUNT] = [
     RequestKind::Probe,
     RequestKind::Heartbeat,
     RequestKind::User,
 ];
+/// The order after `HEARTBEATS_PER_USER` heartbeats.
 const USERS_FIRST: [RequestKind; RequestKind::COUNT] = [
     RequestKind::Probe,
     RequestKind::User,
@@ -47,9 +50,10 @@
 /// Once the oldest request of a kind has waited this long, there are more than can be handled: the newest goes first
 /// then, since it has the most time left.
 const OVERLOAD_WAIT: Millis = Millis(1_000);
-/// A user's request goes first after so many heartbeats.
+/// A user's request goes first after this many heartbeats.
 const HEARTBEATS_PER_USER: u32 = 4;
 
+/// A request, and when it was queued.
 struct Queued<T> {
     since: Millis,
     request: T,
--- a/src/workers/direct_channel.rs
+++ b/src/workers/direct_channel.rs
@@ -12,14 +12,14 @@
     pub in_flight: bool,
     /// When we last sent commands that start nothing, to see whether the worker answers.
     pub probed_at: Millis,
-    /// More commands came up while an exchange was under way.
+    /// More commands became due while an exchange was under way.
     pub resend: bool,
     /// Starts that were sent under this token and agent epoch and got no answer. The network may
-    /// deliver them minutes later, so the worker may start these at any time, unless it knows
+    /// deliver them minutes later, so the worker may start these at any time, unless it has
     /// the attempt already: such a task is not proved absent, and its attempt not forgotten.
     pub unacknowledged_starts: HashSet<(TaskId, Attempt)>,
     valid_under: Validity,
-    /// Starts of the exchange that is under way, without those that an earlier one left open.
+    /// Starts of the exchange that is under way, without those that an earlier one left unacknowledged.
     in_flight_starts: Vec<(TaskId, Attempt)>,
     /// Starts in the answer to the last heartbeat. The worker's next heartbeat shows them, or that
     /// the answer was dropped; its answer to direct commands proves neither, since it may have been
@@ -34,12 +34,12 @@
     agent_epoch: AgentEpoch,
 }
 
-/// What an exchange leaves to be done.
+/// The result of an exchange that has ended.
 #[derive(Debug)]
 pub struct EndedExchange {
     /// The starts that it sent for the first time.
     pub starts: Vec<(TaskId, Attempt)>,
-    /// More commands came up meanwhile.
+    /// Whether more commands became due meanwhile.
     pub resend: bool,
 }
 
@@ -75,7 +75,7 @@
         self.resend = false;
         let unacknowledged_starts = &mut self.unacknowledged_starts;
         self.in_flight_starts = starts(commands)
-            // A start that an earlier exchange left open stays so, whatever becomes of this one.
+            // A start that an earlier exchange left unacknowledged stays so, whether or not this one is answered.
             .filter(|start| unacknowledged_starts.insert(start.clone()))
             .collect();
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The worker answered these starts, so none of them comes late.
+    /// Records that the worker answered these starts, so that none of them can arrive late.
     pub fn acknowledge(&mut self, starts: &[(TaskId, Attempt)]) {
         for start in starts {
             self.unacknowledged_starts.remove(start);
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -6,7 +6,7 @@
 use crate::types::{Image, Millis};
 
 /// An image that has not arrived after this many times what its fetch takes by itself, plus
-/// [`FETCH_TIMEOUT_BASE_S`], is not on its way: machines that fetch several images share their rate.
+/// [`FETCH_TIMEOUT_BASE_S`], counts as not being fetched: fetches on one machine share its rate.
 pub const FETCH_TIMEOUT_FACTOR: f64 = 4.0;
 /// Seconds that a fetch may take to begin.
 const FETCH_TIMEOUT_BASE_S: f64 = 20.0;
@@ -28,7 +28,7 @@
 
 impl Machine {
     /// An image was used just now. The cache keeps the most recently used ones within `cache_gb`:
-    /// those that fell out must not attract tasks. Returns whether that changes which images are
+    /// evicted ones must not attract tasks. Returns whether that changes which images are
     /// cached, or on their way.
     pub fn record_image_use(&mut self, image: &Image, gb: f64, cache_gb: f64, now: Millis) -> bool {
         let cached = CachedImage { last_used: now, gb };
@@ -80,7 +80,7 @@
             (coming.gb - fetched).max(coming.gb * MIN_REMAINING_FETCH)
         };
         let own = self.pending_fetches.get(image).map_or(gb, remaining_gb);
-        // Of each other fetch as much comes meanwhile as of this one.
+        // Each other fetch receives as much data meanwhile as this one.
         let others = self
             .pending_fetches
             .iter()
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -4,7 +4,7 @@
 //! Workers kill their tasks when no controller answers their heartbeats for the length of a lease. In
 //! partition mode their holder goes on answering, under a token that is marked as partitioned. If the holder
 //! crashes, any controller that a worker with such a token finds may renew its lease too, without commands.
-//! In return the holder may never take a worker's silence under this token for the expiry of its lease.
+//! In return the holder may never treat a worker's silence under this token as the expiry of its lease.
 
 use crate::types::{Millis, WorkerToken};
 
@@ -47,7 +47,7 @@
         self.entered.is_some()
     }
 
-    /// Takes in the circumstances at `now`; true if partition mode is entered with them.
+    /// Updates the mode by the circumstances at `now`; true if partition mode is entered with them.
     pub fn update(&mut self, circumstances: Circumstances, now: Millis) -> bool {
         if !circumstances.indicate_partition() {
             self.suspected = None;
@@ -69,7 +69,7 @@
 
 /// Whether a controller that is not known to hold a worker's shard may renew the worker's lease, without
 /// commands: the worker has seen that its holder is in partition mode, this controller is cut off (or has
-/// read nothing of the store yet) and so knows no later holder, and the known holder is not in contact.
+/// read nothing of the store yet) and so has seen no later holder, and the last known holder is not in contact.
 #[must_use]
 pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_in_contact: bool) -> bool {
     worker_token.is_partitioned() && cut_off && !holder_in_contact
