--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -1,7 +1,8 @@
 //! This controller's part in dividing the store's write limit: the rate it may write at, the demand it
 //! reports, and the plan it writes while it leads.
 //!
-//! State: `commits.admission`. The others learn of the demand by the status messages between peers.
+//! State: `commits.admission`. Status messages between peers carry the demand to the other
+//! controllers.
 
 use super::{CallPurpose, Controller, Effect};
 use crate::admission::shared::{AdmissionReport, PLAN_KEY, WriteAdmission};
@@ -34,9 +35,9 @@
         }
     }
 
-    /// Whether this controller has a lease, by its own clock, and has seen all that was written before
-    /// it took that. Without the second, a controller that is back would follow a plan that counts it
-    /// as absent.
+    /// Whether this controller has a lease, by its own clock, and its cache contains everything
+    /// that was written before it obtained that lease. Without the second condition, a controller
+    /// that has just returned would follow a plan that counts it as absent.
     fn obeys_plan(&self) -> bool {
         let OwnLease::Held { lease_id, until } = self.membership.leases.own else {
             return false;
@@ -48,7 +49,7 @@
             })
     }
 
-    /// What this controller reports to the others.
+    /// The demand that this controller reports to the others.
     fn admission_report(&mut self) -> AdmissionReport {
         let unanswered_writes = self
             .calls
@@ -85,7 +86,7 @@
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), leader_revision);
         txn.require(PLAN_KEY.into(), admission.version);
-        // A controller that is back meanwhile may follow a plan that counts on it.
+        // A controller that returns in the meantime may follow a plan that includes it.
         for controller in controllers
             .iter()
             .filter(|controller| !has_lease(controller))
@@ -94,7 +95,7 @@
         }
         txn.put(PLAN_KEY.into(), &plan);
         self.commits.admission.record_plan(self.now);
-        // It must not wait behind the writes that it is to speed up.
+        // The plan must not queue behind the writes that it is to speed up.
         self.transact(CallClass::Leases, txn, CallPurpose::AdmissionPlan);
     }
 }
--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -1,4 +1,4 @@
-//! Responses of the cloud, and what the leader learns of the fleet by them.
+//! Responses of the cloud, and the updates of the leader's fleet that follow from them.
 
 use super::{Autoscaler, Controller};
 use crate::controller::calls::CallPurpose;
@@ -10,17 +10,17 @@
 use crate::store::{CallClass, Transaction};
 use crate::types::{MachineId, Millis};
 
-/// An offer without capacity is requested again after this long.
+/// Time before an offer that had no capacity is requested again.
 const NO_CAPACITY_BACKOFF: Millis = Millis(15_000);
-/// An offer is requested again this long after a rental failed for another reason.
+/// Time before an offer is requested again after a rental failed for another reason.
 const RENTAL_FAILURE_BACKOFF: Millis = Millis(3_000);
-/// Lists are at most this many times as old as the deployment's settings say ...
+/// The maximum age of a list is the lag that the deployment's settings state, times this factor ...
 const LIST_LAG_FACTOR: f64 = 2.0;
-/// ... and this many seconds.
+/// ... plus this many seconds.
 const LIST_LAG_MARGIN_S: f64 = 5.0;
 
 impl Autoscaler {
-    /// Takes in a machine of the cloud's list.
+    /// Updates the fleet with a machine of the cloud's list.
     fn merge_listed(&mut self, listed: ListedMachine, now: Millis) {
         if self.fleet.gone.contains(&listed.machine_id) {
             return;
@@ -37,13 +37,13 @@
             .entry(listed.machine_id)
             .or_insert_with(|| RentedMachine::new(offer, listed.stage, rented_at, now));
         rented.last_seen = now;
-        // Lists lag behind: what has sent heartbeats is running, though a list shows it booting.
+        // Lists lag: a machine that has sent heartbeats is running, though a list shows it booting.
         if listed.stage != MachineStage::Booting {
             rented.stage = listed.stage;
         }
     }
 
-    /// Machines that were listed or heard once and have been neither for `max_list_age`.
+    /// Machines that were listed or sent heartbeats once, and have done neither for `max_list_age`.
     fn vanished_machines(&self, max_list_age: Millis, now: Millis) -> Vec<MachineId> {
         self.fleet
             .machines
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// Adds machines that were rented, and notes if the offer had fewer than requested.
+    /// Adds machines that were rented, and records whether the offer had fewer than requested.
     fn on_rented(&mut self, tag: u64, offer: &Offer, machine_ids: Vec<MachineId>, now: Millis) {
         let pending = self.fleet.pending_rentals.remove(&tag);
         let requested = pending.map_or(0, |rental| rental.count);
@@ -67,6 +67,7 @@
         }
     }
 
+    /// Records a rental request that failed, and delays the next one for its offer.
     fn on_rental_failed(&mut self, tag: u64, offer: Offer, response: &CloudResponse, now: Millis) {
         self.fleet.pending_rentals.remove(&tag);
         let backoff = match response {
@@ -76,6 +77,7 @@
         self.refuse(offer, now + backoff);
     }
 
+    /// Requests nothing more of an offer before `until`.
     fn refuse(&mut self, offer: Offer, until: Millis) {
         self.fleet.refused_until.insert(offer, until);
     }
@@ -89,7 +91,7 @@
 }
 
 impl Controller {
-    /// Takes in the cloud's response to the call with this tag.
+    /// Handles the cloud's response to the call with this tag.
     pub(in crate::controller) fn on_cloud(&mut self, tag: u64, response: CloudResponse) {
         let Some(call) = self.calls.cloud.remove(&tag) else {
             return;
@@ -99,7 +101,7 @@
             (CloudCall::MachineTypes, CloudResponse::MachineTypes(type_specs)) => {
                 self.on_machine_types(type_specs);
             }
-            // They are requested again after an interval.
+            // `request_machine_types` repeats the call after its interval.
             (CloudCall::MachineTypes, _) => {}
             (
                 CloudCall::List { .. },
@@ -126,6 +128,7 @@
         }
     }
 
+    /// Handles the machine types that the cloud offers.
     fn on_machine_types(&mut self, type_specs: Vec<MachineTypeSpec>) {
         if self.autoscaler.type_specs.is_empty() {
             tracing::info!(types = type_specs.len(), "machine types loaded");
@@ -141,12 +144,13 @@
             return;
         }
         let mut txn = Transaction::default();
-        // Applied late, it would bring back what a later leader has replaced.
+        // If it is applied late, it must not overwrite what a later leader has written.
         txn.require(LEADER.into(), term);
         txn.put(MACHINE_TYPES_KEY.into(), type_specs);
         self.transact(CallClass::Background, txn, CallPurpose::NoFollowUp);
     }
 
+    /// Handles one page of the cloud's list of machines.
     fn on_list_page(&mut self, listed: Vec<ListedMachine>, more: bool) {
         let last = listed.last().map(|listed| listed.machine_id.clone());
         for machine in listed {
@@ -170,7 +174,7 @@
         self.delete_machines(vanished);
     }
 
-    /// No list is older than this.
+    /// The maximum age of a list.
     pub(super) fn max_list_age(&self) -> Millis {
         let lag_s = self.settings.deployment.cloud.list_lag_s;
         Millis::from_secs(lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S)
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -13,25 +13,26 @@
 use crate::types::{JobId, Millis, Resources, Team};
 
 /// Machines are planned for at most this many tasks of a job at a time, which bounds the work of a
-/// plan; the rest follows with the next plans.
+/// plan; later plans cover the remaining tasks.
 const MAX_TASKS_PER_NEED: u32 = 2_000;
-/// Seconds that a quick image fetch and the first heartbeat take, about.
+/// Approximate time, in seconds, that a fast image fetch and the first heartbeat take.
 const QUICK_FETCH_S: f64 = 8.0;
 /// The kind of objective that says how soon work should start.
 const START_OBJECTIVE: &str = "wait";
 /// The rate of arrivals is measured over this time.
 pub(super) const ARRIVAL_WINDOW: Millis = Millis(180_000);
-/// The rate of arrivals is measured over at least this time: fewer seconds say too little.
+/// The rate of arrivals is measured over at least this time: a shorter sample is not
+/// representative.
 const MIN_ARRIVAL_WINDOW: Millis = Millis(30_000);
 /// Headroom covers this many standard deviations of what arrives and ends while a machine boots.
 const HEADROOM_DEVIATIONS: f64 = 2.0;
 
-/// Work that arrived and should not have to wait for a machine to boot.
+/// Work that arrived and should be able to start without waiting for a machine to boot.
 #[derive(Debug)]
 pub(in crate::controller) struct Arrival {
     /// When its job was submitted.
     at: Millis,
-    /// How many machines it fills, in machines of the type that it fills least of.
+    /// How many machines it fills, counted in machines of the type of which it needs the fewest.
     machines: f64,
     /// Size of its image, in GB.
     image_gb: f64,
@@ -63,7 +64,7 @@
     spec.priority >= PriorityClass::Urgent
 }
 
-/// Moments of the arrivals of one kind, in machines.
+/// Sums over the arrivals of one kind, in machines.
 #[derive(Default)]
 struct ArrivalSums {
     machines: f64,
@@ -97,7 +98,7 @@
         Millis(observed.0.clamp(MIN_ARRIVAL_WINDOW.0, ARRIVAL_WINDOW.0))
     }
 
-    /// Whole machines that should stand ready: what is expected to arrive while a machine boots.
+    /// Whole machines to keep ready for the work that is expected to arrive while a machine boots.
     pub(super) fn headroom(&self, now: Millis) -> Vec<Headroom> {
         let cheapest = self
             .type_specs
@@ -124,10 +125,12 @@
         type_spec.boot_s + QUICK_FETCH_S + type_spec.slow_fetch_s(mean_gb)
     }
 
+    /// Sums over the arrivals that may run on spot machines, or over all others.
     fn arrivals_on(&self, spot: bool) -> ArrivalSums {
         ArrivalSums::of(self.arrivals.iter().filter(|arrival| arrival.spot == spot))
     }
 
+    /// The same without arrivals that may preempt other work.
     fn arrivals_without_preemption_on(&self, spot: bool) -> ArrivalSums {
         ArrivalSums::of(
             self.arrivals
@@ -138,7 +141,7 @@
 }
 
 impl Controller {
-    /// Takes jobs that were submitted since the last call into the arrivals, and drops old ones.
+    /// Adds jobs that were submitted since the last call to the arrivals, and drops old arrivals.
     pub(super) fn record_arrivals(&mut self) {
         let now = self.now;
         let observed_until = self.autoscaler.arrivals_until;
@@ -164,7 +167,7 @@
         self.settings.deployment.objectives.iter().any(applies)
     }
 
-    /// Tasks that need room, those of the highest priority first.
+    /// Tasks that need machines, those of the highest priority first.
     pub(super) fn needs(&self) -> Vec<Need<'_>> {
         let mut waiting: Vec<&Job> = self
             .jobs
@@ -181,7 +184,7 @@
                 .machines_for(&job.id, self.now)
                 .is_some()
             {
-                // Preemption is making room for it.
+                // Preemption is freeing resources for it.
                 continue;
             }
             needs.push(Need {
@@ -194,8 +197,8 @@
         needs
     }
 
-    /// How many waiting tasks of a job its quotas leave room for. `planned_usage` has what each
-    /// team uses with all that is planned so far, and takes these tasks in.
+    /// How many waiting tasks of a job fit into its quotas. `planned_usage` is each team's usage
+    /// including everything planned so far; these tasks are added to it.
     fn tasks_within_quota<'a>(
         &'a self,
         job: &Job,
--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -1,4 +1,4 @@
-//! Consolidation: a machine with few tasks is drained if all of them find room on other machines.
+//! Consolidation: a machine with few tasks is drained if all of them fit on other machines.
 
 use std::cmp::Ordering;
 
@@ -15,7 +15,7 @@
 /// Only this many of the emptiest machines are considered at a time, which bounds the work.
 const MAX_DRAIN_CANDIDATES: usize = 8;
 
-/// A machine with what its tasks leave of its resources.
+/// A machine with the resources that its tasks leave available.
 #[derive(Clone)]
 struct MachineResources {
     machine_id: MachineId,
@@ -39,8 +39,9 @@
 }
 
 impl Controller {
-    /// Starts to drain the emptiest machine whose tasks all find room elsewhere: replicas where
-    /// their image is cached, so that they are back at once. Tasks of arrays end by themselves.
+    /// Starts to drain the emptiest machine whose tasks all fit elsewhere: replicas on machines
+    /// where their image is cached, so that they restart without a fetch. Tasks of arrays end by
+    /// themselves.
     pub(super) fn consolidate(&mut self) {
         let machines = self.schedulable_machines();
         let min_ready = self.ready_machines_wanted();
@@ -77,8 +78,8 @@
         machines
     }
 
-    /// Whether all tasks of a machine find room on the others, and `min_ready` machines stay ready
-    /// if the machine itself is.
+    /// Whether all tasks of a machine fit on the others, and `min_ready` machines stay ready if the
+    /// machine itself is.
     fn can_drain(
         &self,
         machine_id: &MachineId,
@@ -103,9 +104,9 @@
         still_ready >= min_ready || !self.is_ready(machine_id)
     }
 
-    /// Takes room on `targets` for all tasks of a machine, on the fullest that will do, as the
-    /// scheduler would choose. Returns the machines that would no longer be ready, or none if some
-    /// task finds no room.
+    /// Reserves resources on `targets` for all tasks of a machine, each on the fullest target that
+    /// fits, as the scheduler would choose. Returns the machines that would no longer be ready, or
+    /// `None` if some task fits nowhere.
     fn relocate_tasks(
         &self,
         from: &MachineId,
@@ -131,9 +132,9 @@
         Some(occupied)
     }
 
-    /// Whether a task of a job may move to the machine `target` from the machine `from`. A task that
-    /// preemption must not stop stays in its zone, unless it is its job's only one, goes only where
-    /// its image is cached, and occupies no machine that is ready.
+    /// Whether a task of a job may move to the machine `target` from the machine `from`. A task
+    /// that preemption must not stop stays in its zone unless it is the only one of its job, moves
+    /// only to a machine where its image is cached, and does not occupy a machine that is ready.
     fn accepts(&self, target: &MachineId, job: &Job, from: &MachineId) -> bool {
         let Some(machine) = self.machines.get(target) else {
             return false;
@@ -158,7 +159,7 @@
         self.jobs.is_preemptible(machine_id) && rented.is_some_and(|rented| !rented.spot)
     }
 
-    /// How many ordinary machines the headroom asks for.
+    /// How many ordinary machines the headroom requires.
     fn ready_machines_wanted(&self) -> usize {
         self.headroom()
             .iter()
--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -1,6 +1,6 @@
 //! Detection of lost machines: those that failed, never booted, are quarantined and empty, or have
-//! been silent for longer than a lease. They are deleted; the cloud's confirmation is the evidence
-//! that their tasks have ended.
+//! been silent for longer than a lease. They are deleted; the cloud's confirmation is the
+//! evidence that their tasks have ended.
 
 use std::collections::BTreeMap;
 
@@ -12,47 +12,47 @@
 use crate::workers::shard_of;
 use crate::zones::zone_health::{SuspectedMachine, ZoneObservation};
 
-/// Within this time a new holder of a shard has asked its machines for their state, and their
-/// workers, which give up on a silent controller after 4 s, have found it by way of at most two
-/// others.
+/// Time within which a new holder of a shard has asked its machines for their state, and their
+/// workers have found the holder: a worker gives up on a silent controller after 4 s, and needs at
+/// most two other controllers to find the holder.
 const HOLDER_DISCOVERY_TIME: Millis = Millis(10_000);
-/// A machine that takes this many times its usual boot time ...
+/// A machine counts as never booting after its usual boot time times this factor ...
 const MAX_BOOT_FACTOR: f64 = 3.0;
-/// ... and this many seconds never boots.
+/// ... plus this many seconds.
 const MAX_BOOT_MARGIN_S: f64 = 10.0;
 /// Lower bound of the usual boot time, in seconds.
 const MIN_BOOT_S: f64 = 5.0;
-/// Usual boot time of machines whose type the cloud does not list any more, in seconds.
+/// Usual boot time, in seconds, of machines whose type the cloud no longer lists.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 /// Seconds that are added to a worker's lease before its tasks count as stopped.
 const LEASE_MARGIN_S: f64 = 4.0;
-/// A machine whose zone is otherwise heard is lost after this many heartbeat intervals ...
+/// A machine in a zone whose other machines report is lost after this many heartbeat intervals ...
 const EARLY_HEARTBEAT_INTERVALS: f64 = 3.2;
-/// ... and this many seconds of silence.
+/// ... plus this many seconds of silence.
 const EARLY_MARGIN_S: f64 = 1.0;
 
-/// What one look at all machines shows.
+/// The result of one inspection of all machines.
 #[derive(Default)]
 struct FleetHealth {
     /// Machines that are lost for certain, or empty and unfit.
     lost: Vec<MachineId>,
-    /// Machines that are thought lost because they are silent.
+    /// Machines that are presumed lost because they are silent.
     suspected: Vec<SuspectedMachine>,
-    /// How each zone looks.
+    /// What was observed of each zone.
     zones: BTreeMap<Zone, ZoneObservation>,
 }
 
 /// The state of a running machine's contact with the controllers.
 struct MachineContact {
-    /// How long it has been silent, by the holder of its shard; none: that holder cannot tell.
+    /// How long it has been silent, by the holder of its shard; `None` if that holder cannot tell.
     silence: Option<Silence>,
-    /// It sends heartbeats, and nothing proves that it receives commands.
+    /// Whether it sends heartbeats while nothing confirms that it receives commands.
     unproved: bool,
 }
 
 impl Autoscaler {
-    /// Drops machines that are being deleted. What is given up counts against a bound, so it must be
-    /// what is sent now.
+    /// Drops machines that are being deleted already. Presumed losses are limited in number, so
+    /// only machines whose deletion is requested now may count.
     fn drop_deleting(&self, health: &mut FleetHealth) {
         let deleting = &self.fleet.deleting;
         health
@@ -88,6 +88,7 @@
         self.delete_machines(lost);
     }
 
+    /// Inspects all machines of the fleet.
     fn inspect_fleet(&self) -> FleetHealth {
         let mut health = FleetHealth::default();
         for (machine_id, rented) in &self.autoscaler.fleet.machines {
@@ -108,6 +109,7 @@
         health
     }
 
+    /// The state of a machine's contact with the controllers.
     fn contact_with(&self, machine_id: &MachineId, zone: &Zone) -> MachineContact {
         let shard = shard_of(machine_id, zone, self.settings.operator.shards_per_zone);
         let early = self.early_loss_timeout();
@@ -127,8 +129,8 @@
         zone: &mut ZoneObservation,
     ) {
         zone.machines += 1;
-        // A new holder that receives no heartbeats cannot tell; the machine counts by when any
-        // controller last heard it.
+        // A new holder that receives no heartbeats cannot tell; the machine's silence is then
+        // measured from the last heartbeat that any controller received.
         let (held, since_heard) = match &contact.silence {
             Some(silence) => (silence.held, silence.since_contact),
             None => {
@@ -144,7 +146,7 @@
         zone.one_way += u32::from(one_way);
     }
 
-    /// Whether a machine failed, or takes so long to boot that it never will.
+    /// Whether a machine failed, or has been booting for too long to succeed.
     fn has_not_booted(&self, rented: &RentedMachine) -> bool {
         match rented.stage {
             MachineStage::Failed => true,
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Whether a machine that may take no new tasks is empty and stays so.
+    /// Whether a machine that must not take new tasks is empty and stays so.
     fn is_unfit_and_drained(&self, machine_id: &MachineId) -> bool {
         self.machines.get(machine_id).is_some_and(|machine| {
             machine.quarantined || machine.termination_announced && machine.tasks.is_empty()
@@ -168,9 +170,9 @@
     }
 
     /// Whether a running machine has been silent for so long that its tasks must have stopped. If
-    /// the rest of its zone is heard, a few seconds suffice, since a new holder asks each machine
-    /// for its state. A machine that sends heartbeats and receives nothing may receive again, so
-    /// for it only the lease counts.
+    /// the rest of its zone reports, a few seconds suffice, since a new holder asks each machine
+    /// for its state. A machine that sends heartbeats but receives nothing may receive again, so
+    /// only the expiry of its lease counts.
     fn is_lost(
         &self,
         machine_id: &MachineId,
@@ -187,8 +189,8 @@
             || early && self.most_of_zone_reports(machine_id, &rented.zone)
     }
 
-    /// Silent machines that no list shows any more, though the records have tasks there: an earlier
-    /// leader may have had them deleted, and failed to write that their tasks had ended.
+    /// Silent machines that are no longer on any list, though the records have tasks there: an
+    /// earlier leader may have deleted them and failed to write that their tasks had ended.
     fn suspected_unlisted_machines(&self) -> Vec<SuspectedMachine> {
         self.jobs
             .machine_ids()
@@ -199,7 +201,7 @@
             .collect()
     }
 
-    /// The shard in which the records have a task on the machine.
+    /// The shard in which the records have a task on the machine; `None` if they have none.
     fn recorded_shard(&self, machine_id: &MachineId) -> Option<&ShardId> {
         self.jobs.tasks_on(machine_id).find_map(|(job_id, index)| {
             let placement = self.jobs.get(job_id)?.task(*index).placement()?;
@@ -207,9 +209,9 @@
         })
     }
 
-    /// Whether a machine that no list shows is lost. The holder of its shard cannot tell that it is
+    /// Whether a machine that is on no list is lost. The holder of its shard cannot tell that it is
     /// silent if this was the holder's last machine. But a machine that existed when this term of
-    /// leadership began, and is on no list so long after, does not exist any more.
+    /// leadership began, and is on no list long after that, no longer exists.
     fn is_unlisted_and_lost(&self, machine_id: &MachineId, shard: &ShardId) -> bool {
         let lease = self.lease_timeout();
         let listed_for = (self.autoscaler.fleet.listed).since(self.membership.leading_since);
@@ -221,6 +223,7 @@
                 .is_some_and(|silence| silence.outlasts(lease))
     }
 
+    /// Starts to drain the machines that are quarantined.
     fn drain_quarantined_machines(&mut self) {
         for (machine_id, machine) in &self.machines {
             if machine.quarantined && !self.autoscaler.fleet.gone.contains(machine_id) {
@@ -234,7 +237,7 @@
         Millis::from_secs(self.settings.deployment.workers.lease_s + LEASE_MARGIN_S)
     }
 
-    /// After this long without contact a single machine is lost, if the rest of its zone is heard.
+    /// After this long without contact a single machine is lost, if the rest of its zone reports.
     fn early_loss_timeout(&self) -> Millis {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         Millis::from_secs(EARLY_HEARTBEAT_INTERVALS * interval_s + EARLY_MARGIN_S)
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -1,10 +1,10 @@
-//! Autoscaling by the leader: machines are rented for work that waits and for the headroom that
-//! recent arrivals call for, replaced when they are lost, and returned when they are idle.
+//! Autoscaling by the leader: rents machines for waiting work and for the headroom that recent
+//! arrivals require, replaces lost machines, and returns idle ones.
 //!
-//! [`Autoscaler`] owns what the leader knows of the fleet, the demand that decides its size, and
+//! [`Autoscaler`] owns the leader's view of the fleet, the demand that decides its size, and
 //! the machines that are being drained. Each second [`Controller::reconcile_fleet`] compares the
-//! fleet with the demand and sends calls to the cloud; `cloud_replies` takes in the responses.
-//! What to rent and return is decided by [`crate::fleet::plan`].
+//! fleet with the demand and sends calls to the cloud; `cloud_replies` handles the responses.
+//! [`crate::fleet::plan`] decides what to rent and return.
 
 mod cloud_replies;
 mod demand;
@@ -27,26 +27,26 @@
 use crate::zones::zone_health::ZoneHealthTracker;
 use demand::Arrival;
 
-/// Time between reconciliations of the fleet: short against the time that a machine takes to boot.
+/// Time between reconciliations of the fleet: short compared with the boot time of a machine.
 const RECONCILE_INTERVAL: Millis = Millis(1_000);
-/// Time between the starts of two lists: each page takes a call of the cloud's budget.
+/// Time between the starts of two lists: each page uses a call of the cloud's budget.
 const LIST_INTERVAL: Millis = Millis(2_500);
-/// Time between reads of the machine types, which hardly ever change.
+/// Time between reads of the machine types, which rarely change.
 const MACHINE_TYPES_INTERVAL: Millis = Millis(60_000);
 /// Time between reads of the machine types until the first succeeds: nothing is placed before.
 const FIRST_MACHINE_TYPES_INTERVAL: Millis = Millis(1_000);
-/// Machines are neither rented nor returned while the store has not answered for this long: what
-/// is known of the demand is too old.
+/// Machines are neither rented nor returned while the store has not answered for this long, since
+/// the known demand is outdated.
 const MAX_STORE_SILENCE: Millis = Millis(4_000);
 
-/// What this controller knows of the fleet, and the demand that decides its size.
+/// The fleet as this controller knows it, and the demand that decides its size.
 #[derive(Default)]
 pub(super) struct Autoscaler {
-    /// The machine types that the cloud offers; empty: not known yet.
+    /// The machine types that the cloud offers; empty until they are known.
     pub(super) type_specs: Vec<MachineTypeSpec>,
     /// The machine types as the key-value store has them.
     pub(super) stored_type_specs: Vec<MachineTypeSpec>,
-    /// When the machine types were last requested from the cloud; 0: request them at once.
+    /// When the machine types were last requested from the cloud; 0 requests them immediately.
     type_specs_requested_at: Millis,
     /// The machines; kept up to date by the leader only.
     pub(super) fleet: Fleet,
@@ -54,13 +54,13 @@
     reconciled_at: Millis,
     /// Work that arrived within the last `demand::ARRIVAL_WINDOW`.
     pub(super) arrivals: Vec<Arrival>,
-    /// Jobs that were submitted up to this time have been looked at for `arrivals`.
+    /// Jobs that were submitted up to this time have been considered for `arrivals`.
     pub(super) arrivals_until: Millis,
-    /// Since when arrivals are observed.
+    /// When the observation of arrivals began.
     pub(super) arrivals_since: Millis,
-    /// Machines that are being drained: nothing new is placed there.
+    /// Machines that are being drained: no new tasks are placed there.
     pub(super) drains: HashSet<MachineId>,
-    /// When the leader's list of drains last arrived.
+    /// When the leader's list of drains was last received.
     pub(super) drains_heard_at: Millis,
 }
 
@@ -69,7 +69,7 @@
         find_type(&self.type_specs, machine_type)
     }
 
-    /// Whether the machine types are to be requested again.
+    /// Whether it is time to request the machine types again.
     fn machine_types_due(&self, now: Millis) -> bool {
         let interval = if self.type_specs.is_empty() {
             FIRST_MACHINE_TYPES_INTERVAL
@@ -80,7 +80,7 @@
             || now.since(self.type_specs_requested_at) >= interval
     }
 
-    /// Whether the next list of machines is to be begun.
+    /// Whether it is time to start the next list of machines.
     fn list_due(&self, now: Millis) -> bool {
         !self.fleet.listing && now.since(self.fleet.list_started) >= LIST_INTERVAL
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Notes since when each machine has been idle.
+    /// Records since when each machine has been idle.
     fn mark_idle(&mut self, jobs: &JobCache, now: Millis) {
         for (machine_id, rented) in &mut self.fleet.machines {
             let idle = rented.stage == MachineStage::Running && !jobs.is_occupied(machine_id);
@@ -125,7 +125,7 @@
 }
 
 impl Controller {
-    /// Forgets what an earlier term of leadership knew.
+    /// Drops the state of an earlier term of leadership.
     pub(super) fn start_leading(&mut self) {
         self.autoscaler.fleet = Fleet::default();
         // The machine types may have to be stored by the new leader.
@@ -136,8 +136,8 @@
         self.quota.unresolved_allocations.clear();
     }
 
-    /// Brings the fleet nearer to what the demand asks for. All controllers read the machine types
-    /// and observe arrivals; the rest is for the leader.
+    /// Brings the fleet closer to what the demand requires. All controllers read the machine types
+    /// and observe arrivals; only the leader does the rest.
     pub(super) fn reconcile_fleet(&mut self) {
         self.request_machine_types();
         if self.store_sync.synced {
@@ -161,7 +161,8 @@
     }
 
     /// Whether this controller is to reconcile the fleet now. A leader whose lease may have expired
-    /// does not: another may lead already, and receive heartbeats of machines that are silent here.
+    /// does not: another leader may exist already, and receive heartbeats of machines that are
+    /// silent here.
     fn reconciliation_due(&self) -> bool {
         self.leading().is_some()
             && self.may_place()
@@ -169,6 +170,7 @@
             && !self.autoscaler.type_specs.is_empty()
     }
 
+    /// Requests the machine types from the cloud if it is time to.
     fn request_machine_types(&mut self) {
         if self.autoscaler.machine_types_due(self.now) {
             self.autoscaler.type_specs_requested_at = self.now;
@@ -176,6 +178,7 @@
         }
     }
 
+    /// Starts the next list of machines if it is time to.
     fn request_machine_list(&mut self) {
         if self.autoscaler.list_due(self.now) {
             self.autoscaler.fleet.listing = true;
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Whole machines that should stand ready for work to come.
+    /// Whole machines to keep ready for future work.
     pub(super) fn headroom(&self) -> Vec<Headroom> {
         self.autoscaler.headroom(self.now)
     }
--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scaling in: machines are drained first, then deleted, and what the records still have on a
-//! deleted machine is released.
+//! Scaling in: drains machines, then deletes them, and releases the tasks that the records still
+//! have on a deleted machine.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -9,9 +9,9 @@
 use crate::types::{JobId, MachineId, Millis};
 use crate::workers::Machine;
 
-/// Idle machines are returned one by one before arrivals have been observed for this long: a
-/// controller that has just started knows neither how long machines have been idle nor what
-/// usually arrives for them.
+/// Idle machines are returned one by one until arrivals have been observed for this long: a
+/// controller that has just started knows neither how long machines have been idle nor how much
+/// work usually arrives for them.
 const FULL_RATE_RETURNS_AFTER: Millis = Millis(90_000);
 /// Time between returns of single machines.
 const SINGLE_RETURN_INTERVAL: Millis = Millis(3_000);
@@ -24,7 +24,7 @@
         now.since(self.arrivals_since) >= FULL_RATE_RETURNS_AFTER
     }
 
-    /// Cuts the machines to be returned to what may be returned now.
+    /// Truncates `release` to the machines that may be returned now.
     pub(super) fn limit_returns(&mut self, release: &mut Vec<MachineId>, now: Millis) {
         if !self.returns_at_full_rate(now) {
             let due = now.since(self.fleet.last_scale_in) >= SINGLE_RETURN_INTERVAL;
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Keeps healthy machines that were to be returned, since room is short; returns whether there
-    /// were any.
+    /// Keeps healthy machines that were to be returned, since capacity is short. Returns whether
+    /// there were any.
     pub(super) fn cancel_drains(&mut self, machines: &HashMap<MachineId, Machine>) -> bool {
         let healthy = |machine_id: &MachineId| {
             machines
@@ -57,7 +57,7 @@
     }
 
     /// Marks machines as being deleted, at most [`MAX_DELETIONS_PER_REQUEST`], and returns those
-    /// that were not yet.
+    /// that were not marked before.
     fn mark_deleting(&mut self, machine_ids: Vec<MachineId>) -> Vec<MachineId> {
         let mut marked: Vec<MachineId> = machine_ids
             .into_iter()
@@ -80,7 +80,7 @@
     }
 
     /// Whether a machine is empty and stays so: the holder of its shard places nothing on it, and
-    /// all that the holder placed there before is known here.
+    /// everything that the holder placed there before is in this controller's cache.
     pub(super) fn is_drained(&self, machine_id: &MachineId) -> bool {
         if !self.autoscaler.drains.contains(machine_id) || self.jobs.is_occupied(machine_id) {
             return false;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The cloud has confirmed that machines are deleted.
+    /// Handles the cloud's confirmation that machines are deleted.
     pub(super) fn on_machines_deleted(&mut self, machine_ids: Vec<MachineId>) {
         let mut changes = Vec::new();
         for machine_id in machine_ids {
@@ -120,8 +120,8 @@
         self.request_changes(changes);
     }
 
-    /// Releases tasks that were placed on a machine after its deletion, by a holder that did not
-    /// know of it and received a delayed copy of a heartbeat, and tasks whose release was
+    /// Releases tasks that were placed on a machine after its deletion, by a holder that had not
+    /// learned of it and received a delayed copy of a heartbeat, and tasks whose release was
     /// overtaken by another change. No worker will ever report that they ended.
     pub(super) fn release_tasks_on_deleted_machines(&mut self) {
         let gone = &self.autoscaler.fleet.gone;
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,5 +1,5 @@
-//! Scaling: the capacity that work can count on, the plan that follows from it and from the
-//! demand, and rental requests.
+//! Scaling out: computes the capacity that work can rely on, derives a plan from it and the demand,
+//! and sends rental requests.
 
 use super::{Autoscaler, Controller};
 use crate::fleet::plan::{Bin, Plan, plan};
@@ -7,14 +7,15 @@
 use crate::types::{MachineId, Millis, Resources};
 use crate::workers::Machine;
 
-/// The most machines that one rental request may ask for.
+/// The most machines that one rental request may contain.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// A machine is late, and not counted on, after this many times its usual boot time ...
+/// A machine is late, and no longer counted as capacity, after its usual boot time times this
+/// factor ...
 const LATE_BOOT_FACTOR: f64 = 1.8;
-/// ... and this many seconds, which matter for types that boot fast.
+/// ... plus this many seconds, which matter for types that boot fast.
 const LATE_BOOT_MARGIN_S: f64 = 5.0;
-/// A running machine is counted on until it has been silent this many times the silence after
-/// which it gets no new tasks.
+/// A running machine counts as capacity until it has been silent for this many times the silence
+/// after which it gets no new tasks.
 const MAX_SILENCES: u64 = 3;
 /// The same in a zone that is cut off: no controller could start a task there.
 const MAX_SILENCES_OUT_OF_REACH: u64 = 1;
@@ -22,7 +23,7 @@
 /// The machines that a plan starts from.
 #[derive(Default)]
 struct FleetCapacity {
-    /// Machines that work can count on, rented or requested.
+    /// Machines that work can rely on, rented or requested.
     bins: Vec<Bin>,
     /// Machines that are being drained.
     draining: Vec<MachineId>,
@@ -35,13 +36,13 @@
 }
 
 impl Autoscaler {
-    /// Whether the cloud refused the offer a moment ago.
+    /// Whether the cloud refused the offer recently.
     fn is_refused(&self, offer: &Offer, now: Millis) -> bool {
         let refused_until = self.fleet.refused_until.get(offer);
         refused_until.is_some_and(|until| *until > now)
     }
 
-    /// Machines that are requested and not rented yet.
+    /// Machines that have been requested but not rented yet.
     fn pending_bins(&self) -> impl Iterator<Item = Bin> {
         let known = self.fleet.pending_rentals.values().filter_map(|rental| {
             let type_spec = self.type_spec(&rental.offer.machine_type)?;
@@ -54,12 +55,13 @@
 }
 
 impl Controller {
-    /// Rents machines for what has no room, and returns those that are not needed.
+    /// Rents machines for work that does not fit the fleet, and returns machines that are not
+    /// needed.
     pub(super) fn scale(&mut self) {
         let FleetCapacity { bins, draining } = self.fleet_capacity();
         let mut plan = self.plan_fleet(bins);
         if !plan.rent.is_empty() && self.autoscaler.cancel_drains(&self.machines) {
-            // The next plan counts on the machines that are kept.
+            // The next plan includes the machines that are kept.
             return;
         }
         self.autoscaler.limit_returns(&mut plan.release, self.now);
@@ -75,6 +77,7 @@
         self.delete_drained(draining);
     }
 
+    /// Plans what to rent and return, given the machines that count as capacity.
     fn plan_fleet(&self, bins: Vec<Bin>) -> Plan {
         plan(
             bins,
@@ -114,7 +117,7 @@
         capacity
     }
 
-    /// Whether work can count on the machine, now or once it has booted.
+    /// Whether work can rely on the machine, now or once it has booted.
     fn is_dependable(
         &self,
         machine_id: &MachineId,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// The machine with what tasks and nominations leave of its resources.
+    /// The machine with the resources that tasks and nominations leave available.
     fn bin(
         &self,
         machine_id: &MachineId,
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Requests machines, in several requests if they are many.
+    /// Requests `count` machines, in several requests if one may not contain so many.
     fn rent(&mut self, offer: &Offer, mut count: u32) {
         while count > 0 {
             let requested = count.min(MAX_MACHINES_PER_RENTAL);
@@ -190,7 +193,7 @@
     fn request_rental(&mut self, offer: Offer, count: u32) {
         let Some(term) = self.leading() else { return };
         self.autoscaler.fleet.rental_requests += 1;
-        // Unique for good: no two terms of leadership begin at the same revision.
+        // Unique across terms of leadership: no two begin at the same revision.
         let request_id = format!(
             "{}-{}-{}",
             self.me, term.0, self.autoscaler.fleet.rental_requests
--- a/src/controller/autoscaling/usage.rs
+++ b/src/controller/autoscaling/usage.rs
@@ -40,7 +40,7 @@
 }
 
 impl Controller {
-    /// Logs the usage of the fleet once in a while.
+    /// Logs the usage of the fleet at [`LOG_INTERVAL`].
     pub(super) fn log_usage(&mut self) {
         if self.now.since(self.autoscaler.fleet.usage_logged_at) < LOG_INTERVAL {
             return;
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -56,16 +56,17 @@
         /// The changes, by the index of their task.
         changes: Vec<(u32, TaskChange)>,
     },
-    /// Deletes the description of a job that is over.
+    /// Deletes the description of a finished job.
     DeleteDescription {
-        /// The job that is over.
+        /// The finished job.
         job: JobId,
     },
-    /// Deletes pages of jobs that are over.
+    /// Deletes pages of finished jobs.
     DeletePages,
     /// Writes new allocations of the teams' quotas to shards.
     AllocateQuota {
-        /// A shard whose allocation the transaction is conditioned on, and the version of that.
+        /// A shard and the version of its allocation record: the transaction is conditioned on
+        /// these.
         rests_on: (ShardId, Revision),
     },
     /// Writes a page of the quota tree.
@@ -77,7 +78,7 @@
         /// The shard whose allocation is written for it.
         shard: ShardId,
     },
-    /// Writes the plan of which controller may write how much.
+    /// Writes the plan that divides the write limit among the controllers.
     AdmissionPlan,
     /// A write whose outcome no step waits for.
     NoFollowUp,
@@ -180,8 +181,8 @@
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    /// Takes in an answer of the store: first what it shows about the store and the records, whatever the
-    /// call was for, then the step that waits for it.
+    /// Handles an answer of the store: first what it shows about the store and the records,
+    /// whatever the call was for, then the step that waits for it.
     pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
         let Some(StoreCallInFlight { purpose, written }) = self.calls.store.remove(&tag) else {
             return;
@@ -194,7 +195,8 @@
             self.leave_partition_mode();
         }
         if let StoreResponse::Committed(revision) = answer {
-            // The watch brings these records again later, when they are no longer newer.
+            // The watch delivers these records again later; by then they are not newer than the
+            // cache.
             for record in written {
                 self.apply(&record.key, record.data.as_deref(), revision);
             }
@@ -203,6 +205,7 @@
         self.answer_cancellations();
     }
 
+    /// Passes the answer to the step that waits for it.
     fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
         match purpose {
             CallPurpose::Grant { sent } => self.on_lease_granted(sent, answer),
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Asks users to come back who have waited long enough. A task on a machine that can't be reached
-    /// may take long to be proven gone.
+    /// Asks users who have waited too long to retry later. A task on an unreachable machine may
+    /// take long to be proven gone.
     pub(super) fn expire_cancellations(&mut self) {
         for reply in self.requests.cancellations.take_expired(self.now) {
             self.respond(reply, Response::later());
--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -1,8 +1,8 @@
 //! Chooses the machine for a task: the index gives a shortlist, and the cycle filters and scores
 //! it.
 //!
-//! The work of a cycle is bounded. Machines of one class (group and capacity level) differ in
-//! little that a score sees, so a few of each class stand for all of it.
+//! The work of a cycle is bounded. Machines of one class (group and capacity level) score almost
+//! the same, so a few of each class represent all of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,15 +16,16 @@
 use crate::types::{JobId, MachineId, Zone};
 use crate::workers::Machine;
 
-/// Feasible machines of a class that a cycle looks at.
+/// Maximum number of feasible machines of a class that a cycle scores.
 const MAX_FEASIBLE_OF_CLASS: usize = 8;
-/// Machines of a class that a cycle looks at, feasible or not. A machine of a class with enough
-/// capacity is not feasible if it is kept for other jobs, for example.
+/// Maximum number of machines of a class that a cycle filters, feasible or not. A machine of a class
+/// with enough capacity may still be infeasible, for example because it is kept for other jobs.
 const MAX_VISITED_OF_CLASS: usize = 128;
-/// Feasible machines after which a cycle looks no further, first of those with the job's image and
-/// then again of all. They are divided evenly among the groups of machines.
+/// Maximum number of feasible machines of a cycle, first among those with the job's image and then
+/// again among all. It is divided evenly among the groups of machines.
 const MAX_FEASIBLE: usize = 256;
-/// Feasible machines that a cycle looks at of each group at least, however many groups there are.
+/// Minimum number of feasible machines that a cycle may score of each group, however many groups
+/// there are.
 const MIN_FEASIBLE_OF_GROUP: usize = 16;
 
 impl Controller {
@@ -101,9 +102,9 @@
         open
     }
 
-    /// Visits machines of a group that have enough capacity by the index: a few of each class,
-    /// from the fullest and the emptiest classes in turn, until `max_feasible` passed. Returns how
-    /// many did.
+    /// Visits machines of a group that have enough capacity by the index: a few of each class, from
+    /// the fullest and the emptiest classes in turn, until `max_feasible` machines passed the
+    /// checks. Returns how many passed.
     fn visit<'a>(
         &'a self,
         image_filter: ImageFilter,
@@ -136,7 +137,7 @@
         feasible
     }
 
-    /// A machine as a cycle for the job sees it.
+    /// A machine as the scheduling cycle of the job sees it.
     pub(in crate::controller) fn candidate<'a>(
         &self,
         job: &Job,
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Whether a machine that has the job's image has room for its next task; for a gang, whether
-    /// such machines have room for all of its tasks.
+    /// Whether a machine that has the job's image has enough resources for its next task; for a
+    /// gang, whether such machines have enough for all of its tasks.
     pub(in crate::controller) fn has_cached_capacity(
         &mut self,
         id: &JobId,
@@ -181,11 +182,12 @@
             .any(|group| self.visit(image_filter, group, job, 1, is_feasible) > 0)
     }
 
+    /// The same for a gang, over the machines of `groups`.
     fn has_cached_gang_capacity(&self, request: &PlacementRequest, groups: &[&Group]) -> bool {
         let job = request.job;
         let image_filter = ImageFilter::Image(&job.spec.image);
         let index = &self.scheduler.candidates.index;
-        // Tasks for which there is room, by zone if the gang has to be in one.
+        // How many tasks fit, by zone if the gang has to be in one.
         let mut room: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
         for group in groups {
             let zone = job.spec.one_zone.then_some(group.zone());
@@ -208,7 +210,7 @@
         room.values().any(|tasks| *tasks >= job.record.tasks)
     }
 
-    /// Zones in which all tasks of a gang find room by the index, those with most room first.
+    /// Zones in which all tasks of a gang fit by the index, those with the most capacity first.
     pub(in crate::controller) fn zones_by_capacity(
         &mut self,
         id: &JobId,
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -17,25 +17,25 @@
             .find(|type_spec| type_spec.id == *machine_type)
     }
 
-    /// What a machine of this type offers when it is empty; nothing if its type is unknown.
+    /// The resources of an empty machine of this type; none if the type is unknown.
     pub(super) fn capacity_of_type(&self, machine_type: &MachineTypeId) -> Resources {
         let type_spec = self.type_spec(machine_type);
         type_spec.map(|spec| spec.resources).unwrap_or_default()
     }
 
-    /// What a machine offers when it is empty.
+    /// The resources of the machine when it is empty.
     pub(super) fn capacity(&self, machine: &Machine) -> Resources {
         self.capacity_of_type(&machine.machine_type)
     }
 
-    /// What is not allocated on a machine. This includes what is kept for nominated jobs.
+    /// The resources that are not allocated on a machine, including those kept for nominated jobs.
     pub(in crate::controller) fn available(&self, machine: &Machine) -> Resources {
         self.capacity(machine)
             .minus(self.jobs.allocated(&machine.machine_id))
     }
 
-    /// What a job may use of a machine: what is not allocated, without what is kept for nominated
-    /// jobs of the same or a higher priority.
+    /// The resources of a machine that a job may use: those not allocated, less those kept for
+    /// nominated jobs of the same or a higher priority.
     pub(in crate::controller) fn available_for(&self, machine: &Machine, id: &JobId) -> Resources {
         let mut available = self.available(machine);
         let mut priority = None;
--- a/src/controller/candidates/mod.rs
+++ b/src/controller/candidates/mod.rs
@@ -12,7 +12,7 @@
 use crate::jobs::JobSpec;
 use crate::types::{MachineId, Millis, Zone};
 
-/// Whose machines a cycle looks at.
+/// The machines that a cycle considers, by the holder of their shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MachineScope {
     /// Those in shards that this controller holds.
@@ -26,17 +26,17 @@
 /// Which machines may be chosen for a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MachineQuery<'a> {
-    /// Whose machines.
+    /// The holders whose machines may be chosen.
     pub(super) scope: MachineScope,
-    /// Only those of this zone, if there is one.
+    /// Only machines of this zone; `None` for any zone.
     pub(super) zone: Option<&'a Zone>,
-    /// The leader may raise shards' quota allocations as long as the team's limit has room for so
-    /// many tasks; `None`: tasks have to fit the allocations as they are.
+    /// The leader may raise shards' quota allocations as long as the team's limit allows this many
+    /// tasks; `None`: tasks have to fit the allocations as they are.
     pub(super) raise_for: Option<u32>,
 }
 
 impl MachineQuery<'_> {
-    /// Machines of a scope, in any zone, as far as shards' quota allocations go.
+    /// Machines of a scope, in any zone, whose shards' quota allocations are not raised.
     pub(super) fn within(scope: MachineScope) -> Self {
         Self {
             scope,
@@ -55,7 +55,7 @@
     pub(super) spare_empty_machines: bool,
     /// The index of available capacity.
     pub(super) index: CapacityIndex,
-    /// Machines of which something other than their allocation changed since the last refresh.
+    /// Machines that changed in something other than their allocation since the last refresh.
     pub(super) changed_machines: Vec<MachineId>,
 }
 
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -1,22 +1,22 @@
 //! Keeps the index of available capacity up to date with the machines.
 //!
-//! Changes are entered when a cycle needs the index. Now and then a sweep compares all machines
-//! with it, since some become schedulable, or stop being so, as time passes.
+//! Changes are entered when a cycle needs the index. A periodic sweep compares all machines with
+//! it, since the passage of time alone changes which machines are schedulable.
 
 use crate::controller::Controller;
 use crate::cycle::index::{CapacityLevel, Entry, Group};
 use crate::types::{Image, MachineId, Millis};
 use crate::workers::Machine;
 
-/// Time between two sweeps. A sweep looks at each machine, so it may not run with each cycle; what
-/// it finds (machines that went silent) changes within seconds.
+/// Time between two sweeps. A sweep examines every machine, so it must not run with each cycle;
+/// what it detects (silent machines) changes within seconds.
 const SWEEP_INTERVAL: Millis = Millis(200);
 
-/// What a comparison of the machines with the index found.
+/// The result of a comparison of the machines with the index.
 struct SweepFindings {
     /// How many machines are schedulable.
     schedulable: usize,
-    /// Those of them that the index does not show as they are.
+    /// Schedulable machines whose entry in the index is outdated.
     stale: Vec<MachineId>,
 }
 
@@ -28,7 +28,8 @@
         changed.extend(std::mem::take(
             &mut self.scheduler.candidates.changed_machines,
         ));
-        // A sweep only counts images, so machines whose images changed have to be entered by name.
+        // A sweep compares only the number of images, so machines whose images changed are entered
+        // here.
         self.update_index(changed);
         if self.now.since(self.scheduler.candidates.swept_at) >= SWEEP_INTERVAL {
             self.sweep_index();
@@ -70,6 +71,7 @@
         })
     }
 
+    /// The capacity level of a machine in the index.
     fn capacity_level(&self, machine: &Machine) -> CapacityLevel {
         let usage = self.jobs.machine_usage(&machine.machine_id);
         let available = self.capacity(machine).minus(usage.allocated);
@@ -111,6 +113,7 @@
         findings
     }
 
+    /// Removes machines from the index that are not schedulable.
     fn remove_unschedulable(&mut self) {
         let unschedulable = |machine_id: &&MachineId| {
             let machine = self.machines.get(*machine_id);
@@ -135,8 +138,8 @@
     }
 
     /// Compares the index with a recount, for tests: returns a line for each difference. Between
-    /// two sweeps a machine's schedulability, or an image that it gave up fetching, may be out of
-    /// date; all else has to be right at any moment.
+    /// two sweeps a machine's schedulability, or an image that it stopped fetching, may be
+    /// outdated; everything else must be correct at any moment.
     pub fn index_differences(&mut self) -> Vec<String> {
         self.refresh_candidates();
         let candidates = &self.scheduler.candidates;
--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -1,4 +1,5 @@
-//! What a job leaves behind once it is over: its description, and its pages.
+//! Writes the final records of cancelled jobs, and deletes the descriptions and pages that finished
+//! jobs no longer need.
 
 use super::Controller;
 use crate::controller::CallPurpose;
@@ -50,21 +51,21 @@
         }
     }
 
-    /// Whether the cache shows all that was placed of a job before it was cancelled; afterwards nothing
-    /// can be placed any more. A placement that is not known yet would be on its machine when the user
-    /// hears that the job is over.
+    /// Whether the cache shows everything that was placed of a job before it was cancelled;
+    /// afterwards nothing can be placed any more. Otherwise a task could still be on its machine
+    /// when the user is informed that the job is over.
     pub(super) fn knows_all_of(&self, job: &Job) -> bool {
         self.store_sync.applied >= job.version
     }
 
     /// Deletes pages of finished jobs, if this controller leads and has nothing else to write. No
-    /// transaction can bring them back: all rest on the version of the job's record.
+    /// transaction can restore them: all are conditioned on the version of the job's record.
     pub(in crate::controller) fn delete_finished_pages(&mut self) {
         if !self.commits.backlog.is_empty() || self.commits.deleting_pages || !self.may_place() {
             return;
         }
         let max_ops = self.settings.deployment.state.txn_ops;
-        // All controllers see the pages; one deletes them.
+        // All controllers have the pages in their cache; one deletes them.
         let Some(leader_revision) = self.leading() else {
             return;
         };
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Forwards a job's noted changes to its owner, if that controller can be reached and may write
-    /// all of them. Whether that is so.
+    /// all of them. Returns whether they were forwarded.
     pub(super) fn forwarded_to_owner(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Notes departures that other holders forwarded. They are checked once more when they are
+    /// Notes departures that other holders forwarded. They are checked again when they are
     /// written.
     pub(in crate::controller) fn on_tasks_departed(&mut self, departures: Vec<TaskDeparture>) {
         let mut changes = Vec::new();
@@ -65,7 +65,7 @@
     }
 
     /// Whether the records still have the task on the machine that it left, under the token of the
-    /// holder who saw it, and no change of it is noted.
+    /// holder that reported it, and no change of it is noted.
     fn confirms(&self, id: &JobId, departure: &TaskDeparture) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -80,7 +80,7 @@
             && self.known_token(&placement.shard) == Some(FencingToken(departure.token))
     }
 
-    /// Forgets noted departures of tasks that another controller has written meanwhile.
+    /// Drops noted departures of tasks that another controller has written in the meantime.
     pub(in crate::controller) fn drop_overtaken(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle {
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -1,5 +1,5 @@
 //! Commits of task changes: one transaction per job at a time, conditioned on every record that the
-//! decision rested on.
+//! decision depends on.
 //!
 //! Heartbeats and scheduling cycles note changes on a job in the cache. [`turn`] decides in which
 //! lane and when a job's changes are due, the backlog divides the write limit among due jobs,
@@ -36,16 +36,16 @@
 use planned_write::PlannedWrite;
 use turn::{CommitTurn, WritePressure};
 
-/// Job transactions in flight at a time, at most. One that waited long for the budget would rest on
-/// versions that others have changed since; what waits in the backlog is gathered instead, and
-/// written as it stands when its turn comes.
+/// Maximum number of job transactions in flight. One that waited long for the write budget would be
+/// conditioned on versions that others have changed since; changes that wait in the backlog are
+/// combined instead, and written as they are when their turn comes.
 const MAX_IN_FLIGHT: usize = 3;
 /// Seconds' worth of the allowed write rate that may be in flight.
 const IN_FLIGHT_S: f64 = 0.1;
 /// Time the owner of a job has to write the completions that were forwarded to it; after that this
 /// controller writes them itself.
 const OWNER_WRITE_TIMEOUT: Millis = Millis(12_000);
-/// A team above this part of its limit may have jobs that wait for each single completion.
+/// Fraction of its limit above which a team may have jobs that wait for each single completion.
 const NEAR_LIMIT: f64 = 0.8;
 
 /// Task changes on their way to the store, and the admission that divides its write limit.
@@ -54,7 +54,7 @@
     pub(super) noted_jobs: Vec<JobId>,
     /// Departures of tasks that other controllers are asked to write.
     pub(super) completions: CompletionForwarder,
-    /// The classes and teams that have floors of their own.
+    /// The classes and teams that have floors, which are guaranteed shares of the writes.
     pub(super) flows: Flows,
     /// This controller's part of the write limit, and the plan that divides the limit.
     pub(super) admission: WriteAdmission,
@@ -62,10 +62,10 @@
     pub(super) gate: Gate,
     /// Jobs whose noted changes wait to be written.
     pub(super) backlog: Backlog,
-    /// Writes count as scarce until then: scheduling cycles were stopped because placements could
-    /// not be written soon.
+    /// Writes count as scarce until this time: scheduling cycles were stopped because placements
+    /// could not be written soon.
     pub(super) writes_short_until: Millis,
-    /// A transaction that deletes pages of finished jobs is in flight.
+    /// Whether a transaction that deletes pages of finished jobs is in flight.
     pub(super) deleting_pages: bool,
 }
 
@@ -84,8 +84,9 @@
         }
     }
 
-    /// How many job transactions may be in flight. What waits in the queue of the write budget
-    /// rests on versions that grow old, so only a fraction of a second's worth is sent ahead.
+    /// How many job transactions may be in flight. Transactions in the queue of the write budget
+    /// are conditioned on versions that become outdated, so only a fraction of a second's worth is
+    /// sent ahead.
     fn in_flight_limit(&self) -> usize {
         let limit = (self.admission.allowed * IN_FLIGHT_S).ceil() as usize;
         limit.clamp(1, MAX_IN_FLIGHT)
@@ -93,7 +94,7 @@
 }
 
 impl Controller {
-    /// Puts a job with noted changes into the backlog, and writes whatever is due.
+    /// Puts a job with noted changes into the backlog, and writes all changes that are due.
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle
@@ -119,6 +120,7 @@
         self.write_next();
     }
 
+    /// Whether a team uses more than [`NEAR_LIMIT`] of its limit.
     fn near_limit(&self, team: &TeamSettings) -> bool {
         let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
         !quota::within_limit(used, team)
@@ -164,9 +166,9 @@
         );
     }
 
-    /// The transaction with all that the planned changes rest on, and no records yet. `None` if the
-    /// records rule out the placements among them: other controllers may have placed tasks of the
-    /// job since these were reserved.
+    /// The transaction with all conditions of the planned changes, and no records yet. `None` if
+    /// the records rule out the placements among them: other controllers may have placed tasks of
+    /// the job since these were reserved.
     fn write_conditions(&self, job: &Job, planned: &PlannedWrite) -> Option<Transaction> {
         let mut txn = Transaction::default();
         txn.require(job_key(&job.id), job.version);
@@ -184,8 +186,8 @@
         if placements.planned > 0 {
             self.require_tree(&mut txn);
         }
-        // In shards of other holders a leader places on what it knows of all: carried out after its
-        // term, that would add to what its successor has allocated meanwhile.
+        // In shards of other holders a leader places tasks by its view of all shards. Applied after
+        // its term, such a placement would add to what its successor has allocated in the meantime.
         if let Some(leader_revision) = self.leading().filter(|_| placements.in_other_shards > 0) {
             txn.require(LEADER.into(), leader_revision);
         }
@@ -195,11 +197,11 @@
         Some(txn)
     }
 
-    /// Adds the records that the planned changes lead to: the job's final record if these are its
-    /// last tasks, else the pages.
+    /// Adds the records that result from the planned changes: the job's final record if these
+    /// concern its last tasks, else the pages.
     fn add_records(&self, job: &Job, planned: &PlannedWrite, txn: &mut Transaction) {
         if let Some(phase) = planned.final_phase(job, self.knows_all_of(job)) {
-            // The final record needs no spec, and the pages are deleted when there is time.
+            // The final record needs no spec, and the pages are deleted later.
             txn.put(job_key(&job.id), &job.record.finished(phase));
             return;
         }
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -1,5 +1,5 @@
-//! What follows a transaction of task changes: commands for new placements, or a fresh start from
-//! the records.
+//! Handles the outcome of a transaction of task changes: commands for new placements, or a restart
+//! from the records.
 
 use std::collections::BTreeSet;
 
@@ -41,8 +41,8 @@
         self.write_next();
     }
 
-    /// The records hold the changes now: the next ones are due, and machines get commands for the
-    /// tasks that were placed.
+    /// Handles a committed transaction: the next changes become due, and machines get commands for
+    /// the tasks that were placed.
     fn on_committed(&mut self, id: &JobId, changes: Vec<(u32, TaskChange)>) {
         for (index, change) in &changes {
             tracing::debug!(job = %id, index, ?change, "transaction committed");
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Starts over from the records after a transaction that did not plainly succeed; the cache shows
-    /// by now what came of it. Noted changes are dropped, except completions: the next heartbeats and
-    /// cycles bring back what still holds.
+    /// Restarts from the records after a transaction that did not plainly succeed; by now the cache
+    /// shows its outcome. Noted changes are dropped, except completions: the next heartbeats and
+    /// cycles produce again those that still apply.
     pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
         let completions = self.noted_completions(id);
@@ -77,8 +77,9 @@
             job.commit_state = CommitState::Idle;
             self.back_off(id);
         }
-        // Of tasks that left their machines, the last heartbeats still hold: replicas on two holders'
-        // machines end at once, and one of the two had to wait for its machine's next heartbeat.
+        // The last heartbeats of machines that tasks left are still valid evidence. Without this,
+        // when replicas on machines of two holders end at the same time, one holder would wait for
+        // its machine's next heartbeat.
         for machine_id in departed_from {
             self.reconcile_again(&machine_id);
         }
@@ -92,7 +93,7 @@
         self.commit(id);
     }
 
-    /// The machines of a job's tasks that are noted to have left them.
+    /// The machines that a job's tasks have left by its noted changes.
     fn machines_departed_from(&self, id: &JobId) -> BTreeSet<MachineId> {
         let Some(job) = self.jobs.get(id) else {
             return BTreeSet::new();
@@ -104,7 +105,7 @@
             .collect()
     }
 
-    /// A job's noted completions. What is done stays done, and other holders report it only once.
+    /// A job's noted completions. Completions are final, and other holders report each only once.
     fn noted_completions(&self, id: &JobId) -> Vec<(u32, TaskChange)> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -1,7 +1,7 @@
 //! What one transaction for a job writes: its noted changes, as far as the records still allow them.
 //!
-//! Changes wait in the backlog while the records move on, so each is checked again just before it is
-//! written. One that has been overtaken is stale, and dropped.
+//! Changes wait in the backlog while the records change, so each is checked again just before it is
+//! written. A change that has been overtaken is stale, and dropped.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 use crate::jobs::{Phase, Placement, Task};
 use crate::types::{Attempt, FencingToken, Resources, ShardId};
 
-/// Pages of one transaction, at most: with 8 KiB each they stay below 64 KiB.
+/// Maximum number of pages in one transaction: with 8 KiB each they stay below 64 KiB.
 const MAX_PAGES: usize = 6;
 /// Operations of a transaction that are not pages: the job's record, the leader, the quota tree and
 /// the allocation of a shard.
 const RESERVED_OPS: usize = 4;
 
-/// The changes of one transaction, and what it has to require.
+/// The changes of one transaction, and the conditions that it needs.
 #[derive(Debug, Default)]
 pub(super) struct PlannedWrite {
     /// Shards whose token must be unchanged, in the order of the changes; a shard may repeat.
     pub(super) shard_tokens: Vec<(ShardId, FencingToken)>,
-    /// Pages as they will be, by number.
+    /// The new contents of pages, by number.
     pub(super) pages: BTreeMap<u32, Vec<Task>>,
     /// The changes that are written, by task.
     pub(super) changes: Vec<(u32, TaskChange)>,
     /// Tasks whose noted change no longer fits the records.
     pub(super) stale: Vec<u32>,
-    /// How many placements were noted, by what became of them.
+    /// How many placements were noted, by their outcome.
     pub(super) placements: PlacementCounts,
 }
 
@@ -44,15 +44,15 @@
 
 /// A change that the records allow.
 struct AllowedChange {
-    /// What the record of the task will say.
+    /// The new record of the task.
     next: Task,
-    /// The shard and its token that the change rests on, if it rests on one.
+    /// The shard and its token that the change is conditioned on, if any.
     shard_token: Option<(ShardId, FencingToken)>,
 }
 
 impl PlannedWrite {
-    /// Whether a page is part of this transaction, or can become one. `max_ops`: the operations that
-    /// the store takes in a transaction.
+    /// Whether a page is part of this transaction, or can be added to it. `max_ops`: the number of
+    /// operations that the store accepts in a transaction.
     fn has_room_for(&self, page: u32, max_ops: usize) -> bool {
         let max_pages = MAX_PAGES.min(max_ops.saturating_sub(RESERVED_OPS));
         self.pages.contains_key(&page) || self.pages.len() < max_pages
@@ -71,9 +71,9 @@
         self.changes.push((index, change.clone()));
     }
 
-    /// Completes all tasks of a gang's attempt once one of them is done. The tasks of a gang complete
-    /// together: one that is done shows that all of its attempt are, also those that left their
-    /// machines unseen.
+    /// Completes all tasks of a gang's attempt once one of them is done. The tasks of a gang
+    /// complete together: one completion proves that all tasks of its attempt are done, including
+    /// those whose departure from their machine was not observed.
     pub(super) fn complete_gang(&mut self, job: &Job) {
         let small = job.record.pages() as usize <= MAX_PAGES;
         if !job.is_gang_of_several() || !job.is_active() || !small {
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Makes placements of a job that is bound to zones rewrite its first page: with many pages, that
-    /// is the record on which controllers agree about the zones.
+    /// Makes placements of a job that is bound to zones rewrite its first page: when the job has
+    /// many pages, that is the record on which controllers agree about the zones.
     pub(super) fn require_zone_page(&mut self, job: &Job) {
         let bound = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
         if self.placements.planned > 0 && bound && !self.pages.contains_key(&0) {
@@ -134,8 +134,8 @@
         shards
     }
 
-    /// The phase that the job ends in by this transaction, if nothing of it is left afterwards.
-    /// `all_placements_known`: whether the cache shows all that was placed of a job that is over.
+    /// The final phase of the job if this transaction leaves no task of it. `all_placements_known`:
+    /// whether the cache shows everything that was placed of a finished job.
     pub(super) fn final_phase(&self, job: &Job, all_placements_known: bool) -> Option<Phase> {
         let finished = self.changes.iter().filter(|(_, c)| c.finishes()).count() as u32;
         if job.is_active() {
@@ -172,6 +172,7 @@
         planned
     }
 
+    /// Checks one change against the records; `None` if it is stale.
     fn check_change(&self, job: &Job, index: u32, change: &TaskChange) -> Option<AllowedChange> {
         match (change, job.task(index)) {
             (TaskChange::Place(placement), Task::Waiting { tried })
@@ -198,9 +199,9 @@
     }
 
     /// A placement needs a machine that still has the resources: another task may have been placed
-    /// there since this one was reserved. It also needs a shard of which no higher token may exist
-    /// when it is written; the leader places in shards of other holders, too, who then start the
-    /// task.
+    /// there since this one was reserved. It also needs a shard whose token is unchanged when the
+    /// placement is written. The leader also places in shards of other holders, which then start
+    /// the task.
     fn check_placement(&self, placement: &Placement) -> Option<AllowedChange> {
         let machine = self.machines.get(&placement.machine_id)?;
         let has_room = machine.agent_epoch == placement.agent_epoch
@@ -219,7 +220,7 @@
         })
     }
 
-    /// A holder's evidence holds as long as its token does; that a machine is deleted holds for good.
+    /// A holder's evidence is valid as long as its token is; the deletion of a machine is final.
     fn check_release(&self, placement: &Placement, evidence: Evidence) -> Option<AllowedChange> {
         let shard_token = match evidence {
             Evidence::Deleted => None,
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -1,24 +1,25 @@
 //! When a job's noted changes are due, and in which lane of the backlog they wait.
 //!
-//! A transaction costs the same whatever it holds, so changes that no user or task waits for are
-//! gathered, longer while writes are scarce. The decision is a pure function of the job and the write pressure.
+//! A transaction costs the same whatever it contains, so changes that no user or task waits for are
+//! gathered, and for longer while writes are scarce. The decision is a pure function of the job and
+//! the write pressure.
 
 use crate::admission::backlog::Lane;
 use crate::jobs::cache::{Job, TaskChange};
 use crate::jobs::{JobKind, PriorityClass};
 use crate::types::Millis;
 
-/// How long completions of some of a job's tasks are gathered. Their resources are available
-/// meanwhile, and changes are what the store's limit counts.
+/// How long completions of some of a job's tasks are gathered. Their resources are available in the
+/// meantime, and the store's limit counts changes.
 const GATHER_INTERVAL: Millis = Millis(3_000);
 /// The same while writes are scarce.
 const GATHER_INTERVAL_SCARCE: Millis = Millis(45_000);
 /// While writes are scarce, the first placements of an array wait this long for more of them.
 const MORE_PLACEMENTS_TIMEOUT: Millis = Millis(2_500);
-/// How long the last tasks of a job that is being stopped are waited for: other holders are about to
+/// How long to wait for the last tasks of a job that is being stopped: other holders are about to
 /// report that their tasks of it have left, too.
 const LAST_TASKS_TIMEOUT: Millis = Millis(400);
-/// Urgent changes go before others that have waited up to this long.
+/// Urgent changes are written before others that have waited for up to this long.
 const URGENT_HEAD_START: Millis = Millis(2_000);
 
 /// How a job's changes wait in the backlog.
@@ -26,29 +27,29 @@
 pub(super) struct CommitTurn {
     /// The lane of the backlog.
     pub(super) lane: Lane,
-    /// When the changes may be written; a time in the past goes before others that are due.
+    /// When the changes may be written. A time in the past ranks before others that are due.
     pub(super) due: Millis,
 }
 
 /// Whether the write limit is what holds up placements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WritePressure {
-    /// Changes are written about as fast as they come.
+    /// Changes are written about as fast as they arise.
     Normal,
-    /// Scheduling cycles were stopped a moment ago because placements could not be written soon.
+    /// Scheduling cycles were stopped recently because placements could not be written soon.
     Scarce,
 }
 
-/// What a job's noted changes are, as far as their urgency depends on it.
+/// The kind of a job's noted changes, as far as it decides their urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeKind {
-    /// The job is over; these are tasks that leave their machines.
+    /// The job is over, and its tasks leave their machines.
     Stop,
     /// Completions of the last tasks, or of a gang.
     FinalCompletions,
     /// Completions of some of the tasks.
     PartialCompletions,
-    /// Tasks of a gang leave that can only start again as a whole.
+    /// Tasks of a gang leave their machines; the gang can restart only as a whole.
     BrokenGang,
     /// The first placements of a gang.
     GangPlacement,
@@ -70,7 +71,7 @@
     let scarce = pressure == WritePressure::Scarce;
     let more_will_leave = more_will_leave(job);
     let (lane, due) = match kind_of(job) {
-        // A user waits to hear that the tasks of a cancelled job are gone.
+        // A user waits for the confirmation that the tasks of a cancelled job are gone.
         ChangeKind::Stop if more_will_leave => (Lane::Completions, now + LAST_TASKS_TIMEOUT),
         ChangeKind::Stop => (Lane::Completions, urgent),
         ChangeKind::FinalCompletions => (Lane::Completions, now),
@@ -79,7 +80,8 @@
             (Lane::PartialCompletions, due)
         }
         ChangeKind::BrokenGang => (Lane::Placements, now + LAST_TASKS_TIMEOUT),
-        // Its resources are on machines of several holders, who may allocate them meanwhile.
+        // Its resources are on machines of several holders, which may allocate them in the
+        // meantime.
         ChangeKind::GangPlacement => (Lane::Completions, urgent),
         _ if job.spec.priority >= PriorityClass::Urgent => (Lane::Placements, urgent),
         // While writes are scarce, waiting for more placements costs less than a transaction.
@@ -109,13 +111,13 @@
     }
 }
 
-/// Whether tasks of the job are placed that no noted change concerns yet.
+/// Whether tasks of the job are placed for which no change is noted yet.
 fn more_will_leave(job: &Job) -> bool {
     job.placed as usize > job.changes.len()
 }
 
-/// Whether all noted changes are placements. Others free resources that a gang may wait for on
-/// another controller's word.
+/// Whether all noted changes are placements. Other changes free resources that a gang may be
+/// waiting for on another controller.
 fn only_placements(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
     job.changes.values().all(is_placement)
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -1,4 +1,5 @@
-//! Events that a controller handles and effects that it asks for: its only connection with the outside.
+//! Events that a controller handles and effects that it requests: its only interface to the
+//! outside.
 //!
 //! The daemon and the simulator turn answers, requests and the passing of time into [`Event`]s, and carry
 //! out each [`Effect`]. An answer carries the tag or the reply id of what it answers.
@@ -91,7 +92,7 @@
     },
 }
 
-/// What a controller asks to be done.
+/// An effect that a controller requests.
 #[derive(Debug)]
 pub enum Effect {
     /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at all.
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -1,7 +1,7 @@
-//! Tasks that fail: whether the job is to blame (it is crash-looping) or the machine (it is
-//! quarantined), and how a crash-looping job is held back.
+//! Attribution of task failures to the job (it is crash-looping) or the machine (it is
+//! quarantined), and the backoff of crash-looping jobs.
 //!
-//! Failures are told to all controllers, since any of them may place the job's next task.
+//! Failures are reported to all controllers, since any of them may place the job's next task.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
 use crate::types::{JobId, MachineId};
 
 impl Controller {
-    /// Tells all controllers that tasks of these jobs failed on a machine of ours, and takes the
-    /// failures into account here.
+    /// Reports to all controllers that tasks of these jobs failed on a machine of ours, and records
+    /// the failures here.
     pub(super) fn report_task_failures(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
         for id in failed {
             self.scheduler.failed_jobs.insert(id.clone());
@@ -31,8 +31,7 @@
         }
     }
 
-    /// Takes into account that a task of a job failed on a machine, which this controller or
-    /// another saw.
+    /// Records that a task of a job failed on a machine, as observed by this controller or another.
     pub(super) fn record_task_failure(&mut self, id: &JobId, machine_id: &MachineId) {
         let Some(job) = self.jobs.get(id).filter(|job| job.is_active()) else {
             return;
@@ -48,8 +47,8 @@
         }
     }
 
-    /// Counts a failure against a machine. Only the controller that holds it judges it, and tells
-    /// the others by its status.
+    /// Counts a failure against a machine. Only the controller that holds it judges it, and reports
+    /// the result to the others in its status.
     fn blame_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let (leases, me) = (&self.membership.leases, &self.me);
         let (jobs, crash_loops) = (&self.jobs, &mut self.scheduler.crash_loops);
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Judges our machines again on which a job failed that turned out to be crash-looping: its
+    /// Judges again our machines on which a job failed that proved to be crash-looping: its
     /// failures were not their fault.
     fn clear_machines_blamed_for(&mut self, id: &JobId) {
         let (leases, me) = (&self.membership.leases, &self.me);
@@ -112,14 +111,15 @@
     }
 }
 
-/// Whether a job failed wherever it was tried. A task that finishes clears it.
+/// Whether a job failed on every machine where it was tried. A task that finishes clears it.
 fn is_crash_looping(jobs: &JobCache, crash_loops: &CrashLoopTracker, id: &JobId) -> bool {
     let finished_any = jobs.get(id).is_some_and(|job| job.done > 0);
     !finished_any && crash_loops.is_crash_looping(id)
 }
 
-/// Whether a task of a crash-looping job runs, or is about to, whose end shows how the job fares.
-/// Of a service each replica is a trial by itself, so the running ones are not waited for.
+/// Whether a task of a crash-looping job runs, or is about to, whose end shows whether the job
+/// still fails. Each replica of a service is a trial by itself, so running replicas are not waited
+/// for.
 fn awaits_trial(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
     job.spec.kind != JobKind::Service && (job.placed > 0 || job.changes.values().any(is_placement))
