--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -8,21 +8,21 @@
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 use crate::workers::{Machine, shard_of};
 
-/// An agent epoch that ends within this part of the lease after an answer of ours shows that the
-/// worker did not receive the answer.
+/// If an agent epoch ends within this fraction of the lease after one of our answers, the worker
+/// did not receive that answer.
 const ANSWERED_EPOCH_LEASE_FRACTION: f64 = 0.75;
-/// A worker's clock may be this much slower than ours.
+/// Factor by which a worker's clock may be slower than ours.
 const CLOCK_RATE_ALLOWANCE: f64 = 1.05;
-/// Seconds that a worker's timers may be late when they end an agent epoch.
+/// Seconds by which a worker's timers may be late when they end an agent epoch.
 const EPOCH_END_MARGIN_S: f64 = 2.0;
 
-/// What a heartbeat was worth to us.
+/// How a heartbeat changed this controller's view of the machine.
 enum HeartbeatOutcome {
-    /// It was sent before one that we know already.
+    /// It was sent before one that has been applied already.
     Outdated,
-    /// It replaced what was known of the machine.
+    /// It replaced the previous state of the machine.
     Applied {
-        /// The machine could take new tasks under our token before.
+        /// Whether the machine could take new tasks under our token before.
         was_schedulable: bool,
     },
 }
@@ -46,8 +46,8 @@
         if !self.may_answer_heartbeats() {
             return HeartbeatResponse::RetryLater;
         }
-        // A holder that has not yet read what was placed before its time gives no commands: a task
-        // that has left the machine since would start there once more.
+        // A holder that has not yet read all earlier placements in the shard gives no commands: it
+        // might restart a task that has left the machine since.
         let complete = self.knows_all_placements(&shard);
         let commands = match self.record_heartbeat(shard, token, &heartbeat) {
             HeartbeatOutcome::Applied { was_schedulable } if complete => {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Takes a heartbeat in, and probes the machine at once if nothing proves that our commands
-    /// reach it.
+    /// Records a heartbeat, and probes the machine immediately if nothing confirms that our
+    /// commands reach it.
     fn record_heartbeat(
         &mut self,
         shard: ShardId,
@@ -101,7 +101,7 @@
                     self.me.clone(),
                 )
             });
-        // Our answer may renew the worker's lease whatever the heartbeat's age.
+        // Our answer may renew the worker's lease whatever the age of the heartbeat.
         let previous_answer = machine.last_answer.replace((token, now));
         if !machine.is_newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
             return HeartbeatOutcome::Outdated;
@@ -139,8 +139,8 @@
             return Vec::new();
         };
         if machine.worker_token.token() < token {
-            // The worker's first heartbeat to us: it sees our token in the answer and reports again
-            // at once.
+            // The worker's first heartbeat to us: it reads our token from the answer and
+            // immediately reports again.
             return Vec::new();
         }
         machine.direct.set_validity(token, machine.agent_epoch);
--- a/src/controller/heartbeats/contact.rs
+++ b/src/controller/heartbeats/contact.rs
@@ -1,23 +1,23 @@
-//! A controller that receives no heartbeats gives its shards up until it reaches workers again.
+//! A controller that receives no heartbeats releases its shards until it reaches workers again.
 
 use crate::controller::{Controller, Effect};
 use crate::types::Millis;
 use crate::workers::Machine;
 
-/// How often a controller without heartbeats asks a worker for its state.
+/// Time between inspections of a worker by a controller that receives no heartbeats.
 const INSPECTION_INTERVAL: Millis = Millis(2_000);
-/// Added to the silence limit before the absence of all heartbeats counts: one machine may be
-/// silent for a reason of its own, and giving up shards is expensive.
+/// Added to the silence limit before the absence of all heartbeats counts: a single machine may be
+/// silent for unrelated reasons, and releasing shards is expensive.
 const NO_HEARTBEATS_MARGIN: Millis = Millis(2_000);
 /// With fewer machines that should report, their silence says nothing of this controller.
 const MIN_EXPECTED_MACHINES: usize = 2;
-/// A machine counts as expected if it was heard within this many times the limit: one that was
-/// silent long before the others has failed by itself.
+/// A machine counts as expected if a controller heard from it within this many times the limit: one
+/// that was silent long before the others has failed by itself.
 const EXPECTED_CONTACT_FACTOR: u64 = 4;
 
 impl Controller {
-    /// A controller that none of its workers reaches gives its shards up, and takes some again
-    /// once it reaches workers.
+    /// Releases the shards of a controller that receives no heartbeats, and inspects a worker from
+    /// time to time until one can be reached.
     pub(in crate::controller) fn check_worker_contact(&mut self) {
         if self.contact.receives_heartbeats {
             self.release_shards_without_contact();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Asks the worker that was heard last whether it can be reached.
+    /// Inspects the worker with the most recent contact, to find out whether it can be reached.
     fn inspect_one_worker(&mut self) {
         if self.now.since(self.contact.last_inspection) < INSPECTION_INTERVAL {
             return;
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Releases our shards if no heartbeats arrive here while another controller may receive them.
     fn release_shards_without_contact(&mut self) {
         let limit = self.heartbeat_timeout() + NO_HEARTBEATS_MARGIN;
         let expected = self
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Whether a machine has reported to us, should go on to do so, and did until lately.
+    /// Whether a machine has reported to us, should still report, and did until recently.
     fn expects_heartbeat(&self, machine: &Machine, limit: Millis) -> bool {
         let moved_at = self.membership.shard_moved_at.get(&machine.shard);
         machine.last_answer.is_some()
@@ -72,8 +73,8 @@
             && self.now.since(machine.last_contact).0 < EXPECTED_CONTACT_FACTOR * limit.0
     }
 
-    /// Whether every other controller has said lately that it receives no heartbeats either. Then
-    /// the workers are unable to report, and no other holder would do better with our shards.
+    /// Whether every other controller has reported recently that it receives no heartbeats either.
+    /// Then the workers are unable to report, and no other holder would do better with our shards.
     fn no_controller_receives_heartbeats(&self) -> bool {
         let members = &self.settings.members;
         let receives_none = |label| {
@@ -83,7 +84,7 @@
         !members.is_empty() && members.iter().all(|member| receives_none(&member.label))
     }
 
-    /// Takes in whether the worker that was asked for its state answered.
+    /// Handles the outcome of the inspection of a worker.
     pub(in crate::controller) fn on_inspected(&mut self, answered: bool) {
         if answered && !self.contact.receives_heartbeats {
             tracing::info!("workers reachable again");
--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Commands go directly only to a worker that has seen our token and was heard just now: a
-    /// start that stays without an answer ties its task to the machine.
+    /// Where to send commands directly; only a worker that has seen our token and reported very
+    /// recently qualifies: a start that remains unanswered ties its task to the machine.
     fn direct_target(&self, machine: &Machine) -> Option<DirectTarget> {
         let token = self.token_for(&machine.shard)?;
         let address = machine.address?;
@@ -61,7 +61,7 @@
         allowed.then_some(DirectTarget { address, token })
     }
 
-    /// Ends a direct exchange; `answer` is `None` if it stays open whether the commands were, or
+    /// Ends a direct exchange. `answer` is `None` if it is unknown whether the commands were, or
     /// will be, executed.
     pub(in crate::controller) fn on_direct(
         &mut self,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Takes in the heartbeat that a worker answered direct commands with, if it is newer than
-    /// what is known.
+    /// Applies the heartbeat with which a worker answered direct commands, if it is newer than the
+    /// machine's known state.
     fn apply_direct_heartbeat(
         &mut self,
         machine_id: &MachineId,
@@ -109,8 +109,8 @@
             machine.reachability.confirm();
         }
         if heartbeat.agent_epoch != machine.agent_epoch {
-            // The lease of an agent epoch that we did not know of runs from when it began, not from
-            // when we answered a heartbeat last.
+            // The lease of an agent epoch that was unknown to us starts when the epoch began, not
+            // when we last answered a heartbeat.
             machine.token_confirmed = None;
         }
         machine.apply_heartbeat(heartbeat, now, &self.me);
@@ -132,8 +132,8 @@
     }
 }
 
-/// The commands that may be sent directly. An attempt is forgotten, and one that waited alone is
-/// started once more, only by the answer to a heartbeat: direct commands may come minutes late.
+/// The commands that may be sent directly. Only the answer to a heartbeat may forget an attempt, or
+/// restart one that waited alone: direct commands may arrive minutes late.
 fn without_forgotten(mut commands: Vec<WorkerCommand>) -> Vec<WorkerCommand> {
     let forgotten: HashSet<(TaskId, Attempt)> = commands
         .iter()
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -7,12 +7,12 @@
 /// Machines that have been silent for this many times the limit are no evidence of the network's
 /// state: they failed some time ago.
 const RECENT_SILENCE_FACTOR: u64 = 8;
-/// A zone's network counts as sound only if at least this many other machines are heard.
+/// A zone's network counts as sound only if at least this many other machines report.
 const MIN_HEARD_MACHINES: usize = 2;
 
-/// How long a machine has been silent, and its shard has had the same holder.
+/// How long a machine has been silent, and how long its shard has had the same holder.
 pub(in crate::controller) struct Silence {
-    /// Time since its last sign of life, to whichever controller.
+    /// Time since any controller last received a sign of life from it.
     pub since_contact: Millis,
     /// Time since its shard last changed hands.
     pub held: Millis,
@@ -26,7 +26,7 @@
 }
 
 impl Controller {
-    /// The last status of another controller, if it arrived just now.
+    /// The last status of another controller, if it arrived recently.
     pub(in crate::controller) fn recent_status(
         &self,
         controller: &ControllerId,
@@ -34,7 +34,8 @@
         self.peers.recent_status(controller, self.now)
     }
 
-    /// When any controller last received a sign of life of a machine, as far as we know; 0: never.
+    /// When any controller last received a sign of life of a machine, as far as this controller
+    /// knows; 0: never.
     pub(in crate::controller) fn last_contact(&self, machine_id: &MachineId) -> Millis {
         let known = self
             .machines
@@ -45,8 +46,8 @@
     }
 
     /// How long a machine has been silent, as its shard's holder sees it; only the holder receives
-    /// its heartbeats. `None` if the holder receives no heartbeats at all, since it can't tell
-    /// either, or if nobody holds the shard.
+    /// its heartbeats. `None` if the shard has no holder, or if the holder receives no heartbeats
+    /// at all and so cannot tell.
     pub(in crate::controller) fn silence_of(
         &self,
         machine_id: &MachineId,
@@ -63,6 +64,7 @@
         })
     }
 
+    /// Whether heartbeats arrive at the holder of a shard, by its last status.
     fn holder_receives_heartbeats(&self, holder: &ControllerId) -> bool {
         if *holder == self.me {
             return self.contact.is_current(self.now, self.heartbeat_timeout());
@@ -71,8 +73,8 @@
             .is_some_and(|peer| peer.receives_heartbeats)
     }
 
-    /// Whether most other machines of the zone are heard: then the machine itself is silent, and
-    /// not the network to its zone.
+    /// Whether most other machines of the zone report. Then the machine itself is silent, and the
+    /// network to its zone is sound.
     pub(in crate::controller) fn most_of_zone_reports(
         &self,
         machine_id: &MachineId,
--- a/src/controller/heartbeats/mod.rs
+++ b/src/controller/heartbeats/mod.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats at the controller: who answers them, and what they prove.
+//! Workers' heartbeats at the controller: which controller answers them, and what they prove.
 //!
 //! The modules here hold the steps; the state belongs to [`Machine`](crate::workers::Machine),
 //! [`WorkerContact`](super::reachability::WorkerContact) and the job cache.
@@ -6,7 +6,7 @@
 //! * `answer`: the response to a heartbeat.
 //! * `observation`: a machine's newest heartbeat compared with the job records.
 //! * `direct_commands`: commands that do not wait for a heartbeat.
-//! * `liveness`: how long machines have been silent, and who can tell.
+//! * `liveness`: how long machines have been silent, and which controller can tell.
 //! * `contact`: a controller that receives no heartbeats at all.
 //! * `sweep`: the periodic pass over all machines.
 //! * `replica_migration`: service replicas on machines that are being drained.
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -1,4 +1,5 @@
-//! What a machine's newest heartbeat proves of its tasks, and the changes of records that follow.
+//! What a machine's newest heartbeat proves about its tasks, and the changes of records that
+//! follow.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +12,12 @@
 use crate::workers::wire::{ExitCause, TaskStage, WorkerCommand};
 use crate::workers::{FETCH_TIMEOUT_FACTOR, Machine, TaskObservation};
 
-/// A start that was refused for lack of resources shows that the machine holds more than we know;
-/// its next heartbeats tell what.
+/// How long new tasks for a machine are paused after a start was refused for lack of resources:
+/// more is allocated there than this controller knows, and the next heartbeats show what.
 const REFUSED_START_PAUSE: Millis = Millis(3_000);
 
 impl Controller {
-    /// Draws from a machine's newest heartbeat what it still proves.
+    /// Reconciles a machine's newest heartbeat with the records again.
     pub(in crate::controller) fn reconcile_again(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -24,13 +25,13 @@
         if let Some(token) = self.token_for(&machine.shard)
             && self.knows_all_placements(&machine.shard)
         {
-            // The commands ride on the answer to the next heartbeat.
+            // The answer to the next heartbeat carries the commands.
             let _ = self.reconcile_machine(machine_id, token);
         }
     }
 
-    /// Compares a machine's newest heartbeat with the records, has the records changed as it
-    /// proves, and returns the commands for the worker.
+    /// Compares a machine's newest heartbeat with the records, requests the changes of records that
+    /// it proves, and returns the commands for the worker.
     pub(super) fn reconcile_machine(
         &mut self,
         machine_id: &MachineId,
@@ -51,7 +52,7 @@
         outcome.commands
     }
 
-    /// A machine's newest heartbeat against the records, without any effect.
+    /// The result of comparing a machine's newest heartbeat with the records, without any effect.
     pub(super) fn reconciled(&self, machine: &Machine, token: FencingToken) -> Reconciliation {
         let may_be_fetching = |job: &Job| self.may_be_fetching(job);
         reconcile(
@@ -63,7 +64,8 @@
         )
     }
 
-    /// Whether tasks of a gang may still be fetching its image, wherever they were placed.
+    /// Whether tasks of a gang may still be fetching its image, on whatever machines they were
+    /// placed.
     fn may_be_fetching(&self, job: &Job) -> bool {
         let rates = self.autoscaler.type_specs.iter().map(MachineTypeSpec::rate);
         let slowest_rate = rates.fold(f64::MAX, f64::min);
@@ -73,7 +75,7 @@
         job.is_gang_of_several() && self.now.since(job.last_placement_change) < limit
     }
 
-    /// Updates the machine's own state by how tasks ended on it.
+    /// Updates the machine's own state by how its tasks ended.
     fn record_task_results(&mut self, machine_id: &MachineId, outcome: &Reconciliation) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Failures of the tasks themselves count against job or machine; refused starts only send the
-    /// job back to the queue.
+    /// Failures of the tasks themselves count against the job or the machine; refused starts only
+    /// return the job to the queue.
     fn attribute_failures(&mut self, machine_id: &MachineId, failures: &[(JobId, ExitCause)]) {
         let mut failed = BTreeSet::new();
         for (job, cause) in failures {
@@ -102,7 +104,7 @@
         self.report_task_failures(failed, machine_id);
     }
 
-    /// Requests changes of tasks and commits them job by job. Changes of one job stand together.
+    /// Notes changes of tasks and commits them job by job. The changes must be grouped by job.
     pub(in crate::controller) fn request_changes(
         &mut self,
         changes: Vec<(JobId, u32, TaskChange)>,
@@ -119,7 +121,8 @@
         }
     }
 
-    /// A task past its fetch shows that its image is in the machine's cache.
+    /// Records images as cached on the machine: a task past its fetch shows that its image is
+    /// there.
     fn record_image_use(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -151,7 +154,7 @@
     }
 }
 
-/// Whether a task as reported has its image in its machine's cache.
+/// Whether the reported state of a task shows that its image is in the machine's cache.
 fn has_image(task: &TaskObservation) -> bool {
     match task.stage {
         TaskStage::Fetching => false,
--- a/src/controller/heartbeats/replica_migration.rs
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -7,9 +7,10 @@
 use crate::workers::Machine;
 use crate::workers::reconcile::Stop;
 
-/// Each move costs its replica a moment; one at a time keeps the service as a whole up.
+/// Time between migrations. Each interrupts its replica briefly; one at a time keeps the service
+/// available.
 const MIGRATION_INTERVAL: Millis = Millis(20_000);
-/// A replica that just started stays where it is for this long, so that it serves between moves.
+/// A replica that has just started is not moved for this long, so that it serves between moves.
 const MIN_REPLICA_AGE: Millis = Millis(40_000);
 
 /// A replica that is to be stopped, so that it is placed elsewhere.
@@ -20,8 +21,8 @@
 }
 
 impl Controller {
-    /// Stops replicas on machines that are being drained, if another machine has resources for them
-    /// and their image, so that they run again at once.
+    /// Stops replicas on machines that are being drained, if another machine has the resources for
+    /// them and their image, so that they restart without a fetch.
     pub(super) fn move_replicas(&mut self) {
         if self.now.since(self.scheduler.replica_moved_at) < MIGRATION_INTERVAL {
             return;
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -6,20 +6,22 @@
 use crate::types::{FencingToken, JobId, Millis};
 use crate::workers::Machine;
 
+/// Time between passes over all machines.
 const SWEEP_INTERVAL: Millis = Millis(1_000);
-/// A job that was forwarded to us and stays unknown for this long is forgotten: the watch brings
-/// records well within it.
+/// A job that was forwarded to us and remains unknown for this long is forgotten: the watch
+/// delivers records much sooner.
 const FORWARDED_EARLY_TTL: Millis = Millis(10_000);
-/// A machine without tasks that no controller has heard for this long is forgotten.
+/// A machine without tasks from which no controller has received heartbeats for this long is
+/// forgotten.
 pub(in crate::controller) const FORGET: Millis = Millis(120_000);
-/// A worker's clock may be this much slower than ours.
+/// Factor by which a worker's clock may be slower than ours.
 const CLOCK_RATE_ALLOWANCE: f64 = 1.002;
-/// Seconds that a worker's timers may be late when its lease expires.
+/// Seconds by which a worker's timers may be late when its lease expires.
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 
 impl Controller {
-    /// Expires leases of workers by our own clock, probes silent machines, and forgets what is
-    /// over.
+    /// Expires leases of workers by our own clock, probes silent machines, and drops outdated
+    /// state.
     pub(in crate::controller) fn detect_silent_machines(&mut self) {
         if self.now.since(self.contact.last_sweep) < SWEEP_INTERVAL {
             return;
@@ -56,7 +58,7 @@
         self.request_changes(changes);
     }
 
-    /// Releases of all tasks on a machine that no change is under way for.
+    /// Releases of all tasks on a machine for which no change is in progress.
     fn releases_of(
         &self,
         machine: &Machine,
@@ -76,6 +78,7 @@
         })
     }
 
+    /// Drops pending image fetches that should have finished by now.
     fn expire_image_fetches(&mut self) {
         let fetching = |machine: &&mut Machine| !machine.pending_fetches.is_empty();
         for machine in self.machines.values_mut().filter(fetching) {
@@ -94,7 +97,7 @@
         });
     }
 
-    /// Removes nominations that are past their time, or whose job waits for nothing.
+    /// Removes nominations that have expired, or whose job has no waiting tasks.
     fn expire_nominations(&mut self) {
         let waits = |id: &JobId| {
             self.jobs
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Forgets what the scheduler remembers of jobs that are over.
+    /// Drops the scheduler's state about finished jobs.
     fn forget_finished_jobs(&mut self) {
         let (now, jobs) = (self.now, &self.jobs);
         self.scheduler
@@ -129,6 +132,7 @@
             .retain(|_, since| now.since(*since) < FORWARDED_EARLY_TTL);
     }
 
+    /// Forgets machines without tasks from which no controller has received heartbeats for long.
     fn forget_silent_machines(&mut self) {
         let (now, jobs) = (self.now, &self.jobs);
         self.machines.retain(|machine_id, machine| {
--- a/src/controller/hierarchical_quota/demand.rs
+++ b/src/controller/hierarchical_quota/demand.rs
@@ -1,4 +1,4 @@
-//! Refreshing the entitlements, and the jobs that gain by it.
+//! Refreshes the entitlements, and wakes the jobs that gain by it.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::types::{JobId, MachineId, Millis, Resources, Team};
 use crate::workers::Machine;
 
-/// How often entitlements are recomputed. Demand changes with every job that starts or ends, which
-/// is far more often.
+/// Time between recomputations of the entitlements. Demand changes much more often, with every job
+/// that starts or ends.
 const REFRESH_INTERVAL: Millis = Millis(500);
 
 impl Controller {
-    /// Recomputes the entitlements and, where that changed what is due, the order of the queue.
+    /// Recomputes the entitlements and, if they changed, the order of the queue.
     pub(super) fn refresh_entitlements(&mut self) {
         let jobs = &self.jobs;
         let raised = self
@@ -30,6 +30,7 @@
         }
     }
 
+    /// Updates the keys of queued jobs by the new entitlements.
     fn reorder_queue(&mut self) {
         let mut queue = std::mem::take(&mut self.scheduler.queue);
         queue.reorder(|id| Some(self.queue_key(self.jobs.get(id)?)));
@@ -61,9 +62,9 @@
         first.into_values().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Activates the head-of-line jobs within their entitlement that fit on a machine of ours
-    /// where capacity became available. Other controllers learn of the capacity seconds later;
-    /// without this, borrowed work would take it first.
+    /// Activates the head-of-line jobs within their entitlement that fit on a machine of ours where
+    /// capacity became available. Other controllers learn of the capacity seconds later; otherwise
+    /// borrowed work would take it first.
     pub(in crate::controller) fn activate_head_of_line_jobs(&mut self, machine_id: &MachineId) {
         if self.quota.reclaim.head_of_line_jobs.is_empty() {
             return;
@@ -82,8 +83,8 @@
         }
     }
 
-    /// The head-of-line jobs within their entitlement of which a task each fits in what is
-    /// available on a machine, in the order of the queue.
+    /// The head-of-line jobs within their entitlement that have a task which fits in the available
+    /// resources of a machine, in the order of the queue.
     fn due_jobs(&self, machine: &Machine, available: Resources) -> Vec<(QueueKey, JobId)> {
         let jobs = self.quota.reclaim.head_of_line_jobs.iter();
         let mut candidates: Vec<(QueueKey, &Job)> = jobs
--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -1,8 +1,8 @@
 //! Stopping work beyond a lowered limit.
 //!
 //! A new tree may lower a limit below what runs. Each controller then stops its part of the excess
-//! in the shards that it holds, the least valuable tasks first. The stopped tasks wait until the
-//! limit has room for them again.
+//! in the shards that it holds, the least valuable tasks first. The stopped tasks wait until they
+//! fit within the limit again.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -16,8 +16,8 @@
 use crate::types::{MachineId, Millis, Resources, ShardId, TaskId, Team};
 use crate::workers::reconcile::Stop;
 
-/// How often usage is compared with the limits. It exceeds them only after a new tree, and the
-/// tasks that were stopped last have to be seen stopping first.
+/// Time between comparisons of usage with the limits. Usage exceeds them only after a new tree, and
+/// the tasks that were stopped last must be observed as stopping first.
 const EXCESS_CHECK_INTERVAL: Millis = Millis(2_000);
 
 /// Excess below this many CPUs or GPUs is a rounding error.
@@ -53,7 +53,7 @@
 
 /// A shard's part of a team's excess.
 struct ShardExcess {
-    /// What still has to be stopped, less what is being stopped already.
+    /// The resources still to be freed, without those that are being freed already.
     remaining: Resources,
     /// The tasks to choose from.
     tasks: Vec<ExcessTask>,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Stops a team's excess in the shards that this controller holds, in each for its part of the
-    /// team's usage.
+    /// Stops a team's excess in the shards that this controller holds, in each in proportion to the
+    /// shard's part of the team's usage.
     fn stop_excess_of(&mut self, team: &TeamSettings, used: Resources) {
         let cpus = excess_amount(team.cpus_max, used.cpus);
         let gpus = excess_amount(team.gpus_max, used.gpus);
@@ -99,6 +99,7 @@
         }
     }
 
+    /// The shards that this controller holds and in which the team has tasks.
     fn held_shards_of(&self, team: &TeamSettings) -> Vec<ShardId> {
         self.jobs
             .shards_of(&team.name)
@@ -107,8 +108,8 @@
             .collect()
     }
 
-    /// The tasks of a shard that count for a team's limit and may be stopped. What is being stopped
-    /// already is subtracted from `part`, the shard's part of the excess.
+    /// The tasks of a shard that count towards a team's limit and may be stopped. Resources that
+    /// are being freed already are subtracted from `part`, the shard's part of the excess.
     fn shard_excess(&self, team: &TeamSettings, shard: &ShardId, part: Resources) -> ShardExcess {
         let mut remaining = part;
         let mut tasks = Vec::new();
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -60,6 +60,8 @@
         self.within_flat_guarantee(job) || self.within_entitlement(job)
     }
 
+    /// Whether the team's usage with the job's next task, or whole gang, is within its flat
+    /// guarantee.
     fn within_flat_guarantee(&self, job: &Job) -> bool {
         let name = &job.spec.team;
         let used = self.jobs.usage(name).plus(resources_at_once(job));
@@ -67,6 +69,7 @@
         team.is_some_and(|team| quota::within_guarantee(used, team))
     }
 
+    /// Whether the job's next task, or whole gang, is within its team's entitlement in the tree.
     fn within_entitlement(&self, job: &Job) -> bool {
         let name = &job.spec.team;
         let Some(tree) = self.quota.hierarchy.active_tree() else {
@@ -90,7 +93,8 @@
     }
 }
 
-/// What has to be placed at once for a job to make progress: a task of an array, or all tasks.
+/// The resources that must be placed together for a job to make progress: one task of an array, or
+/// all tasks of a gang.
 fn resources_at_once(job: &Job) -> Resources {
     let tasks = match job.spec.kind {
         JobKind::Array => 1,
@@ -99,7 +103,7 @@
     job.spec.resources.times(f64::from(tasks))
 }
 
-/// The same in the form that entitlements are checked with.
+/// The same in the form in which entitlements are checked.
 fn wanted(job: &Job) -> ResourceRequest {
     ResourceRequest {
         total: resources_at_once(job).into(),
--- a/src/controller/hierarchical_quota/publication.rs
+++ b/src/controller/hierarchical_quota/publication.rs
@@ -6,11 +6,11 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::Millis;
 
-/// How often the file is compared with the store, and written if it is newer. An operator changes
-/// the tree a few times a day at most.
+/// Time between comparisons of the file with the store; it is written if it is newer. An operator
+/// changes the tree a few times a day at most.
 const PUBLICATION_INTERVAL: Millis = Millis(2_000);
 
-/// The most pages in one transaction. With values of 8 KiB it stays below 64 KiB.
+/// Maximum number of pages in one transaction. With values of 8 KiB it stays below 64 KiB.
 const MAX_PAGES_PER_TRANSACTION: usize = 6;
 
 /// Progress of writing the tree file to the store.
@@ -20,7 +20,7 @@
     checked_at: Millis,
     /// The status of the file that was last logged.
     logged_status: TreeStatus,
-    /// A transaction that writes or deletes tree records is in flight.
+    /// Whether a transaction that writes or deletes tree records is in flight.
     write_in_flight: bool,
 }
 
@@ -43,9 +43,9 @@
 }
 
 impl Quota {
-    /// The transaction that brings the store closer to having the file's tree, and only that. It
-    /// is empty if there is nothing to do. Only the leader deletes replaced pages. `max_changes` is
-    /// what the store accepts in a transaction.
+    /// The transaction that brings the store closer to containing exactly the file's tree. It is
+    /// empty if there is nothing to do. Only the leader deletes replaced pages. `max_changes` is
+    /// the number of changes that the store accepts in a transaction.
     fn tree_transaction(&self, max_changes: usize, is_leader: bool) -> Transaction {
         let mut txn = Transaction::default();
         let max_pages = max_changes.min(MAX_PAGES_PER_TRANSACTION);
@@ -99,7 +99,7 @@
     pub(in crate::controller) fn on_tree_written(&mut self, answer: &StoreResponse) {
         let publication = &mut self.quota.tree_publication;
         publication.write_in_flight = false;
-        // The next part follows at once, as long as the store accepts them.
+        // The next part follows immediately, as long as the store accepts them.
         if matches!(answer, StoreResponse::Committed(_)) {
             publication.checked_at = Millis(0);
         }
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -1,5 +1,5 @@
-//! Reclaiming capacity for work within its entitlement: what may be stopped for a job, and for how
-//! long the capacity is kept for it.
+//! Reclaiming capacity for work within its entitlement: which tasks may be stopped for a job, and
+//! how long the capacity is kept for it.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -12,12 +12,12 @@
 use crate::quota::reclaim::{PendingUsage, ReclaimPlanner, TeamUsage};
 use crate::types::{JobId, MachineId, Millis};
 
-/// The most tasks of a job that capacity is reclaimed for at once. A job that is entitled to more
-/// asks again.
+/// Maximum number of tasks of a job for which capacity is reclaimed at a time. A job that is
+/// entitled to more requests again.
 const MAX_RECLAIMS_PER_JOB: u32 = 16;
 
-/// Reclaimed capacity is kept this long beyond what the slowest stopped task needs to save its
-/// checkpoint.
+/// Reclaimed capacity is kept for the time that the slowest stopped task needs to save its
+/// checkpoint, plus this margin.
 const NOMINATION_MARGIN: Millis = Millis(4_000);
 
 /// State of reclaiming borrowed capacity. A new tree resets it.
@@ -39,8 +39,8 @@
 }
 
 impl Controller {
-    /// Plans what to stop for a job by the tree. `None`: there is no tree, or the job's team is not
-    /// in it.
+    /// Plans by the tree which tasks to stop for a job. `None`: there is no tree, or the job's team
+    /// is not in it.
     pub(in crate::controller) fn reclaim_planner<'a>(
         &'a self,
         job: &Job,
@@ -53,7 +53,7 @@
         ReclaimPlanner::new(tree, &self.jobs, &job.spec.team, wanted(job), pending)
     }
 
-    /// Capacity that is being made available to other jobs than this.
+    /// Capacity that is being freed for other jobs.
     fn nominated_usage(&self, job: &Job) -> Vec<TeamUsage> {
         let mut usages = Vec::new();
         for (id, nomination) in &self.scheduler.nominations.by_job {
@@ -82,7 +82,7 @@
         usages.collect()
     }
 
-    /// The number of a job's tasks that capacity is reclaimed for at once.
+    /// Maximum number of a job's tasks for which capacity is reclaimed at a time.
     pub(in crate::controller) fn max_reclaims(job: &Job) -> usize {
         match job.spec.kind {
             JobKind::Gang => 1,
@@ -98,8 +98,8 @@
         self.quota.reclaims_per_task(self.jobs.get(id))
     }
 
-    /// How long reclaimed capacity is kept for a job. `None`: the job's tasks are not reclaimed for
-    /// one by one, and the usual time applies.
+    /// How long reclaimed capacity is kept for a job. `None`: capacity is not reclaimed for the
+    /// job's tasks one by one, and the usual time applies.
     pub(in crate::controller) fn nomination_timeout(
         &self,
         id: &JobId,
@@ -112,8 +112,8 @@
             .then(|| NOMINATION_MARGIN + Millis::from_secs(longest_save_s))
     }
 
-    /// Queues a job for which the leader has capacity reclaimed in our shards: its tasks are
-    /// placed by this controller.
+    /// Queues a job for which the leader reclaims capacity in our shards: this controller places
+    /// its tasks.
     pub(in crate::controller) fn expect_reclaimed_capacity(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|_| self.reclaims_per_task(id)) else {
             return;
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -1,6 +1,6 @@
 //! Reserving a machine for a task that needs most of one.
 //!
-//! Borrowed work rarely adds up to so much on a single machine. So the borrowed tasks there are
+//! Borrowed tasks on a single machine rarely use most of it. So the borrowed tasks there are
 //! stopped, and the machine is kept for the job until its other tasks have ended.
 
 use super::super::{Controller, Effect};
@@ -17,15 +17,15 @@
 /// How long a job waits for capacity by other means before a machine is reserved for it.
 const WAIT_BEFORE_RESERVATION: Millis = Millis(8_000);
 
-/// A job that has not asked for so long past the time it may is no longer waiting; its next request
-/// starts a new wait.
+/// A job that made no request for this long after it was allowed to is no longer waiting; its next
+/// request starts a new wait.
 const WAIT_EXPIRY: Millis = Millis(10_000);
 
 /// How long a machine is reserved.
 const RESERVATION_TIMEOUT: Millis = Millis(30_000);
 
-/// After a reservation, the next one for the same job starts no sooner than after this many times
-/// its duration, so that machines are not kept idle for long.
+/// Pause before the next reservation for the same job, in multiples of the duration of a
+/// reservation, so that machines are not kept idle for long.
 const PAUSE_PER_RESERVATION: u64 = 3;
 
 /// A task whose estimated duration is more than this many reservations is not waited for.
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Seconds until all tasks on a machine but the stopped ones have ended, by their estimates.
+    /// Seconds until all tasks on a machine except the stopped ones have ended, by their estimates.
     /// `None`: some task there runs for too long, or has no end.
     fn remaining_s(&self, machine_id: &MachineId, stopped: &[TaskId]) -> Option<f64> {
         let mut longest: f64 = 0.0;
@@ -78,8 +78,8 @@
         Some(longest)
     }
 
-    /// Whether a machine may be reserved for a job now: it has waited for other capacity for a
-    /// while, and its last reservation is long enough ago.
+    /// Whether a machine may be reserved for a job now: the job has waited long enough for other
+    /// capacity, and long enough since its last reservation.
     pub(in crate::controller) fn may_reserve_machine(&mut self, id: &JobId) -> bool {
         let now = self.now;
         let not_before = &mut self.quota.reclaim.reserve_not_before;
@@ -91,8 +91,8 @@
         known.is_some_and(|next| next <= now)
     }
 
-    /// Reserves a machine for a job and has the planned tasks there stopped, by the controller that
-    /// holds the machine. Returns false if the job is gone.
+    /// Reserves a machine for a job. The controller that holds the machine stops the planned tasks
+    /// there. Returns false if the job no longer exists.
     pub(in crate::controller) fn reserve_machine(
         &mut self,
         id: &JobId,
@@ -123,7 +123,7 @@
         true
     }
 
-    /// Starts the pause before a job's next reservation, and forgets the waits that have expired.
+    /// Starts the pause before a job's next reservation, and drops the waits that have expired.
     fn note_reservation(&mut self, id: &JobId) {
         let now = self.now;
         let pause = Millis(RESERVATION_TIMEOUT.0 * PAUSE_PER_RESERVATION);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether a job's running tasks end on their own about within a reservation.
+/// Whether a job's running tasks end on their own within about the time of a reservation.
 fn ends_soon(job: &Job) -> bool {
     let finite = job.spec.kind != JobKind::Service && !job.is_gang_of_several();
     finite && job.spec.estimate_s <= RESERVATION_TIMEOUT.secs() * MAX_RESERVATIONS_PER_TASK
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,8 +1,8 @@
 //! This controller's lease in the key-value store, its own record, and the leadership.
 //!
-//! [`Membership`] owns what this controller knows of all leases. Each tick, and each answer of the store,
-//! takes the next step that is missing: end the lease of the process before us, obtain a lease, register,
-//! take the leadership if it is vacant, and, as the leader, assign the shards.
+//! [`Membership`] owns this controller's view of all leases. Each tick, and each answer of the
+//! store, takes the next step that is missing: end the lease of the previous process, obtain a
+//! lease, register, take the leadership if it is vacant, and, as the leader, assign the shards.
 
 mod shard_assignment;
 
@@ -13,21 +13,21 @@
 use crate::store::{CallClass, StoreCall, StoreResponse, Transaction};
 use crate::types::{ControllerId, FencingToken, LeaseId, Millis, Revision, ShardId};
 
-/// A lease is renewed this often in its time, so that some renewals may fail.
+/// A lease is renewed this many times per lease duration, so that some renewals may fail.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// After a renewal that failed, the next is due this much earlier than a whole renewal interval later.
+/// After a failed renewal, the next is due this much earlier than a whole renewal interval later.
 const FAILED_RENEWAL_ADVANCE: Millis = Millis(300);
 
-/// What this controller knows of the leases: its own, the leader's and the shards'.
+/// The leases as this controller knows them: its own, the leader's and the shards'.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     /// The records of controllers, the leader and the shards.
     pub(super) leases: Leases,
-    /// The lease of the process that had our label before has ended.
+    /// Whether the lease of the previous process with our label has ended.
     pub(super) old_lease_ended: bool,
     /// When this controller last became the leader.
     pub(super) leading_since: Millis,
-    /// When each shard last changed hands, as far as this controller saw.
+    /// When each shard last changed its holder, as observed by this controller.
     pub(super) shard_moved_at: HashMap<ShardId, Millis>,
     /// Steps whose call to the store is in flight.
     in_flight: HashSet<MembershipStep>,
@@ -54,12 +54,13 @@
         self.in_flight.insert(step)
     }
 
-    /// The call of a step was answered.
+    /// Marks a step as answered.
     fn finish(&mut self, step: MembershipStep) {
         self.in_flight.remove(&step);
     }
 
-    /// Our lease holds until `lease` after the call that granted or renewed it was sent.
+    /// Records our lease: it holds until `lease` after the call that granted or renewed it was
+    /// sent.
     fn hold(&mut self, lease_id: LeaseId, sent: Millis, lease: Millis) {
         self.leases.renewal_base = sent;
         let until = sent + lease;
@@ -68,7 +69,8 @@
 }
 
 impl Controller {
-    /// Takes the next step towards being a registered controller with a lease, or keeps what has been reached.
+    /// Takes the next step towards being a registered controller with a lease, or maintains that
+    /// state.
     pub(super) fn renew_membership(&mut self) {
         if !self.store_sync.synced {
             return self.start_snapshot_read();
@@ -90,8 +92,9 @@
         }
     }
 
-    /// Ends the lease under which our record from before a restart was written: the process that held it
-    /// has ended. Its fencing tokens are not used again, as its commands may still be on their way.
+    /// Ends the lease under which our record from before a restart was written: the process that
+    /// held it has ended. Its fencing tokens are not used again, since its commands may still be in
+    /// flight.
     fn end_old_lease(&mut self) {
         let record = self.membership.leases.controllers.get(&self.me);
         let Some(lease_id) = record.map(|(record, _)| record.lease_id) else {
@@ -104,6 +107,7 @@
         }
     }
 
+    /// Requests a lease.
     fn request_lease(&mut self) {
         self.membership.leases.own = OwnLease::Requested;
         let life_ms = self.settings.operator.lease.0;
@@ -115,6 +119,7 @@
         );
     }
 
+    /// Renews our lease if it is time to.
     fn renew_lease(&mut self, lease_id: LeaseId) {
         let interval = Millis(self.settings.operator.lease.0 / RENEWALS_PER_LEASE);
         let due = self.membership.leases.renewal_base + interval;
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Whether our record is written under this lease and says what holds now.
+    /// Whether our record is written under this lease and is up to date.
     fn is_registered(&self, lease_id: LeaseId) -> bool {
         let own = self.membership.leases.controllers.get(&self.me);
         own.is_some_and(|(record, _)| {
@@ -133,6 +138,7 @@
         })
     }
 
+    /// Writes our controller record under this lease.
     fn register(&mut self, lease_id: LeaseId) {
         if !self.membership.begin(MembershipStep::Register) {
             return;
@@ -151,7 +157,8 @@
         self.transact(CallClass::Leases, txn, CallPurpose::Register);
     }
 
-    /// Takes the leadership if it is vacant, and does the leader's part of membership if we have it.
+    /// Takes the leadership if it is vacant, and performs the leader's part of membership if we
+    /// have it.
     fn maintain_leadership(&mut self) {
         let Some(lease_id) = self.membership.leases.lease_id() else {
             return;
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Takes in the answer to a request for a lease, sent at `sent`.
+    /// Handles the answer to a request for a lease, sent at `sent`.
     pub(super) fn on_lease_granted(&mut self, sent: Millis, answer: StoreResponse) {
         match answer {
             StoreResponse::Granted(lease_id) => {
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Takes in the answer to a renewal, sent at `sent`.
+    /// Handles the answer to a renewal, sent at `sent`.
     pub(super) fn on_lease_renewed(&mut self, sent: Millis, answer: StoreResponse) {
         self.membership.finish(MembershipStep::Renew);
         match (answer, self.membership.leases.own) {
@@ -199,7 +206,7 @@
         }
     }
 
-    /// Takes in the answer to ending the lease of the process before us.
+    /// Handles the answer to ending the lease of the previous process.
     pub(super) fn on_old_lease_ended(&mut self, answer: &StoreResponse) {
         self.membership.finish(MembershipStep::EndOldLease);
         if matches!(answer, StoreResponse::Revoked) {
@@ -207,25 +214,26 @@
         }
     }
 
-    /// Takes in the answer to writing our controller record.
+    /// Handles the answer to writing our controller record.
     pub(super) fn on_registered(&mut self, answer: &StoreResponse) {
         self.membership.finish(MembershipStep::Register);
         self.lose_lease_if_ended(answer);
     }
 
-    /// Takes in the answer to taking the leadership.
+    /// Handles the answer to taking the leadership.
     pub(super) fn on_leadership_written(&mut self, answer: &StoreResponse) {
         self.membership.finish(MembershipStep::Lead);
         self.lose_lease_if_ended(answer);
     }
 
+    /// Drops our lease if the answer shows that it has ended.
     fn lose_lease_if_ended(&mut self, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::LeaseExpired) {
             self.membership.leases.lose(&self.me);
         }
     }
 
-    /// Does what follows from a change of the leader, a controller's record or a shard's holder.
+    /// Handles a change of the leader, of a controller's record or of a shard's holder.
     pub(super) fn on_lease_change(&mut self, change: LeaseChange) {
         match change {
             LeaseChange::Leader => self.on_leader_change(),
@@ -263,8 +271,8 @@
         }
     }
 
-    /// Whether this controller may place tasks in its shards now: its lease lasts for a while, and its
-    /// cache shows the quotas and placements of one moment.
+    /// Whether this controller may place tasks in its shards now: its lease has enough time left,
+    /// and its cache shows the quotas and placements as of one revision.
     pub(super) fn may_place(&self) -> bool {
         let stop_before = self.settings.operator.stop_before;
         match self.membership.leases.own {
@@ -280,7 +288,7 @@
         self.membership.leases.holds(shard, &self.me)
     }
 
-    /// The revision at which this controller took the leadership, if it leads as far as it knows.
+    /// The revision at which this controller took the leadership, if it believes that it leads.
     pub(super) fn leading(&self) -> Option<Revision> {
         self.membership.leases.leads(&self.me)
     }
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -15,7 +15,7 @@
     holder: ControllerId,
     /// The version of the new holder's own record.
     holder_version: Revision,
-    /// The new holder's lease, with which the record ends.
+    /// The new holder's lease; the record ends with it.
     lease_id: LeaseId,
 }
 
@@ -33,8 +33,8 @@
 }
 
 impl Controller {
-    /// Writes the shards whose holder differs from the desired one, as the leader since `lead`. What does
-    /// not fit into one transaction is written with the next.
+    /// Writes the shards whose holder differs from the desired one, as the leader since `lead`. The
+    /// remaining ones are written with the next transaction.
     pub(super) fn assign_shards(&mut self, lead: Revision) {
         let step = MembershipStep::AssignShards;
         if self.membership.in_flight.contains(&step) {
@@ -64,7 +64,7 @@
         txn
     }
 
-    /// The record that makes `holder` the holder of a shard; none if it is already.
+    /// The record that makes `holder` the holder of a shard; `None` if it is already.
     fn assignment(&self, shard: ShardId, holder: ControllerId) -> Option<Assignment> {
         let leases = &self.membership.leases;
         let present = leases.shards.get(&shard);
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The transaction that assigns shards was answered; its records came with it or with the watch.
+    /// Handles the answer to the assignment; the shard records arrive with it or with the watch.
     pub(in crate::controller) fn on_shards_assigned(&mut self) {
         self.membership.finish(MembershipStep::AssignShards);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,8 +1,9 @@
-//! The controller: a state machine that takes events and yields effects. It does no I/O and reads no clock
-//! itself, so that tests can drive whole controllers through crashes and network partitions in virtual time.
+//! The controller: a state machine that handles events and returns effects. It does no I/O and
+//! reads no clock itself, so that tests can drive whole controllers through crashes and network
+//! partitions in virtual time.
 //!
-//! [`Controller`] is a sequencer: each of its fields is a component that owns one part of the state, and the
-//! modules here hold the steps that several components take part in.
+//! [`Controller`] sequences the work: each of its fields is a component that owns one part of the
+//! state, and the modules here contain the steps that involve several components.
 
 mod admission_plan;
 mod autoscaling;
@@ -65,7 +66,7 @@
     effects: Vec<Effect>,
     /// Calls to the store and the cloud that are in flight.
     calls: Calls,
-    /// How far the cache of the store is.
+    /// The progress of the cache of the store.
     store_sync: StoreSync,
     /// This controller's lease, and the cached leases of all controllers.
     membership: Membership,
@@ -89,7 +90,7 @@
     autoscaler: Autoscaler,
     /// The latest statuses of the other controllers.
     peers: Peers,
-    /// Counts of what was examined.
+    /// Counts of the items that this controller has examined.
     work_counters: WorkCounters,
 }
 
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Handles one event at time `now`, and returns the effects to carry out, in order. A time before that of
-    /// an earlier event counts as that one.
+    /// Handles one event at time `now`, and returns the effects to carry out, in order. A `now`
+    /// earlier than that of a previous event is replaced by the latter.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -144,7 +145,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due by time. The order matters: later steps rest on what earlier ones have found.
+    /// Runs the periodic steps. The order matters: later steps depend on the results of earlier
+    /// ones.
     fn on_tick(&mut self) {
         self.renew_membership();
         self.poll_watch();
@@ -166,7 +168,7 @@
         self.reconcile_fleet();
     }
 
-    /// Whether this controller is the leader, as far as it knows.
+    /// Whether this controller believes that it is the leader.
     #[must_use]
     pub fn is_leading(&self) -> bool {
         self.leading().is_some()
@@ -178,7 +180,7 @@
         &self.work_counters
     }
 
-    /// How many machines of the shards that it holds this controller knows.
+    /// How many machines this controller knows in the shards that it holds.
     #[must_use]
     pub fn machines_held(&self) -> usize {
         let held = |machine: &&Machine| self.token_for(&machine.shard).is_some();
--- a/src/controller/nominations.rs
+++ b/src/controller/nominations.rs
@@ -1,7 +1,7 @@
-//! Nominations: machines on which tasks are being preempted, or a gang's room is kept, for a job.
-//! Jobs of lower priority may not take the resources meanwhile.
+//! Nominations: machines on which tasks are being preempted, or capacity for a gang is kept, for a
+//! job. Jobs of lower priority may not take the resources in the meantime.
 //!
-//! A nomination lapses with time, so that a job which never takes its machines does not block them.
+//! A nomination expires, so that a job which never uses its machines does not block them.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -10,7 +10,7 @@
 /// All nominations, by job and by machine.
 #[derive(Debug, Default)]
 pub(super) struct Nominations {
-    /// The nomination of each job; those that lapsed are included until they are removed.
+    /// The nomination of each job; expired ones are included until they are removed.
     pub(super) by_job: HashMap<JobId, Nomination>,
     /// The jobs that are nominated for each machine, the earliest first.
     jobs_by_machine: HashMap<MachineId, Vec<JobId>>,
@@ -19,11 +19,11 @@
 /// The machines that are kept for one job.
 #[derive(Debug)]
 pub(super) struct Nomination {
-    /// Room for one task is kept on each of these.
+    /// Resources for one task are kept on each of these.
     pub(super) machine_ids: Vec<MachineId>,
-    /// What one task takes.
+    /// The resources of one task.
     pub(super) resources: Resources,
-    /// When the nomination lapses.
+    /// When the nomination expires.
     pub(super) until: Millis,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A task of the job was placed on a machine that it was nominated for.
+    /// Removes a machine from a job's nomination, since a task of the job was placed there.
     pub(super) fn remove_machine(&mut self, job: &JobId, machine_id: &MachineId) {
         let Some(nomination) = self.by_job.get_mut(job) else {
             return;
@@ -61,7 +61,7 @@
         self.unlink(machine_id, job);
     }
 
-    /// Gives up a job's nomination.
+    /// Removes a job's nomination.
     pub(super) fn remove(&mut self, job: &JobId) {
         let Some(nomination) = self.by_job.remove(job) else {
             return;
@@ -71,13 +71,13 @@
         }
     }
 
-    /// The machines that a job is nominated for; `None` if it has no nomination that still holds.
+    /// The machines that a job is nominated for; `None` if it has no valid nomination.
     pub(super) fn machines_for(&self, job: &JobId, now: Millis) -> Option<&[MachineId]> {
         let nomination = self.current(job, now)?;
         Some(&nomination.machine_ids)
     }
 
-    /// The jobs that are nominated for a machine, and what is kept for each.
+    /// The jobs that are nominated for a machine, and the resources that are kept for each.
     pub(super) fn jobs_on(
         &self,
         machine_id: &MachineId,
@@ -87,13 +87,14 @@
         jobs.filter_map(move |job| Some((job, self.current(job, now)?.resources)))
     }
 
-    /// A job's nomination, if it still holds.
+    /// A job's nomination, if it is still valid.
     fn current(&self, job: &JobId, now: Millis) -> Option<&Nomination> {
         self.by_job
             .get(job)
             .filter(|nomination| nomination.until > now)
     }
 
+    /// Removes a job from the list of those nominated for a machine.
     fn unlink(&mut self, machine_id: &MachineId, job: &JobId) {
         if let Some(jobs) = self.jobs_by_machine.get_mut(machine_id) {
             jobs.retain(|other| other != job);
