--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -1,4 +1,4 @@
-//! The status of another controller, applied to what we know.
+//! Applies the status of another controller to this controller's state.
 
 use super::PeerStatus;
 use crate::admission::shared::AdmissionReport;
@@ -64,7 +64,8 @@
         self.commits.admission.reports.insert(from.clone(), report);
     }
 
-    /// Another controller holds a shard under a higher token than we know of: it is ours no more.
+    /// Another controller holds a shard under a higher token than the one known here: this
+    /// controller no longer holds it.
     fn apply_shard_tokens(&mut self, holder: &ControllerId, shards: Vec<(String, u64)>) {
         for (shard, token) in shards {
             let Some(shard) = ShardId::parse(&shard) else {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes over the description of a machine, unless its shard is ours.
+    /// Applies a peer's description of a machine, unless the machine's shard is ours.
     fn apply_machine_view(&mut self, from: &ControllerId, view: MachineView) {
         let now = self.now;
         let shards_per_zone = self.settings.operator.shards_per_zone;
@@ -112,8 +113,8 @@
             .push(machine.machine_id.clone());
     }
 
-    /// Takes over what changes all the time of a machine, unless its shard is ours. Returns the
-    /// machine if that lets it take new tasks.
+    /// Applies the frequently changing part of a machine's state, unless the machine's shard is
+    /// ours. Returns the machine if that makes it schedulable.
     fn apply_machine_heartbeat(
         &mut self,
         from: &ControllerId,
@@ -123,8 +124,8 @@
         let machine_id = MachineId::from(heartbeat.machine_id.as_str());
         let heard = now - Millis(heartbeat.silent_ms);
         let Some(machine) = self.machines.get_mut(&machine_id) else {
-            // A machine that we know nothing of yet is described soon. Until then it must not be
-            // taken for one that its holder never heard.
+            // A machine that is unknown here will be described soon. Until then it must not be
+            // mistaken for one that has never sent a heartbeat to its holder.
             self.contact.relayed_heartbeats.insert(machine_id, heard);
             return None;
         };
@@ -137,14 +138,14 @@
         machine.last_contact_by = from.clone();
         let agent_epoch = AgentEpoch(heartbeat.agent_epoch);
         if agent_epoch != machine.agent_epoch {
-            // The sequence number that we know is of another agent epoch.
+            // The sequence number that we have belongs to another agent epoch.
             machine.agent_epoch = agent_epoch;
             machine.heartbeat_sequence = 0;
         }
         machine.reachability.set_by_holder(!heartbeat.doubtful, now);
         machine.termination_announced = heartbeat.warned;
         if machine.quarantined && !heartbeat.quarantined {
-            // The jobs were faulty, not the machine.
+            // The jobs were at fault, not the machine.
             self.autoscaler.drains.remove(&machine_id);
         }
         if heartbeat.quarantined && !machine.quarantined {
--- a/src/controller/peer_messages/mod.rs
+++ b/src/controller/peer_messages/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers: a status once a second, forwarded jobs, requests to preempt.
 //!
-//! [`Peers`] owns what the others said last and what they were told. `incoming_status` applies the
-//! status of another controller, `outgoing_status` builds our own.
+//! [`Peers`] owns the last statuses of the other controllers and what was last sent to them.
+//! `incoming_status` applies the status of another controller, `outgoing_status` builds our own.
 
 mod incoming_status;
 mod outgoing_status;
@@ -13,31 +13,31 @@
 use crate::peers::Message;
 use crate::types::{ControllerId, JobId, MachineId, Millis, Revision};
 
-/// What another controller said holds for this long: a status comes every second, and two of them
-/// may be lost.
+/// The status of another controller is valid for this long: one arrives every second, and two of
+/// them may be lost.
 const PEER_STATUS_TTL: Millis = Millis(3_000);
 
-/// What another controller said last.
+/// The content of another controller's last status.
 #[derive(Debug)]
 pub(super) struct PeerStatus {
     /// When its status arrived.
     pub(super) received_at: Millis,
-    /// How new its cache was.
+    /// The revision that its cache had reached.
     pub(super) revision: Revision,
-    /// How long it had been without the key-value store.
+    /// How long the key-value store had not answered it.
     pub(super) without_store: Millis,
-    /// Whether workers reach it.
+    /// Whether workers' heartbeats reach it.
     pub(super) receives_heartbeats: bool,
 }
 
-/// The other controllers, as far as their messages tell.
+/// The other controllers, as known from their messages.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     /// The last status of each.
     pub(super) statuses: HashMap<ControllerId, PeerStatus>,
     /// When we last sent ours.
     status_sent_at: Millis,
-    /// The hash of each machine's description as the others were sent it last.
+    /// The hash of each machine's description as it was last sent to the others.
     announced: HashMap<MachineId, u64>,
 }
 
@@ -82,16 +82,16 @@
         }
     }
 
-    /// Another controller can't place a job. One that is queued here already keeps its position:
-    /// it must not be tried sooner than its backoff allows.
+    /// Handles a job that another controller cannot place. A job that is queued here already keeps
+    /// its position: it must not be tried sooner than its backoff allows.
     fn on_unplaced(&mut self, job: &JobId) {
         if self.leading().is_some() && !self.scheduler.queue.contains(job) {
             self.accept_forwarded(job);
         }
     }
 
-    /// Queues a job that was forwarded to us; as soon as it is known, if the message was faster
-    /// than the watch.
+    /// Queues a job that was forwarded to us. If the message was faster than the watch, it is
+    /// queued as soon as its record arrives.
     pub(super) fn accept_forwarded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             self.scheduler.forwarded_early.insert(id.clone(), self.now);
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -10,18 +10,20 @@
 use crate::types::{MachineId, Millis};
 use crate::workers::Machine;
 
+/// Time between statuses.
 const STATUS_INTERVAL: Millis = Millis(1_000);
-/// A peer's heartbeats of a machine that no peer described within this time are of no use.
+/// Heartbeats that a peer reported of a machine are dropped if no peer described the machine within
+/// this time.
 const RELAYED_HEARTBEAT_TTL: Millis = Millis(120_000);
 /// Each machine is described again once in this many statuses, whether it changed or not, since a
 /// message may be lost.
 const DESCRIPTION_ROUNDS: u64 = 8;
-/// Machines that the leader wants drained stay so for this long after its last status.
+/// Machines that the leader wants drained remain so for this long after its last status.
 const DRAIN_TTL: Millis = Millis(15_000);
 
 impl Peers {
-    /// Whether a machine is to be described in this round: it changed since the others were told,
-    /// or it has its turn.
+    /// Whether a machine is to be described in this round: it has changed since it was last
+    /// described, or its turn has come.
     fn is_description_due(&mut self, machine: &Machine, round: u64) -> bool {
         // A sum, so that the order of the images makes no difference.
         let images = machine
@@ -49,7 +51,7 @@
         self.send_to_all(&Message::Status(status));
     }
 
-    /// Forgets which machines the leader wants drained, once it was silent for long.
+    /// Clears the machines that the leader wants drained, after a long time without its status.
     fn expire_drains(&mut self) {
         if self.leading().is_none()
             && !self.autoscaler.drains.is_empty()
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Our status as of now.
     fn status(&mut self) -> Status {
         let report = self.commits.admission.reports.get(&self.me).copied();
         let report = report.unwrap_or_default();
@@ -94,6 +97,7 @@
             .filter(|machine| self.token_for(&machine.shard) == Some(machine.worker_token.token()))
     }
 
+    /// The frequently changing part of a machine's state.
     fn machine_heartbeat(&self, machine: &Machine) -> MachineHeartbeat {
         MachineHeartbeat {
             machine_id: machine.machine_id.to_string(),
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Descriptions of the machines that changed, and of those whose turn it is.
+    /// Descriptions of the machines that changed, and of those whose turn has come.
     fn due_machine_views(&mut self) -> Vec<MachineView> {
         let round = self.now.0 / STATUS_INTERVAL.0 % DESCRIPTION_ROUNDS;
         let leases = &self.membership.leases;
@@ -122,22 +126,22 @@
         views
     }
 
-    /// The machines that the leader wants emptied; of any other controller none.
+    /// The machines that the leader wants drained; empty on any other controller.
     fn machines_to_drain(&self) -> Vec<String> {
         if self.leading().is_none() {
             return Vec::new();
         }
         let fleet = &self.autoscaler.fleet;
-        // What is placed on a machine that is being deleted fails at once: its holder must place
-        // nothing there either.
+        // Tasks placed on a machine that is being deleted fail immediately, so its holder must not
+        // place any there either.
         let gone = fleet.gone.iter();
         let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
         let leaving = fleet.deleting.union(&self.autoscaler.drains).chain(gone);
         leaving.map(MachineId::to_string).collect()
     }
 
-    /// Drops heartbeats of machines that are known now, or were never described, and the
-    /// descriptions of machines that are known no more.
+    /// Drops relayed heartbeats of machines that are known now, or that were not described within
+    /// [`RELAYED_HEARTBEAT_TTL`], and the descriptions of machines that are no longer known.
     fn forget_unknown_machines(&mut self) {
         let (known, now) = (&self.machines, self.now);
         self.contact.relayed_heartbeats.retain(|machine_id, heard| {
@@ -149,6 +153,7 @@
     }
 }
 
+/// The description of a machine that peers get.
 fn machine_view(machine: &Machine) -> MachineView {
     MachineView {
         machine_id: machine.machine_id.to_string(),
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -19,7 +19,7 @@
             return false;
         };
         if !job.is_active() || job.waiting_tasks() == 0 || job.commit_state != CommitState::Idle {
-            // A job that is being written is queued again when the store answers.
+            // A job whose transaction is in flight is queued again when the store answers.
             return false;
         }
         let key = self.queue_key(job);
@@ -60,9 +60,10 @@
         }
     }
 
-    /// Looks for a start that is faster than fetching the image to our machines. A fetch takes far
-    /// longer than the way over the leader, or than preempting: where our shards lack the image,
-    /// the job is placed where the image is, and for an urgent job tasks are preempted there.
+    /// Tries to start the job faster than by fetching its image to our machines. A fetch takes far
+    /// longer than forwarding by way of the leader, or than preemption: where our shards lack the
+    /// image, the job is placed where the image is cached, and for an urgent job tasks are
+    /// preempted there.
     ///
     /// Returns whether that ends the cycle.
     fn try_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
@@ -73,7 +74,7 @@
         let gang = job.is_gang_of_several();
         let leading = self.leading().is_some();
         if gang && leading {
-            // The ordinary cycle looks over the whole fleet already.
+            // The ordinary cycle considers the whole fleet already.
             return false;
         }
         if self.has_cached_capacity(id, MachineScope::Own) {
@@ -98,7 +99,7 @@
         false
     }
 
-    /// As the leader, treats a job as one that does not fit our shards: another controller's
+    /// As the leader, treats a job as one that does not fit our shards, since another controller's
     /// machines have its image.
     fn forward_for_faster_start(&mut self, id: &JobId, key: QueueKey) {
         let checks = BTreeSet::from([Check::Resources]);
@@ -109,8 +110,9 @@
         self.handle_unplaced(&job, checks, key);
     }
 
-    /// Has the leader look over the whole fleet, unless the leader has forwarded the job to us. The
-    /// job backs off meanwhile; if nothing comes of it, the job is tried here after all.
+    /// Returns the job to the leader, which considers the whole fleet, unless the leader has
+    /// forwarded the job to us. In the meantime the job backs off; if the leader does not place it,
+    /// it is tried here.
     fn ask_leader_for_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
         if self.scheduler.forwarded.contains(id) || !self.return_to_leader(id) {
             return false;
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -11,8 +11,8 @@
 use crate::types::{Attempt, JobId, MachineId, Zone};
 
 impl Controller {
-    /// Reserves machines for all tasks of a gang. The leader sees the whole fleet, so a gang for
-    /// which no controller has room in its shards spans several controllers' shards.
+    /// Reserves machines for all tasks of a gang. The leader considers the whole fleet, so a gang
+    /// that fits into no single controller's shards spans several controllers' shards.
     pub(super) fn place_gang(&mut self, id: &JobId) -> Result<(), BTreeSet<Check>> {
         let Some(job) = self.jobs.get(id) else {
             return Ok(());
@@ -53,8 +53,8 @@
         Ok(Some(machine_ids.collect()))
     }
 
-    /// Reserves these machines for a gang, one for each task. Does nothing and returns false if one
-    /// of them will not do.
+    /// Reserves these machines for a gang, one for each task. Returns false without any effect if
+    /// one of them is unsuitable.
     fn reserve_gang_on(&mut self, id: &JobId, attempt: Attempt, machine_ids: &[MachineId]) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -72,14 +72,15 @@
         true
     }
 
-    /// Whether the machines are in one zone, if the gang asks for that.
+    /// Whether the machines are in one zone, if the gang requires that.
     fn zones_suit_gang(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
         let zone = |machine_id: &MachineId| self.machines.get(machine_id).map(|m| &m.zone);
         let first_zone = machine_ids.first().and_then(zone);
         !job.spec.one_zone || machine_ids.iter().all(|other| zone(other) == first_zone)
     }
 
-    /// Whether each of the machines has room for one task of the gang, and is open to it.
+    /// Whether each of the machines is allowed for the gang and has the resources for one of its
+    /// tasks.
     fn all_fit(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
         let raise_for = Some(job.record.tasks);
         let request = PlacementRequest::new(job, self.shards_without_quota(job, raise_for));
@@ -99,8 +100,8 @@
         machine_ids.iter().all(fits)
     }
 
-    /// Places the tasks one after the other; if one finds no machine, the placements of the others
-    /// are given up. A gang that asks for one zone tries them in turn.
+    /// Places the tasks one after the other. If one fits on no machine, the placements of the
+    /// others are cancelled. A gang that requires a single zone tries the zones in turn.
     fn place_gang_task_by_task(
         &mut self,
         id: &JobId,
@@ -122,7 +123,7 @@
             let placed = (0..tasks).try_for_each(|index| {
                 let query = MachineQuery {
                     zone: zone.as_ref(),
-                    // The tasks that are still to come have to fit within the limit.
+                    // The remaining tasks have to fit within the limit.
                     raise_for: query.raise_for.map(|tasks| tasks - index),
                     ..query
                 };
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -4,7 +4,7 @@
 //! - `cycle`: one cycle, from the checks before it to what follows a placement;
 //! - `single_task`: machines for tasks that are placed one by one;
 //! - `gang`: machines for all tasks of a gang at once;
-//! - `unplaced`: what follows if no machine will do (preemption, forwarding, parking).
+//! - `unplaced`: what follows if no machine is suitable (preemption, forwarding, parking).
 //!
 //! Placements are noted in the job cache; `commits` writes them.
 
@@ -20,22 +20,23 @@
 use crate::queue::{PoppedJob, QueueRank};
 use crate::types::{Attempt, JobId, Millis};
 
-/// Cycles of one run of the loop. The queue may be long, and other events have to wait meanwhile.
+/// Maximum number of cycles in one run of the loop. The queue may be long, and other events wait
+/// for the loop.
 const MAX_CYCLES_PER_RUN: usize = 64;
-/// Placements may wait for this many seconds of our part of the store's write limit. What cannot
-/// be written sooner is better decided later: by then more is known, and more important work goes
-/// first.
+/// Placements may wait for this many seconds of our part of the store's write limit. Decisions that
+/// cannot be written sooner are better made later: more is known by then, and more important work
+/// goes first.
 const MAX_WRITE_QUEUE_S: f64 = 0.5;
-/// Placements that may wait at any rate, so that a low write limit does not stop the loop.
+/// Number of placements that may always wait, so that a low write limit does not stop the loop.
 const MIN_PENDING_PLACEMENTS: f64 = 4.0;
 /// Writes count as short for this long after they stopped the loop, so that the mode does not
 /// change with each write.
 const WRITE_SHORTAGE_HOLD: Millis = Millis(1_000);
-/// Best-effort jobs avoid empty machines for this long after this controller first saw them: then
-/// they have to start.
+/// Best-effort jobs avoid empty machines for this long after this controller first saw them; after
+/// that they must be able to start.
 const MAX_EMPTY_MACHINE_AVOIDANCE: Millis = Millis(30_000);
 
-/// One try to place one task of a job.
+/// One attempt to place one task of a job.
 #[derive(Clone, Copy, Debug)]
 struct TaskAttempt {
     index: u32,
@@ -43,7 +44,7 @@
 }
 
 impl TaskAttempt {
-    /// The try that follows the attempts which were made of a task.
+    /// The attempt that follows `tried` for the task.
     fn after(index: u32, tried: Attempt) -> Self {
         Self {
             index,
@@ -52,11 +53,11 @@
     }
 }
 
-/// The cycles that are left in a run of the loop.
+/// The number of cycles that remain in a run of the loop.
 struct CycleBudget(usize);
 
 impl CycleBudget {
-    /// Takes one cycle; false if none is left.
+    /// Uses one cycle; false if none remains.
     fn take(&mut self) -> bool {
         let left = self.0.checked_sub(1);
         self.0 = left.unwrap_or(0);
@@ -65,9 +66,9 @@
 }
 
 impl Controller {
-    /// Whether a job may not use empty machines for now. Best-effort work that fills them delays
-    /// urgent jobs, which have to wait until it has saved: it takes an empty machine only while
-    /// there are more than urgent work needs, or to start at all.
+    /// Whether a job must not use empty machines for now. Best-effort work on them delays urgent
+    /// jobs, which have to wait until it has saved its checkpoint: it gets an empty machine only
+    /// while there are more than urgent work needs, or when it has waited too long to start.
     pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
         job.spec.priority == PriorityClass::BestEffort
             && !self.scheduler.candidates.spare_empty_machines
@@ -85,12 +86,13 @@
         self.commit_placed_jobs();
     }
 
-    /// Whether writes to the store are short: they stopped the loop a moment ago.
+    /// Whether writes to the store are scarce: they stopped the loop recently.
     pub(super) fn writes_are_short(&self) -> bool {
         self.now < self.commits.writes_short_until
     }
 
-    /// Runs cycles for the jobs that go first, as long as their placements can be written soon.
+    /// Runs cycles for the jobs at the head of the queue, as long as their placements can be
+    /// written soon.
     fn place_queued_jobs(&mut self, budget: &mut CycleBudget) {
         let max_pending = self.max_pending_placements();
         while budget.take() {
@@ -100,7 +102,8 @@
                 }
                 return;
             }
-            // Resources go by priority. While writes are what is short, they go by floors.
+            // Resources are shared by priority, but while writes are scarce, writes are shared by
+            // floors.
             let by_floors = self.writes_are_short();
             let popped = if by_floors {
                 self.scheduler.queue.pop_by_floors()
@@ -108,7 +111,7 @@
                 self.scheduler.queue.pop()
             };
             let Some(popped) = popped else { return };
-            // Another task of the job that was placed last goes into the same write.
+            // Another task of the job that was placed last is part of the same write.
             let needs_write = self.commits.noted_jobs.last() != Some(&popped.id);
             let placed = self.run_cycle(&popped);
             if by_floors && needs_write && placed {
@@ -125,10 +128,12 @@
         writes.max(MIN_PENDING_PLACEMENTS) as usize
     }
 
+    /// How many placements wait for their write.
     fn pending_placements(&self) -> usize {
         self.commits.backlog.overdue_in(Lane::Placements, self.now) + self.commits.noted_jobs.len()
     }
 
+    /// Counts a cycle against the floors of the job's class and team.
     fn charge_floors(&mut self, popped: &PoppedJob) {
         if let Some(job) = self.jobs.get(&popped.id) {
             let flow = self.commits.flows.of(&job.spec);
@@ -136,8 +141,8 @@
         }
     }
 
-    /// Places more tasks of the jobs that wait for a write: they go into the same one. They take
-    /// resources, though, so jobs that rank below the first active one may not get ahead of it.
+    /// Places more tasks of the jobs that wait for a write, since they become part of the same
+    /// write. They also take resources, so a job that ranks below the first active one is left out.
     fn extend_pending_placements(&mut self, budget: &mut CycleBudget) {
         let first_rank = self.scheduler.queue.first_key().map(|key| key.rank());
         for id in self.commits.backlog.placing() {
@@ -152,11 +157,12 @@
         }
     }
 
+    /// A job's rank in the queue.
     fn rank(&self, id: &JobId) -> Option<QueueRank> {
         self.jobs.get(id).map(|job| self.queue_key(job).rank())
     }
 
-    /// Hands the placements of this run to the commits. Tasks of one job are committed together.
+    /// Passes the placements of this run to the commits. Tasks of one job are committed together.
     fn commit_placed_jobs(&mut self) {
         for id in std::mem::take(&mut self.commits.noted_jobs) {
             self.commit(&id);
--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -13,7 +13,8 @@
 use crate::settings::TeamSettings;
 use crate::types::{JobId, MachineId, Resources};
 
-/// Tasks that follow one onto its machine in the same cycle. Commits stay small.
+/// Maximum number of tasks that are placed on the machine of another task in the same cycle, which
+/// limits the size of commits.
 const MAX_FILLING_TASKS: usize = 64;
 
 impl Controller {
@@ -49,6 +50,7 @@
         self.limits(job).iter().all(within)
     }
 
+    /// Reserves a machine for the next task of a job.
     fn place_next_task(&mut self, id: &JobId) -> Result<(), BTreeSet<Check>> {
         let next = self.jobs.get(id).map(|job| job.next_waiting(1));
         let Some((index, tried)) = next.unwrap_or_default().first().copied() else {
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Where shards' quota allocations are used up, the leader places a task beyond them, as far as
-    /// the team's limit goes. `checks` rejected our own machines.
+    /// Where shards' quota allocations are used up, the leader places a task beyond them, within
+    /// the team's limit. `checks` rejected our own machines.
     fn place_beyond_allocation(
         &mut self,
         id: &JobId,
@@ -81,7 +83,7 @@
         }
         match self.choose_machine(id, MachineQuery::within(MachineScope::Others)) {
             Err(more) => checks.extend(more),
-            // A machine of another controller will do: the job is forwarded there.
+            // A machine of another controller is suitable: the job is forwarded there.
             Ok(_) => return Err(checks),
         }
         if !checks.contains(&Check::ShardQuota) {
@@ -96,8 +98,8 @@
     }
 
     /// Places further tasks of an array on the machine that was just chosen for one, as long as
-    /// cycles of their own would choose it again. A cycle looks at the whole index, and an array
-    /// may have 25,000 tasks.
+    /// separate cycles would choose it again. A cycle searches the whole index, and an array may
+    /// have 25,000 tasks.
     fn fill_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let waiting = self
             .jobs
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Whether a cycle would choose the machine again that the last one chose: its score is no
-    /// lower than it was, and no other machine's score has changed.
+    /// Whether a cycle would choose the machine of the last cycle again: its score is no lower than
+    /// before, and no other machine's score has changed.
     fn would_choose_again(&self, id: &JobId, machine_id: &MachineId) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(machine_id)) else {
             return false;
@@ -149,8 +151,8 @@
         Ok(machine_id)
     }
 
-    /// Notes the placement of a task on a machine. The task counts against the machine and its team
-    /// from now on; the placement is written by a commit.
+    /// Notes the placement of a task on a machine. From now on the task counts towards the usage of
+    /// the machine and its team; a commit writes the placement.
     pub(super) fn reserve_on(&mut self, id: &JobId, task: TaskAttempt, machine_id: MachineId) {
         let (Some(machine), Some(job)) = (self.machines.get(&machine_id), self.jobs.get(id)) else {
             return;
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -1,5 +1,5 @@
-//! What follows a cycle in which no machine of our shards would do: preemption, another
-//! controller's machines by way of the leader, or the queue.
+//! Handles a job for which no machine of our shards was suitable: preemption, another controller's
+//! machines by way of the leader, or the queue.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +11,21 @@
 use crate::queue::{Check, PoppedJob, QueueKey};
 use crate::types::JobId;
 
-/// What is done for a job that does not fit our shards.
+/// The action taken for a job that does not fit our shards.
 enum Remedy {
-    /// Tasks are being preempted: the job takes their place.
+    /// Tasks are being preempted, and the job will take their place.
     Preempting,
-    /// A controller that has room for it was told to place it.
+    /// The job was forwarded to a controller that has the resources for it.
     Forwarded,
-    /// The job went back to the leader, and is not ours to place any more.
+    /// The job was returned to the leader, and is no longer ours to place.
     Returned,
-    /// Nothing: the job was rejected by these checks.
+    /// No action: the job was rejected by these checks.
     None(BTreeSet<Check>),
 }
 
 impl Controller {
-    /// Decides what follows when no machine of ours will do for a job's next task, or for a gang.
+    /// Decides how to proceed when no machine of ours is suitable for a job's next task, or for a
+    /// gang.
     pub(super) fn handle_unplaced(
         &mut self,
         popped: &PoppedJob,
@@ -33,7 +34,7 @@
     ) {
         let PoppedJob { id, failures } = popped;
         let failures = *failures;
-        // More room is of no use to a job that has to wait for its team or for its own tasks.
+        // More resources do not help a job that has to wait for its team or for its own tasks.
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
         tracing::debug!(job = %id, fails = failures, ?checks, "job does not fit own shards");
         let nominated = self
@@ -55,22 +56,23 @@
                 self.scheduler.forwarded.remove(id);
                 return;
             }
-            // It backs off only, so that it is soon tried again in case the other fails.
+            // It only backs off, so that it is tried again soon in case the other controller fails.
             Remedy::Forwarded => BTreeSet::new(),
             Remedy::None(checks) => checks,
         };
         if nominated && self.reclaims_per_task(id) {
-            // Its resources are being released on some machine: that is no failure.
+            // Its resources are being released on some machine, so this is not a failure.
             let now = self.now;
             return self.scheduler.queue.park_nominated(id, failures, key, now);
         }
-        // A job within its share of the quota tree asks again soon: others hold what is its own.
+        // A job within its entitlement in the quota tree is tried again soon, since other teams
+        // borrow its resources.
         let entitled = !key.beyond_guarantee && self.reclaims_per_task(id);
         let failures = if entitled { 0 } else { failures };
         self.requeue(id, failures, checks, key);
     }
 
-    /// Looks for a way to place a job that our machines rejected by these checks.
+    /// Looks for a way to place a job that these checks rejected on our machines.
     fn find_remedy(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Remedy {
         if self.serve_preemption_request(id) {
             return Remedy::Preempting;
@@ -79,7 +81,7 @@
             return self.return_unless_owned(id, checks);
         }
         if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
-            // The whole fleet was tried in the cycle already.
+            // The cycle has already considered the whole fleet.
             return if self.preempt_for_gang(id) {
                 Remedy::Preempting
             } else {
@@ -95,8 +97,8 @@
         requested.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id)))
     }
 
-    /// Tells the leader that a job does not fit our shards. The owner of a job tries it again all
-    /// the same; another controller leaves it to the leader.
+    /// Reports to the leader that a job does not fit our shards. The owner of a job also retries
+    /// it; another controller leaves it to the leader.
     fn return_unless_owned(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Remedy {
         if !self.return_to_leader(id) {
             return Remedy::None(checks);
@@ -129,7 +131,7 @@
             }
             Err(more) => {
                 checks.extend(more);
-                // Where only quota is used up, room is of no use.
+                // If only quota is missing, freeing resources does not help.
                 if !checks.contains(&Check::ShardQuota)
                     && self.preempt(id, PreemptionScope::Anywhere)
                 {
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Tells the leader that a job does not fit our shards. Returns false if no leader is known.
+    /// Reports to the leader that a job does not fit our shards. Returns false if no leader is
+    /// known.
     pub(super) fn return_to_leader(&mut self, id: &JobId) -> bool {
         let Some(to) = self.leader().cloned() else {
             return false;
--- a/src/controller/preemption/cost.rs
+++ b/src/controller/preemption/cost.rs
@@ -6,41 +6,42 @@
 use crate::quota;
 use crate::types::Millis;
 
-/// A job within its team's guarantee may stop another team's service replicas after it waited this
-/// long: users notice stopped replicas, and array tasks usually make room sooner.
+/// A job within its team's guarantee may stop another team's service replicas after it has waited
+/// this long: users notice stopped replicas, and array tasks usually free resources sooner.
 const REPLICA_PREEMPTION_DELAY: Millis = Millis(20_000);
 
-/// Seconds that the restart of a task takes besides its fetch.
+/// Seconds that the restart of a task takes in addition to its image fetch.
 const RESTART_S: f64 = 2.0;
-/// Seconds that stopping a task takes besides its save.
+/// Seconds that stopping a task takes in addition to saving its checkpoint.
 const STOP_OVERHEAD_S: f64 = 5.0;
-/// A task without checkpoints is taken to have done so much work at least.
+/// Lower bound, in seconds, of the work that a task without checkpoints is assumed to lose.
 const MIN_LOST_WORK_S: f64 = 120.0;
-/// Seconds in which a job is taken to be due that has no objective.
+/// Seconds within which a job without an objective is assumed to be due.
 const DEFAULT_DUE_S: f64 = 600.0;
 /// Weight of the work of a job that is not late at all.
 const BASE_LATENESS: f64 = 0.5;
 
-/// The job that room is made for.
+/// The job for which resources are freed.
 #[derive(Clone, Copy)]
 pub(super) struct Preemptor<'a> {
     /// The job.
     pub(super) job: &'a Job,
-    /// What it would place next lies within its team's guarantee.
+    /// Whether its next placement is within its team's guarantee.
     pub(super) within_guarantee: bool,
 }
 
 /// On what grounds a task may be stopped for a job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Preemptibility {
-    /// By priority, or by the teams' flat guarantees: whatever the quota tree says.
+    /// Whether it may be stopped by priority or by the teams' flat guarantees, regardless of the
+    /// quota tree.
     pub(super) unconditional: bool,
-    /// As far as the quota tree allows, which the ledger judges.
+    /// Whether it may be stopped as far as the quota tree allows, which the ledger decides.
     pub(super) by_quota_tree: bool,
 }
 
 impl Controller {
-    /// The job as one that room is made for.
+    /// The job as one for which resources are freed.
     pub(super) fn preemptor<'a>(&self, job: &'a Job) -> Preemptor<'a> {
         Preemptor {
             job,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether a job's team still uses its whole flat guarantee when one task of it has left.
+    /// Whether a job's team still uses its whole flat guarantee after one task of the job has left.
     fn exceeds_flat_guarantee(&self, job: &Job) -> bool {
         self.settings.team(&job.spec.team).is_some_and(|team| {
             let left = self.jobs.usage(&team.name).minus(job.spec.resources);
@@ -78,9 +79,9 @@
         teams.any(|team| !quota::within_guarantee(self.jobs.usage(&team.name), team))
     }
 
-    /// Seconds of a machine's time that stopping a task wastes: its save, or its work so far, and
-    /// its restart. Tasks of jobs that are late, or long, count for more, since they can afford it
-    /// least.
+    /// Seconds of a machine's time that stopping a task wastes: its checkpoint, or its work so far,
+    /// and its restart. Tasks of late or long jobs count for more, since a further delay harms them
+    /// most.
     pub(in crate::controller) fn wasted_machine_s(&self, victim: &Job) -> f64 {
         let spec = &victim.spec;
         let capacity = self
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -1,11 +1,11 @@
-//! Preemption, the post-filter of the cycle: stops tasks so that a task, or a gang, finds room, and
-//! nominates the job for the machines, so that nobody of lower priority takes the room.
+//! Preemption, the post-filter of the cycle: stops tasks so that a task, or a gang, fits, and
+//! nominates the job for the machines, so that no job of lower priority takes the resources.
 //!
 //! - `cost`: which tasks may be stopped, and how much work that wastes;
-//! - `sites`: the machines on which room could be made.
+//! - `sites`: the machines on which resources could be freed.
 //!
-//! The leader looks at the whole fleet. On machines of other controllers' shards it leaves the
-//! stopping to the controller that holds the shard.
+//! The leader considers the whole fleet. On machines of other controllers' shards, the controller
+//! that holds the shard stops the tasks.
 
 mod cost;
 mod sites;
@@ -22,28 +22,29 @@
 use crate::types::{JobId, MachineId, Millis, TaskId, Zone};
 use crate::workers::reconcile::Stop;
 
-/// How long room is kept for the job that it was made for: enough for most tasks to save and leave.
+/// How long freed resources are kept for a job: enough for most tasks to save and leave.
 const NOMINATION_TIMEOUT: Millis = Millis(20_000);
 
-/// Where room may be made.
+/// Where resources may be freed.
 pub(super) enum PreemptionScope {
     /// On this machine of ours.
     On(MachineId),
-    /// Where the job would start soonest, if that is by stopping work rather than by a fetch.
+    /// Where the job would start soonest, if that takes stopping work rather than an image fetch.
     Quickest,
     /// Anywhere in the fleet.
     Anywhere,
 }
 
-/// How room is made for a job.
+/// How resources are freed for a job.
 enum PreemptionPlan {
-    /// Tasks are stopped: room for one task of the job on each of these machines.
+    /// Tasks are stopped, which frees resources for one task of the job on each of these machines.
     Preempt(Vec<PreemptionOffer>),
-    /// Tasks are stopped on one machine, and the rest of the room comes as other tasks there end.
+    /// Tasks are stopped on one machine, and the other resources become available as other tasks
+    /// there end.
     Reclaim(MachineReservation),
 }
 
-/// What the holder of a machine is told when room is to be made there.
+/// The request to the holder of a machine on which resources are to be freed.
 #[derive(Clone, Copy)]
 enum HolderRequest {
     /// Take the job over, and preempt on the machine if it does not fit otherwise.
@@ -53,8 +54,8 @@
 }
 
 impl Controller {
-    /// Stops tasks where that wastes least, and keeps their room for the job. Returns whether room
-    /// is being made.
+    /// Stops tasks where that wastes least, and keeps their resources for the job. Returns whether
+    /// resources are being freed.
     pub(super) fn preempt(&mut self, id: &JobId, scope: PreemptionScope) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Decides where to free resources for a job, and how; `None` if there is no way.
     fn plan_preemption(&self, job: &Job, scope: &PreemptionScope) -> Option<PreemptionPlan> {
         let preemptor = self.preemptor(job);
         let resources = job.spec.resources;
@@ -102,7 +104,7 @@
         Some(PreemptionPlan::Preempt(offers))
     }
 
-    /// Makes room for one task of a job on each of these machines.
+    /// Frees resources for one task of a job on each of these machines.
     fn preempt_on(&mut self, id: &JobId, offers: Vec<PreemptionOffer>) -> bool {
         let request = if offers.len() > 1 {
             HolderRequest::MakeRoom
@@ -121,7 +123,7 @@
         true
     }
 
-    /// Makes room for all tasks of a gang. Returns whether room is being made.
+    /// Frees resources for all tasks of a gang. Returns whether resources are being freed.
     pub(super) fn preempt_for_gang(&mut self, id: &JobId) -> bool {
         let Some(offers) = self.gang_offers(id) else {
             return false;
@@ -135,8 +137,8 @@
         true
     }
 
-    /// Nominates a job for a machine until then, and has tasks stopped there: by its holder, unless
-    /// that is this controller.
+    /// Nominates a job for a machine until `until`, and has tasks stopped there, by the machine's
+    /// holder if that is another controller.
     fn make_room_on(
         &mut self,
         id: &JobId,
@@ -177,9 +179,9 @@
         self.push_commands(machine_id);
     }
 
-    /// Where a gang would start soonest, all in one zone if it asks for that: on machines that
-    /// have room, and on those where stopping tasks wastes less than a fetch. `None` if there are
-    /// too few.
+    /// Where a gang would start soonest, all in one zone if it requires that: on machines with
+    /// enough available resources, and on those where stopping tasks wastes less than a fetch.
+    /// `None` if there are too few.
     pub(super) fn gang_offers(&self, id: &JobId) -> Option<Vec<PreemptionOffer>> {
         let job = self.jobs.get(id)?;
         let (resources, tasks) = (job.spec.resources, job.record.tasks as usize);
@@ -197,8 +199,8 @@
         preempt::cheapest_set(offer_sets, tasks)
     }
 
-    /// The sites that a gang could use together: of each zone if it has to be in one, of all zones
-    /// otherwise.
+    /// The sites that a gang could use together: by zone if it requires a single one, otherwise in
+    /// one list.
     fn gang_sites_by_zone(
         &self,
         job: &Job,
@@ -221,6 +223,7 @@
 }
 
 impl HolderRequest {
+    /// The message that carries the request.
     fn message(self, job: &JobId, machine_id: &MachineId) -> Message {
         let (job, machine_id) = (job.to_string(), machine_id.to_string());
         match self {
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -1,6 +1,6 @@
-//! The machines on which room could be made for a job, and whom to stop there.
+//! The machines on which resources could be freed for a job, and the tasks to stop there.
 //!
-//! The search is bounded: full machines are many, and each has to be asked for its tasks.
+//! The search is bounded: there are many full machines, and the tasks of each have to be examined.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -15,24 +15,26 @@
 use crate::types::{JobId, MachineId, TaskId};
 use crate::workers::Machine;
 
-/// Machines of a group that are weighed against each other, unless a gang has more tasks.
+/// Maximum number of machines of a group that are compared with each other, unless a gang has more
+/// tasks.
 const MAX_SITES_OF_GROUP: usize = 64;
-/// Full machines of all groups together that are asked whether stopping tasks there makes room.
+/// Maximum number of full machines, over all groups, whose tasks are examined.
 const MAX_FULL_MACHINES: usize = 2_048;
-/// Full machines of each group that are asked at least, however many groups there are.
+/// Minimum number of full machines of each group whose tasks may be examined, however many groups
+/// there are.
 const MIN_FULL_MACHINES_OF_GROUP: usize = 64;
 
 /// Sites by machine.
 type SitesByMachine<'a> = HashMap<&'a MachineId, PreemptionSite>;
 
-/// How far a search for sites goes.
+/// The bounds of a search for sites.
 pub(super) struct SiteSearch<'a> {
     preemptor: Preemptor<'a>,
-    /// Work of any priority may be stopped, since teams use more than their guarantees.
+    /// Whether work of any priority may be stopped, since teams use more than their guarantees.
     reclaims_borrowed: bool,
-    /// Sites of a group that are enough.
+    /// Number of sites of a group after which the search ends.
     max_sites_of_group: usize,
-    /// Full machines of a group that are looked at.
+    /// Maximum number of full machines of a group that are examined.
     max_full_of_group: usize,
 }
 
@@ -67,8 +69,8 @@
         sites.collect()
     }
 
-    /// The bounds of a search for room for so many tasks in so many groups of machines. With a
-    /// quota tree all machines count, since its ledger weighs them against each other.
+    /// The bounds of a search for this many tasks in this many groups of machines. With a quota
+    /// tree all machines count, since its ledger compares them with each other.
     pub(super) fn site_search<'a>(
         &self,
         preemptor: Preemptor<'a>,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Sites of one group: machines with the job's image that have room, other machines that have
-    /// room, and full ones where enough can be stopped.
+    /// Sites of one group: machines with the job's image that have the resources available, other
+    /// machines that have them, and full ones where enough tasks can be stopped.
     pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<PreemptionSite> {
         let mut found = SitesByMachine::default();
         self.add_sites_with_room(search, group, &mut found);
@@ -101,6 +103,7 @@
         found.into_values().collect()
     }
 
+    /// Adds machines that have the resources available, those with the job's image first.
     fn add_sites_with_room<'a>(
         &'a self,
         search: &SiteSearch,
@@ -124,6 +127,7 @@
         }
     }
 
+    /// Adds full machines where enough tasks can be stopped.
     fn add_full_sites<'a>(
         &'a self,
         search: &SiteSearch,
@@ -157,12 +161,13 @@
         }
     }
 
-    /// A machine as a site: what is available there for the job, and who could be stopped.
+    /// A machine as a site: the resources available there for the job, and the tasks that could be
+    /// stopped.
     fn site(&self, preemptor: Preemptor, machine: &Machine) -> PreemptionSite {
         self.work_counters.sites.add(1);
         let job = preemptor.job;
         let available = self.available_for(machine, &job.id);
-        // Where the task fits as it is, nobody has to be stopped, except by shares of a quota tree.
+        // If the task fits already, no task has to be stopped, except by shares of a quota tree.
         let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
         let victims = self
             .jobs
@@ -181,8 +186,8 @@
         }
     }
 
-    /// A task as one that may be stopped for a job; `None` if it may not. Gangs are never stopped
-    /// in part.
+    /// A task as one that may be stopped for a job; `None` if it must not be. Gangs are never
+    /// stopped in part.
     fn victim(&self, preemptor: Preemptor, id: &JobId, index: u32) -> Option<Victim> {
         let task = TaskId {
             job: id.clone(),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -1,4 +1,4 @@
-//! Which jobs this controller queues, in which order, and which events wake those that are parked.
+//! Which jobs this controller queues, in which order, and which events wake parked jobs.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Queues a job if it has tasks to place and this controller is responsible for it. Clears up
+    /// Queues a job if it has tasks to place and this controller is responsible for it. Cleans up
     /// after a job that has ended.
     pub(super) fn update_queue_entry(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
@@ -60,20 +60,21 @@
         }
     }
 
+    /// Queues a job under its key; one whose last task failed backs off first.
     fn enqueue(&mut self, id: &JobId, key: QueueKey) {
         let last_task_failed = self.scheduler.failed_jobs.remove(id);
         if self.hold_back_crash_looping(id, key) {
             return;
         }
         if last_task_failed {
-            // Perhaps it fails on any machine: it backs off twice as long as after a failed cycle.
+            // It may fail on any machine: it backs off twice as long as after a failed cycle.
             self.requeue(id, 1, BTreeSet::new(), key);
         } else {
             self.scheduler.queue.push(id, key);
         }
     }
 
-    /// Backs a job off after a temporary error, whatever happens in the cluster meanwhile.
+    /// Backs a job off after a temporary error, regardless of events in the cluster.
     pub(super) fn back_off(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.is_active() && job.waiting_tasks() > 0 && self.is_responsible_for(job) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Brings a job back to the queue after so many failed cycles and one more, see
+    /// Returns a job to the queue after one more failed cycle than `failures`, see
     /// [`Queue::requeue_after_failure`](crate::queue::Queue::requeue_after_failure).
     pub(super) fn requeue(
         &mut self,
@@ -108,7 +109,7 @@
                 .changed_machines
                 .push(machine_id.clone());
         }
-        // The queue is taken out while the controller judges its jobs.
+        // The queue is moved out while the controller evaluates its jobs.
         let mut queue = std::mem::take(&mut self.scheduler.queue);
         let event_machine = self.event_machine(&event);
         queue.wake(self.now, |id, check| {
@@ -121,6 +122,7 @@
         self.scheduler.queue = queue;
     }
 
+    /// The machine that an event is about, if there is one and it is known.
     fn event_machine(&self, event: &ClusterEvent) -> Option<EventMachine<'_>> {
         let (ClusterEvent::MachineSchedulable(machine_id)
         | ClusterEvent::ResourcesReleased(machine_id)) = event
@@ -132,9 +134,9 @@
         Some(EventMachine { machine, available })
     }
 
-    /// Whether a job that was rejected for resources waits until all machines that it is nominated
-    /// for have room. A gang does; of other jobs any task may start, unless their room was made
-    /// without a quota tree.
+    /// Whether a job that was rejected for resources waits until it fits on all machines that it is
+    /// nominated for. A gang does; of other jobs any task may start, unless their resources were
+    /// freed without a quota tree.
     fn awaits_preemption(&self, job: &Job, check: Check) -> bool {
         let needs_all = job.is_gang_of_several() || self.quota.hierarchy.active_tree().is_none();
         if check != Check::Resources || !needs_all {
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -24,8 +24,8 @@
     /// node above it.
     ///
     /// With `raise`, the number of tasks to place, the leader may also place beyond an allocation:
-    /// it raises the allocation in the same transaction, as long as the limit has room for that
-    /// many tasks.
+    /// it raises the allocation in the same transaction, as long as the limit allows that many
+    /// tasks.
     pub(in crate::controller) fn shards_without_quota(
         &self,
         job: &Job,
@@ -53,7 +53,8 @@
         full
     }
 
-    /// Whether the leader may raise a team's allocations by what `tasks` tasks of a job take.
+    /// Whether the leader may raise a team's allocations by the resources of `tasks` tasks of a
+    /// job.
     fn may_raise_for(&self, team: &TeamSettings, job: &Job, tasks: u32) -> bool {
         let resources = job.spec.resources.times(f64::from(tasks));
         self.may_raise_allocations()
@@ -63,9 +64,9 @@
             )
     }
 
-    /// Whether this controller is the leader and knows everything that raising an allocation
-    /// depends on: all that was placed before any allocation last changed, and no change of an
-    /// allocation is in flight or of unknown outcome.
+    /// Whether this controller is the leader and its cache contains everything that raising an
+    /// allocation depends on: all placements made before any allocation last changed. No change of
+    /// an allocation may be in flight or of unknown outcome.
     pub(super) fn may_raise_allocations(&self) -> bool {
         self.leading().is_some()
             && self.quota.allocations_in_flight == 0
@@ -73,13 +74,13 @@
             && self.store_sync.synced
             && self.store_sync.applied >= self.store_sync.snapshot_end
             && self.store_sync.applied >= self.quota.allocations.newest()
-            // Placements conditioned on an earlier tree are all known, and no more can be applied.
+            // All placements conditioned on an earlier tree are known, and no more can be applied.
             && self.quota.hierarchy.is_settled()
             && self.store_sync.applied >= self.quota.hierarchy.active_version()
             && self.membership.leases.shards.keys().all(|shard| self.knows_all_placements(shard))
     }
 
-    /// All shards that a team may use something in: allocated, leased, or with tasks of the team.
+    /// All shards in which a team may use resources: allocated, leased, or with tasks of the team.
     pub(super) fn shards_of_team(&self, team: &TeamSettings) -> Vec<ShardId> {
         let mut shards: Vec<ShardId> = self.quota.allocations.shards.keys().cloned().collect();
         shards.extend(self.membership.leases.shards.keys().cloned());
@@ -119,7 +120,7 @@
         self.shards_of_team(team).into_iter().map(planned).collect()
     }
 
-    /// Whether this controller holds a shard and knows everything that is placed there.
+    /// Whether this controller holds a shard and knows all placements there.
     fn ownership(&self, shard: &ShardId) -> ShardOwnership {
         if self.membership.leases.holds(shard, &self.me).is_some()
             && self.knows_all_placements(shard)
@@ -134,8 +135,8 @@
     /// version of each shard's allocation record and, where the leader places beyond an
     /// allocation, the raised record. `placed` has the number of tasks for each shard.
     ///
-    /// Returns false if the allocations have changed since the tasks were reserved and no longer
-    /// have room for them.
+    /// Returns false if the allocations have changed since the tasks were reserved and the tasks no
+    /// longer fit.
     #[must_use]
     pub(in crate::controller) fn require_allocations(
         &self,
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -16,7 +16,7 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, Revision, ShardId};
 
-/// How often transactions of unknown outcome are fenced off at most. A store that answers nothing
+/// Minimum time between fencing off transactions of unknown outcome. A store that does not answer
 /// must not get a rewrite on every tick.
 const FENCE_OFF_INTERVAL: Millis = Millis(500);
 
@@ -78,7 +78,7 @@
 }
 
 impl Controller {
-    /// Marks a job for fencing off after a transaction that placed tasks went unanswered. Returns
+    /// Marks a job for fencing off after a transaction that placed tasks got no answer. Returns
     /// whether that is needed: only placements under a limit are conditioned on an allocation.
     ///
     /// `changes` are those of the transaction. The job may have other changes by now, in shards
--- a/src/controller/quota_allocation/mod.rs
+++ b/src/controller/quota_allocation/mod.rs
@@ -27,7 +27,7 @@
 use crate::settings::{Settings, TeamSettings};
 use crate::types::{JobId, Millis, ShardId};
 
-/// The teams' limits: what is allocated of them to each shard, and the tree of nested quotas.
+/// The teams' limits: their allocation to shards, and the tree of nested quotas.
 pub(super) struct Quota {
     /// The allocation records of all shards, as the store has them.
     pub(super) allocations: QuotaAllocations,
@@ -37,7 +37,7 @@
     pub(super) tree_publication: TreePublication,
     /// State of reclaiming borrowed capacity under a tree.
     pub(super) reclaim: ReclaimState,
-    /// When usage beyond a lowered limit was last looked for.
+    /// When usage was last checked for being beyond a lowered limit.
     pub(super) excess_checked_at: Millis,
     /// Transactions in flight that write allocation records.
     pub(super) allocations_in_flight: u32,
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -7,12 +7,12 @@
 use crate::store::{CallClass, Transaction};
 use crate::types::{Millis, Resources, Revision, ShardId};
 
-/// How often the leader rewrites allocations at most. Every rewrite invalidates the placements in
-/// flight in the shards that it touches, so it has to stay rare beside them.
+/// Minimum time between rewrites of allocations. Every rewrite invalidates the placements in flight
+/// in the shards that it changes, so rewrites must be rare compared with placements.
 const REALLOCATION_INTERVAL: Millis = Millis(4_000);
 
 impl Controller {
-    /// As the leader, rewrites the allocation records whose allocations are far off.
+    /// As the leader, rewrites the allocation records whose allocations are far from their targets.
     pub(in crate::controller) fn reallocate_quota(&mut self) {
         if self.now.since(self.quota.allocated_at) < REALLOCATION_INTERVAL
             || !self.may_place()
@@ -83,7 +83,7 @@
     ) -> Transaction {
         let mut txn = Transaction::default();
         txn.require(crate::lease::LEADER.into(), leader_version);
-        // Computed by another tree, the allocations might exceed the limits of the active one.
+        // Allocations computed by another tree might exceed the limits of the active one.
         self.require_tree(&mut txn);
         for (shard, record) in records {
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
--- a/src/controller/reachability/contact.rs
+++ b/src/controller/reachability/contact.rs
@@ -4,35 +4,35 @@
 
 use crate::types::{MachineId, Millis};
 
-/// The pause before a controller that gave its shards up a second time in a row inspects workers
-/// again; it doubles each time. Where heartbeats reach no controller, shards changed hands every few
-/// seconds without it.
+/// Time before a controller that released its shards a second time in a row inspects workers again;
+/// it doubles each time. Without it, shards would change holders every few seconds while heartbeats
+/// reach no controller.
 const RELEASE_BACKOFF: Millis = Millis(10_000);
 /// The backoff stops growing after this many doublings.
 const MAX_RELEASE_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Whether heartbeats arrive, and from whom.
+/// Whether workers' heartbeats arrive at this controller, and when.
 #[derive(Debug)]
 pub(in crate::controller) struct WorkerContact {
-    /// Whether workers' heartbeats reach us; without that we can hold no shards.
+    /// Whether workers' heartbeats reach this controller; without them it cannot hold shards.
     pub(in crate::controller) receives_heartbeats: bool,
     /// When the last heartbeat of any worker arrived.
     pub(in crate::controller) last_heartbeat: Millis,
-    /// When a worker was last asked for its state because no heartbeats arrived. It lies ahead
-    /// while the next inspection is put off.
+    /// When a worker was last inspected because no heartbeats arrived. It is in the future while
+    /// the next inspection is delayed.
     pub(in crate::controller) last_inspection: Millis,
-    /// How often in a row we gave our shards up because no worker reached us.
+    /// How many times in a row this controller released its shards because no heartbeats arrived.
     pub(in crate::controller) shard_release_streak: u32,
-    /// Most of our machines have sent no heartbeat for a while.
+    /// Whether most of our machines have sent no heartbeat for a while.
     pub(in crate::controller) most_machines_quiet: bool,
-    /// When peers received heartbeats of machines that we know nothing else of yet.
+    /// When peers received heartbeats of machines that are not described here yet.
     pub(in crate::controller) relayed_heartbeats: HashMap<MachineId, Millis>,
     /// When the last sweep over all machines began.
     pub(in crate::controller) last_sweep: Millis,
 }
 
 impl WorkerContact {
-    /// The contact of a controller that has not heard any worker yet, and expects to.
+    /// The state of a controller that has received no heartbeats yet, and expects them.
     pub(in crate::controller) fn new() -> Self {
         Self {
             receives_heartbeats: true,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A heartbeat arrived.
+    /// Records that a heartbeat arrived.
     pub(in crate::controller) fn record_heartbeat(&mut self, now: Millis) {
         self.last_heartbeat = now;
         self.receives_heartbeats = true;
@@ -57,22 +57,23 @@
         self.receives_heartbeats && now.since(self.last_heartbeat) <= silence
     }
 
-    /// No heartbeats arrive, so the shards are given up; the first inspection of a worker follows
-    /// after the backoff.
+    /// Records that the shards are released since no heartbeats arrive; the first inspection of a
+    /// worker follows after the backoff.
     pub(in crate::controller) fn begin_shard_release(&mut self, now: Millis) {
         self.receives_heartbeats = false;
         self.last_inspection = now + release_backoff(self.shard_release_streak);
         self.shard_release_streak += 1;
     }
 
-    /// A worker answered an inspection, so it can be reached. The streak lasts until a heartbeat
-    /// arrives.
+    /// Records that a worker answered an inspection, so workers can be reached. The streak lasts
+    /// until a heartbeat arrives.
     pub(in crate::controller) fn restore(&mut self, now: Millis) {
         self.receives_heartbeats = true;
         self.last_heartbeat = now;
     }
 }
 
+/// The time before the first inspection, after `earlier_releases` releases in a row.
 fn release_backoff(earlier_releases: u32) -> Millis {
     match earlier_releases {
         0 => Millis(0),
--- a/src/controller/reachability/evacuation.rs
+++ b/src/controller/reachability/evacuation.rs
@@ -1,5 +1,5 @@
-//! Machines that must be left: those whose heartbeats are lost, so that their lease expires, and those
-//! that the cloud takes away.
+//! Evacuation of machines whose heartbeats are lost, so that their lease expires, and of those that
+//! the cloud takes away.
 
 use crate::controller::Controller;
 use crate::controller::heartbeats::FORGET;
@@ -9,20 +9,23 @@
 use crate::workers::reconcile::Stop;
 use crate::workers::wire::{TaskStage, WorkerCommand};
 
-/// A machine is quiet once it has sent no heartbeat for this many intervals: more than one lost.
+/// A machine is silent once it has sent no heartbeat for this many intervals, which takes more than
+/// one lost heartbeat.
 const QUIET_HEARTBEAT_INTERVALS: f64 = 1.6;
-/// Fewer quiet machines than this are single failures, whatever part of all they are.
+/// Fewer silent machines than this are single failures, whatever fraction of all machines they are.
 const MIN_QUIET_MACHINES: usize = 3;
-/// The machines of a shard have found its new holder after this long.
+/// Time within which the machines of a shard find its new holder.
 const HOLDER_DISCOVERY_TIMEOUT: Millis = Millis(10_000);
-/// What a stop needs to reach a machine and its answer us, beyond the checkpoint itself.
+/// Time for a stop command to reach a machine and for the answer to arrive, in addition to the time
+/// for the checkpoint.
 const STOP_ROUND_TRIP: Millis = Millis(7_000);
 
 impl Controller {
-    /// Notes whether most of our machines have not reported for a while. Then there is nowhere
-    /// better to place tasks, and such an outage mostly ends before the leases do, or before a lease
-    /// that begins meanwhile does: machines that answer directly are used as if they reported.
-    /// Evacuated as single machines are, nearly all tasks were stopped for nothing.
+    /// Records whether most of our machines have not reported for a while. Then no other machines
+    /// are better for placing tasks, and such an outage mostly ends before the leases do, or before
+    /// a lease that begins in the meantime does: machines that answer direct commands are used as
+    /// if they reported. Evacuating them like single machines would stop nearly all tasks for
+    /// nothing.
     pub(in crate::controller) fn update_quiet_machines(&mut self) {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         let quiet_after = Millis::from_secs(interval_s * QUIET_HEARTBEAT_INTERVALS);
@@ -38,8 +41,8 @@
         self.contact.most_machines_quiet = quiet >= MIN_QUIET_MACHINES && quiet * 2 >= all;
     }
 
-    /// Whether a machine of ours has not reported for so long that its worker must be unable to. What it
-    /// answers to direct commands renews no lease.
+    /// Whether a machine of ours has not reported for so long that its worker must be unable to.
+    /// Its answers to direct commands do not renew its lease.
     pub(in crate::controller) fn is_unable_to_report(&self, machine_id: &MachineId) -> bool {
         if self.contact.most_machines_quiet {
             return false;
@@ -48,13 +51,15 @@
             let moved_at = self.membership.shard_moved_at.get(&machine.shard);
             let held = self.now.since(moved_at.copied().unwrap_or_default());
             let silent = self.now.since(machine.last_heartbeat) > self.heartbeat_timeout();
-            // Taken from a holder that knew it as unable to report, it stays so until it reports.
+            // A machine that the previous holder knew as unable to report remains so until it
+            // reports.
             silent && (held > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
         })
     }
 
-    /// Leaves a machine that can't report before its lease expires: tasks that have not begun there
-    /// are placed elsewhere at once, and those that run save a checkpoint while there is time for it.
+    /// Evacuates a machine that cannot report before its lease expires: tasks that have not begun
+    /// there are placed elsewhere immediately, and running tasks save a checkpoint while there is
+    /// time for it.
     pub(in crate::controller) fn evacuate_unable_to_report(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -90,7 +95,8 @@
             .collect()
     }
 
-    /// Has a task stopped where it was placed; of a gang all tasks, since they save together.
+    /// Requests a stop of a task where it was placed; for a gang, of all tasks, since they save
+    /// together.
     fn stop_with_its_gang(&mut self, task: &TaskId, save: bool) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -108,7 +114,8 @@
         }
     }
 
-    /// The cloud takes the machine away: running tasks that can save a checkpoint are stopped for it.
+    /// Stops the running tasks that can save a checkpoint on a machine that the cloud will take
+    /// away.
     pub(in crate::controller) fn drain_warned(&mut self, machine_id: &MachineId) {
         let Some(machine) = self
             .machines
@@ -132,8 +139,8 @@
         }
     }
 
-    /// Sends only the stops among commands to a machine that can't report: what is started there
-    /// ends with its lease.
+    /// Sends a machine that cannot report only the stops among `commands`: tasks that start there
+    /// end with its lease.
     pub(in crate::controller) fn stop_where_unable_to_report(
         &mut self,
         machine_id: &MachineId,
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: commands that carry nothing but our token. The answer to one is new, and proves that
+//! Probes: direct commands that carry only our token. The answer to one is current, and proves that
 //! commands arrive.
 
 use crate::controller::heartbeats::FORGET;
@@ -6,14 +6,14 @@
 use crate::types::{FencingToken, MachineId, Millis};
 use crate::workers::wire::WorkerCommand;
 
-/// A machine in doubt is probed this often.
+/// Time between probes of a machine that may not receive commands.
 const PROBE_INTERVAL: Millis = Millis(2_500);
-/// Of the machines that fell silent, at most this many are probed in a sweep: most have failed, and
-/// each holds a connection until its probe times out.
+/// Maximum number of silent machines that are probed in a sweep: most have failed, and each probe
+/// holds a connection until it times out.
 const MAX_SILENT_PROBES: usize = 32;
 
 impl Controller {
-    /// Probes machines of ours that fell silent: they may be there all the same.
+    /// Probes machines of ours that are silent: they may still be running.
     pub(in crate::controller) fn probe_silent_machines(&mut self) {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let silent: Vec<MachineId> = self
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Shows our token to the machines of our shards that have not seen it: until then they may go
-    /// on reporting to an earlier holder, who may not know that it lost the shard. Probes machines
-    /// whose heartbeats arrive while nothing confirms that commands do.
+    /// Sends our token to the machines of our shards that have not seen it: until then they may
+    /// continue to report to an earlier holder, which may not know that it lost the shard. Probes
+    /// machines whose heartbeats arrive while nothing confirms that commands do.
     pub(in crate::controller) fn announce_tokens(&mut self) {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let targets: Vec<MachineId> = self
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends a machine of ours nothing but our token.
+    /// Sends a machine of ours only our token.
     pub(in crate::controller) fn probe(&mut self, machine_id: &MachineId) {
         let machine = self.machines.get(machine_id);
         if let Some(token) = machine.and_then(|machine| self.token_for(&machine.shard)) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends a machine commands that start nothing, unless an exchange is under way.
+    /// Sends a machine commands that start nothing, unless an exchange is in progress.
     pub(super) fn send_direct(
         &mut self,
         machine_id: &MachineId,
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -1,5 +1,4 @@
-//! The state of the scheduling path: the queue, the candidate machines, nominations, and what
-//! failed.
+//! The state of the scheduling path: the queue, the candidate machines, nominations, and failures.
 //!
 //! The steps that work on it are in `queueing`, `placement`, `candidates`, `preemption` and
 //! `failure_attribution`.
@@ -14,7 +13,7 @@
 use crate::types::{JobId, MachineId, Millis};
 use crate::workers::reconcile::Stops;
 
-/// Everything that decides which task is placed next, and where.
+/// The state that decides which task is placed next, and where.
 pub(super) struct Scheduler {
     /// Jobs that have tasks which this controller has to place.
     pub(super) queue: Queue,
@@ -22,13 +21,13 @@
     pub(super) forwarded: HashSet<JobId>,
     /// Jobs that were forwarded to us before the watch brought their record, and when.
     pub(super) forwarded_early: HashMap<JobId, Millis>,
-    /// Room that is kept for jobs.
+    /// Resources that are kept for jobs.
     pub(super) nominations: Nominations,
     /// Machines that can take tasks.
     pub(super) candidates: Candidates,
     /// Jobs whose last task failed, until they are queued again.
     pub(super) failed_jobs: HashSet<JobId>,
-    /// Which jobs fail wherever they are tried, and when they may be tried next.
+    /// Which jobs fail on every machine, and when they may be tried next.
     pub(super) crash_loops: CrashLoopTracker,
     /// Jobs for which the leader wants tasks preempted on a machine of ours.
     pub(super) preemption_requests: HashMap<JobId, MachineId>,
@@ -39,7 +38,7 @@
 }
 
 impl Scheduler {
-    /// The state of a controller that knows no jobs yet.
+    /// The state of a controller that has no jobs yet.
     pub(super) fn new(operator: &Operator) -> Self {
         Self {
             queue: new_queue(operator),
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Drops a job that does not exist any more.
+    /// Drops the state of a job that no longer exists.
     pub(super) fn forget_job(&mut self, id: &JobId) {
         self.queue.remove(id);
         self.forwarded.remove(id);
--- a/src/controller/store_sync/apply.rs
+++ b/src/controller/store_sync/apply.rs
@@ -1,6 +1,6 @@
-//! Dispatches each record that a snapshot read, a watch or a transaction of ours brings to the component
-//! that caches it, and then does what follows from a change of a job's records: jobs are queued, machines
-//! get commands, parked jobs wake up.
+//! Dispatches each record that a snapshot read, a watch or a transaction of ours delivers to the
+//! component that caches it, and then handles the consequences of a change of a job's records: jobs
+//! are queued, machines get commands, parked jobs wake up.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +13,9 @@
 use crate::types::{JobId, MachineId, Revision, ShardId};
 
 impl Controller {
-    /// Takes in the record at `key`, or its deletion if there is no `data`. A record that is not newer than
-    /// the cached one changes nothing, so the order in which transactions and watches bring it is free.
+    /// Applies the record at `key`, or its deletion if there is no `data`. A record that is not
+    /// newer than the cached one changes nothing, so transactions and watches may deliver records
+    /// in any order.
     pub(in crate::controller) fn apply(
         &mut self,
         key: &str,
@@ -40,6 +41,7 @@
         self.on_job_change(change);
     }
 
+    /// Applies a shard's quota allocation, and wakes jobs that it may help.
     fn apply_quota_allocation(&mut self, shard: &str, data: Option<&str>, version: Revision) {
         if let Some(shard) = ShardId::parse(shard)
             && self.quota.allocations.apply(shard, data, version)
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Applies the stored machine types.
     fn apply_machine_types(&mut self, data: Option<&str>) {
         self.autoscaler.stored_type_specs = data
             .and_then(|text| serde_json::from_str(text).ok())
@@ -59,6 +62,7 @@
         }
     }
 
+    /// Handles the consequences of a change of a job's records.
     fn on_job_change(&mut self, change: RecordChange) {
         let Some(id) = change.job else { return };
         self.drop_overtaken(&id);
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Machines that gained a task of a job will fetch its image.
+    /// Records that machines which gained a task of a job will fetch its image.
     fn expect_image_on(&mut self, id: &JobId, allocated: &[MachineId]) {
         let Some(job) = self.jobs.get(id) else { return };
         for machine_id in allocated {
@@ -110,8 +114,9 @@
         }
     }
 
-    /// Sends machines of ours the starts of tasks that another controller placed there, as for a gang
-    /// over the shards of several holders. Our own transactions send theirs when they are committed.
+    /// Sends machines of ours the starts of tasks that another controller placed there, for example
+    /// for a gang over the shards of several holders. For our own transactions the starts are sent
+    /// on commit.
     fn push_foreign_placements(&mut self, id: &JobId, allocated: Vec<MachineId>) {
         let foreign = self
             .jobs
--- a/src/controller/store_sync/availability.rs
+++ b/src/controller/store_sync/availability.rs
@@ -3,22 +3,24 @@
 use super::super::Controller;
 use crate::types::Millis;
 
-/// A peer's status counts for this long: three status intervals, so that one lost message is no outage.
+/// Maximum age of a peer's status: three status intervals, so that one lost message is not taken
+/// for an outage.
 const MAX_STATUS_AGE: Millis = Millis(3_000);
-/// A peer may have noticed the loss of the store this much later than we did and still count as having
-/// lost it with us.
+/// A peer that noticed the loss of the store up to this much later than this controller still
+/// counts as affected by the same outage.
 const MAX_OUTAGE_SKEW: Millis = Millis(2_500);
-/// A controller whose store has not answered for this long is not ready, unless it is an outage.
+/// A controller whose store has not answered for this long is not ready, unless all peers report
+/// the same outage.
 const READINESS_TIMEOUT: Millis = Millis(3_500);
 
 impl Controller {
-    /// For how long the key-value store has not answered.
+    /// Time since the key-value store last answered.
     pub(in crate::controller) fn without_store(&self) -> Millis {
         self.now.since(self.store_sync.last_response)
     }
 
-    /// Whether all peers report that they have lost the key-value store too, as in an outage of the
-    /// store, rather than that we are cut off from it.
+    /// Whether all peers report that they have lost the key-value store too, which indicates an
+    /// outage of the store rather than of this controller's connection to it.
     pub(in crate::controller) fn outage_is_common(&self) -> bool {
         let alone = self.without_store();
         self.settings.members.iter().all(|member| {
@@ -37,9 +39,9 @@
             && (!lost || self.outage_is_common())
     }
 
-    /// Whether heartbeats may be answered. A controller that lost the store goes on answering: it
-    /// reports nothing of its machines' tasks before the store has it, and a new holder of its shards
-    /// shows the machines a higher fencing token.
+    /// Whether heartbeats may be answered. A controller that lost the store continues to answer: it
+    /// reports nothing about its machines' tasks before the store has it, and a new holder of its
+    /// shards shows the machines a higher fencing token.
     pub(in crate::controller) fn may_answer_heartbeats(&self) -> bool {
         let keep = self.settings.operator.partition_lease_keep;
         self.without_store() < keep || self.outage_is_common()
--- a/src/controller/store_sync/mod.rs
+++ b/src/controller/store_sync/mod.rs
@@ -2,8 +2,8 @@
 //! then a watch that brings every later change, and read barriers for answers that must not be older
 //! than their question.
 //!
-//! [`StoreSync`] owns how far the cache is and which read of the store is in flight. The records
-//! themselves are cached by the components that they belong to; [`apply`] dispatches them.
+//! [`StoreSync`] owns the progress of the cache and which read of the store is in flight. The
+//! records themselves are cached by the components that they belong to; [`apply`] dispatches them.
 
 mod apply;
 mod availability;
@@ -14,13 +14,13 @@
 use crate::types::{Millis, Revision};
 pub(super) use read_barrier::{PendingRead, ReadBarrier};
 
-/// Pause after a snapshot read or a watch that failed, so that a store in trouble is not flooded.
+/// Pause after a snapshot read or a watch that failed, so that a failing store is not flooded.
 const READ_RETRY_DELAY: Millis = Millis(300);
 
-/// How far the cache of the key-value store is, and the reads that keep it up to date.
+/// The progress of the cache of the key-value store, and the reads that keep it up to date.
 #[derive(Default)]
 pub(super) struct StoreSync {
-    /// All records have been read once since the start or the last resync.
+    /// Whether all records have been read once since the start or the last resync.
     pub(super) synced: bool,
     /// Every change up to this revision is in the cache.
     pub(super) applied: Revision,
@@ -31,7 +31,7 @@
     pub(super) last_response: Millis,
     /// Reads that wait until the cache is new enough.
     pub(super) read_barrier: ReadBarrier,
-    /// The read that is in flight. A snapshot read precedes the watch, so there is one at most.
+    /// The read that is in flight; at most one, since a snapshot read precedes the watch.
     in_flight: Option<CacheRead>,
     /// The revision of the first page of the snapshot read, from which the watch continues.
     snapshot_start: Option<Revision>,
@@ -44,7 +44,7 @@
 enum CacheRead {
     /// All records, page by page.
     Snapshot,
-    /// Changes after the revision that is applied; the store answers when there are some.
+    /// Changes after the applied revision; the store answers when there are any.
     Watch,
 }
 
@@ -59,7 +59,7 @@
         self.in_flight.is_none() && now >= self.next_read_at
     }
 
-    /// Marks every change up to `revision` as being in the cache.
+    /// Records that every change up to `revision` is in the cache.
     fn advance_to(&mut self, revision: Revision) {
         self.applied = self.applied.max(revision);
     }
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -1,23 +1,23 @@
-//! Read barriers: what must be answered from a cache that is at least as new as the question.
+//! Read barriers for requests that must be answered from a cache at least as new as the request.
 //!
 //! A read is requested at a time of this controller's clock. The answer to a watch that was opened
-//! later, or to a read of the store's revision that was sent later, gives the revision that the cache
-//! has to reach; once the cache has reached it, the read goes on. [`ReadBarrier`] owns the reads in each
-//! of these states.
+//! later, or to a read of the store's revision that was sent later, gives the revision that the
+//! cache has to reach; then the read continues. [`ReadBarrier`] owns the reads in each of these
+//! states.
 
 use super::super::{CallPurpose, Controller};
 use crate::jobs::api::Refusal;
 use crate::store::{CallClass, StoreCall, StoreResponse};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// A busy watch answers several times a second. Only when it has not answered for this long is the
-/// store's revision read by a call of its own.
+/// A busy watch answers several times a second. The store's revision is read by a separate call
+/// only if the watch has not answered for this long.
 const WATCH_GRACE_PERIOD: Millis = Millis(250);
-/// A user's read is given up once its request is older than this. A poll does not wait longer for its
-/// answer, and other controllers may have told the user something newer by then.
+/// A user's read is abandoned once its request is older than this. A poll does not wait longer for
+/// its answer, and other controllers may have sent the user a newer one by then.
 const USER_READ_TIMEOUT: Millis = Millis(2_000);
 
-/// What to do once the cache is known to be new enough.
+/// The action to take once the cache is known to be new enough.
 #[derive(Debug)]
 pub(in crate::controller) enum PendingRead {
     /// Answer a poll, or a submission of a job that is known already.
@@ -43,9 +43,9 @@
         /// The job to cancel.
         job: JobId,
     },
-    /// Delete the description of a job that is over: all placements before its cancellation are known.
+    /// Delete the description of a finished job: all placements before its cancellation are known.
     DeleteDescription {
-        /// The job that is over.
+        /// The finished job.
         job: JobId,
     },
     /// Resolve a transaction of unknown outcome: the cache shows whether it was committed.
@@ -68,53 +68,54 @@
 /// A read, and when it was requested.
 pub(in crate::controller) type RequestedRead = (Millis, PendingRead);
 
-/// A read that goes on when the cache has reached a revision.
+/// A read that continues when the cache has reached a revision.
 #[derive(Debug)]
 pub(in crate::controller) struct WaitingRead {
-    /// The cache is new enough at this revision.
+    /// The revision that the cache has to reach.
     needed: Revision,
     /// When the read was requested.
     requested_at: Millis,
-    /// What to do then.
+    /// The action to take then.
     read: PendingRead,
 }
 
 impl WaitingRead {
-    /// Whether a user's request is so old that it must not be answered from a cache of its time.
+    /// Whether a user's request is so old that it must not be answered any more.
     fn has_expired(&self, now: Millis) -> bool {
         self.read.is_of_user() && now.since(self.requested_at) > USER_READ_TIMEOUT
     }
 }
 
-/// Reads that wait until the cache is new enough, by what they wait for.
+/// Reads that wait until the cache is new enough, by the event that they wait for.
 #[derive(Default)]
 pub(in crate::controller) struct ReadBarrier {
-    /// No call that was sent after these requests is in flight.
+    /// Reads that no call in flight serves: none was sent after they were requested.
     pub(in crate::controller) unsent: Vec<RequestedRead>,
-    /// The open watch was sent after these requests.
+    /// Reads requested before the open watch was sent.
     pub(in crate::controller) awaiting_watch: Vec<RequestedRead>,
-    /// The read of the store's revision that is in flight was sent after these requests.
+    /// Reads requested before the read of the store's revision that is in flight was sent.
     pub(in crate::controller) awaiting_revision: Vec<RequestedRead>,
     /// Reads whose revision is known, and that wait until the cache has reached it.
     pub(in crate::controller) awaiting_cache: Vec<WaitingRead>,
-    /// A read of the store's revision is in flight.
+    /// Whether a read of the store's revision is in flight.
     revision_read_in_flight: bool,
 }
 
 impl ReadBarrier {
-    /// A watch is opened: its answer shows everything that was committed before.
+    /// Handles the opening of a watch: its answer will show everything that was committed before.
     pub(super) fn on_watch_opened(&mut self) {
         let requested = std::mem::take(&mut self.unsent);
         self.awaiting_watch.extend(requested);
     }
 
-    /// The open watch was answered at `revision`.
+    /// Handles the answer to the open watch at `revision`.
     pub(super) fn on_watch_answered(&mut self, revision: Revision) {
         for (requested_at, read) in std::mem::take(&mut self.awaiting_watch) {
             self.wait_for(revision, requested_at, read);
         }
     }
 
+    /// Makes a read wait until the cache has reached `needed`.
     fn wait_for(&mut self, needed: Revision, requested_at: Millis, read: PendingRead) {
         self.awaiting_cache.push(WaitingRead {
             needed,
@@ -124,7 +125,7 @@
     }
 
     /// Marks a read of the revision as sent for all reads that are not waiting for a revision yet.
-    /// False if one is in flight, or the watch may still answer in time.
+    /// Returns false if one is in flight, or the watch may still answer in time.
     fn begin_revision_read(&mut self, now: Millis) -> bool {
         let oldest = self.awaiting_watch.first().or(self.unsent.first());
         let due =
@@ -138,7 +139,7 @@
         true
     }
 
-    /// The read of the revision was answered: the reads that it was sent for.
+    /// Handles the answer to the read of the revision: returns the reads that it was sent for.
     fn end_revision_read(&mut self) -> Vec<RequestedRead> {
         self.revision_read_in_flight = false;
         std::mem::take(&mut self.awaiting_revision)
@@ -153,7 +154,7 @@
         ready
     }
 
-    /// Removes the waiting reads of users that are too old.
+    /// Removes the waiting reads of users that have expired.
     fn take_expired(&mut self, now: Millis) -> Vec<WaitingRead> {
         let (expired, waiting) = std::mem::take(&mut self.awaiting_cache)
             .into_iter()
@@ -164,8 +165,9 @@
 }
 
 impl Controller {
-    /// Requests a read barrier: `read` goes on once the cache shows all that was committed before
-    /// this moment. The next watch brings that, or a read of the revision if nothing changes.
+    /// Requests a read barrier: `read` continues once the cache shows everything that was committed
+    /// before this moment. The next watch provides that, or a read of the revision if nothing
+    /// changes.
     pub(in crate::controller) fn request_read_barrier(&mut self, read: PendingRead) {
         self.store_sync.read_barrier.unsent.push((self.now, read));
         self.poll_watch();
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Takes in the answer to a read of the store's revision.
+    /// Handles the answer to a read of the store's revision.
     pub(in crate::controller) fn on_revision(&mut self, answer: StoreResponse) {
         let requested = self.store_sync.read_barrier.end_revision_read();
         match answer {
@@ -202,7 +204,7 @@
         self.read_revision();
     }
 
-    /// Goes on with the reads that the cache is new enough for.
+    /// Continues the reads that the cache is new enough for.
     pub(in crate::controller) fn resume_ready_reads(&mut self) {
         if !self.store_sync.synced {
             return;
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Goes on with a read, requested at `requested_at`, once the cache has reached `revision`.
+    /// Continues a read, requested at `requested_at`, once the cache has reached `revision`.
     pub(in crate::controller) fn resume_at_revision(
         &mut self,
         revision: Revision,
@@ -229,7 +231,7 @@
             .wait_for(revision, requested_at, read);
     }
 
-    /// Gives up users' reads whose revision the cache has not reached in time.
+    /// Abandons users' reads whose revision the cache has not reached in time.
     pub(in crate::controller) fn expire_pending_reads(&mut self) {
         for expired in self.store_sync.read_barrier.take_expired(self.now) {
             self.on_read_barrier_expired(expired.read);
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -1,5 +1,5 @@
 //! The snapshot read: all records of the key-value store, page by page, before the watch starts and
-//! again after the store has compacted what the watch would have continued from.
+//! again after the store has compacted the revision from which the watch would have continued.
 
 use super::super::candidates::Candidates;
 use super::super::scheduler::new_queue;
@@ -25,7 +25,7 @@
         );
     }
 
-    /// Takes in the answer to a page of the snapshot read.
+    /// Handles the answer to a page of the snapshot read.
     pub(in crate::controller) fn on_snapshot(&mut self, answer: StoreResponse) {
         match answer {
             StoreResponse::Page {
@@ -40,9 +40,10 @@
         }
     }
 
+    /// Applies a page, and requests the next one or finishes the read.
     fn on_snapshot_page(&mut self, entries: Vec<Entry>, more: bool, revision: Revision) {
-        // Later pages may show newer records; the watch starts at the first page's revision and
-        // brings what changed meanwhile, newest last.
+        // Later pages may contain newer records; the watch starts at the first page's revision and
+        // delivers the changes since then in order.
         let start = *self.store_sync.snapshot_start.get_or_insert(revision);
         self.store_sync.snapshot_end = revision;
         let last = entries.last().map(|entry| entry.key.clone());
@@ -57,6 +58,7 @@
         }
     }
 
+    /// Marks the cache as synced, queues the jobs, and opens the watch from revision `start`.
     fn finish_snapshot_read(&mut self, start: Revision) {
         self.store_sync.in_flight = None;
         self.store_sync.synced = true;
--- a/src/controller/store_sync/watch.rs
+++ b/src/controller/store_sync/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: a long poll that brings every change of a record after the revision that the cache
+//! The watch: a long poll that delivers every change of a record after the revision that the cache
 //! has reached.
 
 use super::super::{CallPurpose, Controller};
@@ -8,10 +8,10 @@
 
 /// How long the store holds a watch open when nothing changes, in milliseconds.
 const WATCH_TIMEOUT_MS: u64 = 10_000;
-/// The part of the store's request budget that the watches of all controllers may take together.
-/// Changes that come closer together than this allows are brought by one watch.
+/// The part of the store's request budget that the watches of all controllers may use together. One
+/// watch delivers all changes that are closer together than this allows.
 const MAX_WATCH_BUDGET_SHARE: f64 = 0.3;
-/// However small the request budget is, a busy watch is repeated after this many seconds.
+/// Maximum pause, in seconds, before a busy watch is repeated, however small the request budget is.
 const MAX_WATCH_PAUSE_S: f64 = 1.0;
 
 impl Controller {
@@ -29,7 +29,7 @@
         self.call_store(CallClass::Leases, call, CallPurpose::Watch);
     }
 
-    /// Takes in the answer to a watch and opens the next.
+    /// Handles the answer to a watch and opens the next.
     pub(in crate::controller) fn on_watch(&mut self, answer: StoreResponse) {
         self.store_sync.in_flight = None;
         match answer {
@@ -42,6 +42,7 @@
         }
     }
 
+    /// Applies the changes that a watch delivered.
     fn on_updates(&mut self, updates: Vec<Update>, revision: Revision) {
         let busy = !updates.is_empty();
         for update in updates {
@@ -64,7 +65,7 @@
         self.poll_watch();
     }
 
-    /// The pause after a watch that brought changes, which keeps all controllers' watches within
+    /// The pause after a watch that delivered changes, which keeps all controllers' watches within
     /// their part of the request budget.
     fn watch_pause(&self) -> Millis {
         let rate = self.settings.deployment.state.rps * MAX_WATCH_BUDGET_SHARE;
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,6 +1,6 @@
 //! Requests of users: submissions and polls, and the answers that wait for a read barrier.
 //!
-//! A submission is idempotent: a job that is known is answered with its state. Answers to polls, and
+//! A submission is idempotent: a known job is answered with its state. Answers to polls, and
 //! refusals, wait until the cache is proved to be as new as the request. State: [`UserRequests`].
 
 use admission_control::gate::{SubmissionRequest, Urgency};
@@ -16,9 +16,9 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// Without an answer of the key-value store for this long, users are asked to come back.
+/// If the key-value store has not answered for this long, users are asked to retry later.
 const STORE_TIMEOUT: Millis = Millis(2_500);
-/// Seconds after which users are asked to come back while the store or the fleet is not known.
+/// Seconds after which users are asked to retry while the store or the fleet is not known.
 const NOT_READY_RETRY_S: u32 = 2;
 
 /// Requests of users that wait for the store or for tasks to end.
@@ -36,8 +36,8 @@
         self.effects.push(Effect::User { reply, response });
     }
 
-    /// Handles a submission: answers with the job's state if it is known, else checks it and commits the
-    /// job's record.
+    /// Handles a submission: answers with the job's state if it is known, else checks it and
+    /// commits the job's record.
     pub(super) fn on_submit(
         &mut self,
         reply: ReplyId,
@@ -74,8 +74,8 @@
         self.store_sync.synced && self.without_store() <= STORE_TIMEOUT
     }
 
-    /// Asks admission control to take a submission now. If it is not taken: the seconds until its user
-    /// should come back.
+    /// Asks admission control whether to accept a submission now. If not, returns the seconds after
+    /// which the user should retry.
     fn admit_now(&mut self, id: &JobId, spec: &JobSpec) -> Result<(), u32> {
         let pending = self.requests.submitting.len();
         let urgency = if spec.priority >= PriorityClass::Urgent {
@@ -98,6 +98,7 @@
         })
     }
 
+    /// Commits the record of a new job.
     fn commit_submission(&mut self, id: JobId, spec: JobSpec) {
         let deployment = &self.settings.deployment;
         let zones = deployment.zones.iter();
@@ -115,9 +116,9 @@
         self.transact(CallClass::Submissions, txn, CallPurpose::Submit { job: id });
     }
 
-    /// Refuses a submission, unless its job is known after a read barrier. A job that was accepted once
-    /// is never refused, whatever has changed since in its body or the settings, and the cache may be
-    /// behind.
+    /// Refuses a submission, unless its job is known after a read barrier. A job that was accepted
+    /// once is never refused, even if its body or the settings have changed since, and the cache
+    /// may be outdated.
     fn refuse(&mut self, reply: ReplyId, job: JobId, why: Refusal) {
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
@@ -131,8 +132,8 @@
         for reply in replies {
             match answer {
                 StoreResponse::Committed(_) => self.respond(reply, Response::Accepted(id.clone())),
-                // Known already: from another controller, or from an earlier request of this one that
-                // was thought lost.
+                // Known already: from another controller, or from an earlier request here that was
+                // presumed lost.
                 StoreResponse::Conflict(revision) => {
                     let job = id.clone();
                     self.resume_at_revision(revision, self.now, PendingRead::State { reply, job });
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Waits for a read barrier, or gives up at once if the store does not answer anyway.
+    /// Waits for a read barrier, or gives up immediately if the store does not answer.
     pub(super) fn after_read_barrier(&mut self, after: PendingRead) {
         if self.store_is_ready() {
             self.request_read_barrier(after);
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Handles a poll of a job's state. Final states don't change, so only others need a read barrier.
+    /// Handles a poll of a job's state. Final states do not change, so only others need a read
+    /// barrier.
     pub(super) fn on_poll(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
             Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Goes on with what waited for a read barrier: the cache is as new as the request now.
+    /// Continues what waited for a read barrier: the cache is now as new as the request.
     pub(super) fn on_read_barrier_reached(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job } => {
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Gives up a read barrier that was not reached in time.
+    /// Handles a read barrier that was not reached in time.
     pub(super) fn on_read_barrier_expired(&mut self, after: PendingRead) {
         match after {
             PendingRead::State { reply, job }
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -1,4 +1,4 @@
-//! Why tasks of a job wait, as operators and tests see it.
+//! The reason why tasks of a job wait, for operators and tests.
 
 use super::Controller;
 use crate::jobs::cache::CommitState;
@@ -6,7 +6,7 @@
 use crate::types::JobId;
 
 impl Controller {
-    /// Why tasks of this job wait at this controller; none if no task waits or another controller
+    /// Why tasks of this job wait at this controller; `None` if no task waits or another controller
     /// queues the job.
     pub fn waits_for(&self, id: &JobId) -> Option<WaitReason> {
         let job = self.jobs.get(id)?;
--- a/src/controller/work_counters.rs
+++ b/src/controller/work_counters.rs
@@ -1,5 +1,6 @@
-//! Counts of the items that a controller examines. They repeat exactly from run to run, so a cost that grows
-//! with the size of the fleet rather than with what changes shows here before it shows in times.
+//! Counts of the items that a controller examines. They are identical from run to run, so a cost
+//! that grows with the size of the fleet rather than with the changes shows here before it shows in
+//! durations.
 
 use std::cell::Cell;
 
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -15,7 +15,7 @@
     EvictionCost, SuspectedMachine, ZoneHealthTracker, ZoneObservation,
 };
 
-/// This controller's own partition mode, and the health of all zones as the leader sees it.
+/// This controller's own partition mode, and the health of all zones as the leader observes it.
 #[derive(Debug, Default)]
 pub(super) struct Partition {
     /// Whether this controller keeps its workers' leases while it is cut off from the store.
@@ -45,19 +45,20 @@
         };
         if self.partition.mode.update(circumstances, self.now) {
             tracing::info!("partition mode entered");
-            // All workers must see the marked token before this controller might crash: only workers
-            // that have seen it may be renewed by other controllers then.
+            // All workers must see the marked token before this controller might crash: only
+            // workers that have seen it may have their lease renewed by other controllers then.
             self.announce_tokens();
         }
     }
 
+    /// Whether this controller holds any shard.
     fn holds_shards(&self) -> bool {
         let mut holders = self.membership.leases.shards.values();
         holders.any(|(holder, _)| *holder == self.me)
     }
 
-    /// Leaves partition mode, since the store answers again. The shards are given up: under a token that
-    /// is marked as partitioned, a worker's silence is no evidence that its lease has expired.
+    /// Leaves partition mode, since the store answers again. The shards are released: under a token
+    /// that is marked as partitioned, a worker's silence is no evidence that its lease has expired.
     pub(super) fn leave_partition_mode(&mut self) {
         if let Some(duration) = self.partition.mode.leave(self.now) {
             tracing::info!(kept_s = duration.secs(), "partition mode left");
@@ -66,8 +67,9 @@
         }
     }
 
-    /// The response to a worker whose holder is in partition mode and that came to us instead: it renews
-    /// the worker's lease and carries no commands. None if we may not renew it.
+    /// The response to a worker whose holder is in partition mode and that reported here instead:
+    /// it renews the worker's lease and carries no commands. `None` if this controller must not
+    /// renew it.
     pub(super) fn renew_for_partitioned_holder(
         &self,
         shard: &ShardId,
@@ -88,8 +90,8 @@
         })
     }
 
-    /// Takes in what the leader observes of each zone's machines. Adds whether the zone's controllers are
-    /// in contact: those whose lease has not expired are.
+    /// Records what the leader observes of each zone's machines, and whether any controller of the
+    /// zone has a lease that has not expired.
     pub(super) fn observe_zones(&mut self, zones: BTreeMap<Zone, ZoneObservation>) {
         for (zone, mut observation) in zones {
             observation.controllers_silent = self.controllers_are_silent(&zone);
@@ -117,7 +119,7 @@
         labels.peek().is_some() && !labels.any(has_lease)
     }
 
-    /// A machine that is thought lost, with the cost of the most valuable task on it.
+    /// A machine that is presumed lost, with the cost of the most valuable task on it.
     pub(super) fn suspected_machine(
         &self,
         machine_id: &MachineId,
