--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -1,5 +1,5 @@
-//! This controller's part in dividing the store's write limit: the rate it may write at, the demand it
-//! reports, and the plan it writes while it leads.
+//! This controller's part in dividing the store's write limit: the rate at which it may write, the
+//! demand that it reports, and the plan that it writes while it leads.
 //!
 //! State: `commits.admission`. Status messages between peers carry the demand to the other
 //! controllers.
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -17,7 +17,7 @@
 const MAX_TASKS_PER_NEED: u32 = 2_000;
 /// Approximate time, in seconds, that a fast image fetch and the first heartbeat take.
 const QUICK_FETCH_S: f64 = 8.0;
-/// The kind of objective that says how soon work should start.
+/// The kind of objective that limits how long work waits for its start.
 const START_OBJECTIVE: &str = "wait";
 /// The rate of arrivals is measured over this time.
 pub(super) const ARRIVAL_WINDOW: Millis = Millis(180_000);
@@ -79,9 +79,8 @@
         })
     }
 
-    /// Machines to keep ready for what arrives in `fraction` of the observed time. In a large fleet
-    /// about as much ends meanwhile as arrives, so that only the fluctuation of both has to be
-    /// covered.
+    /// Machines to keep ready for the arrivals in `fraction` of the observed time. In a large fleet
+    /// about as much work ends as arrives, so only the fluctuation of both has to be covered.
     fn headroom(&self, fraction: f64) -> u32 {
         let deviation: f64 = (2.0 * self.squares * fraction).sqrt();
         (self.machines * fraction)
@@ -92,7 +91,7 @@
 
 impl Autoscaler {
     /// For how long arrivals have been observed. A controller that has just started counts as
-    /// having observed for [`MIN_ARRIVAL_WINDOW`]: work went on arriving at the others.
+    /// having observed for [`MIN_ARRIVAL_WINDOW`], since work continued to arrive at the others.
     fn arrivals_observed_for(&self, now: Millis) -> Millis {
         let observed = now.since(self.arrivals_since);
         Millis(observed.0.clamp(MIN_ARRIVAL_WINDOW.0, ARRIVAL_WINDOW.0))
@@ -159,7 +158,7 @@
             .retain(|arrival| now.since(arrival.at) <= ARRIVAL_WINDOW);
     }
 
-    /// Whether an objective says how soon work of the job's class should start.
+    /// Whether an objective limits how long work of the job's class waits for its start.
     fn has_start_objective(&self, spec: &JobSpec) -> bool {
         let applies = |objective: &Objective| {
             objective.kind == START_OBJECTIVE && objective.class.as_ref() == Some(&spec.class)
--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -24,6 +24,7 @@
 }
 
 impl MachineResources {
+    /// The fraction of the machine's resources that is available.
     fn available_share(&self) -> f64 {
         self.available.share_of(self.capacity)
     }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -85,7 +85,8 @@
         !self.fleet.listing && now.since(self.fleet.list_started) >= LIST_INTERVAL
     }
 
-    /// Adds machines that send heartbeats to the fleet, whatever the cloud's list shows.
+    /// Adds machines that send heartbeats to the fleet, even if the cloud's list does not show
+    /// them.
     fn adopt_reporting(
         &mut self,
         machines: &HashMap<MachineId, Machine>,
--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -19,7 +19,7 @@
 pub(super) const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
 impl Autoscaler {
-    /// Whether arrivals have been observed for long enough to return all idle machines at once.
+    /// Whether arrivals have been observed for long enough to return all idle machines together.
     pub(super) fn returns_at_full_rate(&self, now: Millis) -> bool {
         now.since(self.arrivals_since) >= FULL_RATE_RETURNS_AFTER
     }
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -98,6 +98,7 @@
             .any(|job| job.is_active() && job.waiting_tasks() > 0)
     }
 
+    /// The machines of the fleet, and those requested, that count as capacity.
     fn fleet_capacity(&self) -> FleetCapacity {
         let mut capacity = FleetCapacity::default();
         for (machine_id, rented) in &self.autoscaler.fleet.machines {
--- a/src/controller/autoscaling/usage.rs
+++ b/src/controller/autoscaling/usage.rs
@@ -21,6 +21,7 @@
 }
 
 impl Autoscaler {
+    /// Counts the machines and resources that are in use.
     fn usage(&self, jobs: &JobCache) -> FleetUsage {
         let mut usage = FleetUsage::default();
         for (machine_id, rented) in &self.fleet.machines {
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,5 +1,5 @@
-//! Calls of this controller to the key-value store and the cloud: sends them, remembers what each is for,
-//! and dispatches the store's answers to the steps that wait for them.
+//! Calls of this controller to the key-value store and the cloud: sends them, records what each is
+//! for, and dispatches the store's answers to the steps that wait for them.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -145,6 +145,7 @@
         }
     }
 
+    /// The tag of the next call.
     fn allocate_tag(&mut self) -> u64 {
         self.last_tag += 1;
         self.last_tag
@@ -166,7 +167,8 @@
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    /// Sends a transaction. Its records are applied to the cache as soon as it is known to be committed.
+    /// Sends a transaction. Its records are applied to the cache as soon as it is known to be
+    /// committed.
     pub(super) fn transact(&mut self, class: CallClass, txn: Transaction, purpose: CallPurpose) {
         let tag = self.next_tag();
         let written: Vec<WrittenRecord> = txn.changes.iter().map(WrittenRecord::from).collect();
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellations: committed at once, and answered when no task of the job is left on any machine.
+//! Cancellations: committed immediately, and answered when no task of the job is left on any
+//! machine.
 
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller};
@@ -9,8 +10,8 @@
 use crate::types::{JobId, ReplyId};
 
 impl Controller {
-    /// Handles a user's request to cancel a job. A job that is not in the cache may be new, so that is
-    /// answered after a read barrier.
+    /// Handles a user's request to cancel a job. A job that is not in the cache may be new, so the
+    /// request is answered after a read barrier.
     pub(super) fn on_cancel(&mut self, reply: ReplyId, job: JobId) {
         match self.jobs.state(&job) {
             Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Answers users whose cancelled jobs are over.
+    /// Answers the requests to cancel jobs that have ended.
     pub(super) fn answer_cancellations(&mut self) {
         let jobs = &self.jobs;
         let final_state = |id: &JobId| jobs.state(id).filter(JobState::is_final);
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -21,8 +21,8 @@
 }
 
 impl Controller {
-    /// Brings the index up to date: with the machines that changed and, when the interval is over,
-    /// with all of them.
+    /// Brings the index up to date: enters the machines that changed and, once per
+    /// [`SWEEP_INTERVAL`], compares all of them.
     pub(in crate::controller) fn refresh_candidates(&mut self) {
         let mut changed = self.jobs.take_changed_machines();
         changed.extend(std::mem::take(
@@ -92,6 +92,7 @@
         tracing::trace!(usable = schedulable, entered, "looked over the fleet");
     }
 
+    /// Looks for schedulable machines whose entry in the index is missing or outdated.
     fn compare_with_index(&self) -> SweepFindings {
         let mut findings = SweepFindings {
             schedulable: 0,
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -32,8 +32,8 @@
             .forward(owner, job, held_token, self.now)
     }
 
-    /// Sends the departures that wait for their owners, and schedules commits of those that an owner
-    /// has not written yet.
+    /// Sends the departures that wait for their owners, and schedules commits of those that an
+    /// owner has not written yet.
     pub(in crate::controller) fn forward_completions(&mut self) {
         let jobs = &self.jobs;
         let unwritten = |id: &JobId| {
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -3,12 +3,12 @@
 //!
 //! Heartbeats and scheduling cycles note changes on a job in the cache. [`turn`] decides in which
 //! lane and when a job's changes are due, the backlog divides the write limit among due jobs,
-//! [`planned_write`] checks the changes against the records as they are by then, and this module
-//! sends the transaction and handles its outcome. [`forwarding`] hands changes to the controller
-//! that owns the job, and [`cleanup`] deletes what a finished job leaves behind.
+//! [`planned_write`] checks the changes against the current records, and this module sends the
+//! transaction and handles its outcome. [`forwarding`] sends changes to the controller that owns
+//! the job, and [`cleanup`] deletes what a finished job no longer needs.
 //!
-//! State: [`Commits`], and of each [`Job`] in the cache its noted changes and whether a transaction with
-//! them is in flight.
+//! State: [`Commits`], and for each [`Job`] in the cache its noted changes and whether a
+//! transaction with them is in flight.
 
 mod cleanup;
 mod forwarding;
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -1,4 +1,5 @@
-//! What one transaction for a job writes: its noted changes, as far as the records still allow them.
+//! What one transaction for a job writes: its noted changes, as far as the records still allow
+//! them.
 //!
 //! Changes wait in the backlog while the records change, so each is checked again just before it is
 //! written. A change that has been overtaken is stale, and dropped.
@@ -58,6 +59,7 @@
         self.pages.contains_key(&page) || self.pages.len() < max_pages
     }
 
+    /// Adds an allowed change of the task at `index` to the transaction.
     fn add(&mut self, job: &Job, index: u32, change: &TaskChange, allowed: AllowedChange) {
         self.shard_tokens.extend(allowed.shard_token);
         let page = index / job.record.page;
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -59,8 +59,8 @@
     Other,
 }
 
-/// The lane and the due time of a job's noted changes. `near_limit`: whether the team is so close to
-/// a limit that its next tasks may wait for a completion; evaluated only if that matters.
+/// The lane and the due time of a job's noted changes. `near_limit`: whether the team is so close
+/// to a limit that its next tasks may wait for a completion; evaluated only if that matters.
 pub(super) fn choose(
     job: &Job,
     pressure: WritePressure,
@@ -91,6 +91,7 @@
     CommitTurn { lane, due }
 }
 
+/// Classifies a job's noted changes.
 fn kind_of(job: &Job) -> ChangeKind {
     let completions = job.changes.values().all(TaskChange::finishes);
     let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -1,8 +1,8 @@
 //! Events that a controller handles and effects that it requests: its only interface to the
 //! outside.
 //!
-//! The daemon and the simulator turn answers, requests and the passing of time into [`Event`]s, and carry
-//! out each [`Effect`]. An answer carries the tag or the reply id of what it answers.
+//! The daemon and the simulator turn answers, requests and the passing of time into [`Event`]s, and
+//! carry out each [`Effect`]. An answer carries the tag or the reply id of what it answers.
 
 use std::net::SocketAddr;
 
--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -28,6 +28,7 @@
 }
 
 impl Controller {
+    /// Applies a heartbeat, and returns the response to it.
     pub(in crate::controller) fn answer_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
--- a/src/controller/heartbeats/contact.rs
+++ b/src/controller/heartbeats/contact.rs
@@ -9,7 +9,7 @@
 /// Added to the silence limit before the absence of all heartbeats counts: a single machine may be
 /// silent for unrelated reasons, and releasing shards is expensive.
 const NO_HEARTBEATS_MARGIN: Millis = Millis(2_000);
-/// With fewer machines that should report, their silence says nothing of this controller.
+/// With fewer expected machines than this, their silence is no evidence about this controller.
 const MIN_EXPECTED_MACHINES: usize = 2;
 /// A machine counts as expected if a controller heard from it within this many times the limit: one
 /// that was silent long before the others has failed by itself.
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -14,7 +14,7 @@
 pub(in crate::controller) struct Silence {
     /// Time since any controller last received a sign of life from it.
     pub since_contact: Millis,
-    /// Time since its shard last changed hands.
+    /// Time since its shard last changed its holder.
     pub held: Millis,
 }
 
--- a/src/controller/heartbeats/replica_migration.rs
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -72,12 +72,14 @@
         })
     }
 
+    /// Whether the job is an active service whose placements have not changed recently.
     fn is_settled_service(&self, job: &Job) -> bool {
         job.spec.kind == JobKind::Service
             && job.is_active()
             && self.now.since(job.last_placement_change) > MIN_REPLICA_AGE
     }
 
+    /// Whether a replica of the job may move from `source` to `target`.
     fn can_take_replica(&self, target: &Machine, job: &Job, source: &Machine) -> bool {
         // A service with several replicas is spread over zones, so each stays in its own.
         let zone_kept = job.record.tasks == 1 || target.zone == source.zone;
--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// How far an amount is over a limit, of which 0 means none.
+/// The amount by which usage exceeds a limit; a limit of 0 means that there is none.
 fn excess_amount(limit: f64, used: f64) -> f64 {
     if limit > 0.0 {
         (used - limit).max(0.0)
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -246,6 +246,7 @@
         }
     }
 
+    /// Starts the leader's work if this controller leads now, and retries the jobs that waited.
     fn on_leader_change(&mut self) {
         if let Some(version) = self.leading() {
             tracing::info!(revision = version.0, "leadership acquired");
@@ -262,6 +263,7 @@
         }
     }
 
+    /// Records when the shard changed its holder.
     fn on_shard_change(&mut self, shard: ShardId) {
         self.membership
             .shard_moved_at
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -1,5 +1,5 @@
-//! The leader's assignment of shards to controllers, written record by record with the conditions that
-//! make a stale decision fail.
+//! The leader's assignment of shards to controllers, written record by record with the conditions
+//! that make an outdated decision fail.
 
 use super::super::{CallPurpose, Controller};
 use super::MembershipStep;
@@ -20,6 +20,7 @@
 }
 
 impl Assignment {
+    /// Adds the conditions and the record to a transaction.
     fn write_to(self, txn: &mut Transaction) {
         let key = lease::shard_key(&self.shard);
         txn.require(key.clone(), self.shard_version);
@@ -47,6 +48,7 @@
         }
     }
 
+    /// The transaction that writes as many changed shard records as the store accepts.
     fn assignment_transaction(&self, lead: Revision) -> Transaction {
         let zones = &self.settings.deployment.zones;
         let shards_per_zone = self.settings.operator.shards_per_zone;
--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether the sender's lease is over because its process has ended. A controller that lost the
-    /// key-value store has lost its lease, too, and goes on.
+    /// key-value store has lost its lease, too, but continues to run.
     fn sender_has_ended(&self, status: &Status) -> bool {
         let lease_over = status
             .lease_id
@@ -46,6 +46,7 @@
         lease_over && !lost_store
     }
 
+    /// Stores the parts of a status that are read later.
     fn record_peer_status(&mut self, from: &ControllerId, status: &Status) {
         let peer = PeerStatus {
             received_at: self.now,
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Machines for a gang: all of its tasks are placed at once, or none is.
+//! Machines for a gang: either all of its tasks are placed together, or none is.
 
 use std::collections::BTreeSet;
 
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - `cycle`: one cycle, from the checks before it to what follows a placement;
 //! - `single_task`: machines for tasks that are placed one by one;
-//! - `gang`: machines for all tasks of a gang at once;
+//! - `gang`: machines for all tasks of a gang together;
 //! - `unplaced`: what follows if no machine is suitable (preemption, forwarding, parking).
 //!
 //! Placements are noted in the job cache; `commits` writes them.
--- a/src/controller/store_sync/mod.rs
+++ b/src/controller/store_sync/mod.rs
@@ -1,6 +1,6 @@
 //! Keeps this controller's cache of the key-value store up to date: a snapshot read of all records,
-//! then a watch that brings every later change, and read barriers for answers that must not be older
-//! than their question.
+//! then a watch that delivers every later change, and read barriers for answers that must not be
+//! older than their request.
 //!
 //! [`StoreSync`] owns the progress of the cache and which read of the store is in flight. The
 //! records themselves are cached by the components that they belong to; [`apply`] dispatches them.
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::types::Revision;
 
 impl Controller {
-    /// Starts a snapshot read, unless one is in flight or the last one failed a moment ago.
+    /// Starts a snapshot read, unless one is in flight or the last one failed very recently.
     pub(in crate::controller) fn start_snapshot_read(&mut self) {
         if !self.store_sync.may_start_read(self.now) {
             return;
--- a/src/controller/work_counters.rs
+++ b/src/controller/work_counters.rs
@@ -4,8 +4,8 @@
 
 use std::cell::Cell;
 
-/// How many items of one kind were examined. Counted through a shared reference, as the steps that count
-/// borrow other parts of the controller.
+/// Number of examined items of one kind. It is incremented through a shared reference, since the
+/// steps that count borrow other parts of the controller.
 #[derive(Debug, Default)]
 pub struct WorkCounter(Cell<u64>);
 
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -1,7 +1,7 @@
 //! Partition mode of this controller, and the health of zones as the leader sees it.
 //!
-//! Feeds the decisions in [`crate::zones`] with what the controller knows of leases, peers and machines,
-//! and carries out what they decide.
+//! Passes leases, peers and machines to the decisions in [`crate::zones`], and carries out what
+//! they decide.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Enters partition mode once this controller is cut off from the store together with its machines.
+    /// Enters partition mode once this controller is cut off from the store together with its
+    /// machines.
     pub(super) fn check_partition_mode(&mut self) {
         let lease_over =
             matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
