--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -5,9 +5,7 @@
 //! divides the store's write limit among controllers, and [`Flows`] maps jobs to the slots of their
 //! classes and teams.
 
-/// Orders the jobs whose changes wait to be written.
 pub mod backlog;
-/// Divides the store's write limit among controllers.
 pub mod shared;
 
 use admission_control::slots::{Slot, Slots};
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -1,7 +1,6 @@
 //! One scheduling cycle as pure functions: a filter that says whether a machine is feasible for a
 //! task, and a score that ranks the feasible ones. The caller passes the machines one by one.
 
-/// Indexes machines by available capacity and cached images.
 pub mod index;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,15 +4,10 @@
 //! [`plan`] decides what to rent and return, [`client`] performs the calls of [`cloud_api`], and
 //! [`wire`] has their JSON.
 
-/// Sends calls to the cloud within the request budget.
 pub mod client;
-/// Calls to the cloud and their responses.
 pub mod cloud_api;
-/// Describes machine types: capacity, price, boot time and zones.
 pub mod machine_types;
-/// Plans which machines to rent and which to return.
 pub mod plan;
-/// JSON bodies of the cloud's HTTP interface.
 pub mod wire;
 
 use std::collections::BTreeMap;
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -5,17 +5,11 @@
 //! users who wait for the end of a job, [`crash_loop`] the jobs that fail everywhere, and
 //! [`completion_forwarding`] what shard holders report to the owner of a job.
 
-/// Parses submissions, and defines the answers to users.
 pub mod api;
-/// Caches all job records and indexes their usage.
 pub mod cache;
-/// Tracks users who wait for the end of a cancelled job.
 pub mod cancel;
-/// Forwards departures of tasks to the controller that owns their job.
 pub mod completion_forwarding;
-/// Detects jobs that fail on every machine.
 pub mod crash_loop;
-/// Encodes jobs and task pages as records of the store.
 pub mod record;
 
 use serde::{Deserialize, Serialize};
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -4,7 +4,6 @@
 //! `bitcode` writes fields and variants by position, so their order here is the wire format: new ones
 //! go last, with a new [`VERSION`].
 
-/// Sends and receives messages over TCP.
 pub mod link;
 
 use bitcode::{Decode, Encode};
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -14,9 +14,7 @@
 
 mod allocate;
 mod allocation;
-/// Stores the tree of nested quotas, and determines which one is active.
 pub mod hierarchical;
-/// Chooses tasks to stop so that a team gets its entitlement.
 pub mod reclaim;
 
 pub use allocate::{
--- a/src/sockets/mod.rs
+++ b/src/sockets/mod.rs
@@ -6,7 +6,6 @@
 //! them.
 
 mod budget;
-/// Accepts connections within the budget, and closes idle ones.
 pub mod connection_acceptor;
 mod connection_table;
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,12 +4,10 @@
 //! The daemon owns the one [`Store`]; [`lanes`] and [`budget`] are free of I/O, so that the simulator
 //! runs the same code. The JSON of the protocol is in `wire` alone.
 
-/// Rate limits on the client side.
 pub mod budget;
 mod call;
 mod client;
 mod exchange;
-/// Queues calls by class until the rate limits admit them.
 pub mod lanes;
 mod transaction;
 mod wire;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -4,23 +4,14 @@
 //! [`Machine`] owns all that is known of one worker. It is filled by heartbeats, by answers to direct
 //! commands and by other controllers' statuses; [`reconcile`] compares it with the job records.
 
-/// Makes requests to one worker.
 pub mod client;
-/// Sends commands to workers directly.
 pub mod direct;
-/// Tracks the exchange of direct commands with one worker.
 pub mod direct_channel;
-/// Counts task failures on a machine, and quarantines it.
 pub mod failures;
-/// Tracks the images that a machine has cached or is fetching.
 pub mod image_cache;
-/// The state of one machine.
 pub mod machine;
-/// Tracks in which directions messages arrive.
 pub mod reachability;
-/// Compares a machine's newest heartbeat with the job records.
 pub mod reconcile;
-/// Messages of the protocol with workers.
 pub mod wire;
 
 pub use direct_channel::DirectChannel;
