--- a/crates/admission-control/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -1,7 +1,6 @@
-//! All commands in which two controllers can see, obey and report plans, lose their leases and come
-//! back, while whoever leads writes new plans from what it has seen so far: what all may use
-//! together stays within the limit. Each condition that the argument rests on is left out once, and
-//! then it does not.
+//! All orders in which two controllers can read, apply and report plans, lose their leases and rejoin,
+//! while the leader writes new plans from its possibly stale view: the sum of their allowances stays
+//! within the limit. Each condition of the argument is removed once, and then the limit is exceeded.
 
 use std::collections::HashSet;
 
@@ -9,27 +8,27 @@
 
 const LIMIT: f64 = 30.0;
 const LABELS: [&str; 2] = ["a", "b"];
-/// Bounds of the search: plans written, and changes of leases.
-const PLANS: usize = 3;
-const LEASES: usize = 2;
+/// Bounds of the search: plans written, and lease changes.
+const MAX_PLANS: usize = 3;
+const MAX_LEASE_CHANGES: usize = 2;
 
-/// A condition to leave out.
+/// The condition that is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Without {
     Nothing,
-    /// A share rises though another may still use it by an earlier plan.
-    WaitingForWord,
-    /// A plan that takes a controller for gone is written though it is back.
-    GoneStill,
-    /// A controller that is back takes up the plan that it remembers.
-    SeenSinceBack,
-    /// A controller without a lease goes on by its plan.
-    Member,
+    /// Without it a share rises while another controller may still use it under an earlier plan.
+    WaitForReports,
+    /// Without it a plan that treats a controller as absent is written after its return.
+    CheckStillAbsent,
+    /// Without it a controller that rejoined applies the plan that it had cached.
+    ReadPlanAfterRejoin,
+    /// Without it a controller without a lease continues to apply its plan.
+    LeaseToUsePlan,
 }
 
-/// What the state service has been told, in order.
+/// A record written to the store.
 #[derive(Clone, Debug)]
-enum WrittenRecords {
+enum StoredRecord {
     Joined(usize),
     Left(usize),
     Plan(Plan),
@@ -37,19 +36,19 @@
 
 #[derive(Clone, Debug)]
 struct Controller {
-    /// How much of what was written it has seen.
+    /// Number of records that it has read.
     seen: usize,
-    /// Where its present lease was written.
+    /// Index of the record of its current lease.
     lease: Option<usize>,
-    /// The plan that it last told the leader it obeys.
-    said: usize,
+    /// Index of the plan that it last reported as applied.
+    reported_plan: usize,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    written: Vec<WrittenRecords>,
+    written: Vec<StoredRecord>,
     controllers: [Controller; 2],
-    /// How much the leader has seen.
+    /// Number of records that the leader has read.
     leader: usize,
 }
 
@@ -58,7 +57,7 @@
         let at = |n| Controller {
             seen: 3,
             lease: Some(n),
-            said: 2,
+            reported_plan: 2,
         };
         let rows = LABELS.map(|label| ControllerDemand {
             label: label.to_string(),
@@ -68,72 +67,79 @@
         let plan = Plan::default().next(LIMIT, &rows);
         Self {
             written: vec![
-                WrittenRecords::Joined(0),
-                WrittenRecords::Joined(1),
-                WrittenRecords::Plan(plan),
+                StoredRecord::Joined(0),
+                StoredRecord::Joined(1),
+                StoredRecord::Plan(plan),
             ],
             controllers: [at(0), at(1)],
             leader: 3,
         }
     }
 
-    /// The newest plan among the first so many, and where it stands.
+    /// The newest plan among the first `seen` records, with its index.
     fn plan(&self, seen: usize) -> Option<(usize, &Plan)> {
         let seen = self.written[..seen].iter().enumerate().rev();
         seen.filter_map(|(at, w)| match w {
-            WrittenRecords::Plan(plan) => Some((at, plan)),
+            StoredRecord::Plan(plan) => Some((at, plan)),
             _ => None,
         })
         .next()
     }
 
-    /// Whether a controller has a lease, and since when, by the first so many.
-    fn joined(&self, node: usize, seen: usize) -> Option<usize> {
+    /// Index of a controller's lease by the first `seen` records; `None` without a lease.
+    fn lease_start(&self, controller: usize, seen: usize) -> Option<usize> {
         let seen = self.written[..seen].iter().enumerate().rev();
         seen.filter_map(|(at, w)| match w {
-            WrittenRecords::Joined(n) if *n == node => Some(Some(at)),
-            WrittenRecords::Left(n) if *n == node => Some(None),
+            StoredRecord::Joined(n) if *n == controller => Some(Some(at)),
+            StoredRecord::Left(n) if *n == controller => Some(None),
             _ => None,
         })
         .next()
         .flatten()
     }
 
-    fn uses(&self, node: usize, without: Without) -> f64 {
+    fn uses(&self, controller: usize, without: Without) -> f64 {
         let base = base(LIMIT, LABELS.len());
-        let me = &self.controllers[node];
-        let member = match me.lease {
-            Some(at) => me.seen > at || without == Without::SeenSinceBack,
-            None => without == Without::Member,
+        let state = &self.controllers[controller];
+        let member = match state.lease {
+            Some(at) => state.seen > at || without == Without::ReadPlanAfterRejoin,
+            None => without == Without::LeaseToUsePlan,
         };
-        let plan = self.plan(me.seen);
-        plan.map_or(base, |(_, plan)| plan.allowance(LABELS[node], member, base))
+        let plan = self.plan(state.seen);
+        plan.map_or(base, |(_, plan)| {
+            plan.allowance(LABELS[controller], member, base)
+        })
     }
 
-    /// The leader writes a plan for one who asks for all; none if its conditions do not hold.
-    fn lead(&self, hungry: usize, without: Without) -> Option<World> {
+    /// The leader writes a plan in which one controller demands everything; `None` if its conditions fail.
+    fn write_plan(&self, demanding: usize, without: Without) -> Option<World> {
         let (newest, old) = self.plan(self.leader)?;
         if self.plan(self.written.len())?.0 != newest {
             return None;
         }
         let mut rows = Vec::new();
-        for (node, label) in LABELS.iter().enumerate() {
-            let there = self.joined(node, self.leader);
-            let back = there.is_none() && self.joined(node, self.written.len()).is_some();
-            if back && without != Without::GoneStill {
+        for (controller, label) in LABELS.iter().enumerate() {
+            let lease = self.lease_start(controller, self.leader);
+            let back =
+                lease.is_none() && self.lease_start(controller, self.written.len()).is_some();
+            if back && without != Without::CheckStillAbsent {
                 return None;
             }
-            let status = match there {
+            let status = match lease {
                 None => ControllerStatus::Absent,
                 Some(_)
-                    if self.controllers[node].said >= newest
-                        || without == Without::WaitingForWord =>
+                    if self.controllers[controller].reported_plan >= newest
+                        || without == Without::WaitForReports =>
                 {
                     ControllerStatus::Current
                 }
                 Some(_) => ControllerStatus::Stale,
             };
-            let waiting = if node == hungry { 1_000.0 } else { 0.0 };
+            let waiting = if controller == demanding {
+                1_000.0
+            } else {
+                0.0
+            };
             rows.push(ControllerDemand {
                 label: label.to_string(),
                 status,
@@ -142,7 +148,7 @@
         }
         let mut next = self.clone();
         next.written
-            .push(WrittenRecords::Plan(old.next(LIMIT, &rows)));
+            .push(StoredRecord::Plan(old.next(LIMIT, &rows)));
         Some(next)
     }
 
@@ -157,76 +163,78 @@
         if self.leader < len {
             step(&|w| w.leader += 1);
         }
-        let leases = self.written[3..]
+        let lease_changes = self.written[3..]
             .iter()
-            .filter(|w| !matches!(w, WrittenRecords::Plan(_)))
+            .filter(|w| !matches!(w, StoredRecord::Plan(_)))
             .count();
-        for node in 0..LABELS.len() {
-            let me = &self.controllers[node];
-            if me.seen < len {
-                step(&|w| w.controllers[node].seen += 1);
+        for controller in 0..LABELS.len() {
+            let state = &self.controllers[controller];
+            if state.seen < len {
+                step(&|w| w.controllers[controller].seen += 1);
             }
-            let member = me.lease.is_some_and(|at| me.seen > at);
-            if let Some((at, _)) = self.plan(me.seen)
+            let member = state.lease.is_some_and(|at| state.seen > at);
+            if let Some((at, _)) = self.plan(state.seen)
                 && member
-                && me.said < at
+                && state.reported_plan < at
             {
-                step(&|w| w.controllers[node].said = at);
+                step(&|w| w.controllers[controller].reported_plan = at);
             }
-            if leases < LEASES && me.lease.is_some() {
+            if lease_changes < MAX_LEASE_CHANGES && state.lease.is_some() {
                 step(&|w| {
-                    w.controllers[node].lease = None;
-                    w.written.push(WrittenRecords::Left(node));
+                    w.controllers[controller].lease = None;
+                    w.written.push(StoredRecord::Left(controller));
                 });
-            } else if leases < LEASES {
+            } else if lease_changes < MAX_LEASE_CHANGES {
                 step(&|w| {
-                    w.controllers[node].lease = Some(len);
-                    w.written.push(WrittenRecords::Joined(node));
+                    w.controllers[controller].lease = Some(len);
+                    w.written.push(StoredRecord::Joined(controller));
                 });
             }
         }
-        if len - 3 - leases < PLANS {
-            steps.extend((0..LABELS.len()).filter_map(|hungry| self.lead(hungry, without)));
+        if len - 3 - lease_changes < MAX_PLANS {
+            steps.extend(
+                (0..LABELS.len()).filter_map(|demanding| self.write_plan(demanding, without)),
+            );
         }
         steps
     }
 }
 
-/// The number of states, and the most that was used in any.
+/// The number of states, and the maximum total usage in any of them.
 fn explore(without: Without) -> (usize, f64) {
     let mut known = HashSet::new();
     let mut open = vec![World::start()];
-    let mut most: f64 = 0.0;
+    let mut max_used: f64 = 0.0;
     while let Some(world) = open.pop() {
         if !known.insert(format!("{world:?}")) {
             continue;
         }
         let used = (0..LABELS.len()).map(|n| world.uses(n, without)).sum();
-        most = most.max(used);
-        if most > LIMIT + 1e-6 {
+        max_used = max_used.max(used);
+        if max_used > LIMIT + 1e-6 {
             break;
         }
         open.extend(world.steps(without));
     }
-    (known.len(), most)
+    (known.len(), max_used)
 }
 
 #[test]
-fn whatever_is_seen_late_the_sum_stays_within_the_limit() {
-    let (states, most) = explore(Without::Nothing);
-    assert!(most <= LIMIT + 1e-6, "{most}");
+fn the_sum_stays_within_the_limit_with_stale_reads() {
+    let (states, max_used) = explore(Without::Nothing);
+    assert!(max_used <= LIMIT + 1e-6, "{max_used}");
     assert!(states > 50_000, "only {states} states");
 }
 
 #[test]
-fn without_any_one_condition_the_limit_is_broken() {
+fn each_condition_is_needed_to_keep_the_limit() {
     for without in [
-        Without::WaitingForWord,
-        Without::GoneStill,
-        Without::SeenSinceBack,
-        Without::Member,
+        Without::WaitForReports,
+        Without::CheckStillAbsent,
+        Without::ReadPlanAfterRejoin,
+        Without::LeaseToUsePlan,
     ] {
-        let (_, most) = explore(without);
-        assert!(most > LIMIT + 1e-6, "{without:?}: {most}");
+        let (_, max_used) = explore(without);
+        assert!(max_used > LIMIT + 1e-6, "{without:?}: {max_used}");
     }
 }
--- a/crates/hierarchical-quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What must hold of any tree and any demand.
+//! Invariants that hold for any tree and any demand.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 const NEAR: f64 = 1e-6;
 
-/// A node as drawn: how it picks its parent, its guarantee, slack to its limit, and weight.
+/// A generated node: the choice of its parent, its guarantee, the slack up to its limit, and its weight.
 type Drawn = (usize, f64, Option<f64>, f64);
 
 fn tree(drawn: &[Drawn], two: bool) -> Arc<Tree> {
@@ -73,7 +73,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn shares_are_sound(drawn in proptest::collection::vec(node(), 1..40),
+    fn shares_satisfy_guarantees_and_limits(drawn in proptest::collection::vec(node(), 1..40),
         wants in proptest::collection::vec(prop_oneof![Just(0.0), 0.0..200.0], 40), two: bool) {
         let tree = tree(&drawn, two);
         let mut shares = Entitlements::new(tree.clone());
@@ -83,14 +83,14 @@
         shares.refresh();
         for ix in tree.all() {
             let (node, mine) = (tree.node(ix), shares.entitled(ix));
-            // Nobody is entitled to more than its limit, or than it wants.
+            // No node is entitled to more than its limit or its demand.
             for ((got, limit), demand) in mine.to_array().iter().zip(node.limit.to_array())
                 .zip(shares.demand(ix).to_array()) {
                 prop_assert!(limit == 0.0 || *got <= limit + NEAR, "{} over its limit", node.name);
                 prop_assert!(*got <= demand + NEAR, "{} has more than it wants", node.name);
             }
-            // The children of a node never have more than the node, and what is wanted inside it
-            // is used up before anything is left, where one amount is divided.
+            // Children never have more than their node, and with a single resource no capacity
+            // is left over while there is demand inside the node.
             let sum = node.children.iter().fold(Amount::ZERO, |s, c| s.plus(shares.entitled(*c)));
             let governed = tree.node(tree.root(ix)).guarantee;
             if !node.children.is_empty() && governed.gpus > 0.0 {
@@ -101,7 +101,7 @@
                     prop_assert!(short <= NEAR, "{} leaves {short}", node.name);
                 }
             }
-            // What is guaranteed is met before anything is lent.
+            // Guarantees are met before capacity is lent.
             if !two && governed.gpus > 0.0 {
                 let due = node.guarantee.gpus.min(shares.demand(ix).gpus);
                 prop_assert!(mine.gpus + NEAR >= due, "{} has {mine:?} of {due}", node.name);
@@ -109,10 +109,10 @@
         }
     }
 
-    /// The same demands give the same shares, whatever was there before and in whatever order they
-    /// came, so that two controllers agree.
+    /// The same demands give the same shares, independent of history and of their order, so that two
+    /// controllers agree.
     #[test]
-    fn the_same_input_gives_the_same_answer(
+    fn the_same_demand_gives_the_same_shares(
         drawn in proptest::collection::vec(node(), 1..30),
         before in proptest::collection::vec(0.0..200.0, 30),
         wants in proptest::collection::vec(prop_oneof![Just(0.0), 0.0..200.0], 30)) {
@@ -139,10 +139,10 @@
         }
     }
 
-    /// However many reclaim, each stop brings the whole nearer to what is due: it comes to an end,
-    /// and nobody has anything stopped that it then reclaims.
+    /// Each preemption for reclaim brings usage nearer to the entitlements: reclaim terminates, and no
+    /// team reclaims what was just preempted from it.
     #[test]
-    fn reclaiming_comes_to_an_end(drawn in proptest::collection::vec(node(), 2..25),
+    fn reclaim_terminates(drawn in proptest::collection::vec(node(), 2..25),
         sizes in proptest::collection::vec(1u8..5, 25),
         wants in proptest::collection::vec(0u8..60, 25),
         uses in proptest::collection::vec(0u8..60, 25)) {
@@ -172,7 +172,7 @@
             });
             let Some(((b, by), (f, from))) = pair else { break };
             let (gain, loss) = (f64::from(sizes[b]), f64::from(sizes[f]));
-            // As many as it takes for one task, and no more than may be taken.
+            // As many preemptions as one task needs, and no more than are allowed.
             tree.path(*from).for_each(|ix| used[ix.0 as usize] -= loss);
             if loss >= gain {
                 tree.path(*by).for_each(|ix| used[ix.0 as usize] += gain);
@@ -183,9 +183,9 @@
     }
 }
 
-/// Only what the platform has counts; what it has not is lent, and said.
+/// Only teams of the platform count; capacity of unknown teams is lent, and a warning names them.
 #[test]
-fn trees_and_platforms_that_differ() {
+fn differences_between_tree_and_platform_are_reported() {
     let text = "[tree]\nrevision=1\n[node a]\ngpus=8\n[node x]\nparent=a\nteam=known\ngpus=4\n\
         [node y]\nparent=a\nteam=ghost\ngpus=4\n";
     let outer = |team: &str| PlatformTeam {
@@ -210,7 +210,7 @@
     shares.set_demand(known, Amount::new(0.0, 99.0), 0);
     shares.refresh();
     assert_eq!(shares.entitled(known).gpus, 6.0);
-    // The platform guarantees more now than the tree does: the tree that is in force gives way.
+    // The platform now guarantees more than the tree does: it overrides the tree in force.
     let more = PlatformTeam {
         guarantee: Amount::new(0.0, 9.0),
         limit: Amount::new(0.0, 10.0),
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_tree_may_be_switched_off() {
+fn a_tree_can_be_disabled() {
     let spec = TreeSpec::parse("f", "[tree]\nrevision = 9\nenabled = no\n").unwrap();
     assert!(!spec.enabled);
     let error = TreeSpec::parse("f", "[tree]\nrevision = 9\nenabled = perhaps\n").unwrap_err();
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_tree_that_makes_no_sense_is_refused_by_name() {
+fn an_invalid_tree_is_rejected_naming_the_key() {
     let outer = PlatformTeam {
         team: "t".into(),
         guarantee: Amount::new(0.0, 4.0),
@@ -265,7 +265,7 @@
             "H[node a]\nteam=t\n[node b]\nparent=a\nteam=u\n",
             "[node b] parent",
         ),
-        // A child that asks for more than its parent holds.
+        // A child with a larger guarantee than its parent.
         (
             "H[node a]\ngpus=6\n[node b]\nparent=a\nteam=u\ngpus=7\n",
             "[node a] gpus",
@@ -282,7 +282,7 @@
             "H[node a]\nteam=u\ngpus=6\ngpus_max=5\n",
             "[node a] gpus_max",
         ),
-        // Against the platform's own.
+        // In conflict with the platform's own limits.
         ("H[node a]\nteam=t\ngpus=3\n", "[node a] gpus"),
         ("H[node a]\nteam=t\ngpus=9\n", "[node a] gpus"),
         ("H[node a]\nteam=t\ngpus_max=3\n", "[node a] gpus_max"),
--- a/crates/simulator/src/config/tests.rs
+++ b/crates/simulator/src/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_wrong_field_is_named() {
+fn an_invalid_field_is_named_in_the_error() {
     let good = "[region]\ncontrollers = 2\nzones = x y\n[team t]\ngpus = 3\n";
     let config = Config::parse("f", good).unwrap();
     assert_eq!((config.controllers, config.zones.len()), (2, 2));
--- a/crates/simulator/src/contention/tests.rs
+++ b/crates/simulator/src/contention/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// What the page on quotas claims, with one seed: shares are seldom off by more than the
-/// tolerance, and follow demand in time but where a task needs a whole machine. The flat quotas
+/// The claim of the quota documentation, with one seed: shares rarely deviate by more than the
+/// tolerance, and follow demand in time except where a task needs a whole machine. The flat quotas
 /// show that the check can fail.
 #[test]
 fn shares_follow_demand_within_the_tolerance() {
-    // Kind, the most samples in a thousand that are outside.
+    // Quota kind, maximum samples per thousand outside the tolerance.
     let cases = [(Kind::Quiet, 20.0), (Kind::Faults, 40.0)];
     for (kind, most) in cases {
         let replay = replay(kind, 1);
--- a/crates/simulator/src/live/faults/tests.rs
+++ b/crates/simulator/src/live/faults/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_invalid_plan_is_refused_by_name() {
+fn an_invalid_plan_is_rejected_naming_the_field() {
     let good = "[fault 1]\nat_s=9\nkind=kill\ntarget=n1\nfor_s=3\n\
         [fault 2]\nat_s=4\nkind=outage\nfor_s=5\n";
     let plan = parse_plan("f", good, 3).unwrap();
--- a/crates/simulator/src/scale/settings/tests.rs
+++ b/crates/simulator/src/scale/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_file_that_can_not_be_played_names_its_key_and_why() {
+fn an_unsupported_file_is_rejected_with_key_and_reason() {
     let cases = [
         ("[scale]\nmachines = 0", "machines", "between 1"),
         ("[scale]\nmachines = many", "machines", "whole number"),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn parts_of_the_target_can_be_played() {
+fn a_fraction_of_the_target_can_be_simulated() {
     for part in [0.1, 0.25, 0.5, 1.0] {
         let settings = ScaleSettings::part_of_target(part);
         assert!(settings.check("target").is_ok(), "{part}: {settings:?}");
--- a/crates/simulator/tests/admission.rs
+++ b/crates/simulator/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Swarms of one class, or of one team, on whole controllers while others fail: the state service
-//! takes far fewer changes than are asked for, and still every class and every team is served.
+//! Bursts of one class or one team against complete controllers, combined with faults: the store accepts
+//! far fewer writes than are requested, and still every class and every team is served.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 use jaspertiller::types::Zone;
 
 const CONTROLLERS: usize = 5;
-/// Users come until then, and what came is to be served by `END_S`.
+/// Seconds until which users submit; all submitted jobs have to be served by `END_S`.
 const ARRIVALS_S: u64 = 60;
 const END_S: u64 = 150;
 
-/// Jobs of a class that come at a steady rate.
+/// Jobs of one class that arrive at a steady rate.
 struct Stream {
     class: &'static str,
     team: &'static str,
@@ -54,7 +54,7 @@
             plan.body["lot"] = stream.class.into();
             plan.body["rank"] = stream.priority.into();
             plan.body["kit"] = format!("img-{}", stream.class).into();
-            // The region's cloud has so many machines of both kinds together.
+            // Capacity of the cloud for both machine types together.
             plan.body["loaners"] = true.into();
             plan.at = Some(3_000 + (n as f64 / stream.per_s * 1e3) as u64);
             jobs.push(plan);
@@ -79,7 +79,7 @@
     config
 }
 
-/// The usual work, which alone takes about half of the changes.
+/// The normal load, which alone uses about half of the write budget.
 const USUAL: [Stream; 3] = [
     stream(("batch", "small", "normal"), "sweep", 4, 0.7),
     stream(("train", "other", "urgent"), "gang", 2, 0.5),
@@ -161,7 +161,7 @@
     }),
 ];
 
-/// Of each class and each team, how many jobs came and how many are done.
+/// Submitted and finished jobs of each class and each team.
 fn served(world: &World) -> BTreeMap<String, (u32, u32)> {
     let mut served: BTreeMap<String, (u32, u32)> = BTreeMap::new();
     for plan in &world.jobs {
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn no_swarm_starves_a_class_or_a_team_whatever_fails() {
+fn no_burst_starves_a_class_or_a_team_under_faults() {
     for (swarm, stream) in &SWARMS {
         for (fault, plan) in &FAULTS {
             let mut streams: Vec<Stream> = USUAL.into();
@@ -189,7 +189,7 @@
             let broken = &world.rules.violations;
             assert!(broken.is_empty(), "{name}: {broken:?}");
             for (who, (came, done)) in served(&world) {
-                // The swarm itself asks for more than there is.
+                // The burst itself exceeds the capacity.
                 let swarms = who == format!("lot {}", stream.class) || who == "crew guests";
                 let least = match *fault {
                     _ if swarms => 0.5,
@@ -201,7 +201,7 @@
             }
             let refused =
                 world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
-            // What a cut held back comes all at once.
+            // Submissions that a partition delayed arrive all at once.
             let most = if *fault == "nothing fails" {
                 0.005
             } else {
@@ -212,10 +212,10 @@
     }
 }
 
-/// The state service takes half of what its settings say, without word: what it refuses must not be
-/// asked again and again.
+/// The store silently accepts half of its configured rate: rejected writes must not be retried without
+/// backoff.
 #[test]
-fn a_limit_that_was_halved_is_found_out() {
+fn a_halved_rate_limit_is_detected() {
     let mut settings = config();
     settings.state.write_rps = 40.0;
     let mut world = World::new(settings, 7, jobs(&USUAL));
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -1,20 +1,20 @@
-//! Whole controllers in a simulated world: crashes, cuts, outages, late messages. The world
-//! checks the rules; each test also shows that the work gets done in the end.
+//! Complete controllers in a simulated cluster: crashes, partitions, outages, late messages. The
+//! simulator checks the invariants; each test also checks that the jobs finish.
 
 use cluster_simulator::config::Config;
 use cluster_simulator::sim::{Cut, JobPlan, World, ZoneCut, job};
 use jaspertiller::types::Millis;
 
 const CONTROLLERS: usize = 5;
-/// Fewer machines than this tell nothing of their zone, whatever is on them.
+/// Fewer machines than this are no evidence about the health of their zone.
 const MIN_ZONE_MACHINES: usize = 5;
 
-/// Which guard of the region is taken out, to see that its checks can fail.
+/// The guard that is disabled, to show that the simulator's checks can fail.
 #[derive(Clone, Copy, Default)]
 struct DisabledSafeguards {
-    /// The state service ignores conditions.
+    /// The store ignores the conditions of transactions.
     conditions: bool,
-    /// Workers keep their tasks when their lease is over.
+    /// Workers keep their tasks after their lease has expired.
     leases: bool,
 }
 
@@ -25,7 +25,7 @@
             1 => job(i, "large", "gang", 2, 1.0, 5_000),
             2 => job(i, "small", "standing", 2, 1.0, 0),
             4 => job(i, "small", "gang", 3, 1.0, 4_000),
-            // Whole machines, more than one holder's shard has at first.
+            // Tasks that need whole machines, more than one holder's shard has initially.
             3 if i < 7 => job(i, "large", "sweep", 12, 1.0, 3_000),
             3 => job(i, "large", "gang", 4, 4.0, 6_000),
             5 => job(i, "large", "sweep", 1, 1.0, 20_000),
@@ -44,7 +44,7 @@
 
 struct Scenario {
     name: &'static str,
-    /// What goes wrong.
+    /// Injects the faults of the scenario.
     plan: fn(&mut World),
 }
 
@@ -251,14 +251,14 @@
         world.abort_at(at + (seed % 7) * 500, index);
     }
     (scenario.plan)(&mut world);
-    // The last trouble of any day is over by then.
+    // The last fault of every scenario is over by then.
     world.rules.calm = Millis(200_000);
     world.run_until(300_000);
     world
 }
 
 #[test]
-fn no_rule_breaks_and_all_work_ends_whatever_fails() {
+fn invariants_hold_and_all_jobs_finish_under_faults() {
     for scenario in SCENARIOS {
         for seed in 1..=3 {
             let world = play(seed, scenario, DisabledSafeguards::default());
@@ -289,9 +289,9 @@
     }
 }
 
-/// A leader that was cut off thinks its machines dead; what it thinks must not reach the cloud.
+/// A partitioned leader takes its machines for dead; its deletions must not reach the cloud.
 #[test]
-fn machines_at_work_are_not_deleted_for_a_controller_that_was_cut_off() {
+fn busy_machines_are_not_deleted_by_a_partitioned_controller() {
     let scenarios = SCENARIOS
         .iter()
         .filter(|scenario| scenario.name.starts_with("one controller") || scenario.name == "quiet");
@@ -307,10 +307,10 @@
     }
 }
 
-/// Workers killed all that they had when their zone was cut off for longer than a lease, though a
-/// controller was cut off with them; or when that controller crashed meanwhile.
+/// Workers used to kill all their tasks when their zone was partitioned for longer than a lease, even with a
+/// controller inside the partition, or when that controller crashed during it.
 #[test]
-fn a_zone_that_is_cut_off_keeps_working() {
+fn a_partitioned_zone_keeps_running_its_tasks() {
     let cases: &[(&str, &[(usize, u64)])] = &[
         ("its controllers stay", &[]),
         ("one crashes", &[(1, 32_000)]),
@@ -327,7 +327,7 @@
                 controllers: CONTROLLERS,
                 ..Config::default()
             };
-            // A worker that looks for another controller spends 5 s on each that it can't reach.
+            // A worker that looks for another controller waits 5 s for each unreachable one.
             config.timing.lease = Millis(26_000);
             config.timing.cancel = Millis(46_000);
             let mut world = World::new(config, seed, mixed_jobs());
@@ -339,11 +339,11 @@
             let machines = world.machines.by_id.iter();
             let up = machines.filter(|(_, m)| m.stopped_at.is_none() && m.zone.as_str() == "b");
             let inside: Vec<_> = up.collect();
-            // Of a zone with very few machines nobody can tell whether it is cut off.
+            // Partition of a zone with very few machines cannot be detected.
             if inside.len() < MIN_ZONE_MACHINES {
                 continue;
             }
-            // One whose tasks have all ended may be known to be idle, and is not held.
+            // A machine whose tasks have all ended may be known to be idle and deleted.
             let at_work = inside
                 .into_iter()
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()));
@@ -366,15 +366,15 @@
     }
 }
 
-/// From the 35th second of a cut on, nearly all machines of a zone were deleted, most at work.
+/// From the 35th second of a partition on, nearly all machines of a zone used to be deleted, most of them busy.
 #[test]
-fn a_zone_that_is_cut_off_for_a_minute_keeps_its_machines() {
+fn a_zone_partitioned_for_a_minute_keeps_its_machines() {
     for seed in 1..=4 {
         let mut world = world(seed);
         world.network.zone_cuts.push(zone_cut("b", 20, 60, true));
         world.run_until(79_900);
         assert_eq!(world.cloud.deleted_at_work, 0, "seed {seed}");
-        // The services hold room that others of their team wait for.
+        // The services use quota that other jobs of their team wait for.
         for index in [2, 9] {
             world.abort_at(90_000, index);
         }
@@ -383,9 +383,9 @@
     }
 }
 
-/// The checks of the world can fail: without a guard some day breaks a rule.
+/// The simulator's checks can fail: with a guard disabled some run breaks an invariant.
 #[test]
-fn without_a_guard_rules_break() {
+fn disabling_a_guard_breaks_an_invariant() {
     let guards = [
         (
             "conditions",
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
+fn the_same_seed_gives_the_same_run() {
     let shown = |_| {
         let world = play(5, &SCENARIOS[3], DisabledSafeguards::default());
         let mut done: Vec<_> = world.rules.done.iter().cloned().collect();
@@ -422,9 +422,9 @@
     assert_eq!(shown(0), shown(1));
 }
 
-/// Controllers that start while the cloud is away know the machine types from the state service.
+/// Controllers that start during a cloud outage read the machine types from the store.
 #[test]
-fn jobs_are_taken_after_a_restart_without_the_cloud() {
+fn jobs_are_accepted_after_a_restart_during_a_cloud_outage() {
     let mut world = world(1);
     world.network.cloud_outages.push((8_000, 200_000));
     (0..CONTROLLERS).for_each(|n| world.crash(n, 9_000, 2_000));
--- a/crates/simulator/tests/faults/combined_faults/holders.rs
+++ b/crates/simulator/tests/faults/combined_faults/holders.rs
@@ -1,4 +1,4 @@
-//! Meetings of leaders, holders and the state service.
+//! Combined faults of leaders, shard holders and the key-value store.
 
 use std::collections::HashSet;
 
@@ -6,14 +6,17 @@
 use jaspertiller::types::Millis;
 
 use super::super::{cut_except_workers, restart_repeatedly};
-use super::{FAULT_START, Observations, Scenario, at_work, hear_only, leader, renewed_by, told};
+use super::{
+    FAULT_START, Observations, Scenario, confirmed_cancellations, leader, limit_reachability_to,
+    machines_renewed_by, running_jobs,
+};
 
-/// The state service refuses the leader alone; others confirm cancellations; then it is away for all,
-/// longer than cancelled tasks may stay, while workers go on reporting to the old leader. `apart`: it hears
-/// nothing of the others either, and some machines hear nobody else.
-fn gap(world: &mut World, gap: u64, apart: bool) -> Observations {
+/// The store rejects only the leader's requests, and other controllers confirm cancellations. Then the store
+/// is unavailable to all for longer than the cancellation timeout, while workers keep reporting to the old
+/// leader. `apart`: the old leader is also partitioned from its peers, and only it reaches some machines.
+fn refuse_leader_then_outage(world: &mut World, gap: u64, apart: bool) -> Observations {
     world.run_until(FAULT_START);
-    let (old, began) = (leader(world), at_work(world));
+    let (old, began) = (leader(world), running_jobs(world));
     let away = (FAULT_START + gap, FAULT_START + gap + 45_000);
     world.store_faults.refusals.push(Refusal {
         controller: old,
@@ -25,7 +28,7 @@
         let mut cut = cut_except_workers(old, FAULT_START / 1_000, 0, true);
         (cut.from_store, cut.until) = (false, away.1);
         world.network.cuts.push(cut);
-        hear_only(world, old, away.1, false);
+        limit_reachability_to(world, old, away.1, false);
     }
     for index in 0..10 {
         world.abort_at(FAULT_START + gap * index / 11, index as usize);
@@ -35,17 +38,17 @@
     vec![
         (
             "confirmed in the gap",
-            told(world, &began, FAULT_START, away.0),
+            confirmed_cancellations(world, &began, FAULT_START, away.0),
         ),
         (
             "kept by the old leader",
-            renewed_by(world, old, away.0 + lease),
+            machines_renewed_by(world, old, away.0 + lease),
         ),
     ]
 }
 
-/// Every version that a shard's key had meanwhile: each is another hold.
-pub(super) fn holds(world: &mut World, until: u64) -> u64 {
+/// Number of versions that the key of shard a.0 has until `until`; each version is a new hold.
+pub(super) fn observe_shard_holds(world: &mut World, until: u64) -> u64 {
     let mut seen = HashSet::new();
     while world.now < until {
         world.run_until((world.now + 100).min(until));
@@ -67,19 +70,19 @@
         name: "the gap, 2.5 s long: blocks have not changed hands",
         controllers: 5,
         lease_s: None,
-        play: |w| gap(w, 2_500, false),
+        play: |w| refuse_leader_then_outage(w, 2_500, false),
     },
     Scenario {
         name: "the gap, 6.5 s long: blocks are changing hands",
         controllers: 5,
         lease_s: None,
-        play: |w| gap(w, 6_500, true),
+        play: |w| refuse_leader_then_outage(w, 6_500, true),
     },
     Scenario {
         name: "the gap, 9 s long, with machines that hear the old leader only",
         controllers: 3,
         lease_s: None,
-        play: |w| gap(w, 9_000, true),
+        play: |w| refuse_leader_then_outage(w, 9_000, true),
     },
     Scenario {
         name: "the state service is slow, then refuses the leader alone, then is away for all",
@@ -90,7 +93,7 @@
                 until: FAULT_START + 70_000,
                 delay_ms: 300..1_800,
             });
-            gap(w, 4_500, false)
+            refuse_leader_then_outage(w, 4_500, false)
         },
     },
     Scenario {
@@ -112,7 +115,7 @@
                     w.crash(controller, at + 9_000 + 40 * controller as u64, back);
                 }
                 w.abort_at(at + 8_500, 2 * round);
-                holds_seen += holds(w, at + 20_000).saturating_sub(1);
+                holds_seen += observe_shard_holds(w, at + 20_000).saturating_sub(1);
                 began += u64::from(w.controllers.iter().all(Option::is_some));
             }
             vec![("changes of hands", holds_seen), ("all came back", began)]
@@ -128,24 +131,24 @@
             w.network
                 .cuts
                 .push(cut_except_workers(old, FAULT_START / 1_000, 45, false));
-            hear_only(w, old, FAULT_START + 36_000, true);
-            // For a moment the old one can't be reached: they ask the others, and hear nothing of them.
+            limit_reachability_to(w, old, FAULT_START + 36_000, true);
+            // The old holder is briefly unreachable, so workers try the other controllers without success.
             let mut away = cut_except_workers(old, FAULT_START / 1_000 + 7, 5, false);
             (away.from_workers, away.from_store, away.from_peers) = (true, false, false);
             w.network.cuts.push(away);
-            // Else the machines are deleted for their silence first.
+            // Otherwise the machines would be deleted for silence first.
             w.network
                 .cloud_outages
                 .push((FAULT_START, FAULT_START + 58_000));
             w.run_until(FAULT_START + 35_500);
-            let kept = renewed_by(w, old, FAULT_START + 25_000);
+            let kept = machines_renewed_by(w, old, FAULT_START + 25_000);
             let seen: Vec<_> = {
                 let machines = w.machines.by_id.iter().filter(|(_, m)| m.controller == old);
                 machines
                     .map(|(machine_id, m)| (machine_id.clone(), m.worker_token))
                     .collect()
             };
-            // The new holder shows them its token; what they answer is the last for a while.
+            // The new holder announces its token; the machines' responses are the last ones for a while.
             let mut silenced = HashSet::new();
             while w.now < FAULT_START + 40_000 {
                 w.run_until(w.now + 50);
@@ -201,21 +204,22 @@
         lease_s: None,
         play: |w| {
             w.run_until(FAULT_START);
-            let (old, began) = (leader(w), at_work(w));
+            let (old, began) = (leader(w), running_jobs(w));
             w.network
                 .cuts
                 .push(cut_except_workers(old, FAULT_START / 1_000, 50, true));
-            hear_only(w, old, FAULT_START + 25_000, false);
+            limit_reachability_to(w, old, FAULT_START + 25_000, false);
             for index in 0..8 {
                 w.abort_at(FAULT_START + 7_000 + 2_500 * index, index as usize);
             }
             w.run_until(FAULT_START + 24_000);
-            let kept = renewed_by(w, old, FAULT_START + 18_000);
+            let kept = machines_renewed_by(w, old, FAULT_START + 18_000);
             w.run_until(FAULT_START + 49_000);
-            let heard = told(w, &began, FAULT_START + 7_000, FAULT_START + 49_000);
+            let cancelled =
+                confirmed_cancellations(w, &began, FAULT_START + 7_000, FAULT_START + 49_000);
             vec![
                 ("kept by the old leader", kept),
-                ("cancelled meanwhile", heard),
+                ("cancelled meanwhile", cancelled),
             ]
         },
     },
@@ -280,7 +284,7 @@
         controllers: 5,
         lease_s: None,
         play: |w| {
-            // The holders come after the machines: none has heard them, so none can tell that they left.
+            // Holders start after the machines left, so no holder has received their heartbeats.
             w.run_until(FAULT_START - 100);
             (0..3).for_each(|index| w.kill_worker(index));
             (0..5).for_each(|controller| {
@@ -288,7 +292,7 @@
             });
             w.run_until(FAULT_START + 10_000);
             let old = leader(w);
-            // Deleted, and not yet written: from then on nobody else knows.
+            // Deleted, but not yet recorded: no other controller knows of the deletion.
             let before = w.cloud.deleted.len();
             while w.cloud.deleted.len() == before && w.now < FAULT_START + 25_000 {
                 w.run_until(w.now + 20);
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -1,4 +1,4 @@
-//! Meetings in which machines and their work are what cannot be seen.
+//! Combined faults in which the state of machines and tasks cannot be observed.
 
 use std::collections::HashSet;
 
@@ -6,10 +6,10 @@
 use jaspertiller::types::{JobId, MachineId, Millis, TaskId};
 
 use super::super::cut_except_workers;
-use super::holders::holds;
-use super::{FAULT_START, Scenario, at_work, leader, told};
+use super::holders::observe_shard_holds;
+use super::{FAULT_START, Scenario, confirmed_cancellations, leader, running_jobs};
 
-/// Machines that are up now and have tasks.
+/// Machines that are up and run tasks.
 fn busy(world: &World) -> Vec<MachineId> {
     let machine_ids: HashSet<&MachineId> = world
         .machines
@@ -27,8 +27,8 @@
     here.map(|(_, task)| task.job.clone()).collect()
 }
 
-/// These machines, a few of all, reach no controller for a while. Once that could be noticed, nothing new may
-/// be put on them.
+/// These machines, a small part of the fleet, cannot reach any controller for `for_ms`. Once this is
+/// detectable, no new task may be placed on them.
 fn unable_to_report(world: &mut World, machine_ids: &[MachineId], for_ms: u64) {
     const NOTICED: u64 = 7_000;
     let (from, until) = (world.now, world.now + for_ms);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Some thirty machines at work.
+/// Enough jobs to keep about thirty machines busy.
 fn large_fleet(world: &mut World) {
     world.cloud.offer(32);
     for index in 0..20 {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Work that keeps coming, in tasks that come and go.
+/// A steady stream of jobs with short tasks.
 fn stream(world: &mut World, from: u64, to: u64) {
     for index in 0..(to - from) / 1_500 {
         let mut plan = job(200 + index as usize, "large", "sweep", 3, 1.0, 7_000);
@@ -81,7 +81,7 @@
     }
 }
 
-/// An array that must stay in one zone, and one that must be in a certain zone.
+/// An array restricted to a single zone, or one restricted to a named zone.
 fn bound(index: usize) -> JobPlan {
     let mut plan = job(100 + index, "large", "sweep", 6, 2.0, 25_000);
     if index % 2 == 0 {
@@ -93,7 +93,7 @@
     plan
 }
 
-/// What a team's tasks use now.
+/// GPUs used by a team's running tasks.
 fn gpus_of(world: &World, team: &str) -> f64 {
     let tasks = world.machines.tasks_allocated(Millis(world.now));
     let specs = tasks.map(|task| &world.machines.jobs[&task.job].spec);
@@ -116,10 +116,10 @@
                 w.abort_at(FAULT_START + 3_000 * index, index as usize);
             }
             unable_to_report(w, &machine_ids, 40_000);
-            let heard = told(w, &began, FAULT_START, FAULT_START + 40_000);
+            let cancelled = confirmed_cancellations(w, &began, FAULT_START, FAULT_START + 40_000);
             vec![
                 ("mute with tasks", machine_ids.len() as u64),
-                ("cancelled there", heard),
+                ("cancelled there", cancelled),
             ]
         },
     },
@@ -146,8 +146,8 @@
             }
             w.run_until(FAULT_START + 20_000);
             let deleted = w.cloud.deleted.len() - before;
-            // They live, as their answers show: many at once are no reason to destroy. A controller of
-            // whose machines only a few are so replaces these.
+            // Direct responses prove that the machines are alive, so many at once must not be deleted. A
+            // controller that has only a few such machines replaces them.
             let what = format!("{deleted} of {} deleted", machine_ids.len());
             assert!(
                 machine_ids.len() >= 15 && deleted * 6 <= machine_ids.len(),
@@ -167,7 +167,7 @@
             let (mut began, mut changes) = (HashSet::new(), 0);
             for (round, span) in [9_000, 22_000].into_iter().enumerate() {
                 w.run_until(FAULT_START - 10_000 + 35_000 * round as u64);
-                began.extend(at_work(w));
+                began.extend(running_jobs(w));
                 let machine_ids: Vec<MachineId> = w.machines.by_id.keys().cloned().collect();
                 let (from, deleted) = (w.now, w.cloud.deleted_at_work);
                 for index in 0..4 {
@@ -180,16 +180,16 @@
                         .unwrap()
                         .heartbeats_lost_until = Millis(from + span);
                 }
-                changes += holds(w, from + span) - 1;
+                changes += observe_shard_holds(w, from + span) - 1;
                 let deleted = w.cloud.deleted_at_work - deleted;
                 assert_eq!(deleted, 0, "deleted at work in round {round}");
             }
-            // One controller hears them as well as another.
+            // Every controller receives their heartbeats.
             assert!(changes <= 5, "a block changed hands {changes} times");
             vec![
                 (
                     "cancelled meanwhile",
-                    told(w, &began, FAULT_START - 10_000, w.now),
+                    confirmed_cancellations(w, &began, FAULT_START - 10_000, w.now),
                 ),
                 ("killed by their lease", w.machines.killed_by_lease),
             ]
@@ -200,7 +200,7 @@
         controllers: 5,
         lease_s: None,
         play: |w| {
-            // Around a heartbeat, a lease, a cancellation's time, and both.
+            // Around a heartbeat interval, a lease, the cancellation timeout, and the sum of both.
             let spans = [2_000, 9_000, 11_800, 12_500, 14_500, 24_000, 30_500, 45_000];
             let (mut began, mut hung) = (HashSet::new(), 0);
             for round in 0..2 {
@@ -211,7 +211,7 @@
                     w.abort_at(now + 28 * index as u64, *job);
                 }
                 let ids: HashSet<JobId> = jobs.iter().map(|job| w.jobs[*job].id()).collect();
-                began.extend(ids.intersection(&at_work(w)).cloned());
+                began.extend(ids.intersection(&running_jobs(w)).cloned());
                 let on: HashSet<MachineId> = {
                     let present = w.machines.tasks_started(Millis(now));
                     let its = present.filter(|(_, task)| ids.contains(&task.job));
@@ -230,7 +230,10 @@
             w.run_until(115_000);
             vec![
                 ("machines of theirs that hang", hung),
-                ("cancelled", told(w, &began, FAULT_START - 8_000, 115_000)),
+                (
+                    "cancelled",
+                    confirmed_cancellations(w, &began, FAULT_START - 8_000, 115_000),
+                ),
             ]
         },
     },
@@ -293,7 +296,7 @@
                 for index in 0..4 {
                     w.abort_at(now + 6_500 + 300 * index, (4 * round + index) as usize);
                 }
-                // A machine of which a heartbeat is on its way is no more, another begins anew.
+                // One machine with a heartbeat in flight dies; another one restarts.
                 w.kill_worker(round as usize);
                 w.run_until(now + 4_000);
                 w.reboot_worker(round as usize + 1, false);
@@ -320,7 +323,7 @@
             }
             w.run_until(FAULT_START);
             let full = gpus_of(w, "small");
-            let (old, began) = (leader(w), at_work(w));
+            let (old, began) = (leader(w), running_jobs(w));
             let machine_ids: Vec<MachineId> = {
                 let present = w.machines.tasks_started(Millis(w.now));
                 let its = present.filter(|(_, task)| task.job.as_str() >= "job-000100");
@@ -334,13 +337,13 @@
                     .unreachable_until = Millis(FAULT_START + 18_000);
             }
             w.crash(old, FAULT_START + 300, 6_000);
-            // Of the team's jobs some, and some of others.
+            // Some jobs of the team, and some of other teams.
             for (index, job) in [14, 0, 15, 1, 16, 2, 3, 6].into_iter().enumerate() {
                 w.abort_at(FAULT_START + 2_000 + 900 * index as u64, job);
             }
             w.run_until(FAULT_START + 18_000);
-            let cancelled = told(w, &began, FAULT_START, FAULT_START + 18_000);
-            // Once all is heard again the team has its whole limit within seconds.
+            let cancelled = confirmed_cancellations(w, &began, FAULT_START, FAULT_START + 18_000);
+            // The team regains its full limit within seconds after heartbeats resume.
             let mut again = 0;
             while w.now < FAULT_START + 30_000 && again == 0 {
                 w.run_until(w.now + 100);
@@ -412,7 +415,7 @@
                     .map(|(_, resources)| resources.gpus);
                 full |= w.now > 20_000 && resources.sum::<f64>() < 4.0;
             }
-            let began = at_work(w);
+            let began = running_jobs(w);
             let waiting = w.rules.accepted.difference(&began).count() as u64;
             w.run_until(110_000);
             vec![("full", u64::from(full)), ("jobs that waited", waiting)]
--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -1,5 +1,5 @@
-//! Meetings of troubles: each brought about, and seen to have taken place. What could go wrong in each
-//! and what prevents it: docs/combined-faults.md.
+//! Combinations of faults. Each scenario injects its faults and counts evidence that they coincided.
+//! The hazard of each and the mechanism that prevents it: docs/combined-faults.md.
 
 mod holders;
 mod machines;
@@ -14,16 +14,16 @@
 
 use super::{FAULTS_END, cut_except_workers, finish, seeds};
 
-/// A trouble begins here: all jobs are at work.
+/// Milliseconds at which the first fault begins; all jobs are running by then.
 const FAULT_START: u64 = 40_000;
 
-/// What shows that the meeting took place, and how often it was seen.
+/// Evidence that the faults coincided, and how often it was observed.
 type Observations = Vec<(&'static str, u64)>;
 
 struct Scenario {
     name: &'static str,
     controllers: usize,
-    /// None: the region's.
+    /// Lease duration in seconds; `None` takes the default of `Config`.
     lease_s: Option<u64>,
     play: fn(&mut World) -> Observations,
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Who leads, by the records.
+/// Index of the leader according to the store's records.
 pub(crate) fn leader(world: &World) -> usize {
     let (record, ..) = world.store.get("jt/lead").expect("somebody leads");
     let record: serde_json::Value = serde_json::from_str(record).unwrap();
@@ -69,21 +69,21 @@
     index.expect("it is one of ours")
 }
 
-/// Jobs with a task on a machine now.
-fn at_work(world: &World) -> HashSet<JobId> {
+/// Jobs with at least one task running on a machine.
+fn running_jobs(world: &World) -> HashSet<JobId> {
     let present = world.machines.tasks_started(Millis(world.now));
     present.map(|(_, task)| task.job.clone()).collect()
 }
 
-/// Cancellations of these jobs that users heard of in a span of time.
-fn told(world: &World, jobs: &HashSet<JobId>, from: u64, to: u64) -> u64 {
-    let heard = world.rules.aborted.iter();
-    let heard = heard.filter(|(id, at)| jobs.contains(*id) && (from..to).contains(&at.0));
-    heard.count() as u64
+/// Cancellations of these jobs that were confirmed to their users within `from..to` (milliseconds).
+fn confirmed_cancellations(world: &World, jobs: &HashSet<JobId>, from: u64, to: u64) -> u64 {
+    let confirmed = world.rules.aborted.iter();
+    let confirmed = confirmed.filter(|(id, at)| jobs.contains(*id) && (from..to).contains(&at.0));
+    confirmed.count() as u64
 }
 
-/// Machines whose lease was renewed by this controller after a moment.
-fn renewed_by(world: &World, controller: usize, after: u64) -> u64 {
+/// Machines whose lease was last renewed by this controller, and after `after` (milliseconds).
+fn machines_renewed_by(world: &World, controller: usize, after: u64) -> u64 {
     let machines = world.machines.by_id.values();
     let renewed = machines.filter(|m| {
         m.last_renewal
@@ -92,8 +92,8 @@
     renewed.count() as u64
 }
 
-/// Every other machine that reports to this controller, or all, hears nobody else for a while.
-fn hear_only(world: &mut World, controller: usize, until: u64, all: bool) {
+/// Until `until` only this controller reaches every second machine that reports to it, or all of them.
+fn limit_reachability_to(world: &mut World, controller: usize, until: u64, all: bool) {
     let machines = world.machines.by_id.values_mut();
     for (index, machine) in machines.filter(|m| m.controller == controller).enumerate() {
         if all || index % 2 == 0 {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn meetings_of_troubles_take_place_and_break_no_rule() {
+fn combined_faults_occur_and_break_no_invariant() {
     let seeds = seeds("MEETING", 6);
     let least = (seeds.end - seeds.start) / 2;
     let rows = [holders::SCENARIOS, machines::SCENARIOS, users::SCENARIOS];
@@ -129,12 +129,12 @@
     }
 }
 
-/// No cancellation is held back until a trouble is over that it can be seen past.
+/// A cancellation is confirmed during a fault if the state of its tasks can still be observed.
 #[test]
-fn cancellations_are_told_within_seconds() {
-    type Trouble = fn(&mut World, usize);
-    let cases: [(&str, Trouble, u64, u64); 3] = [
-        // trouble, half of the users and the last of them hear within so many ms
+fn cancellations_are_confirmed_within_seconds() {
+    type Fault = fn(&mut World, usize);
+    let cases: [(&str, Fault, u64, u64); 3] = [
+        // fault, maximum median and maximum worst time to confirmation in ms
         ("nothing is wrong", |_, _| {}, 400, 1_000),
         (
             "the state service refuses the leader alone",
@@ -159,13 +159,13 @@
             10_000,
         ),
     ];
-    for (name, trouble, half, last) in cases {
+    for (name, inject_fault, half, last) in cases {
         let mut waits = Vec::new();
         for seed in 1..=6 {
             let mut world = holders::SCENARIOS[0].world(seed);
             world.run_until(FAULT_START);
-            let (old, began) = (leader(&world), at_work(&world));
-            trouble(&mut world, old);
+            let (old, began) = (leader(&world), running_jobs(&world));
+            inject_fault(&mut world, old);
             for index in 0..12 {
                 world.abort_at(FAULT_START + 500 + 900 * index, index as usize);
             }
@@ -174,9 +174,10 @@
                 if let Some(asked) = world.rules.wanted_aborts.get(&id)
                     && !world.rules.done.contains(&id)
                 {
-                    let told = world.rules.aborted.get(&id);
-                    let told = told.unwrap_or_else(|| panic!("{name} (seed {seed}): {id}"));
-                    waits.push(told.since(*asked).0);
+                    let confirmed = world.rules.aborted.get(&id);
+                    let confirmed =
+                        confirmed.unwrap_or_else(|| panic!("{name} (seed {seed}): {id}"));
+                    waits.push(confirmed.since(*asked).0);
                 }
             }
         }
--- a/crates/simulator/tests/faults/combined_faults/pairs.rs
+++ b/crates/simulator/tests/faults/combined_faults/pairs.rs
@@ -1,4 +1,4 @@
-//! A seeded search over pairs of troubles, each placed relative to a step of the one before.
+//! A seeded search over pairs of faults; each fault is timed relative to a step of the previous one.
 
 use cluster_simulator::sim::{
     HeartbeatCopies, RandomDelay, Refusal, SlowStore, World, ZoneCut, job,
@@ -9,10 +9,10 @@
 
 use super::super::{FAULTS_END, cut_except_workers, finish, log_if_asked, seeds};
 use super::holders::SCENARIOS;
-use super::{FAULT_START, hear_only, leader};
+use super::{FAULT_START, leader, limit_reachability_to};
 
-/// Begins one trouble now; returns when its steps come, in ms from now: its begin, the change of hands
-/// that it brings, its end.
+/// Injects one fault now. Returns the times of its steps in ms from now: its start, the change of leader or
+/// holder that it causes, and its end.
 fn inject(world: &mut World, kind: u32, rng: &mut SmallRng) -> Vec<u64> {
     let (now, old, nodes) = (world.now, leader_or_first(world), world.controllers.len());
     let long = rng.random_range(4_000..40_000);
@@ -52,7 +52,7 @@
         }
         5 => (0..6).for_each(|_| world.drop_commands_to_worker(some(rng), now + long)),
         6 => (0..4).for_each(|_| world.hang_worker(some(rng), now + long / 3)),
-        7 => hear_only(world, old, now + long, rng.random_bool(0.5)),
+        7 => limit_reachability_to(world, old, now + long, rng.random_bool(0.5)),
         8 => world.store_faults.late_write_share = rng.random_range(0.05..0.5),
         9 => {
             world.network.heartbeat_copies = Some(HeartbeatCopies {
@@ -89,7 +89,7 @@
             }
         }
         15 => {
-            // Users call off half of what runs, and its machines hang.
+            // Users cancel half of the running jobs, and their machines hang.
             for index in 0..world.jobs.len() {
                 if rng.random_bool(0.5) {
                     world.abort_at(now + rng.random_range(0..200), index);
@@ -120,12 +120,12 @@
     vec![0, long / 3, long]
 }
 
-/// Who led last, or the first while nobody leads.
+/// The last leader, or controller 0 while there is none.
 fn leader_or_first(world: &World) -> usize {
     world.store.get("jt/lead").map_or(0, |_| leader(world))
 }
 
-/// Two troubles or three, each placed relative to a step of the one before.
+/// Plays two or three faults, each timed relative to a step of the previous one.
 fn pair(seed: u64) -> World {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x3ee7);
     let mut world = SCENARIOS[rng.random_range(0..SCENARIOS.len())].world(seed);
@@ -134,7 +134,7 @@
     }
     let begin = rng.random_range(14_000..FAULT_START + 15_000);
     if rng.random_bool(0.6) {
-        // A team that uses all of its limit, in tasks that come and go.
+        // A team at its limit, with short tasks.
         for index in 0..12 {
             let (run, team) = (rng.random_range(2_000..9_000), "small");
             let mut plan = job(50 + index, team, "sweep", 4, 1.0, run);
@@ -150,7 +150,7 @@
     let count = rng.random_range(2..4);
     for _ in 0..count {
         let kind = rng.random_range(0..20);
-        // What was held back before arrives now, at whoever leads.
+        // Messages that were held back arrive now, at the current leader.
         let to = leader_or_first(&world);
         world.release_heartbeats(to);
         let from = world.now;
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -1,16 +1,16 @@
-//! Meetings of what users ask with ends, refusals and controllers that are away.
+//! User requests that coincide with job completions, rejected writes and unavailable controllers.
 
 use cluster_simulator::sim::{Refusal, World, job};
 use jaspertiller::types::Millis;
 
 use super::super::{cut_except_workers, restart_repeatedly};
-use super::{FAULT_START, Observations, Scenario, at_work, leader, told};
+use super::{FAULT_START, Observations, Scenario, confirmed_cancellations, leader, running_jobs};
 
-/// Jobs are cancelled within a fifth of a second of the state service's refusing the leader alone; a while
-/// later it is out for longer than cancelled tasks may stay.
-fn refused(world: &mut World, gap: u64) -> Observations {
+/// Jobs are cancelled within 200 ms after the store starts to reject the leader's requests; later the store is
+/// unavailable for longer than the cancellation timeout.
+fn cancel_while_leader_refused(world: &mut World, gap: u64) -> Observations {
     world.run_until(FAULT_START);
-    let (old, began) = (leader(world), at_work(world));
+    let (old, began) = (leader(world), running_jobs(world));
     world.store_faults.refusals.push(Refusal {
         controller: old,
         since: FAULT_START,
@@ -23,17 +23,17 @@
         world.abort_at(FAULT_START + 16 * index, index as usize);
     }
     world.run_until(back + 10_000);
-    let before = told(world, &began, FAULT_START, FAULT_START + gap);
+    let before = confirmed_cancellations(world, &began, FAULT_START, FAULT_START + gap);
     vec![(
         "cancelled in all",
-        told(world, &began, FAULT_START, back + 10_000) + before,
+        confirmed_cancellations(world, &began, FAULT_START, back + 10_000) + before,
     )]
 }
 
-/// All controllers are away for longer than a lease, and come back so many milliseconds apart.
-fn all_away(world: &mut World, apart: u64) -> Observations {
+/// All controllers are down for longer than a lease and restart `apart` milliseconds after one another.
+fn crash_all_controllers(world: &mut World, apart: u64) -> Observations {
     world.run_until(FAULT_START);
-    let began = at_work(world);
+    let began = running_jobs(world);
     let lease = world.config.timing.lease.0;
     (0..4).for_each(|index| world.abort_at(FAULT_START - 200 + 60 * index, index as usize));
     for controller in 0..world.controllers.len() {
@@ -44,14 +44,17 @@
         );
     }
     (4..8).for_each(|index| world.abort_at(FAULT_START + 3_000 * index, index as usize));
-    // One dies and one begins anew while nobody looks.
+    // One worker dies and one restarts while no controller is up.
     world.run_until(FAULT_START + 6_000);
     world.kill_worker(0);
     world.reboot_worker(1, false);
     world.run_until(FAULT_START + lease + 30_000);
     vec![
         ("killed by their lease", world.machines.killed_by_lease),
-        ("cancelled", told(world, &began, FAULT_START, world.now)),
+        (
+            "cancelled",
+            confirmed_cancellations(world, &began, FAULT_START, world.now),
+        ),
     ]
 }
 
@@ -109,37 +112,37 @@
         name: "cancelled at the moment of the refusal, the outage half a second later",
         controllers: 5,
         lease_s: None,
-        play: |w| refused(w, 500),
+        play: |w| cancel_while_leader_refused(w, 500),
     },
     Scenario {
         name: "cancelled at the moment of the refusal, the outage a second later",
         controllers: 3,
         lease_s: None,
-        play: |w| refused(w, 1_000),
+        play: |w| cancel_while_leader_refused(w, 1_000),
     },
     Scenario {
         name: "cancelled at the moment of the refusal, the outage two seconds later",
         controllers: 5,
         lease_s: None,
-        play: |w| refused(w, 2_000),
+        play: |w| cancel_while_leader_refused(w, 2_000),
     },
     Scenario {
         name: "cancelled at the moment of the refusal, the outage five seconds later",
         controllers: 5,
         lease_s: None,
-        play: |w| refused(w, 5_000),
+        play: |w| cancel_while_leader_refused(w, 5_000),
     },
     Scenario {
         name: "all controllers are away for longer than a lease, and back at once",
         controllers: 5,
         lease_s: None,
-        play: |w| all_away(w, 3),
+        play: |w| crash_all_controllers(w, 3),
     },
     Scenario {
         name: "all controllers are away for longer than a lease, and back one after the other",
         controllers: 5,
         lease_s: None,
-        play: |w| all_away(w, 4_000),
+        play: |w| crash_all_controllers(w, 4_000),
     },
     Scenario {
         name: "leaders change ten times in two minutes, also inside an outage",
@@ -180,9 +183,9 @@
     },
 ];
 
-/// Who asks for nothing but an answer has it within the page's time, whatever the state of the job.
+/// A poll is answered within the documented time in every state of the job.
 #[test]
-fn what_is_over_stays_as_it_was_told() {
+fn a_terminal_state_that_was_reported_does_not_change() {
     for seed in 1..=3 {
         let mut world = SCENARIOS[0].world(seed);
         (SCENARIOS[0].play)(&mut world);
--- a/crates/simulator/tests/faults/leaders.rs
+++ b/crates/simulator/tests/faults/leaders.rs
@@ -1,17 +1,17 @@
-//! Leaders that are replaced, and messages between controllers that are lost, doubled or late, while jobs keep
-//! coming: the index of free room of every controller is right at each second, and work goes on.
+//! Leader changes, and lost, duplicated or late messages between controllers, under a steady stream of jobs:
+//! every controller's capacity index is exact at each second, and scheduling continues.
 
 use cluster_simulator::sim::{Cut, JobPlan, RandomDelay, World, job};
 
 use super::combined_faults::leader;
 use super::{CONTROLLERS, finish, world};
 
-/// The trouble begins here.
+/// Milliseconds at which the fault begins.
 const FAULT_START: u64 = 40_000;
-/// The index is compared with a recount until then.
+/// Milliseconds until which the index is compared with a recount.
 const INDEX_CHECKS_END: u64 = 100_000;
 
-/// What shows that the meeting took place, and how often it was seen.
+/// Evidence that the fault had its effect, and how often it was observed.
 type Observations = Vec<(&'static str, u64)>;
 
 struct Scenario {
@@ -19,7 +19,7 @@
     play: fn(&mut World) -> Observations,
 }
 
-/// Jobs come all the time.
+/// A steady stream of jobs.
 fn stream() -> impl Iterator<Item = JobPlan> {
     (100..160).map(|index| {
         let kind = ["sweep", "gang", "sweep"][index % 3];
@@ -29,7 +29,7 @@
     })
 }
 
-/// Lets time pass, and compares the index once a second, at other moments each time.
+/// Advances the simulation and compares the index with a recount about once a second, at varying offsets.
 fn run_checking_index(world: &mut World, until: u64, name: &str) -> u64 {
     let mut checks = 0;
     while world.now < until {
@@ -41,7 +41,7 @@
     checks
 }
 
-/// A controller that is there and isn't heard, and hears everything late.
+/// A frozen controller: it sends nothing, and receives everything late.
 fn frozen_cut(controller: usize, for_ms: u64) -> Cut {
     Cut {
         controller,
@@ -148,13 +148,13 @@
 ];
 
 #[test]
-fn the_index_is_right_and_work_goes_on_whoever_leads() {
+fn the_index_is_exact_and_work_continues_across_leader_changes() {
     for scenario in SCENARIOS {
         let mut seen: Observations = Vec::new();
         for seed in 1..=2 {
             let mut world = world(seed);
             stream().for_each(|plan| world.submit(plan));
-            // Services hold what is left of their team's limit.
+            // Services use the rest of their team's limit.
             [2, 10]
                 .into_iter()
                 .for_each(|index| world.abort_at(60_000, index));
--- a/crates/simulator/tests/faults/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -1,7 +1,7 @@
-//! Troubles that were on no list: machines that speak and do not hear, late copies of heartbeats,
-//! controllers that keep their workers and lose all else, processes and machines that are back at
-//! once, jobs that fail everywhere. No rule may break, all work has to end, and whatever is left has
-//! to be heard of and to wait for something that can be named.
+//! Unlisted faults: machines that send heartbeats but receive no commands, late duplicates of
+//! heartbeats, controllers that reach only their workers, instant restarts of processes and
+//! machines, jobs that fail on every machine. No invariant may break, all jobs have to finish, and
+//! each remaining job needs a reported state and a known reason to wait.
 
 mod combined_faults;
 mod leaders;
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 
 const CONTROLLERS: usize = 5;
-/// All troubles are over by then.
+/// Milliseconds at which all faults are over.
 const FAULTS_END: u64 = 120_000;
 const END: u64 = 260_000;
 
@@ -31,7 +31,7 @@
             _ => job(i, "small", "sweep", 4, 1.0, 3_000),
         })
         .collect();
-    // Some come in the middle of it.
+    // Some jobs arrive during the faults.
     for (index, plan) in jobs.iter_mut().enumerate() {
         if index >= 8 {
             plan.at = Some(20_000 + 4_000 * index as u64);
@@ -50,7 +50,7 @@
     world
 }
 
-/// It keeps its workers and loses state service and peers.
+/// A partition of one controller from the store and its peers, but not from its workers.
 fn cut_except_workers(controller: usize, from_s: u64, for_s: u64, hold: bool) -> Cut {
     Cut {
         controller,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A process is killed and back after so many milliseconds, time and again.
+/// Kills a controller `count` times; it is back after `back` milliseconds each time.
 fn restart_repeatedly(world: &mut World, controller: usize, from: u64, count: u64, back: u64) {
     for round in 0..count {
         world.crash(controller, from + round * (back + 250), back);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn unlisted_troubles_break_no_rule_and_leave_no_work_behind() {
+fn unlisted_faults_break_no_invariant_and_leave_no_unfinished_work() {
     for scenario in SCENARIOS {
         for seed in 1..=3 {
             let mut world = world(seed);
@@ -261,7 +261,7 @@
     }
 }
 
-/// One day of random troubles.
+/// One run with random faults.
 fn random_scenario(seed: u64) -> World {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let mut world = world(seed);
@@ -334,7 +334,7 @@
     world
 }
 
-/// How many seeds are played, from which on: `NAME_DAYS` and `NAME_FROM`.
+/// The range of seeds, which `NAME_DAYS` (number) and `NAME_FROM` (first seed) override.
 fn seeds(name: &str, count: u64) -> Range<u64> {
     let number = |what: &str, default| {
         let text = std::env::var(format!("{name}_{what}")).ok();
@@ -344,7 +344,7 @@
     from..from + number("DAYS", count)
 }
 
-/// For a look at one seed: what the controllers log of it.
+/// Writes the controllers' logs to standard error, to examine one seed.
 fn log_if_asked() {
     if std::env::var("TROUBLE_LOG").is_ok() {
         let level = tracing_subscriber::filter::LevelFilter::DEBUG;
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn a_seeded_search_of_mixed_troubles_finds_nothing() {
+fn a_seeded_search_over_mixed_faults_finds_no_violation() {
     log_if_asked();
     for seed in seeds("TROUBLE", 12) {
         let mut world = random_scenario(seed);
@@ -364,11 +364,11 @@
     }
 }
 
-/// A controller that keeps its workers and loses all else answers them until somebody else holds their
-/// shard; then they come over with their tasks. Kept on with a lower token, they killed them at the end
-/// of their lease.
+/// A controller that reaches only its workers renews their leases until another controller holds their
+/// shard; then the workers move to the new holder with their tasks. Workers that stayed with the lower
+/// token used to kill their tasks when their lease expired.
 #[test]
-fn machines_change_hands_without_a_kill() {
+fn shards_change_holders_without_killing_tasks() {
     let mut seen = 0;
     for seed in 1..=12 {
         for controller in [0, 1] {
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Nested quotas on whole controllers: the hard cases, each brought about.
+//! Hierarchical quotas with complete controllers: one scenario for each difficult case.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
         .replace("EASTMAX", &east_max.to_string())
 }
 
-/// Ten machines of four GPUs: just what the tree's root holds.
+/// A cluster of ten machines with four GPUs each, which is exactly the capacity of the tree's root.
 fn world(seed: u64, jobs: Vec<JobPlan>, tree: Option<&str>) -> World {
     let config = Config {
         teams: ["e1", "e2", "w1", "w2", "out"]
@@ -32,13 +32,13 @@
     };
     let mut world = World::new(config, seed, jobs);
     for controller in 0..world.settings.len() {
-        give_tree(&mut world, controller, tree);
+        load_tree(&mut world, controller, tree);
     }
     world
 }
 
-/// What a controller reads at its next start.
-fn give_tree(world: &mut World, controller: usize, tree: Option<&str>) {
+/// Sets the quota tree that a controller loads at its next start.
+fn load_tree(world: &mut World, controller: usize, tree: Option<&str>) {
     let mut settings: Settings = (*world.settings[controller]).clone();
     settings.tree = None;
     if let Some(text) = tree {
@@ -47,8 +47,8 @@
     world.settings[controller] = Arc::new(settings);
 }
 
-/// From now on these teams may together use so much.
-fn cap(world: &mut World, teams: &[&str], gpus_max: f64) {
+/// From now on the simulator checks that these teams together use at most `gpus_max`.
+fn limit_teams(world: &mut World, teams: &[&str], gpus_max: f64) {
     world.rules.groups.push(Group {
         name: teams.join(" and "),
         teams: teams.iter().map(|team| Team::from(*team)).collect(),
@@ -57,21 +57,21 @@
     });
 }
 
-fn at(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run: u64, at: u64) -> JobPlan {
+fn job_at(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run: u64, at: u64) -> JobPlan {
     let mut plan = job(id, team, kind, tasks, gpus, run * 1_000);
     plan.at = Some(at * 1_000);
     plan
 }
 
-/// The same, with work that is lost when it is stopped, or that takes so long to save.
-fn saving(mut plan: JobPlan, checkpoint_s: f64, save_s: f64) -> JobPlan {
+/// The same job with a checkpoint interval and the time that a save takes, both in seconds.
+fn with_checkpoint(mut plan: JobPlan, checkpoint_s: f64, save_s: f64) -> JobPlan {
     plan.body["markS"] = checkpoint_s.into();
     plan.body["stashS"] = save_s.into();
     plan
 }
 
-/// GPUs that a team's tasks have on machines.
-fn used(world: &World, name: &str) -> f64 {
+/// GPUs allocated to a team's tasks on machines.
+fn gpus_used(world: &World, name: &str) -> f64 {
     let now = Millis(world.now);
     let spec = |id: &JobId| &world.machines.jobs[id].spec;
     let amounts = world
@@ -83,7 +83,7 @@
         .gpus
 }
 
-fn sound(world: &World, name: &str) {
+fn check_invariants(world: &World, name: &str) {
     let broken = &world.rules.violations;
     assert!(broken.is_empty(), "{name}: {broken:?}");
 }
@@ -117,51 +117,51 @@
     }),
 ];
 
-/// Within one task of what is due, 40 s after the demand changed: 30 s, and what the faults last.
-fn near(world: &World, due: &[(&str, f64)], task: f64, name: &str) {
-    let shares: Vec<_> = due.iter().map(|(team, _)| used(world, team)).collect();
+/// Each team is within one task of its entitlement 40 s after demand changed: 30 s plus the faults.
+fn check_shares(world: &World, due: &[(&str, f64)], task: f64, name: &str) {
+    let shares: Vec<_> = due.iter().map(|(team, _)| gpus_used(world, team)).collect();
     for (share, (_, due)) in shares.iter().zip(due) {
         assert!((share - due).abs() <= task, "{name}: {shares:?}");
     }
 }
 
 #[test]
-fn borrowed_share_comes_back_whatever_fails() {
-    // Of work that saves at once, work that must be saved, and work that can't be.
+fn borrowed_share_is_reclaimed_under_faults() {
+    // Tasks that save at once, tasks that need time to save, and tasks that cannot be saved.
     for (kind, mark, stash) in [
         ("marks", 2.0, 1.0),
         ("saves", 20.0, 6.0),
         ("loses", 0.0, 0.0),
     ] {
         for (name, fault) in FAULTS {
-            // e1 borrows all of it; then the others want theirs.
+            // e1 borrows all capacity; then the other teams submit jobs.
             let jobs = vec![
-                saving(at(1, "e1", "sweep", 80, 1.0, 300, 1), mark, stash),
-                at(2, "w1", "sweep", 60, 1.0, 300, 60),
-                at(3, "e2", "sweep", 40, 1.0, 300, 60),
+                with_checkpoint(job_at(1, "e1", "sweep", 80, 1.0, 300, 1), mark, stash),
+                job_at(2, "w1", "sweep", 60, 1.0, 300, 60),
+                job_at(3, "e2", "sweep", 40, 1.0, 300, 60),
             ];
             let mut world = world(1, jobs, Some(&tree(1, 40)));
             fault(&mut world);
             world.run_until(58_000);
-            let lent = used(&world, "e1");
+            let lent = gpus_used(&world, "e1");
             assert!(lent >= 36.0, "{name}: only {lent} lent");
             world.run_until(102_000);
             let name = format!("{name}, {kind}");
-            sound(&world, &name);
-            // 20 for west; in east 8 and 4 are guaranteed, the rest is shared alike.
+            check_invariants(&world, &name);
+            // 20 for west; in east 8 and 4 are guaranteed, and the rest is divided evenly.
             let due = [("e1", 10.0), ("e2", 10.0), ("w1", 20.0)];
-            near(&world, &due, 1.0, &name);
+            check_shares(&world, &due, 1.0, &name);
         }
     }
 }
 
-/// Another tree comes while work is being stopped for the one before it: shares follow the new one.
+/// A new tree is loaded while tasks are being preempted for the previous one: shares follow the new tree.
 #[test]
-fn a_tree_may_change_during_reclaim() {
+fn shares_follow_a_new_tree_during_reclaim() {
     let jobs = vec![
-        at(1, "e1", "sweep", 80, 1.0, 300, 1),
-        at(2, "w1", "sweep", 60, 1.0, 300, 60),
-        at(3, "e2", "sweep", 40, 1.0, 300, 60),
+        job_at(1, "e1", "sweep", 80, 1.0, 300, 1),
+        job_at(2, "w1", "sweep", 60, 1.0, 300, 60),
+        job_at(3, "e2", "sweep", 40, 1.0, 300, 60),
     ];
     let mut world = world(7, jobs, Some(&tree(1, 40)));
     world.run_until(61_000);
@@ -171,36 +171,36 @@
             "parent = coop\ngpus = 30\ngpus_max",
         )
         .replace("parent = coop\ngpus = 20\n", "parent = coop\ngpus = 10\n");
-    give_tree(&mut world, 1, Some(&other));
+    load_tree(&mut world, 1, Some(&other));
     world.crash(1, 61_500, 300);
     world.run_until(102_000);
-    sound(&world, "changed during reclaim");
+    check_invariants(&world, "changed during reclaim");
     let due = [("e1", 15.0), ("e2", 15.0), ("w1", 10.0)];
-    near(&world, &due, 1.0, "changed during reclaim");
+    check_shares(&world, &due, 1.0, "changed during reclaim");
 }
 
-/// Each level's limit is dealt to shards as the teams' are: no controller, late transaction or
-/// takeover may break it.
+/// The limit of each level is allocated to shards like the teams' limits: no controller, late transaction
+/// or change of holder may exceed it.
 #[test]
-fn limits_of_every_level_hold_whatever_fails() {
+fn limits_of_every_level_hold_under_faults() {
     for (name, fault) in FAULTS {
         for seed in 1..=3 {
             let jobs = (0..12).map(|i| {
                 let team = ["e1", "e2", "w1"][i % 3];
                 let kind = if i % 4 == 3 { "gang" } else { "sweep" };
-                at(i, team, kind, 5, 1.0, 6 + i as u64, 5 + 7 * i as u64)
+                job_at(i, team, kind, 5, 1.0, 6 + i as u64, 5 + 7 * i as u64)
             });
-            // Seven for east, five of them for e1 at the most.
+            // Seven for east, at most five of them for e1.
             let text = tree(1, 7)
                 .replace("gpus = 20\ngpus_max", "gpus = 7\ngpus_max")
                 .replace("gpus = 8", "gpus = 3\ngpus_max = 5");
             let mut world = world(seed, jobs.collect(), Some(&text));
-            cap(&mut world, &["e1", "e2"], 7.0);
-            cap(&mut world, &["e1"], 5.0);
+            limit_teams(&mut world, &["e1", "e2"], 7.0);
+            limit_teams(&mut world, &["e1"], 5.0);
             fault(&mut world);
             world.run_until(240_000);
             let name = format!("{name} (seed {seed})");
-            sound(&world, &name);
+            check_invariants(&world, &name);
             assert!(
                 world.unfinished_jobs().is_empty(),
                 "{name}: {:?}",
@@ -210,17 +210,17 @@
     }
 }
 
-/// One controller brings a tree that lowers east below what it runs; one has the old file, one
-/// none. Late transactions that were decided by the old tree must not count.
+/// One controller loads a tree that lowers the limit of east below its usage; one has the old file, one has
+/// none. Late transactions that were decided under the old tree must not apply.
 #[test]
-fn a_lowered_limit_drains_and_refuses_nothing() {
+fn a_lowered_limit_drains_usage_and_rejects_no_job() {
     for (name, fault) in FAULTS {
         let jobs = vec![
-            at(1, "e1", "sweep", 24, 1.0, 70, 1),
-            at(2, "e2", "standing", 4, 1.0, 0, 1),
-            at(3, "w1", "sweep", 10, 1.0, 300, 1),
-            // Too large for the tree that is in force by then.
-            at(4, "e2", "gang", 4, 4.0, 10, 120),
+            job_at(1, "e1", "sweep", 24, 1.0, 70, 1),
+            job_at(2, "e2", "standing", 4, 1.0, 0, 1),
+            job_at(3, "w1", "sweep", 10, 1.0, 300, 1),
+            // Larger than the limit of the tree in force by then.
+            job_at(4, "e2", "gang", 4, 4.0, 10, 120),
         ];
         let mut world = world(2, jobs, Some(&tree(1, 40)));
         fault(&mut world);
@@ -229,17 +229,20 @@
             .replace("gpus = 8\n[node e2", "gpus = 4\n[node e2");
         world.store_faults.lost_response_share = world.store_faults.lost_response_share.max(0.05);
         world.run_until(58_000);
-        assert!(used(&world, "e1") + used(&world, "e2") > 16.0, "{name}");
-        give_tree(&mut world, 1, Some(&low));
-        give_tree(&mut world, 2, None);
+        assert!(
+            gpus_used(&world, "e1") + gpus_used(&world, "e2") > 16.0,
+            "{name}"
+        );
+        load_tree(&mut world, 1, Some(&low));
+        load_tree(&mut world, 2, None);
         world.crash(1, 59_000, 500);
         world.run_until(100_000);
-        cap(&mut world, &["e1", "e2"], 8.0);
-        let east = used(&world, "e1") + used(&world, "e2");
+        limit_teams(&mut world, &["e1", "e2"], 8.0);
+        let east = gpus_used(&world, "e1") + gpus_used(&world, "e2");
         assert!(east <= 8.0, "{name}: east still has {east}");
         world.run_until(300_000);
-        sound(&world, name);
-        // What fits ends; what does not is kept, and ends once the limit is gone.
+        check_invariants(&world, name);
+        // Jobs within the limit finish; the others stay queued and finish once the limit is lifted.
         assert!(world.rules.done.contains(&"job-000001".into()), "{name}");
         assert!(
             world.rules.accepted.contains(&"job-000004".into()),
@@ -248,7 +251,7 @@
         assert!(!world.rules.done.contains(&"job-000004".into()), "{name}");
         world.rules.groups.clear();
         for controller in 0..3 {
-            give_tree(
+            load_tree(
                 &mut world,
                 controller,
                 Some("[tree]\nrevision = 3\nenabled = no\n"),
@@ -256,7 +259,7 @@
             world.crash(controller, 301_000 + 4_000 * controller as u64, 500);
         }
         world.run_until(400_000);
-        sound(&world, name);
+        check_invariants(&world, name);
         assert_eq!(
             world.unfinished_jobs(),
             [JobId::from("job-000003")][..0],
@@ -265,42 +268,42 @@
     }
 }
 
-/// Two files with the same revision: one of them is in force, on all controllers.
+/// Two files have the same revision: the same one is in force on all controllers.
 #[test]
-fn of_two_trees_with_one_revision_one_counts() {
+fn one_of_two_trees_with_the_same_revision_is_in_force() {
     for seed in 1..=4 {
         let jobs = vec![
-            at(1, "e1", "sweep", 40, 1.0, 8, 12),
-            at(2, "e2", "sweep", 40, 1.0, 8, 12),
+            job_at(1, "e1", "sweep", 40, 1.0, 8, 12),
+            job_at(2, "e2", "sweep", 40, 1.0, 8, 12),
         ];
         let mut world = world(seed, jobs, Some(&tree(5, 24)));
-        give_tree(&mut world, 0, Some(&tree(5, 20)));
-        cap(&mut world, &["e1", "e2"], 24.0);
+        load_tree(&mut world, 0, Some(&tree(5, 20)));
+        limit_teams(&mut world, &["e1", "e2"], 24.0);
         world.run_until(90_000);
-        sound(&world, &format!("seed {seed}"));
+        check_invariants(&world, &format!("seed {seed}"));
         assert!(world.unfinished_jobs().is_empty());
     }
 }
 
-/// Tasks of whole machines, for a team that is entitled to less than one: it has one of them at a
-/// time, nothing is kept free for the next, and nobody is stopped again and again for it.
+/// Tasks that need a whole machine, for a team entitled to less than one: one of them runs at a time, no
+/// capacity is reserved for the next, and no task is preempted repeatedly for it.
 #[test]
-fn a_task_larger_than_the_share_runs_and_keeps_nothing_free() {
+fn a_task_larger_than_its_share_runs_without_reserving_more() {
     let text = "[tree]\nrevision = 1\n[node coop]\ngpus = 40\n\
         [node w1]\nparent = coop\nteam = w1\ngpus = 37\n\
         [node e1]\nparent = coop\nteam = e1\ngpus = 3\n";
     let jobs = vec![
-        at(1, "w1", "sweep", 600, 1.0, 20, 1),
-        at(2, "e1", "sweep", 3, 4.0, 15, 40),
+        job_at(1, "w1", "sweep", 600, 1.0, 20, 1),
+        job_at(2, "e1", "sweep", 3, 4.0, 15, 40),
     ];
     let mut world = world(3, jobs, Some(text));
     let (mut sum, mut most): (f64, f64) = (0.0, 0.0);
     for second in 41..150 {
         world.run_until(second * 1_000);
-        most = most.max(used(&world, "e1"));
-        sum += used(&world, "w1") + used(&world, "e1");
+        most = most.max(gpus_used(&world, "e1"));
+        sum += gpus_used(&world, "w1") + gpus_used(&world, "e1");
     }
-    sound(&world, "larger than the share");
+    check_invariants(&world, "larger than the share");
     assert!(
         world.rules.done.contains(&"job-000002".into()),
         "it starves"
@@ -310,26 +313,26 @@
     assert!(mean >= 32.0, "only {mean} of 40 are used");
 }
 
-/// A team that is within its share gets a whole gang; gangs of several tasks that run on borrowed
-/// share run on, and those of one task are stopped.
+/// A team within its share gets a whole gang placed; multi-task gangs on borrowed share keep running, and
+/// single-task gangs are preempted.
 #[test]
-fn gangs_reclaim_as_a_whole_and_are_not_torn_apart() {
+fn gangs_reclaim_whole_and_are_not_preempted_in_part() {
     let jobs = vec![
-        at(1, "e1", "gang", 4, 4.0, 40, 1),
-        // These come once the gang runs: its team's limit has no room for all of them.
-        saving(at(2, "e1", "gang", 1, 4.0, 300, 12), 5.0, 2.0),
-        saving(at(3, "e1", "gang", 1, 4.0, 300, 12), 5.0, 2.0),
-        saving(at(4, "e1", "gang", 1, 4.0, 300, 13), 0.0, 0.0),
-        at(5, "e1", "sweep", 20, 1.0, 300, 13),
-        at(6, "w1", "gang", 4, 4.0, 30, 25),
+        job_at(1, "e1", "gang", 4, 4.0, 40, 1),
+        // These arrive once the gang runs; the team's limit has no room for all of them.
+        with_checkpoint(job_at(2, "e1", "gang", 1, 4.0, 300, 12), 5.0, 2.0),
+        with_checkpoint(job_at(3, "e1", "gang", 1, 4.0, 300, 12), 5.0, 2.0),
+        with_checkpoint(job_at(4, "e1", "gang", 1, 4.0, 300, 13), 0.0, 0.0),
+        job_at(5, "e1", "sweep", 20, 1.0, 300, 13),
+        job_at(6, "w1", "gang", 4, 4.0, 30, 25),
     ];
     let mut world = world(4, jobs, Some(&tree(1, 40)));
     world.run_until(24_000);
-    assert!(used(&world, "e1") >= 28.0);
+    assert!(gpus_used(&world, "e1") >= 28.0);
     world.run_until(60_000);
-    sound(&world, "gangs");
+    check_invariants(&world, "gangs");
     let gang = JobId::from("job-000001");
-    let whole = world.rules.done.contains(&gang) || used(&world, "e1") >= 16.0;
+    let whole = world.rules.done.contains(&gang) || gpus_used(&world, "e1") >= 16.0;
     assert!(whole, "the running gang was torn apart");
     world.run_until(110_000);
     for id in ["job-000001", "job-000006"] {
@@ -338,27 +341,27 @@
     assert_eq!(world.machines.broken_gangs, 0);
 }
 
-/// A borrower whose jobs are short and come again at once keeps what it is entitled to, no more,
-/// and a team outside the tree keeps its flat quota.
+/// A borrower that resubmits short jobs at once keeps its entitlement and no more, and a team outside the
+/// tree keeps its flat quota.
 #[test]
-fn a_borrower_that_submits_again_at_once_gets_no_more() {
+fn a_borrower_that_resubmits_at_once_gets_no_more_than_its_share() {
     let mut jobs = vec![
-        at(900, "w1", "sweep", 60, 1.0, 300, 50),
-        at(901, "out", "sweep", 2, 1.0, 400, 3),
+        job_at(900, "w1", "sweep", 60, 1.0, 300, 50),
+        job_at(901, "out", "sweep", 2, 1.0, 400, 3),
     ];
     for i in 0..60 {
-        jobs.push(at(i, "e1", "sweep", 20, 1.0, 8, 2 + 3 * i as u64));
+        jobs.push(job_at(i, "e1", "sweep", 20, 1.0, 8, 2 + 3 * i as u64));
     }
     let mut world = world(5, jobs, Some(&tree(1, 40)));
     world.run_until(85_000);
     let mut sum = 0.0;
     for second in 85..125 {
         world.run_until(second * 1_000);
-        sum += used(&world, "w1");
-        assert_eq!(used(&world, "out"), 2.0, "at {second}");
+        sum += gpus_used(&world, "w1");
+        assert_eq!(gpus_used(&world, "out"), 2.0, "at {second}");
     }
-    sound(&world, "submits again");
-    // The root holds 40, of which the team outside has taken two.
+    check_invariants(&world, "submits again");
+    // The root has 40, two of which the team outside the tree uses.
     let mean = sum / 40.0;
     assert!((17.0..=21.0).contains(&mean), "w1 had {mean} of 20");
 }
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -1,5 +1,5 @@
-//! The real server with a crowd before it that asks nothing, a byte a second, or only once:
-//! workers' heartbeats, health checks and users' requests are answered all the same.
+//! The real HTTP server under many connections that send no request, one byte a second, or a single
+//! request: workers' heartbeats and readiness probes are still answered.
 
 use std::time::{Duration, Instant};
 
@@ -15,14 +15,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-const MOST: usize = 200;
-const CROWD: usize = 1_500;
+const MAX_CONNECTIONS: usize = 200;
+const IDLE_CLIENTS: usize = 1_500;
 const ROUNDS: usize = 20;
 
-/// Answers whatever is asked.
+/// Answers every request, in place of a controller.
 async fn answer(mut requests: mpsc::Receiver<Request>) {
     while let Some(request) = requests.recv().await {
-        // Whoever asked may be gone.
+        // The client may have closed its connection.
         let _ = match request {
             Request::Heartbeat { reply, .. } => {
                 let (worker_token, commands) = (WorkerToken(4), Vec::new());
@@ -41,9 +41,9 @@
     }
 }
 
-/// One of the crowd: half-open, slow, or idle after one request; it comes back when it is sent
-/// away.
-async fn stand_about(index: usize, address: std::net::SocketAddr) {
+/// Holds one connection that is half-open, slow, or idle after one request; reconnects when the server
+/// closes it.
+async fn hold_idle_connection(index: usize, address: std::net::SocketAddr) {
     loop {
         if let Ok(mut stream) = TcpStream::connect(address).await {
             let head: &[u8] = match index % 3 {
@@ -68,10 +68,10 @@
 }
 
 #[tokio::test]
-async fn heartbeats_and_probes_are_answered_before_a_crowd_that_only_stands_there() {
-    let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = free.local_addr().unwrap();
-    drop(free);
+async fn heartbeats_and_probes_are_answered_despite_a_crowd_of_idle_connections() {
+    let reserved = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = reserved.local_addr().unwrap();
+    drop(reserved);
     let (inbox, requests) = mpsc::channel(64);
     tokio::spawn(answer(requests));
     let idle_timeouts = IdleTimeouts {
@@ -83,13 +83,13 @@
     tokio::spawn(http_server::serve(
         address,
         inbox,
-        MOST,
+        MAX_CONNECTIONS,
         idle_timeouts,
         clock,
     ));
     tokio::time::sleep(Duration::from_millis(200)).await;
-    for index in 0..CROWD {
-        tokio::spawn(stand_about(index, address));
+    for index in 0..IDLE_CLIENTS {
+        tokio::spawn(hold_idle_connection(index, address));
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
     let heartbeat =
@@ -98,7 +98,7 @@
     let client = HttpClient::new(address);
     let (mut answered, mut slowest) = (0, Duration::ZERO);
     for _ in 0..ROUNDS {
-        // As a worker does: whoever turns it away is asked again.
+        // Like a worker, retry when the server rejects the connection.
         for (method, path, body) in [
             (http::Method::POST, "/v1/report", heartbeat.to_vec()),
             (http::Method::GET, "/ready", Vec::new()),
--- a/tests/models/late_writes.rs
+++ b/tests/models/late_writes.rs
@@ -1,28 +1,29 @@
-//! Every order in which two holders of one machine, the second in place of the first, write of one task by
-//! transactions that may be carried out late, after newer ones, while its user cancels. The task is never
-//! on two machines, and on none once its user was told. Each of four conditions, left out, breaks it; the
-//! job's version does not, as starts look at its phase too. The argument is in docs/combined-faults.md.
+//! Model of two successive holders of one machine that write the record of one task by transactions which
+//! may be applied late, after newer ones, while the user cancels the job. The task never runs on two
+//! machines, and on none after the cancellation was confirmed. Removing any of four conditions violates
+//! this; removing the job's version does not, since starts check the phase too. The argument is in
+//! docs/combined-faults.md.
 
-/// So many attempts, and changes of the task's page, are looked at.
-const MOST_ATTEMPTS: u8 = 2;
-const MOST_CHANGES: u8 = 3;
+/// Bounds of the search: attempts of the task, and changes of its page.
+const MAX_ATTEMPTS: u8 = 2;
+const MAX_PAGE_CHANGES: u8 = 3;
 
-/// What transactions rest on.
+/// The conditions of transactions and of the evidence behind them.
 #[derive(Clone, Copy)]
 struct Conditions {
     page: bool,
     token: bool,
-    /// A start without an answer may still come.
-    late_starts_are_minded: bool,
-    /// A cancellation is told when no task is left, not when it is recorded.
-    told_when_gone: bool,
+    /// An unanswered start may still arrive.
+    expect_late_starts: bool,
+    /// A cancellation is confirmed when no task is left, not when it is recorded.
+    confirm_after_task_left: bool,
 }
 
 const ALL: Conditions = Conditions {
     page: true,
     token: true,
-    late_starts_are_minded: true,
-    told_when_gone: true,
+    expect_late_starts: true,
+    confirm_after_task_left: true,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -37,18 +38,18 @@
     Waiting {
         tried: u8,
     },
-    /// On the machine of the two holders.
+    /// On the machine that the two holders manage.
     Here {
         attempt: u8,
     },
-    /// On another, whose holder knows all and writes at once.
+    /// On another machine, whose holder has a current cache and whose writes apply at once.
     Elsewhere {
         attempt: u8,
     },
 }
 
-/// The records, as the state service has them or as a holder knows them. Phases and tokens only rise, so
-/// they are their own versions.
+/// The records, as stored or as cached by a holder. Phases and tokens only increase, so they serve as
+/// their own versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Records {
     phase: Phase,
@@ -65,24 +66,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Transaction {
-    rests_on: Records,
+    expected: Records,
     write: Write,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
     store: Records,
-    /// What the two holders know. The first is never told that it is replaced.
+    /// The caches of the two holders. The first holder is never notified of its replacement.
     views: [Records; 2],
-    /// The attempt that a holder wants stopped.
+    /// The attempt that each holder wants to stop.
     stops: [Option<u8>; 2],
     late: [Option<Transaction>; 2],
-    told: bool,
-    // The machine: the highest token it has seen, the last attempt it knows, and whether that runs.
+    confirmed: bool,
+    // The machine: the highest token seen, the last attempt known, and whether that attempt runs.
     seen: u8,
     known: u8,
     runs: bool,
-    /// A start that the network holds: token and attempt.
+    /// A start delayed by the network: token and attempt.
     held_start: Option<(u8, u8)>,
     runs_elsewhere: bool,
 }
@@ -100,7 +101,7 @@
             views: [records; 2],
             stops: [None; 2],
             late: [None; 2],
-            told: false,
+            confirmed: false,
             seen: 1,
             known: 0,
             runs: false,
@@ -109,25 +110,25 @@
         }
     }
 
-    fn broken(&self) -> bool {
+    fn violated(&self) -> bool {
         let on_two = self.runs && self.runs_elsewhere;
-        on_two || self.told && (self.runs || self.runs_elsewhere)
+        on_two || self.confirmed && (self.runs || self.runs_elsewhere)
     }
 
-    fn carry_out(&mut self, txn: Transaction, rest_on: Conditions) {
-        let (now, then) = (self.store, txn.rests_on);
+    fn apply(&mut self, txn: Transaction, conditions: Conditions) {
+        let (now, then) = (self.store, txn.expected);
         let job = now.phase == then.phase;
-        let page = now.page == then.page || !rest_on.page;
-        let token = now.token == then.token || !rest_on.token;
+        let page = now.page == then.page || !conditions.page;
+        let token = now.token == then.token || !conditions.token;
         match txn.write {
             Write::Task(task) if job && page && token => {
                 self.store.task = task;
                 self.store.page += 1;
             }
-            // The end of a job rests on the job alone: no placement can follow `aborting`.
+            // The end of a job is conditional on the job alone: no placement can follow `aborting`.
             Write::Phase(phase) if now.phase == then.phase => {
                 self.store.phase = phase;
-                self.told |= phase == Phase::Aborted;
+                self.confirmed |= phase == Phase::Aborted;
             }
             _ => {}
         }
@@ -142,8 +143,8 @@
         }
     }
 
-    /// All that may happen next.
-    fn next(self, rest_on: Conditions) -> Vec<State> {
+    /// All possible next states.
+    fn next(self, conditions: Conditions) -> Vec<State> {
         let mut next = Vec::new();
         let mut txns: Vec<Transaction> = Vec::new();
         for holder in [0, 1] {
@@ -153,20 +154,21 @@
                 change(&mut state);
                 next.push(state);
             };
-            // The watch.
+            // The watch updates the holder's cache.
             then(&|s| s.views[holder] = s.store);
-            // Its token is shown.
+            // The holder announces its token to the machine.
             if self.store.token >= token {
                 then(&|s| s.seen = s.seen.max(token));
             }
             let mut write = |write| {
-                let rests_on = view;
-                txns.push(Transaction { rests_on, write });
+                let expected = view;
+                txns.push(Transaction { expected, write });
             };
             if view.phase == Phase::Active {
                 write(Write::Phase(Phase::Aborting));
             }
-            let gone = matches!(view.task, Task::Waiting { .. }) || !rest_on.told_when_gone;
+            let gone =
+                matches!(view.task, Task::Waiting { .. }) || !conditions.confirm_after_task_left;
             if view.phase == Phase::Aborting && gone {
                 write(Write::Phase(Phase::Aborted));
             }
@@ -174,14 +176,14 @@
                 continue;
             }
             match view.task {
-                Task::Waiting { tried } if view.phase == Phase::Active && tried < MOST_ATTEMPTS => {
+                Task::Waiting { tried } if view.phase == Phase::Active && tried < MAX_ATTEMPTS => {
                     let attempt = tried + 1;
                     write(Write::Task(Task::Here { attempt }));
                     write(Write::Task(Task::Elsewhere { attempt }));
                 }
                 Task::Here { attempt } => {
                     let wanted = view.phase == Phase::Active && self.stops[holder] != Some(attempt);
-                    // Room is needed for something else.
+                    // The task is preempted.
                     then(&|s| s.stops[holder] = Some(attempt));
                     if wanted {
                         then(&|s| s.start_here(token, attempt));
@@ -194,11 +196,11 @@
                             s.runs &= s.known != attempt;
                         });
                     }
-                    // The machine's newest report, sent after it had seen our token.
+                    // Evidence from the machine's newest report, sent after it had seen our token.
                     let absent = self.known < attempt && !wanted;
                     let ended = self.known == attempt && !self.runs || self.known > attempt;
                     let may_come = self.held_start == Some((token, attempt));
-                    let proved = ended || absent && (!may_come || !rest_on.late_starts_are_minded);
+                    let proved = ended || absent && (!may_come || !conditions.expect_late_starts);
                     if self.seen == token && proved {
                         write(Write::Task(Task::Waiting { tried: attempt }));
                     }
@@ -208,7 +210,7 @@
         }
         for txn in txns {
             let mut now = self;
-            now.carry_out(txn, rest_on);
+            now.apply(txn, conditions);
             next.push(now);
             if let Some(slot) = self.late.iter().position(Option::is_none)
                 && !self.late.contains(&Some(txn))
@@ -224,12 +226,12 @@
                 let mut state = self;
                 state.late[slot] = None;
                 state.late.sort_unstable();
-                state.carry_out(txn, rest_on);
+                state.apply(txn, conditions);
                 next.push(state);
             }
         }
-        let mut then = |may: bool, change: &dyn Fn(&mut State)| {
-            if may {
+        let mut then = |enabled: bool, change: &dyn Fn(&mut State)| {
+            if enabled {
                 let mut state = self;
                 change(&mut state);
                 next.push(state);
@@ -251,34 +253,38 @@
                 s.store.page += 1;
             });
         }
-        next.retain(|state| state.store.page <= MOST_CHANGES);
+        next.retain(|state| state.store.page <= MAX_PAGE_CHANGES);
         next
     }
 }
 
-fn explore(rest_on: Conditions) -> (bool, usize) {
-    super::explore(&[State::new()], |state| state.next(rest_on), State::broken)
+fn explore(conditions: Conditions) -> (bool, usize) {
+    super::explore(
+        &[State::new()],
+        |state| state.next(conditions),
+        State::violated,
+    )
 }
 
 #[test]
-fn late_transactions_run_nothing_twice_and_nothing_that_is_cancelled() {
-    let (broken, states) = explore(ALL);
-    assert!(!broken, "of {states} states");
+fn late_transactions_run_no_task_twice_and_no_cancelled_task() {
+    let (violated, states) = explore(ALL);
+    assert!(!violated, "of {states} states");
     assert!(states > 100_000, "{states} states");
 }
 
 #[test]
-fn each_version_that_is_rested_on_is_needed() {
+fn each_version_condition_is_needed() {
     type LeaveOut = fn(&mut Conditions);
     let without: [(&str, LeaveOut); 4] = [
         ("the page's version", |c| c.page = false),
         ("the token", |c| c.token = false),
-        ("held starts", |c| c.late_starts_are_minded = false),
-        ("telling when gone", |c| c.told_when_gone = false),
+        ("held starts", |c| c.expect_late_starts = false),
+        ("telling when gone", |c| c.confirm_after_task_left = false),
     ];
     for (name, leave_out) in without {
-        let mut rest_on = ALL;
-        leave_out(&mut rest_on);
-        assert!(explore(rest_on).0, "nothing breaks without {name}");
+        let mut conditions = ALL;
+        leave_out(&mut conditions);
+        assert!(explore(conditions).0, "nothing breaks without {name}");
     }
 }
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -1,88 +1,87 @@
-//! Every order of events around one worker whose controllers are cut off, crash and come back, up
-//! to a bound: no task is placed twice, and none is left when its user hears that the job is
-//! cancelled. Each condition that this rests on, left out, breaks it. The argument is in
-//! docs/network-partitions.md.
+//! Model of one worker whose controllers are partitioned, crash and restart: no task runs twice, and
+//! none runs after its cancellation was confirmed. Removing any condition violates this. The argument
+//! is in docs/network-partitions.md.
 
 use jaspertiller::types::{FencingToken, WorkerToken};
 use jaspertiller::zones::partition_mode::may_renew;
 
-/// Ticks of a worker's lease; its clock may lag by one more in all.
-const LEASE: u8 = 2;
-const DRIFT: u8 = 1;
-/// Ticks that a cancelled task may stay.
-const CANCEL: u8 = LEASE + DRIFT + 1;
-const CUTS: u8 = 2;
+/// Ticks of a worker's lease; its clock may lag by `MAX_DRIFT_TICKS` in total.
+const LEASE_TICKS: u8 = 2;
+const MAX_DRIFT_TICKS: u8 = 1;
+/// Ticks for which a task may still run after its cancellation was confirmed.
+const CANCEL_TIMEOUT_TICKS: u8 = LEASE_TICKS + MAX_DRIFT_TICKS + 1;
+const MAX_PARTITIONS: u8 = 2;
 
 const FIRST: FencingToken = FencingToken(1);
 const SECOND: FencingToken = FencingToken(2);
 
-/// What the argument rests on.
+/// The conditions of the safety argument.
 #[derive(Clone, Copy)]
 struct Conditions {
-    /// A cancellation is told when its task is seen gone, not when it is recorded.
-    told_when_gone: bool,
-    /// Others renew a worker only if its holder marked it as kept.
-    only_marked_are_renewed: bool,
-    /// A holder that kept machines gives its token up when it is back.
-    token_is_given_up: bool,
-    /// Silence proves nothing while machines are kept.
-    kept_silence_proves_nothing: bool,
-    /// A new holder draws evidence only from workers that have seen its token.
-    evidence_under_own_token: bool,
-    /// A start without an answer may still come.
-    late_starts_are_minded: bool,
+    /// A cancellation is confirmed when its task is known to have left, not when it is recorded.
+    confirm_after_task_left: bool,
+    /// Other controllers renew a worker's lease only under a token marked as partitioned.
+    renew_only_partitioned_tokens: bool,
+    /// A holder that was in partition mode releases its token when it reaches the store again.
+    release_token_on_return: bool,
+    /// In partition mode silence is no evidence that a lease has expired.
+    ignore_silence_when_partitioned: bool,
+    /// A new holder accepts evidence only from workers that have seen its token.
+    require_own_token_for_evidence: bool,
+    /// An unanswered start may still arrive.
+    expect_late_starts: bool,
     /// The worker's clock may lag.
-    drift_is_allowed_for: bool,
-    /// A new holder counts a worker's silence from when it was known to have seen the new token.
-    counted_from_seeing: bool,
+    allow_clock_drift: bool,
+    /// A new holder counts a worker's silence from the acknowledgement of the new token.
+    count_silence_from_acknowledgement: bool,
 }
 
 const ALL: Conditions = Conditions {
-    told_when_gone: true,
-    only_marked_are_renewed: true,
-    token_is_given_up: true,
-    kept_silence_proves_nothing: true,
-    evidence_under_own_token: true,
-    late_starts_are_minded: true,
-    drift_is_allowed_for: true,
-    counted_from_seeing: true,
+    confirm_after_task_left: true,
+    renew_only_partitioned_tokens: true,
+    release_token_on_return: true,
+    ignore_silence_when_partitioned: true,
+    require_own_token_for_evidence: true,
+    expect_late_starts: true,
+    allow_clock_drift: true,
+    count_silence_from_acknowledgement: true,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Holder {
     /// The first process, with the first token.
     Runs,
-    /// Restarted, and cut off: it has read nothing.
-    Blank,
+    /// Restarted while partitioned: it has read no records.
+    Restarted,
     Gone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The zone is cut off: worker and bystander inside, the state service and the second holder
-    /// outside; the first holder on either side.
-    cut: bool,
-    cuts_left: u8,
+    /// The zone is partitioned: worker and bystander are inside, the store and the second holder are
+    /// outside, and the first holder is on either side.
+    partitioned: bool,
+    partitions_left: u8,
     inside: bool,
     first: Holder,
-    keeping: bool,
-    kept_once: bool,
+    partition_mode: bool,
+    was_in_partition_mode: bool,
     /// The first holder knows that the job is cancelled.
-    first_knows: bool,
-    /// Ticks since the first holder answered the worker, as it counts them.
+    first_knows_cancellation: bool,
+    /// Ticks since the first holder answered the worker, by the holder's clock.
     unanswered: u8,
-    /// A controller in the zone that holds nothing, and has read nothing since it started.
-    bystander_blank: bool,
-    /// By the state service: whether the second holds the shard now.
-    moved: bool,
-    /// Ticks that the second holder counts as the worker's silence; none: it counts none yet.
-    second_counts: Option<u8>,
-    /// The second knows that the worker has seen its token.
-    second_aware: bool,
+    /// A controller in the zone without shards has restarted and has read no records yet.
+    bystander_restarted: bool,
+    /// Whether the second holder has the shard, by the store's records.
+    second_holds_shard: bool,
+    /// Ticks of the worker's silence that the second holder counts; `None` before it counts.
+    second_silence_ticks: Option<u8>,
+    /// The second holder knows that the worker has seen its token.
+    second_token_acknowledged: bool,
     placed: bool,
     cancelled: bool,
-    told: Option<u8>,
-    elsewhere: bool,
+    confirmed: Option<u8>,
+    runs_elsewhere: bool,
     // The worker.
     worker_token: WorkerToken,
     agent_epoch: u8,
@@ -90,33 +89,33 @@
     lag: u8,
     task: bool,
     deleted: bool,
-    /// A start of the first holder in the first agent epoch that the network holds.
+    /// The network delays a start that the first holder sent in the first agent epoch.
     late_start: bool,
 }
 
 impl State {
     fn new(inside: bool, running: bool) -> Self {
         Self {
-            cut: false,
-            cuts_left: CUTS,
+            partitioned: false,
+            partitions_left: MAX_PARTITIONS,
             inside,
             first: Holder::Runs,
-            keeping: false,
-            kept_once: false,
-            first_knows: false,
+            partition_mode: false,
+            was_in_partition_mode: false,
+            first_knows_cancellation: false,
             unanswered: 0,
-            bystander_blank: false,
-            moved: false,
-            second_counts: None,
-            second_aware: false,
+            bystander_restarted: false,
+            second_holds_shard: false,
+            second_silence_ticks: None,
+            second_token_acknowledged: false,
             placed: true,
             cancelled: false,
-            told: None,
-            elsewhere: false,
+            confirmed: None,
+            runs_elsewhere: false,
             worker_token: WorkerToken::of(FIRST),
             agent_epoch: 1,
-            lease: LEASE,
-            lag: DRIFT,
+            lease: LEASE_TICKS,
+            lag: MAX_DRIFT_TICKS,
             task: running,
             deleted: false,
             late_start: !running,
@@ -124,43 +123,48 @@
     }
 
     fn first_reaches_store(&self) -> bool {
-        !(self.cut && self.inside)
+        !(self.partitioned && self.inside)
     }
 
     fn first_reaches_worker(&self) -> bool {
-        self.inside || !self.cut
+        self.inside || !self.partitioned
     }
 
-    fn broken(&self) -> bool {
-        let twice = self.task && self.elsewhere;
-        let cancelled = self.task && self.told.is_some_and(|ticks| ticks > CANCEL);
+    fn violated(&self) -> bool {
+        let twice = self.task && self.runs_elsewhere;
+        let cancelled = self.task
+            && self
+                .confirmed
+                .is_some_and(|ticks| ticks > CANCEL_TIMEOUT_TICKS);
         !self.deleted && (twice || cancelled)
     }
 
-    fn heard_worker_token(&mut self, worker_token: WorkerToken) -> bool {
+    fn accept_worker_token(&mut self, worker_token: WorkerToken) -> bool {
         let taken = worker_token >= self.worker_token;
         if taken {
             self.worker_token = worker_token;
-            self.lease = LEASE;
+            self.lease = LEASE_TICKS;
         }
         taken
     }
 
-    /// Time passes at the controllers and the user.
+    /// One tick passes for the controllers and the user.
     fn tick(&mut self) {
-        self.unanswered = (self.unanswered + 1).min(LEASE + DRIFT + 1);
-        let counts = |ticks: u8| (ticks + 1).min(LEASE + DRIFT + 1);
-        self.second_counts = self.second_counts.map(counts);
-        self.told = self.told.map(|ticks| (ticks + 1).min(CANCEL + 1));
+        self.unanswered = (self.unanswered + 1).min(LEASE_TICKS + MAX_DRIFT_TICKS + 1);
+        let counts = |ticks: u8| (ticks + 1).min(LEASE_TICKS + MAX_DRIFT_TICKS + 1);
+        self.second_silence_ticks = self.second_silence_ticks.map(counts);
+        self.confirmed = self
+            .confirmed
+            .map(|ticks| (ticks + 1).min(CANCEL_TIMEOUT_TICKS + 1));
     }
 
-    /// The task is seen to have left.
-    fn seen_gone(&mut self) {
+    /// Records that the task has left the worker.
+    fn record_task_left(&mut self) {
         self.placed = false;
     }
 
-    /// All that may happen next.
-    fn next(self, rest_on: Conditions) -> Vec<State> {
+    /// All possible next states.
+    fn next(self, conditions: Conditions) -> Vec<State> {
         let mut next = Vec::new();
         let mut then = |change: &dyn Fn(&mut State) -> bool| {
             let mut state = self;
@@ -169,91 +173,91 @@
             }
         };
         then(&|s| {
-            // The cut begins or ends.
-            if s.cut {
-                s.cut = false;
+            // The partition begins or heals.
+            if s.partitioned {
+                s.partitioned = false;
                 return true;
             }
-            let may = s.cuts_left > 0;
-            s.cuts_left = s.cuts_left.saturating_sub(1);
-            s.cut = true;
-            may
+            let enabled = s.partitions_left > 0;
+            s.partitions_left = s.partitions_left.saturating_sub(1);
+            s.partitioned = true;
+            enabled
         });
         then(&|s| {
-            // A tick of the worker's clock, and of the others'.
+            // One tick of all clocks.
             s.lease = s.lease.saturating_sub(1);
             if s.lease == 0 {
                 (s.task, s.agent_epoch, s.lease) =
-                    (false, s.agent_epoch.saturating_add(1).min(3), LEASE);
+                    (false, s.agent_epoch.saturating_add(1).min(3), LEASE_TICKS);
             }
             s.tick();
             true
         });
         then(&|s| {
             // The worker's clock lags.
-            let may = s.lag > 0;
+            let enabled = s.lag > 0;
             s.lag = s.lag.saturating_sub(1);
             s.tick();
-            may
+            enabled
         });
         then(&|s| {
-            // The first holder is cut off, and its lease is over: it keeps its machines.
-            let may = s.first == Holder::Runs && !s.first_reaches_store() && !s.keeping;
-            (s.keeping, s.kept_once) = (true, true);
-            may
+            // The first holder is partitioned and its lease has expired: it enters partition mode.
+            let enabled = s.first == Holder::Runs && !s.first_reaches_store() && !s.partition_mode;
+            (s.partition_mode, s.was_in_partition_mode) = (true, true);
+            enabled
         });
         then(&|s| {
-            // The first holder is back, or learns what is new.
-            let may = s.first == Holder::Runs && s.first_reaches_store();
-            if s.keeping || s.moved {
-                let lost = s.moved || rest_on.token_is_given_up;
-                (s.keeping, s.moved) = (false, lost);
+            // The first holder reaches the store again, or updates its cache.
+            let enabled = s.first == Holder::Runs && s.first_reaches_store();
+            if s.partition_mode || s.second_holds_shard {
+                let lost = s.second_holds_shard || conditions.release_token_on_return;
+                (s.partition_mode, s.second_holds_shard) = (false, lost);
                 if lost {
                     s.first = Holder::Gone;
                 }
             }
-            s.first_knows = s.cancelled;
-            may
+            s.first_knows_cancellation = s.cancelled;
+            enabled
         });
         then(&|s| {
-            // It crashes; its next process knows nothing while it is cut off.
-            let may = s.first == Holder::Runs;
-            s.keeping = false;
+            // The first holder crashes; its next process has no records while it is partitioned.
+            let enabled = s.first == Holder::Runs;
+            s.partition_mode = false;
             s.first = if s.first_reaches_store() {
-                s.moved = true;
+                s.second_holds_shard = true;
                 Holder::Gone
             } else {
-                Holder::Blank
+                Holder::Restarted
             };
-            may
+            enabled
         });
         then(&|s| {
-            // A blank process reads the records.
-            let may = s.first == Holder::Blank && s.first_reaches_store();
-            (s.first, s.moved) = (Holder::Gone, true);
-            may
+            // The restarted process reads the records.
+            let enabled = s.first == Holder::Restarted && s.first_reaches_store();
+            (s.first, s.second_holds_shard) = (Holder::Gone, true);
+            enabled
         });
         then(&|s| {
             // The first holder's lease ends.
-            let may = !s.moved && !s.first_reaches_store();
-            s.moved = true;
-            may
+            let enabled = !s.second_holds_shard && !s.first_reaches_store();
+            s.second_holds_shard = true;
+            enabled
         });
         then(&|s| {
             // The bystander restarts inside the cut, or reads the records.
-            if s.bystander_blank {
-                s.bystander_blank = false;
-                return !s.cut;
+            if s.bystander_restarted {
+                s.bystander_restarted = false;
+                return !s.partitioned;
             }
-            s.bystander_blank = true;
-            s.cut
+            s.bystander_restarted = true;
+            s.partitioned
         });
         then(&|s| {
             // The worker reports to the first holder.
             if s.deleted || s.first != Holder::Runs || !s.first_reaches_worker() {
                 return false;
             }
-            let worker_token = if s.keeping {
+            let worker_token = if s.partition_mode {
                 WorkerToken::partitioned(FIRST)
             } else {
                 WorkerToken::of(FIRST)
@@ -261,49 +265,49 @@
             if s.worker_token > worker_token {
                 return false;
             }
-            let absent = !s.task && (!s.late_start || !rest_on.late_starts_are_minded);
+            let absent = !s.task && (!s.late_start || !conditions.expect_late_starts);
             s.unanswered = 0;
-            if s.heard_worker_token(worker_token) {
-                if s.first_knows {
+            if s.accept_worker_token(worker_token) {
+                if s.first_knows_cancellation {
                     s.task = false;
-                } else if absent && !s.moved && s.first_reaches_store() {
-                    s.seen_gone();
+                } else if absent && !s.second_holds_shard && s.first_reaches_store() {
+                    s.record_task_left();
                 }
             }
             true
         });
         then(&|s| {
-            // It reports to a process that knows nothing: the restarted one, or the bystander.
-            let blank = s.first == Holder::Blank && s.inside || s.bystander_blank;
-            let marked = may_renew(s.worker_token, blank, false);
-            let renews = marked || blank && !rest_on.only_marked_are_renewed;
+            // The worker reports to a process without records: the restarted holder, or the bystander.
+            let restarted = s.first == Holder::Restarted && s.inside || s.bystander_restarted;
+            let marked = may_renew(s.worker_token, restarted, false);
+            let renews = marked || restarted && !conditions.renew_only_partitioned_tokens;
             if s.deleted || !renews {
                 return false;
             }
-            s.lease = LEASE;
+            s.lease = LEASE_TICKS;
             true
         });
         for answer_comes in [true, false] {
             then(&|s| {
-                // It reports to the second holder, whose answer may be lost.
-                if s.deleted || !s.moved || s.cut {
+                // The worker reports to the second holder, whose response may be lost.
+                if s.deleted || !s.second_holds_shard || s.partitioned {
                     return false;
                 }
-                let own = rest_on.evidence_under_own_token;
+                let own = conditions.require_own_token_for_evidence;
                 let knew = s.worker_token >= WorkerToken::of(SECOND) || !own;
                 let present = s.task;
-                if knew || !rest_on.counted_from_seeing {
-                    s.second_counts = Some(0);
+                if knew || !conditions.count_silence_from_acknowledgement {
+                    s.second_silence_ticks = Some(0);
                 }
-                s.second_aware |= knew;
+                s.second_token_acknowledged |= knew;
                 if answer_comes {
-                    s.heard_worker_token(WorkerToken::of(SECOND));
+                    s.accept_worker_token(WorkerToken::of(SECOND));
                 }
                 if !knew {
-                    return answer_comes || !rest_on.counted_from_seeing;
+                    return answer_comes || !conditions.count_silence_from_acknowledgement;
                 }
                 if !present {
-                    s.seen_gone();
+                    s.record_task_left();
                 } else if answer_comes && (s.cancelled || !s.placed) {
                     s.task = false;
                 }
@@ -311,53 +315,59 @@
             });
         }
         then(&|s| {
-            // The first holder takes the worker's silence for the end of its lease.
-            let allowed = !s.keeping || !rest_on.kept_silence_proves_nothing;
-            let margin = if rest_on.drift_is_allowed_for {
-                DRIFT
+            // The first holder concludes from the worker's silence that its lease has expired.
+            let allowed = !s.partition_mode || !conditions.ignore_silence_when_partitioned;
+            let margin = if conditions.allow_clock_drift {
+                MAX_DRIFT_TICKS
             } else {
                 0
             };
-            let over = s.unanswered >= LEASE + margin;
-            let may = s.first == Holder::Runs
-                && !s.moved
+            let over = s.unanswered >= LEASE_TICKS + margin;
+            let enabled = s.first == Holder::Runs
+                && !s.second_holds_shard
                 && s.first_reaches_store()
                 && s.worker_token.token() == FIRST
                 && over
                 && allowed;
-            s.seen_gone();
-            may
+            s.record_task_left();
+            enabled
         });
         then(&|s| {
-            // The second holder shows its token directly, which renews no lease, and is answered.
-            let may = s.moved && !s.cut && !s.deleted && !s.second_aware;
-            if rest_on.counted_from_seeing {
-                s.second_counts = Some(0);
+            // The second holder announces its token directly, which renews no lease; the worker responds.
+            let enabled = s.second_holds_shard
+                && !s.partitioned
+                && !s.deleted
+                && !s.second_token_acknowledged;
+            if conditions.count_silence_from_acknowledgement {
+                s.second_silence_ticks = Some(0);
             }
-            (s.second_aware, s.worker_token) = (true, s.worker_token.max(WorkerToken::of(SECOND)));
-            may
+            (s.second_token_acknowledged, s.worker_token) =
+                (true, s.worker_token.max(WorkerToken::of(SECOND)));
+            enabled
         });
         then(&|s| {
-            // The second holder takes the worker's silence for the end of its lease.
-            let margin = if rest_on.drift_is_allowed_for {
-                DRIFT
+            // The second holder concludes from the worker's silence that its lease has expired.
+            let margin = if conditions.allow_clock_drift {
+                MAX_DRIFT_TICKS
             } else {
                 0
             };
-            let over = s.second_counts.is_some_and(|ticks| ticks >= LEASE + margin);
-            let may = s.moved && s.second_aware && over;
-            s.seen_gone();
-            may
+            let over = s
+                .second_silence_ticks
+                .is_some_and(|ticks| ticks >= LEASE_TICKS + margin);
+            let enabled = s.second_holds_shard && s.second_token_acknowledged && over;
+            s.record_task_left();
+            enabled
         });
         then(&|s| {
             // The cloud deletes the machine.
-            let may = !s.deleted && s.placed;
+            let enabled = !s.deleted && s.placed;
             (s.deleted, s.task, s.placed) = (true, false, false);
-            may
+            enabled
         });
         then(&|s| {
-            // A held start comes.
-            if !s.late_start || s.cut && !s.inside {
+            // A delayed start arrives.
+            if !s.late_start || s.partitioned && !s.inside {
                 return false;
             }
             s.late_start = false;
@@ -367,36 +377,36 @@
             true
         });
         then(&|s| {
-            let may = !s.placed && !s.cancelled && !s.elsewhere;
-            s.elsewhere = true;
-            may
+            let enabled = !s.placed && !s.cancelled && !s.runs_elsewhere;
+            s.runs_elsewhere = true;
+            enabled
         });
         then(&|s| {
-            let may = !s.cancelled && !s.elsewhere;
+            let enabled = !s.cancelled && !s.runs_elsewhere;
             s.cancelled = true;
-            may
+            enabled
         });
         then(&|s| {
-            let gone = !s.placed || !rest_on.told_when_gone;
-            let may = s.cancelled && gone && s.told.is_none();
-            s.told = Some(0);
-            may
+            let gone = !s.placed || !conditions.confirm_after_task_left;
+            let enabled = s.cancelled && gone && s.confirmed.is_none();
+            s.confirmed = Some(0);
+            enabled
         });
         next
     }
 }
 
-fn explore(rest_on: Conditions) -> (bool, usize) {
+fn explore(conditions: Conditions) -> (bool, usize) {
     let starts = [(true, true), (true, false), (false, true), (false, false)];
     let starts = starts.map(|(inside, running)| State::new(inside, running));
-    super::explore(&starts, |state| state.next(rest_on), State::broken)
+    super::explore(&starts, |state| state.next(conditions), State::violated)
 }
 
 #[test]
-fn nothing_runs_twice_or_after_its_cancellation_was_told() {
-    let (broken, states) = explore(ALL);
-    assert!(!broken);
-    // It went somewhere: cuts, crashes and late starts in all their commands.
+fn no_task_runs_twice_or_after_its_confirmed_cancellation() {
+    let (violated, states) = explore(ALL);
+    assert!(!violated);
+    // The search covered partitions, crashes and late starts in all their orders.
     assert!(states > 500_000, "{states} states");
 }
 
@@ -404,26 +414,30 @@
 fn each_condition_is_needed() {
     type LeaveOut = fn(&mut Conditions);
     let without: [(&str, LeaveOut); 8] = [
-        ("told_when_gone", |c| c.told_when_gone = false),
-        ("only_marked_are_renewed", |c| {
-            c.only_marked_are_renewed = false
+        ("confirm_after_task_left", |c| {
+            c.confirm_after_task_left = false
         }),
-        ("token_is_given_up", |c| c.token_is_given_up = false),
-        ("kept_silence_proves_nothing", |c| {
-            (c.kept_silence_proves_nothing, c.token_is_given_up) = (false, false);
+        ("renew_only_partitioned_tokens", |c| {
+            c.renew_only_partitioned_tokens = false
         }),
-        ("evidence_under_own_token", |c| {
-            c.evidence_under_own_token = false
+        ("release_token_on_return", |c| {
+            c.release_token_on_return = false
         }),
-        ("late_starts_are_minded", |c| {
-            c.late_starts_are_minded = false
+        ("ignore_silence_when_partitioned", |c| {
+            (c.ignore_silence_when_partitioned, c.release_token_on_return) = (false, false);
+        }),
+        ("require_own_token_for_evidence", |c| {
+            c.require_own_token_for_evidence = false
+        }),
+        ("expect_late_starts", |c| c.expect_late_starts = false),
+        ("allow_clock_drift", |c| c.allow_clock_drift = false),
+        ("count_silence_from_acknowledgement", |c| {
+            c.count_silence_from_acknowledgement = false
         }),
-        ("drift_is_allowed_for", |c| c.drift_is_allowed_for = false),
-        ("counted_from_seeing", |c| c.counted_from_seeing = false),
     ];
     for (name, leave_out) in without {
-        let mut rest_on = ALL;
-        leave_out(&mut rest_on);
-        assert!(explore(rest_on).0, "nothing breaks without {name}");
+        let mut conditions = ALL;
+        leave_out(&mut conditions);
+        assert!(explore(conditions).0, "nothing breaks without {name}");
     }
 }
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: requests as written, answers as read.
+//! Cloud API: requests as encoded, responses as decoded.
 
 use jaspertiller::clock::Clock;
 use jaspertiller::fleet::client::Cloud;
@@ -33,7 +33,7 @@
     }
 }
 
-/// An answer in words of this test.
+/// A text form of a decoded response, for the fixtures.
 fn show(answer: &CloudResponse) -> String {
     match answer {
         CloudResponse::MachineTypes(type_specs) => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Each call: what is asked, and what is understood of the answer in the file beside.
+/// Each call: the encoded request, and the decoded response of the answers fixture.
 #[tokio::test]
 async fn calls() {
     let requests = include_str!("fixtures/cloud-requests.txt");
@@ -108,7 +108,7 @@
     let (address, mut asked) = service(given.collect()).await;
     let mut settings = settings();
     settings.outside.cloud = address;
-    // So much that no call waits.
+    // A rate limit high enough that no call waits.
     settings.deployment.cloud.rps = 1e6;
     let (tell, mut told) = mpsc::unbounded_channel();
     let cloud = Cloud::start(&settings, Clock::start(), tell);
--- a/tests/wire_format/loopback.rs
+++ b/tests/wire_format/loopback.rs
@@ -1,5 +1,5 @@
-//! Both ends of HTTP on loopback: a service that answers what it is told to, and a client that shows
-//! the answers of the daemon's server.
+//! Both ends of HTTP on loopback: a service with scripted responses, and a client that shows the
+//! responses of the daemon's server.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     free.local_addr().unwrap()
 }
 
-/// `method path body`, the body left out if it is empty.
+/// `method path body`, without the body if it is empty.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut line = String::new();
     stream.read_line(&mut line).await.ok()?;
@@ -44,8 +44,8 @@
     Some(format!("{asked} {body}").trim_end().to_string())
 }
 
-/// A service that gives these answers, `status body`, one after the other, and tells what it was
-/// asked.
+/// A service that returns these responses, `status body`, in order, and reports the requests that it
+/// received.
 pub(crate) async fn service(answers: Vec<String>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -75,15 +75,15 @@
     (address, asked)
 }
 
-/// What the controller answers next.
+/// The next scripted reply of the controller.
 pub(crate) enum Reply {
     User(Response),
     Worker(HeartbeatResponse),
     Ready(bool),
 }
 
-/// The daemon's server before a controller that answers this, one after the other. What the server
-/// makes of users' requests is told.
+/// The daemon's server in front of a controller with scripted replies. Reports the users' requests as
+/// the server decoded them.
 pub(crate) async fn server(replies: Vec<Reply>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let address = free_address().await;
     let (inbox, mut requests) = mpsc::channel(64);
@@ -91,7 +91,7 @@
     tokio::spawn(async move {
         let mut replies = replies.into_iter();
         while let Some(request) = requests.recv().await {
-            // Without a reply the asker is told to come back.
+            // Without a reply the server tells the client to retry.
             let _ = match (request, replies.next()) {
                 (Request::Submit { submission, reply }, Some(Reply::User(response))) => {
                     let job = submission.map(|(job, _)| job.to_string());
@@ -129,7 +129,7 @@
     (address, told)
 }
 
-/// Asks the server; `status body`, with the wait that it asks for, if any, in between.
+/// Sends a request to the server; returns `status body`, with the Retry-After value in between if present.
 pub(crate) async fn ask(address: SocketAddr, asked: &str, body: &str) -> String {
     let mut stream = loop {
         match TcpStream::connect(address).await {
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -1,11 +1,11 @@
 //! Wire and storage formats, byte for byte.
 //!
-//! The files under `fixtures/` hold what commit 1d0d99e wrote and what its peers send it: records
-//! of the state service, frames between controllers, and HTTP bodies. They stand for data that is
-//! already stored and for processes that already run, so they are never written anew: a format that
-//! changes on purpose gets cases of its own, and these stay for as long as they must be read.
+//! The files under `fixtures/` hold what commit 1d0d99e wrote and received: records of the key-value
+//! store, frames between controllers, and HTTP bodies. They represent data that is already stored and
+//! processes that already run, so they are never regenerated: an intended format change adds its own
+//! cases, and the existing ones stay for as long as the old format must be readable.
 //!
-//! Identifiers of the library may be renamed freely; a name in a fixture may not.
+//! Identifiers of the library may be renamed; names in a fixture may not.
 
 mod cloud;
 mod loopback;
@@ -22,8 +22,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The cases of one fixture file: a line each, `name: text`. Every case must be used, and all that
-/// fail are named together.
+/// The cases of one fixture file, one `name: text` per line. Every case must be used; all failures are
+/// reported together.
 struct Fixtures {
     file: &'static str,
     texts: BTreeMap<&'static str, &'static str>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The text of a case; empty, and a failure, if there is none.
+    /// The text of a case. A missing case is recorded as a failure and gives an empty text.
     fn text(&mut self, name: &str) -> &'static str {
         self.used.insert(name.into());
         let text = self.texts.get(name).copied();
@@ -60,7 +60,7 @@
         self.failures.push(format!("{}: {name}: {why}", self.file));
     }
 
-    /// What was found must be what is expected.
+    /// Records a failure unless the actual text equals the expected one.
     fn check<T: PartialEq + Debug>(&mut self, name: &str, what: &str, found: T, expected: T) {
         if found != expected {
             let why = format!("{what}\n     found: {found:?}\n  expected: {expected:?}");
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The code must write exactly the fixture.
+    /// Checks that the code writes exactly the text of the fixture.
     fn writes(&mut self, name: &str, written: &str) {
         let text = self.text(name);
         self.check(name, "is written differently", written, text);
     }
 
-    /// A JSON record must be read from its fixture, and written as it is there.
+    /// Checks that a JSON record is read from its fixture and written back unchanged.
     fn round_trips<T>(&mut self, name: &str, record: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -23,7 +23,7 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// What goes over the wire for a payload.
+/// The frame on the wire for a payload.
 fn frame(payload: &str) -> Vec<u8> {
     let payload = bytes(payload);
     let mut frame = (payload.len() as u32).to_be_bytes().to_vec();
@@ -44,8 +44,8 @@
     }
 }
 
-/// A heartbeat with every field set. Each flag is set in another machine, so that none can be taken
-/// for its neighbour.
+/// A heartbeat with every field set. Each flag is set in a different machine, so that swapped flags are
+/// detected.
 fn heartbeat() -> Status {
     Status {
         lease_id: Some(7001),
@@ -160,8 +160,8 @@
     fixtures.finish();
 }
 
-/// Frames as they lie on the wire, spoken and heard: a length of four bytes, the highest first, and
-/// the payload; one byte acknowledges it.
+/// Frames on the wire, sent and received: a length of four bytes in big-endian order and the payload;
+/// one byte acknowledges a frame.
 #[tokio::test]
 async fn frames() {
     let mut fixtures = fixtures();
@@ -193,7 +193,7 @@
         stream.write_all(&[ACKNOWLEDGED]).await.unwrap();
     }
 
-    // The listener is another task, which may not have come up yet.
+    // The listener is another task that may not have started yet.
     let mut stream = loop {
         match TcpStream::connect(bind).await {
             Ok(stream) => break stream,
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -1,4 +1,4 @@
-//! Records of the state service: their keys, and what lies under them.
+//! Records of the key-value store: keys and values.
 
 use admission_control::plan::Plan;
 use hierarchical_quota::TreeSpec;
@@ -31,7 +31,7 @@
     text.into()
 }
 
-/// Every field set, each number another.
+/// A record with every field set, each to a different number.
 pub(crate) fn full_spec() -> JobSpec {
     JobSpec {
         class: "nightly-batch".into(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Without the optional fields; the flags are off.
+/// A record without the optional fields and with all flags off.
 pub(crate) fn bare_spec() -> JobSpec {
     JobSpec {
         machine_types: None,
@@ -205,7 +205,7 @@
     ];
     for (name, record) in &cases {
         fixtures.round_trips(name, record);
-        // The cache reads it, too.
+        // The cache reads it as well.
         let mut jobs = JobCache::default();
         let text = fixtures.texts.get(name).copied();
         let id = "job-000412".into();
@@ -272,7 +272,7 @@
     };
     fixtures.round_trips("block", &holder);
 
-    // Who watches the records sees the same.
+    // The watch decodes the same records.
     let mut seen = Leases::default();
     let me = controller_id("n1");
     let apply = [
@@ -319,7 +319,7 @@
     fixtures.finish();
 }
 
-/// The operator's sample, in pages of at most one kilobyte or less.
+/// The operator's sample tree, split into pages of at most one kilobyte.
 #[test]
 fn quota_tree() {
     let mut fixtures = Fixtures::new("quota-tree.txt", include_str!("fixtures/quota-tree.txt"));
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings (JSON), the operator's own, and the tree of quotas (INI), as read.
+//! Decoding of the platform's settings (JSON), the operator's settings and the quota tree (INI).
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use jaspertiller::settings::{Operator, Settings};
 use jaspertiller::types::Millis;
 
-/// The platform's settings with every field, each number another.
+/// The platform's settings with every field set, each to a different number.
 pub(crate) fn settings() -> Settings {
     Settings::parse("settings.json", include_str!("fixtures/settings.json")).unwrap()
 }
@@ -86,7 +86,7 @@
     assert!(read.tree.is_none());
 }
 
-/// Each key, set to something that is not its default.
+/// Each key, set to a value other than its default.
 #[test]
 fn operators_settings() {
     let text = include_str!("fixtures/operator.ini");
@@ -105,8 +105,8 @@
     assert_eq!(Operator::parse("operator.ini", text).unwrap(), expected);
 }
 
-/// The shipped file says what the compiled defaults are. They are given here once more: settings
-/// that nobody has written down must not change either.
+/// The shipped file states the compiled defaults. They are repeated here, because settings that no
+/// file overrides must not change either.
 #[test]
 fn shipped_settings_are_the_defaults() {
     let text = include_str!("../../deploy/jaspertiller.ini");
@@ -126,7 +126,7 @@
     assert_eq!(Operator::default(), expected);
 }
 
-/// A path in the operator's file counts from its folder.
+/// Paths in the operator's file are relative to its folder.
 #[test]
 fn files_are_read_together() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -1,4 +1,4 @@
-//! The state service: requests as written, answers as read.
+//! Key-value store: requests as encoded, responses as decoded.
 
 use jaspertiller::clock::Clock;
 use jaspertiller::store::{CallClass, Store, StoreCall, StoreResponse, Transaction, Update};
@@ -9,7 +9,7 @@
 use crate::loopback::service;
 use crate::settings::settings;
 
-/// An answer in words of this test.
+/// A text form of a decoded response, for the fixtures.
 fn show(answer: &StoreResponse) -> String {
     match answer {
         StoreResponse::Granted(lease_id) => format!("lease {}", lease_id.0),
@@ -43,7 +43,7 @@
     }
 }
 
-/// A compare-and-swap with each kind of condition and change.
+/// A compare-and-swap transaction with each kind of condition and change.
 fn txn() -> StoreCall {
     let mut txn = Transaction::default();
     txn.require("jt/job/job-000412".into(), Revision(0));
@@ -55,7 +55,7 @@
     StoreCall::Transaction(txn)
 }
 
-/// Each call: what is asked, and what is understood of the answer in the file beside.
+/// Each call: the encoded request, and the decoded response of the answers fixture.
 #[tokio::test]
 async fn calls() {
     let requests = include_str!("fixtures/store-requests.txt");
@@ -117,7 +117,7 @@
     let (tell, mut told) = mpsc::unbounded_channel();
     let store = Store::start(&settings, Clock::start(), tell);
     for (tag, (name, call, expected)) in (0..).zip(cases) {
-        // Leases do not wait for the budget.
+        // Lease calls bypass the write budget.
         store.send(tag, CallClass::Leases, call);
         requests.writes(name, &asked.recv().await.unwrap());
         let answer = told.recv().await.unwrap();
--- a/tests/wire_format/users.rs
+++ b/tests/wire_format/users.rs
@@ -1,4 +1,4 @@
-//! The users' interface: submissions as read, refusals, and responses as written.
+//! User API: submissions as decoded, rejections, and responses as encoded.
 
 use jaspertiller::fleet::MachineTypeSpec;
 use jaspertiller::jobs::api::{self, JobStage, JobState, Refusal, Response};
@@ -10,7 +10,7 @@
 use crate::records::{bare_spec, full_spec, spec_of};
 use crate::settings::settings;
 
-/// `status reason`, after the job that it is about.
+/// `job status reason` of a response.
 fn show(job: Option<&str>, why: &Refusal) -> String {
     let job = job.unwrap_or("unknown job");
     match why {
@@ -49,7 +49,7 @@
     fixtures.finish();
 }
 
-/// What makes no sense, and the answer to each in the file beside.
+/// Malformed submissions, and the response to each in the answers fixture.
 #[test]
 fn malformed_submissions() {
     let bodies = include_str!("fixtures/malformed-submissions.txt");
@@ -129,7 +129,7 @@
             Err(why) => fixtures.writes(name, &show(Some("job-1"), &why)),
         }
     }
-    // Types that don't exist are dropped from the list, and doubles.
+    // Unknown and duplicate machine types are dropped from the list.
     let listed = JobSpec {
         machine_types: Some(vec!["g8".into(), "g8".into(), "x1".into()]),
         ..bare_spec()
@@ -186,7 +186,7 @@
         let understood = told.recv().await;
         fixtures.check(name, "is understood", understood.as_deref(), Some(expected));
     }
-    // What the controller is not asked about.
+    // Requests that the server answers without the controller.
     for (name, asked) in [
         ("no-such-path", "GET /api/job/job-1"),
         ("no-such-method", "DELETE /api/jobs/job-1"),
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: reports as read, the answers to them, and commands that are sent directly.
+//! Worker API: heartbeats as decoded, their responses, and direct commands.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::Fixtures;
 use crate::loopback::{Reply, ask, server, service};
 
-/// The stages of a task and the causes of its end, in words of this test.
+/// A text form of task stages and causes of failure, for the fixtures.
 fn stage(stage: TaskStage) -> &'static str {
     match stage {
         TaskStage::Fetching => "fetching",
@@ -36,7 +36,7 @@
     }
 }
 
-/// A report as it was understood.
+/// A text form of a decoded heartbeat.
 fn show(heartbeat: &Heartbeat) -> String {
     let mut shown = format!(
         "{} at {:?} type {} zone {} spot {} session {} tally {} token {} warning {:?}",
@@ -179,7 +179,7 @@
     let mut fixtures = Fixtures::new("direct-orders.txt", file);
     let heartbeat = include_str!("fixtures/reports.txt").lines().next().unwrap();
     let (_, heartbeat) = heartbeat.split_once(": ").unwrap();
-    // Whether the matter is settled, and the heartbeat that came with it.
+    // Whether the response settles the command, and the heartbeat that it carried.
     let cases = [
         (
             "executed",
