--- a/crates/admission-control/src/floors/tests.rs
+++ b/crates/admission-control/src/floors/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Serves `steps` units; each flow asks as long as `asks` says so. Returns how often each was.
+/// Serves `steps` units; a flow has requests while `asks` returns true. Returns the units served to each flow.
 fn play(
     floors: &mut Floors<u8>,
     steps: usize,
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_swarm_at_top_priority_leaves_the_others_their_floor() {
+fn a_burst_at_top_priority_leaves_other_flows_their_floor() {
     let cases: [(f64, u8, [usize; 4]); 4] = [
-        // part, flows, least served of 1,000
+        // share, flows, minimum served of 1,000
         (0.0, 4, [1_000, 0, 0, 0]),
         (0.5, 4, [600, 120, 120, 120]),
         (0.5, 2, [740, 245, 0, 0]),
@@ -38,19 +38,19 @@
 }
 
 #[test]
-fn what_nobody_asks_for_is_lent_and_comes_back_at_once() {
-    // The second flow asks for nothing in the first half.
+fn unused_capacity_is_lent_and_returned_on_demand() {
+    // The second flow is idle in the first half.
     let asks = |step: usize, flow: u8| flow != 1 || step >= 500;
     let mut floors = Floors::equal(0.6);
     let half = play(&mut floors, 500, 3, asks);
     assert!(half[1] == 0 && half[0] + half[2] == 500, "{half:?}");
     let soon = play(&mut floors, 20, 3, |_, _| true);
-    // Its floor, and no more for the time when it did not ask.
+    // It gets its floor and no credit for the time when it was idle.
     assert!((3..=5).contains(&soon[1]), "{soon:?}");
 }
 
 #[test]
-fn weights_divide_the_floors_and_large_units_are_paid_for() {
+fn floors_follow_weights_and_large_requests_are_charged_by_size() {
     let weight: fn(&u8) -> f64 = |flow| if *flow == 0 { 1.0 } else { 3.0 };
     let mut floors = Floors::weighted(1.0, weight);
     let mut units = [0.0, 0.0];
--- a/crates/admission-control/src/gate/tests.rs
+++ b/crates/admission-control/src/gate/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Users come at `rates` a second by class for so many seconds, and those who are sent away
-/// come back when they were told, for a minute. Taken are written at 10 a second. Returns how
-/// many of each class came and were taken, and how often anybody was sent away.
+/// Users submit at `rates` per second by class for some seconds; rejected users retry after the
+/// requested wait, for a minute. Accepted submissions are written at 10 per second. Returns the
+/// submissions and acceptances of each class, and the number of rejections.
 fn play(rates: &[f64], seconds: u64) -> (Vec<(u32, u32)>, u32) {
     let mut gate = Gate::default();
     let mut users: Vec<(f64, f64, Slot)> = Vec::new();
@@ -55,25 +55,25 @@
 }
 
 #[test]
-fn a_burst_is_taken_in_time_and_nobody_is_sent_away_often() {
-    // 300 come in two seconds.
+fn a_burst_is_accepted_in_time_with_few_rejections_each() {
+    // 300 submissions arrive in two seconds.
     let (counts, sent_away) = play(&[150.0], 2);
     assert_eq!(counts, [(300, 300)]);
     assert!(sent_away < 1_500, "{sent_away}");
 }
 
 #[test]
-fn a_swarm_of_one_class_does_not_keep_the_others_out() {
+fn a_burst_of_one_class_does_not_shut_out_the_others() {
     let (counts, _) = play(&[60.0, 1.0, 1.0], 60);
     let share = |class: usize| f64::from(counts[class].1) / f64::from(counts[class].0);
     assert!(share(1) > 0.95 && share(2) > 0.95, "{counts:?}");
-    // What can be written is.
+    // The write rate is fully used.
     let taken: u32 = counts.iter().map(|(_, taken)| taken).sum();
     assert!(taken > 550, "{counts:?}");
 }
 
 #[test]
-fn with_little_to_do_all_are_taken_at_once() {
+fn all_submissions_are_accepted_under_low_load() {
     let (counts, sent_away) = play(&[4.0, 3.0], 30);
     assert!(counts.iter().all(|(came, taken)| came == taken) && sent_away == 0);
 }
--- a/crates/admission-control/src/plan/tests.rs
+++ b/crates/admission-control/src/plan/tests.rs
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn shares_follow_demand_and_the_rest_is_even() {
+fn shares_follow_demand_and_the_remainder_is_split_evenly() {
     use ControllerStatus::{Absent, Current};
     let cases = [
         (vec![(Current, 0.0, 0.0); 3], vec![10.0, 10.0, 10.0]),
         (
-            // Each has a base of 3; one asks for all there is.
+            // Each controller has a base of 3; one demands all capacity.
             vec![
                 (Current, 0.0, 0.0),
                 (Current, 0.0, 0.0),
@@ -51,19 +51,19 @@
     ];
     for (rows, expected) in cases {
         let rows = controllers(&rows);
-        // Several plans on: what had to fall first has fallen.
+        // After several plans the shares that had to fall first have fallen.
         let plan = (0..4).fold(Plan::default(), |plan, _| plan.next(30.0, &rows));
         assert_eq!(shares(&plan), expected, "{rows:?}");
     }
 }
 
 #[test]
-fn a_share_rises_only_by_what_surely_nobody_uses() {
+fn a_share_rises_only_by_capacity_that_no_controller_can_use() {
     use ControllerStatus::{Absent, Current, Stale};
     let hungry = |standings: [ControllerStatus; 2]| {
         controllers(&[(standings[0], 0.0, 0.0), (standings[1], 10.0, 500.0)])
     };
-    // The first has most of it, and asks for nothing any more.
+    // The first controller has most of the capacity and no more demand.
     let rich = [("n0", 24.0), ("n1", 6.0)].map(|(n, share)| (n.to_string(), share));
     let plan = Plan {
         shares: rich.clone().into(),
@@ -72,7 +72,7 @@
     for (first, after) in [(Stale, 6.0), (Current, 6.0), (Absent, 25.5)] {
         let next = plan.next(30.0, &hungry([first, Current]));
         assert_eq!(shares(&next)[1], after, "{first:?}");
-        // Told of the new plan, it makes room.
+        // It releases capacity after reading the new plan.
         let then = next.next(30.0, &hungry([Current, Current]));
         assert_eq!(shares(&then)[1], 25.5, "{first:?}");
         let late = next.next(30.0, &hungry([Stale, Current]));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn small_differences_are_not_worth_a_change() {
+fn small_differences_do_not_change_the_plan() {
     let row = |waiting| {
         controllers(&[
             (ControllerStatus::Current, 5.0, 0.0),
--- a/crates/admission-control/src/slots/tests.rs
+++ b/crates/admission-control/src/slots/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn known_names_are_told_apart_and_made_up_ones_are_bounded() {
+fn known_names_get_their_own_slots_and_unknown_names_are_bounded() {
     let names = ["b", "a", "b", "c"].map(String::from);
     let slots = Slots::new(names);
     let known: Vec<Slot> = ["a", "b", "c"].map(|name| slots.of(name)).to_vec();
--- a/crates/hierarchical-quota/src/divide/tests.rs
+++ b/crates/hierarchical-quota/src/divide/tests.rs
@@ -9,9 +9,9 @@
 }
 
 #[test]
-fn what_is_left_over_goes_by_weight() {
+fn surplus_is_divided_by_weight() {
     let cases = [
-        // pool, claims, what each gets
+        // pool, claims, shares
         (10.0, vec![gpus(0.0, 20.0, 1.0)], vec![10.0]),
         (10.0, vec![gpus(0.0, 4.0, 1.0)], vec![4.0]),
         (
@@ -19,13 +19,13 @@
             vec![gpus(0.0, 20.0, 1.0), gpus(0.0, 20.0, 2.0)],
             vec![4.0, 8.0],
         ),
-        // What one does not want goes to the others.
+        // Capacity that one claim does not demand goes to the others.
         (
             12.0,
             vec![gpus(0.0, 20.0, 1.0), gpus(0.0, 3.0, 2.0)],
             vec![9.0, 3.0],
         ),
-        // A floor above its fair share is kept; the others share the rest.
+        // A floor above the fair share is kept; the other claims divide the rest.
         (
             12.0,
             vec![
@@ -35,7 +35,7 @@
             ],
             vec![8.0, 2.0, 2.0],
         ),
-        // A floor below its fair share changes nothing.
+        // A floor below the fair share has no effect.
         (
             12.0,
             vec![gpus(2.0, 9.0, 1.0), gpus(0.0, 9.0, 1.0)],
@@ -51,8 +51,8 @@
     }
 }
 
-/// The example that dominant-resource fairness is known by: 9 CPUs and 18 of the other, tasks
-/// of (1, 4) and of (3, 1): three of the one and two of the other.
+/// The standard example of dominant-resource fairness: 9 CPUs and 18 units of the other resource, tasks
+/// of (1, 4) and of (3, 1): three tasks of the first kind and two of the second.
 #[test]
 fn dominant_shares_are_equal() {
     let claim = |cpus: f64, gpus: f64| Claim {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_amount_that_is_used_up_stops_only_those_who_need_it() {
+fn an_exhausted_resource_limits_only_claims_that_need_it() {
     let claim = |cpus: f64, gpus: f64| Claim {
         floor: Amount::ZERO,
         demand: Amount::new(cpus, gpus),
--- a/crates/hierarchical-quota/src/entitlements/tests.rs
+++ b/crates/hierarchical-quota/src/entitlements/tests.rs
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn unused_share_is_lent_and_comes_back() {
+fn unused_share_is_lent_and_returned_on_demand() {
     type Case<'a> = (&'a str, &'a [(&'a str, f64)], &'a [(&'a str, f64)]);
     let cases: &[Case] = &[
         ("alone, a team has all", &[("e1", 99.0)], &[("e1", 32.0)]),
         (
             "a sibling takes its own share back, by weight beyond guarantees",
             &[("e1", 99.0), ("e2", 99.0)],
-            // 8 guaranteed is just what weight 1 of 4 gives of 32.
+            // The guarantee of 8 equals the share of weight 1 of 4 in 32.
             &[("e1", 8.0), ("e2", 24.0)],
         ),
         (
@@ -68,15 +68,15 @@
     }
 }
 
-/// A borrower whose jobs come one after the other asks for nothing in between. Without the
-/// hold its share went away and came back with each of them.
+/// A borrower that runs one job after another has no demand in between. Without the hold time its
+/// share was lost and regained with each job.
 #[test]
-fn demand_that_falls_counts_for_a_while() {
+fn falling_demand_counts_until_the_hold_time_is_over() {
     let mut shares = shares();
     let (e1, w1) = (leaf(&shares, "e1"), leaf(&shares, "w1"));
     set(&mut shares, &[("e1", 32.0), ("w1", 32.0)], 0);
     let steps = [
-        // when, e1's demand, what w1 is entitled to
+        // time, demand of e1, entitlement of w1
         (1_000, 0.0, 16.0),
         (3_000, 32.0, 16.0),
         (4_000, 0.0, 16.0),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn who_may_reclaim_from_whom() {
+fn reclaim_is_allowed_only_within_entitlement() {
     let one = ResourceRequest {
         total: gpus(1.0),
         task: gpus(1.0),
@@ -113,7 +113,7 @@
     );
     let all: &[(&str, f64)] = &[("e1", 20.0), ("e2", 0.0), ("w1", 4.0), ("w2", 8.0)];
     let cases: &[Case] = &[
-        // name, use, from, its task, by, what it wants, allowed
+        // name, usage, victim, its task, reclaiming team, its request, allowed
         (
             "a borrower in another member",
             all,
@@ -151,7 +151,7 @@
             of(8.0, 4.0),
             false,
         ),
-        // w2 is over its share of 4, but its member is not over: only w1 may take from it.
+        // w2 exceeds its share of 4 but its member does not: only w1 may reclaim from it.
         (
             "beside it, over inside its member",
             all,
--- a/src/admission/backlog/tests.rs
+++ b/src/admission/backlog/tests.rs
@@ -4,10 +4,10 @@
     format!("job-{n}").as_str().into()
 }
 
-/// With a backlog of ends no machine was placed on, though thousands of tasks waited and
-/// hundreds of machines stood idle.
+/// A backlog of completions used to block all placements, while thousands of tasks waited and
+/// hundreds of machines were idle.
 #[test]
-fn ends_that_wait_leave_starts_their_part() {
+fn a_backlog_of_completions_leaves_starts_their_floor() {
     let mut backlog = Backlog::default();
     for n in 0..100 {
         backlog.add(&id(n), Lane::Completions, 0, Millis(0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_job_keeps_its_most_urgent_turn_and_is_written_once() {
+fn a_job_keeps_its_most_urgent_entry_and_is_written_once() {
     let mut backlog = Backlog::default();
     backlog.add(&id(1), Lane::PartialCompletions, 0, Millis(5_000));
     backlog.add(&id(1), Lane::PartialCompletions, 0, Millis(9_000));
@@ -35,9 +35,9 @@
     assert!(backlog.next(Millis(9_000)).is_none() && backlog.is_empty());
 }
 
-/// The oldest of the swarm came before all others.
+/// The oldest jobs of a burst used to precede all other jobs.
 #[test]
-fn a_class_that_swarms_leaves_the_others_their_floor() {
+fn a_burst_of_one_class_leaves_the_others_their_floor() {
     let mut backlog = Backlog::default();
     for n in 0..1_000 {
         backlog.add(&id(n), Lane::Placements, 0, Millis(0));
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -5,10 +5,10 @@
 use crate::types::{AgentEpoch, Attempt, MachineId, Millis, ShardId};
 use crate::workers::Machine;
 
-/// A holder that had not heard of a deletion placed a task on the machine after it: the task was
-/// on no machine, and in the records for ever.
+/// A holder that did not know of a deletion yet placed a task on the deleted machine: the task ran
+/// nowhere, and its placement was never removed from the records.
 #[test]
-fn what_is_placed_on_a_deleted_machine_is_released_whenever_it_was_placed() {
+fn tasks_on_a_deleted_machine_are_released_even_if_placed_after_deletion() {
     let here = Task::Placed(Placement {
         machine_id: "vm-a".into(),
         shard: ShardId::parse("a.0").unwrap(),
@@ -28,19 +28,19 @@
     }
 }
 
-/// A leader that the state service refused had machines deleted, and could not write that their tasks
-/// had left. Its successor had heard of these machines, and no list showed them any more: their
-/// jobs waited for ever, and their cancellations were never told.
+/// A leader whose writes the store rejected had machines deleted and could not record that their tasks had
+/// left. Its successor knew these machines, but the cloud's list no longer contained them: their jobs
+/// waited for ever, and their cancellations were never confirmed.
 #[test]
-fn a_silent_machine_that_no_list_shows_is_deleted_for_its_tasks() {
+fn a_silent_machine_missing_from_the_cloud_list_is_deleted_to_release_its_tasks() {
     let cases = [
-        // the machine is known, seconds since it was heard, the list shows it, its holder hears others,
-        // seconds that we have led and read lists; deleted
+        // machine is known, seconds since its last heartbeat, listed by the cloud, its holder receives other
+        // heartbeats, seconds that we have led and read lists; deleted
         (true, 60, false, true, 90, true),
         (true, 60, true, true, 90, true),
         (true, 1, false, true, 90, false),
         (false, 60, false, true, 90, true),
-        // Its holder's last machine was this one.
+        // This was the last machine of its holder.
         (false, 60, false, false, 90, true),
         (true, 60, false, false, 90, true),
         (false, 60, false, false, 20, false),
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -6,10 +6,10 @@
 use crate::store::StoreCall;
 use crate::types::{AgentEpoch, Attempt, Revision, ShardId};
 
-/// What the cache does not show yet of a job that is being cancelled may be on its machine when
-/// its user hears that it is over.
+/// A placement of a cancelled job that the cache does not show yet could still run when the cancellation
+/// was confirmed to the user.
 #[test]
-fn a_job_is_over_once_all_that_was_placed_of_it_is_known_and_gone() {
+fn a_cancelled_job_ends_once_all_its_placed_tasks_are_known_and_gone() {
     let here = Task::Placed(Placement {
         machine_id: "vm-a".into(),
         shard: ShardId::parse("a.0").unwrap(),
@@ -17,7 +17,7 @@
         attempt: Attempt(1),
     });
     let cases = [
-        // placed, known up to, over
+        // the task, revision that the cache has reached, job has ended
         (Task::NEVER_PLACED, 19, false),
         (Task::NEVER_PLACED, 20, true),
         (here, 20, false),
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -89,14 +89,14 @@
     controller.apply(&page_key(&id, 0), Some(&page), Revision(21));
 }
 
-/// What a cycle looked at grew with the fleet, several times for each job, so that a leader's work
-/// grew with the square of the size.
+/// The machines examined in a cycle grew with the fleet, several times for each job, so a leader's work
+/// was quadratic in the size of the cluster.
 #[test]
 fn the_work_of_a_cycle_does_not_grow_with_the_fleet() {
     struct Case {
         name: &'static str,
         allocated: fn(usize) -> bool,
-        /// Machines that a cycle, or a preemption, may look at.
+        /// Maximum number of machines that a cycle, or a preemption, may examine.
         most: u64,
         step: fn(&mut Controller, &JobId),
     }
@@ -145,7 +145,7 @@
         Case {
             name: "preemption in a full fleet",
             allocated: |_| true,
-            // Each site is counted twice: when it is looked at, and when it is weighed.
+            // Each site is counted twice: when it is examined and when it is scored.
             most: 2 * 64,
             step: |controller, id| {
                 let place = super::super::preemption::PreemptionScope::Anywhere;
@@ -178,8 +178,8 @@
     }
 }
 
-/// The index follows placements, tasks that leave, new images, and machines that stop being
-/// schedulable.
+/// The index follows placements, releases, newly cached images, and machines that become
+/// unschedulable.
 #[test]
 fn the_index_equals_a_recount() {
     type Step = (&'static str, fn(&mut Controller));
@@ -228,7 +228,7 @@
     }
 }
 
-/// A machine that is missing from the index is entered by the next sweep.
+/// The next sweep adds a machine that is missing from the index.
 #[test]
 fn a_sweep_corrects_the_index() {
     let (mut controller, _) = fleet(12, |_| false);
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -72,10 +72,10 @@
     (controller, id)
 }
 
-/// Days were lost to each of these: what was decided while another transaction was under way,
-/// or while the budget was short, was written although the records had moved on.
+/// Changes that were decided during another transaction, or while the write budget was short, used to be
+/// written although the records were newer.
 #[test]
-fn what_the_records_have_overtaken_is_not_written() {
+fn changes_overtaken_by_newer_records_are_not_written() {
     let release = |attempt, token| TaskChange::Release {
         attempt: Attempt(attempt),
         evidence: Evidence::Holder(FencingToken(token)),
@@ -170,7 +170,7 @@
         spec.spread = name != "no room any more";
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
-        // Noted when it was right; the records are newer.
+        // The change was valid when it was noted; the records are newer now.
         controller.jobs.note_change(&id, 0, change);
         controller.write(&id);
         let wrote = controller.effects.iter().any(|effect| {
@@ -183,10 +183,10 @@
     }
 }
 
-/// A gang completed, and one of its machines came back at once with nothing on it: what it had was
-/// released, the rest was done, and the gang waited for a task that nobody could place.
+/// A gang completed, and one of its machines restarted at once without tasks: its task was released, the
+/// others were recorded as done, and the gang waited for a task that could not be placed.
 #[test]
-fn one_task_of_a_gang_that_is_done_shows_that_all_of_its_attempt_are() {
+fn one_done_task_of_a_gang_completes_all_tasks_of_its_attempt() {
     let waits = |tried| Task::Waiting {
         tried: Attempt(tried),
     };
@@ -198,7 +198,7 @@
         evidence: Evidence::Holder(FencingToken(5)),
     };
     let cases = [
-        // the other task, what is noted of it, the gang is done
+        // state of the other task, the change noted for it, whether the gang is done
         (placed("vm-b", "b.0", 2), None, true),
         (placed("vm-b", "b.0", 2), Some(release), true),
         (waits(2), None, true),
@@ -228,10 +228,10 @@
     }
 }
 
-/// While changes were short the room that a gang had made for it came free in the records 2.5 s
-/// late, since the first starts of arrays wait so long for more; and a start waits.
+/// Under a tight write budget the capacity preempted for a gang was released in the records 2.5 s late,
+/// because releases were batched like the first starts of arrays. Only starts may wait for a batch.
 #[test]
-fn while_changes_are_short_starts_wait_for_company_and_releases_do_not() {
+fn under_a_tight_budget_starts_are_batched_and_releases_are_not() {
     let release = TaskChange::Release {
         attempt: Attempt(2),
         evidence: Evidence::Holder(FencingToken(5)),
@@ -240,7 +240,7 @@
         unreachable!()
     };
     let cases = [
-        // short, change, written at once
+        // budget is tight, change, written at once
         (false, 0, release.clone(), true),
         (true, 0, release, true),
         (false, 1, TaskChange::Place(free.clone()), true),
--- a/src/controller/commits/turn/tests.rs
+++ b/src/controller/commits/turn/tests.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// A job of this kind with three tasks, of which the first `placed` are on machines, and with these
-/// changes of its first tasks.
+/// A job of this kind with three tasks, the first `placed` of which are placed, and with these changes of
+/// its first tasks.
 fn job(
     kind: JobKind,
     priority: PriorityClass,
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn near_a_limit_completions_are_gathered_for_less_time() {
+fn completions_are_batched_for_less_time_near_a_limit() {
     let (jobs, id) = job(JobKind::Array, PriorityClass::Normal, 3, &[finish()]);
     let job = jobs.get(&id).unwrap();
     let cases = [
@@ -137,9 +137,9 @@
 }
 
 #[test]
-fn the_tasks_of_a_cancelled_job_are_waited_for() {
+fn a_cancelled_job_ends_after_its_tasks_have_left() {
     let cases = [
-        // noted to have left, of two that are placed
+        // number of tasks noted as released, of two placed tasks
         (1, NOW + LAST_TASKS_TIMEOUT),
         (2, NOW - URGENT_HEAD_START),
     ];
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -9,11 +9,11 @@
 use crate::types::{AgentEpoch, Attempt, FencingToken, MachineId, Revision, ShardId, WorkerToken};
 use crate::workers::Machine;
 
-/// A machine came back at once and said so in its answer to direct commands. Its last answered
-/// report was of the agent epoch before, so its lease was taken for over while its tasks ran, and
-/// they were started elsewhere.
+/// A machine restarted at once and reported its new agent epoch in a response to direct commands. Its last
+/// answered heartbeat was from the previous agent epoch, so its lease was considered expired while its
+/// tasks ran, and they were started elsewhere.
 #[test]
-fn an_agent_epoch_that_a_direct_answer_shows_has_its_whole_lease() {
+fn an_agent_epoch_learned_from_a_direct_response_has_a_full_lease() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 1);
     let here = Task::Placed(Placement {
@@ -42,15 +42,15 @@
     }
 }
 
-/// A new holder's answer to a heartbeat was lost, so the worker went on with the holder before, and
-/// was renewed there until it was shown the new token directly. Then it fell silent. Its lease was
-/// taken for over by the answer that it had never heard, while its tasks ran for ten seconds more.
+/// A new holder's response to a heartbeat was lost, so the previous holder kept renewing the worker's lease
+/// until the new token was announced directly. Then the worker fell silent. Its lease was considered expired
+/// counting from the lost response, while its tasks ran for another ten seconds.
 #[test]
-fn silence_counts_from_when_the_worker_was_known_to_have_seen_our_token() {
+fn silence_counts_from_the_workers_acknowledgement_of_our_token() {
     type Heard = Option<u64>;
     let cases: [(Heard, u64, Heard, f64, bool); 5] = [
-        // report that we answered, the worker showed our token, next answered report; s after
-        // its showing; gone
+        // answered heartbeat, acknowledgement of our token, next answered heartbeat; seconds after the
+        // acknowledgement; lease has expired
         (Some(1), 16, None, 20.0, false),
         (Some(1), 16, None, 40.0, true),
         (Some(15), 16, Some(30), 36.0, false),
@@ -113,10 +113,10 @@
     }
 }
 
-/// A copy of a heartbeat came after its machine was deleted. It was taken for the machine, tasks were
-/// placed there, and nobody ever saw them leave.
+/// A late copy of a heartbeat arrived after its machine was deleted. The machine was considered alive, and
+/// tasks were placed there whose end was never observed.
 #[test]
-fn a_machine_that_is_met_by_a_heartbeat_gets_work_once_it_has_answered() {
+fn a_machine_first_seen_by_heartbeat_gets_tasks_after_a_direct_response() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
     controller.now = Millis(20_000);
@@ -140,12 +140,12 @@
     assert!(fit(&controller), "it answered");
 }
 
-/// No worker reached any controller for a while: each gave its shards up to the others, took some, heard nobody
-/// and gave them up again, every few seconds.
+/// While no worker reached any controller, each controller released its shards, acquired others, received no
+/// heartbeats there and released them again, every few seconds.
 #[test]
 fn shards_keep_their_holders_while_no_controller_receives_heartbeats() {
     let cases = [
-        // a peer's word: none, it hears nobody, it hears workers; give-ups before; given up, then asks after ms
+        // the peer's report (none, no heartbeats, heartbeats); earlier releases; released, next acquisition after ms
         (None, 0, Some(2_000)),
         (Some(false), 0, None),
         (Some(true), 0, Some(2_000)),
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -11,8 +11,8 @@
 use crate::types::{AgentEpoch, Attempt, Millis, ShardId};
 use hierarchical_quota::TreeSpec;
 
-/// A controller that leads, has one job of eight tasks, and a tree in force at revision 11 that
-/// caps its team, and the node above it at one more.
+/// A leader with one job of eight tasks and a tree in force at revision 11 that limits the job's team, and
+/// its parent node to one task more.
 fn with_tree(applied: u64, most: u32) -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 8);
@@ -80,14 +80,14 @@
     known.map(|(_, version)| version.0)
 }
 
-/// A transaction may be applied minutes late, when another tree is in force whose limits it
-/// knew nothing of. So every placement, and every deal, rests on the version of the tree.
+/// A transaction may be applied minutes late, when a tree with other limits is in force. So every
+/// placement and every allocation is conditional on the version of the tree.
 #[test]
-fn placements_and_deals_rest_on_the_tree() {
+fn placements_and_allocations_are_conditional_on_the_tree_version() {
     let (mut controller, id) = with_tree(11, 5);
     let txn = place(&mut controller, &id, 0).unwrap();
     assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
-    // Shares of both levels rise with it, in the shard's one record.
+    // The same transaction raises the shares of both levels in the shard's single record.
     let text = format!("{:?}", txn.changes);
     assert!(text.contains("vision") && text.contains("#top"), "{text}");
     assert_eq!(txn.changes.len(), 2, "{text}");
@@ -98,8 +98,8 @@
     let txn = written(&controller).unwrap();
     assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
 
-    // A newer head whose pages are not here yet: what is decided by the old tree is written on
-    // condition of the old one, and so fails; nothing is dealt or raised.
+    // A newer head whose pages have not arrived: decisions under the old tree are conditional on its
+    // version, and so fail; nothing is allocated or raised.
     let head = r#"{"revision":2,"hash":"x","pages":1,"hold_ms":0,"enabled":true}"#;
     let (mut controller, id) = with_tree(12, 60);
     controller.apply(TREE_HEAD_KEY, Some(head), Revision(12));
@@ -109,9 +109,9 @@
     assert!(place(&mut controller, &id, 0).is_none());
 }
 
-/// What was placed by the tree before may not be known yet: until it is, no share is raised.
+/// No share is raised until all placements under the previous tree are known.
 #[test]
-fn no_share_rises_before_all_that_was_placed_by_the_old_tree_is_known() {
+fn no_share_rises_before_all_placements_under_the_old_tree_are_known() {
     for (applied, rises) in [(10, false), (11, true)] {
         let (mut controller, id) = with_tree(applied, 5);
         let wrote = place(&mut controller, &id, 0).is_some();
@@ -119,9 +119,9 @@
     }
 }
 
-/// Five fit the team, six its node: the sixth task is not placed whoever asks.
+/// The team's limit admits five tasks and its node's limit six: the sixth task is not placed.
 #[test]
-fn every_level_caps_what_is_placed() {
+fn every_level_caps_placements() {
     let (mut controller, id) = with_tree(11, 5);
     for task in 0..5 {
         let placement = Placement {
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -7,8 +7,8 @@
 use crate::peers::{MachineHeartbeat, Message, Status};
 use crate::types::{AgentEpoch, MachineId, Revision};
 
-/// A message between controllers takes a millisecond, the watch up to its poll interval: jobs that
-/// were forwarded to the leader at once were unknown there, and waited a second.
+/// A message between controllers takes a millisecond, the watch up to its poll interval: a job forwarded at
+/// once was unknown to the leader, and waited a second.
 #[test]
 fn a_job_that_is_forwarded_before_its_record_arrives_is_queued_on_arrival() {
     for (known_after, queued) in [(100, true), (60_000, false)] {
@@ -39,14 +39,14 @@
     }
 }
 
-/// A shard came back to us whose machine had begun a new agent epoch meanwhile, under another
-/// holder. Its counter was held against that of the agent epoch that we knew, so what it said
-/// counted as old for minutes, and it was given up for silence.
+/// We reacquired a shard with a machine that had begun a new agent epoch under another holder. Its heartbeat
+/// sequence was compared with that of the agent epoch we knew, so its heartbeats were discarded as old for
+/// minutes, and it was declared silent.
 #[test]
 fn heartbeat_sequences_count_within_an_agent_epoch() {
     let cases = [
-        // agent epoch that the other holder told of, agent epoch and counter that the machine
-        // shows, newer
+        // agent epoch reported by the other holder, agent epoch and sequence of the heartbeat, whether it is
+        // newer
         (1, 1, 50, false),
         (1, 1, 51, true),
         (2, 2, 5, true),
@@ -84,13 +84,13 @@
     }
 }
 
-/// A holder went on placing on a machine that the leader had just had deleted until it had been
-/// silent for a few heartbeats.
+/// A holder kept placing tasks on a machine that the leader had just deleted until the machine had missed
+/// several heartbeats.
 #[test]
-fn holders_are_told_which_machines_are_being_deleted() {
+fn holders_learn_which_machines_are_being_deleted() {
     type Step = fn(&mut Controller);
     let cases: [(&str, Step, bool, bool); 5] = [
-        // the machine, whether we lead, whether its holder is told to leave it alone
+        // machine, whether we are the leader, whether its holder is notified
         ("nothing", |_| {}, true, false),
         (
             "emptied",
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// The keys that the transactions rewrite which the controller has sent since.
+/// The keys written by the transactions that the controller has sent since the last call.
 fn written(controller: &Controller) -> Vec<String> {
     let mut keys = Vec::new();
     for effect in &controller.effects {
@@ -58,10 +58,10 @@
     keys
 }
 
-/// A deal got no answer, the next one gave the same room to another shard, and the first was
-/// carried out after it: both shards could use it.
+/// An allocation got no response, the next one gave the same quota to another shard, and the first was
+/// applied after it: both shards could use the quota.
 #[test]
-fn a_deal_without_an_answer_is_ruled_out_before_the_next() {
+fn an_unanswered_allocation_is_fenced_off_before_the_next() {
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
         (StoreResponse::Committed(Revision(30)), false),
@@ -81,18 +81,18 @@
         let rewritten = written(&controller).contains(&allocation_key(&shard));
         assert_eq!(rewritten, unsure, "{name}");
         controller.quota.allocations_in_flight = 0;
-        // The watch shows that the share has changed: the deal was carried out before, or never is.
+        // The watch shows that the share has changed: the allocation was applied before, or never will be.
         controller.apply(&allocation_key(&shard), Some("{}"), Revision(31));
         controller.resolve_unknown_transactions();
         assert!(controller.may_raise_allocations(), "{name}");
     }
 }
 
-/// While a placement was under way another task of the job was reserved in another shard. The
-/// placement got no answer, the other shard's share was rewritten, and it could still be carried out
-/// after its room had been given away.
+/// While a placement was in flight another task of the job was reserved in another shard. The placement got
+/// no response, the other shard's share was rewritten, and the placement could still be applied after its
+/// quota had been reassigned.
 #[test]
-fn a_placement_without_an_answer_is_ruled_out_by_its_own_shard() {
+fn an_unanswered_placement_is_fenced_off_through_its_own_shard() {
     let (mut controller, id) = leading(vec![Task::NEVER_PLACED, Task::NEVER_PLACED]);
     let limited = !controller
         .limits(controller.jobs.get(&id).unwrap())
@@ -110,10 +110,10 @@
     assert_eq!(written(&controller), [b]);
 }
 
-/// A leader placed in another's shard by raising its share. That was carried out after its term,
-/// when its successor had dealt the same room to others.
+/// A leader placed a task in another holder's shard by raising that shard's share. The transaction was
+/// applied after its term, when its successor had allocated the same quota to other shards.
 #[test]
-fn what_a_leader_places_in_shards_of_others_rests_on_its_term() {
+fn a_leaders_placements_in_other_shards_are_conditional_on_its_term() {
     for (holder, lease_id, required) in [("n0", 1, false), ("n1", 2, true)] {
         let (mut controller, id) = leading(vec![Task::NEVER_PLACED]);
         let record = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
@@ -142,17 +142,17 @@
     }
 }
 
-/// Two tasks were reserved in a shard that used less than its share. Its share was raised by both,
-/// though the limit had been checked for what the shard would use: in the end all shards together
-/// could use a task more than the limit.
+/// Two tasks were reserved in a shard that used less than its share. Its share was raised by both, although
+/// the limit had been checked against the shard's resulting usage: all shards together could exceed the
+/// limit by a task.
 #[test]
-fn a_share_is_raised_by_what_the_limit_was_checked_for() {
+fn a_share_is_raised_by_the_amount_checked_against_the_limit() {
     let cases = [
-        // who holds the shard, its share, share of the other, tasks placed; new share of the shard
+        // holder of the shard, its share, share of the other shard, tasks placed; new share of the shard
         ("n0", 1.0, 4.0, 2, Some(2.0)),
         ("n0", 1.0, 4.0, 3, None),
         ("n0", 2.0, 4.0, 2, Some(2.0)),
-        // Another holder may have used its share unseen.
+        // Another holder may have used its share without our knowledge yet.
         ("n1", 1.0, 4.0, 2, None),
         ("n1", 1.0, 3.0, 2, Some(3.0)),
         ("n1", 0.0, 4.0, 2, Some(2.0)),
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -12,7 +12,7 @@
 use crate::workers::wire::{Heartbeat, WorkerCommand};
 
 const HOST: &str = "vm-2";
-/// When its last heartbeat came.
+/// Time of the machine's last heartbeat.
 const REPORTED: u64 = 60_000;
 
 fn heartbeat(id: &JobId, heartbeat_sequence: u64, stages: &[&str]) -> Heartbeat {
@@ -26,7 +26,7 @@
     serde_json::from_value(heartbeat).unwrap()
 }
 
-/// An array of two tasks on a machine that reported, with the first running and the second not begun.
+/// An array of two tasks on a machine that sent a heartbeat: the first runs, the second has not started.
 fn reported() -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 2);
@@ -55,7 +55,7 @@
     let machine = controller.machines.get_mut(&MachineId::from(HOST)).unwrap();
     machine.reachability.confirm();
     machine.direct.in_flight = false;
-    // What rode on the answer was dropped.
+    // The commands piggybacked on the response were lost.
     machine.direct.piggybacked_starts.clear();
     controller.effects.clear();
     (controller, id)
@@ -69,7 +69,7 @@
     controller.on_direct(&MachineId::from(HOST), Some(answer));
 }
 
-/// Orders that were sent to the machine since.
+/// Commands sent to the machine since the last call.
 fn sent(controller: &mut Controller) -> Vec<WorkerCommand> {
     let effects = std::mem::take(&mut controller.effects).into_iter();
     let commands = effects.filter_map(|effect| match effect {
@@ -79,15 +79,15 @@
     commands.flatten().collect()
 }
 
-/// Machines that answered direct commands, and could not report, were given tasks by such commands again and
-/// again: all of them died with the worker's lease.
+/// Machines that answered direct commands but could not send heartbeats were given tasks repeatedly: all of
+/// these tasks died with the worker's lease.
 #[test]
-fn machines_that_answer_but_can_not_report_get_no_work() {
+fn machines_that_answer_but_cannot_report_get_no_tasks() {
     let silence = reported().0.heartbeat_timeout().0;
     for (after, shard_taken, known_unable_to_report, resources) in [
         (silence, 0, false, true),
         (silence + 1, 0, false, false),
-        // A holder that came just now may not have been found yet.
+        // Workers may not have found a new holder yet.
         (silence + 1, REPORTED, false, true),
         (silence + 1, REPORTED, true, false),
         (silence + 12_000, REPORTED, false, false),
@@ -114,7 +114,7 @@
         let case =
             format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
         assert_eq!(fit, resources, "{case}");
-        // Its next heartbeat makes it sound again, once it has answered what is asked then.
+        // Its next heartbeat makes it schedulable again, once it has answered the probe sent then.
         let (now, machine_id) = (controller.now, MachineId::from(HOST));
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
         answers(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
@@ -126,12 +126,12 @@
 }
 
 #[test]
-fn a_mute_machine_is_left_before_its_lease_is_over() {
+fn a_machine_whose_heartbeats_are_lost_is_vacated_before_its_lease_expires() {
     let lease = Millis::from_secs(reported().0.settings.deployment.workers.lease_s).0;
     let silence = reported().0.heartbeat_timeout().0;
     let running = &["running"][..];
     let cases = [
-        // cancelled, after so many ms; stops of the running task, whether the other is given up
+        // cancelled, ms after the last heartbeat; stops of the running task, whether the other task is released
         (false, silence, 0, false),
         (false, silence + 1, 0, true),
         (false, lease - 3_000, 1, true),
@@ -166,9 +166,9 @@
     }
 }
 
-/// Silence tells nothing of why: who is there all the same shows it when it is asked.
+/// Silence does not reveal its cause: a machine that is alive shows this by answering a probe.
 #[test]
-fn machines_that_fell_silent_are_asked() {
+fn silent_machines_are_probed() {
     for (after, asked) in [(1, false), (2, true)] {
         let (mut controller, _) = reported();
         controller.now = Millis(REPORTED + controller.heartbeat_timeout().0 - 1 + after);
@@ -179,10 +179,10 @@
     }
 }
 
-/// Where most machines could not report, each was left as if it were the only one, and nearly all work was
-/// stopped, though the spell was over before their leases were.
+/// Where most machines could not send heartbeats, each was vacated as if it were the only one, and nearly
+/// all tasks were stopped, although the fault ended before the leases expired.
 #[test]
-fn where_most_are_quiet_what_answers_is_used() {
+fn with_most_machines_silent_responding_machines_are_used() {
     let (heartbeat_interval_s, silence) = {
         let settings = reported().0;
         let heartbeat_interval_s = settings.settings.deployment.workers.heartbeat_interval_s;
--- a/src/controller/store_sync/apply/tests.rs
+++ b/src/controller/store_sync/apply/tests.rs
@@ -7,7 +7,7 @@
 /// A job's last tasks and its end are written in one transaction. The job's team was dropped from the cache with
 /// it, so no job that waited for the team's quota was woken: tasks waited for half a minute beside free machines.
 #[test]
-fn the_end_of_a_job_wakes_jobs_that_wait_for_its_team_or_its_resources() {
+fn the_end_of_a_job_wakes_jobs_waiting_for_its_quota_or_resources() {
     use crate::jobs::record::{JobRecord, job_key};
     use crate::jobs::{JobKind, Phase, Placement};
     use crate::queue::Check;
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{Phase, Task};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// A controller that knows `job-1`, of one task, in a phase.
+/// A controller whose cache has `job-1`, with one task, in a phase.
 fn knowing(phase: Phase) -> Controller {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     spec.tasks = 1;
@@ -37,7 +37,7 @@
     told.next()
 }
 
-/// The cache is proved to be as new as all that was asked.
+/// Completes the read barriers of all pending requests.
 fn prove(controller: &mut Controller) {
     for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.unsent) {
         controller.on_read_barrier_reached(after);
@@ -50,9 +50,9 @@
     }
 }
 
-/// What an accepted job's user sends again is answered with its state, whatever is odd in it.
+/// A repeated submission of an accepted job is answered with the job's state, even if it is invalid.
 #[test]
-fn a_job_that_is_known_is_never_refused() {
+fn resubmitting_a_known_job_is_never_rejected() {
     let odd = [
         ("nothing", json!({})),
         ("a field's type", json!({"picks": "many"})),
@@ -86,9 +86,9 @@
     }
 }
 
-/// A controller that is behind may not know a job yet that another has accepted.
+/// A controller with a stale cache may not know a job that another controller has accepted.
 #[test]
-fn nobody_is_refused_by_a_cache_that_may_be_behind() {
+fn a_possibly_stale_cache_rejects_no_request() {
     let unknown = |field: &str, value: Value| {
         let mut job = body();
         job["id"] = "job-9".into();
@@ -129,9 +129,9 @@
     }
 }
 
-/// Cancelling what is done is answered with `done`, what was never submitted with 404.
+/// Cancelling a finished job is answered with `done`, cancelling an unknown job with 404.
 #[test]
-fn odd_cancellations_are_answered_by_what_is_known() {
+fn cancelling_finished_or_unknown_jobs_is_answered_with_their_state() {
     for (phase, id, expected) in [
         (Phase::Done, "job-1", Some(JobStage::Done)),
         (Phase::Aborted, "job-1", Some(JobStage::Aborted)),
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -50,7 +50,7 @@
 /// Under a token that is marked as partitioned, silence is no evidence that a lease has expired. So the token
 /// is not used again once partition mode is left.
 #[test]
-fn shards_are_given_up_when_partition_mode_is_left() {
+fn shards_are_released_on_leaving_partition_mode() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
     let held = |c: &Controller| {
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -34,9 +34,9 @@
     }
 }
 
-/// After any sequence of changes, a look-up finds exactly what a walk over all machines finds.
+/// After any sequence of changes, a lookup finds exactly what a scan of all machines finds.
 #[test]
-fn look_ups_find_what_a_full_walk_finds() {
+fn lookups_match_a_full_scan() {
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = CapacityIndex::default();
@@ -93,9 +93,9 @@
     }
 }
 
-/// Sums of decimal amounts differ in their last bits, but are one level.
+/// Sums of decimal amounts that differ only in their last bits are one level.
 #[test]
-fn rounding_errors_make_no_levels() {
+fn rounding_errors_create_no_extra_levels() {
     let level = |gpus: f64| CapacityLevel::new(resources(gpus), Resources::default(), 0);
     let cases = [
         (0.1 + 0.2, 0.3, true),
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -52,7 +52,7 @@
 /// Best-effort arrays filled every empty machine, and gangs waited for them to save: the part that
 /// started within 30 s was 0.87, and 0.97 once they avoided empty machines.
 #[test]
-fn a_job_that_avoids_empty_machines_finds_room_on_used_ones() {
+fn a_job_that_avoids_empty_machines_is_placed_on_used_ones() {
     let (jobs, id) = crate::jobs::cache::tests::jobs(1, &[]);
     let job = jobs.get(&id).unwrap();
     let shard = ShardId::parse("a.0").unwrap();
--- a/src/fleet/client/tests.rs
+++ b/src/fleet/client/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn calls_become_requests_of_the_cloud() {
+fn calls_are_encoded_as_cloud_requests() {
     let rental_body = json!(
         {"hire": "n0-7-1", "rig": "g8", "yard": "a", "loaners": true, "count": 3}
     );
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_rental_without_capacity_is_no_failure() {
+fn a_rental_without_capacity_is_not_an_error() {
     let refused = |status, body: &'static str| {
         let response = parse_response(&rental(), status, &Bytes::from_static(body.as_bytes()));
         match response {
--- a/src/fleet/plan/tests.rs
+++ b/src/fleet/plan/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn machines_are_rented_for_what_does_not_fit_and_returned_when_idle() {
+fn machines_are_rented_for_unplaced_demand_and_returned_when_idle() {
     let small = spec(1.0, true);
     let firm = spec(1.0, false);
     let capacity = spec(8.0, false);
@@ -69,7 +69,7 @@
         spot_only: true,
     };
     let cases = [
-        // bins, needs, spare, sold out spot, rented spot, rented ordinary, released
+        // bins, demand, spare, spot sold out, rented spot, rented on demand, released
         (vec![], vec![need(&small, 9)], 0, false, 2, 0, 0),
         (vec![], vec![need(&small, 9)], 0, true, 0, 2, 0),
         (
@@ -152,10 +152,10 @@
     }
 }
 
-/// Idle machines were returned after 20 s with images that took minutes to fetch again; and
-/// normal work, which can't have others stopped, was counted on to find room under arrays.
+/// Idle machines were returned after 20 s together with images that took minutes to fetch again; and normal
+/// jobs, which cannot preempt, were expected to be placed on machines full of arrays.
 #[test]
-fn machines_are_kept_for_their_images_and_for_work_that_stops_nobody() {
+fn machines_are_kept_for_cached_images_and_for_non_preempting_jobs() {
     let cases = [
         // free, soft, idle for, worth, ready, empty; rented, released
         ((8.0, 0.0, 30, 0.0, 0, 0), (0, 1)),
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn malformed_submissions_are_told_from_good_ones() {
+fn malformed_submissions_are_rejected_and_valid_ones_accepted() {
     let cases: &[(&str, Value, bool)] = &[
         ("rank", json!("urgent"), true),
         ("yard", json!("a"), true),
@@ -67,9 +67,9 @@
     assert!(matches!(parse(huge.as_bytes()), Err(refused) if malformed(&refused)));
 }
 
-/// Whatever is odd in a field: 400 with its name, except that what may be null may be left out.
+/// An invalid field gives 400 with its name; nullable fields may be omitted.
 #[test]
-fn every_odd_field_is_named() {
+fn every_invalid_field_is_named_in_the_error() {
     let numbers = [
         "vcpus",
         "accelerators",
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_told_from_what_waits() {
+fn jobs_that_can_never_run_are_told_from_jobs_that_can_wait() {
     let mut settings = crate::settings::tests::settings();
     settings["deployment"]["teams"] = json!([{"name": "vision", "cpus": 0.0, "cpus_max": 0.0,
         "gpus": 0.0, "gpus_max": 16.0}]);
@@ -173,10 +173,10 @@
         type_spec("c1", &["a"], 0.0),
     ];
     let cases: Vec<(Vec<(&str, Value)>, bool)> = vec![
-        // what is changed, whether it can ever run
+        // changed fields, whether the job can ever run
         (vec![], true),
         (vec![("crew", json!("nobody"))], false),
-        // The limit of the team: of an array one task, of the others all.
+        // The team's limit must admit one task of an array, and all tasks of other kinds.
         (vec![("picks", json!(17))], false),
         (
             vec![("picks", json!(17)), ("shape", json!("standing"))],
@@ -190,7 +190,7 @@
         (vec![("yard", json!("b"))], true),
         (vec![("vcpus", json!(97.0))], false),
         (vec![("accelerators", json!(8.5))], false),
-        // Each field allows one, all together none.
+        // Each constraint alone admits a machine type, all together none.
         (vec![("rigs", json!(["c1"]))], false),
         (
             vec![("rigs", json!(["c1"])), ("accelerators", json!(0.0))],
@@ -204,7 +204,7 @@
             ],
             false,
         ),
-        // No more than half of its tasks may be in the only zone that it may have.
+        // At most half of the tasks may be in one zone, and only one zone is allowed.
         (vec![("spread", json!(true))], false),
         (
             vec![("spread", json!(true)), ("oneZone", json!(false))],
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -33,10 +33,10 @@
     (jobs, id)
 }
 
-/// The answer to a cancellation came after the watch had brought the job's end: the job was
-/// taken up again from the older record, and its users were told that it is queued.
+/// The response to a cancellation arrived after the watch had delivered the job's end: the job was revived
+/// from the older record, and reported to its users as queued.
 #[test]
-fn an_older_record_does_not_bring_a_job_back_that_is_over() {
+fn an_older_record_does_not_revive_a_finished_job() {
     let (mut jobs, id) = jobs(1, &[]);
     let record = |phase, over: bool| {
         let job = jobs.get(&id).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_next_tasks_to_place_are_found_over_pages() {
+fn the_next_tasks_to_place_are_found_across_pages() {
     let waits = |tried| Task::Waiting {
         tried: Attempt(tried),
     };
@@ -70,7 +70,7 @@
     let part = || vec![Task::Done, waits(3), placed("vm-1"), waits(0)];
     type Case = (u32, Vec<(u32, Vec<Task>)>, Vec<u32>, Vec<(u32, u64)>);
     let cases: Vec<Case> = vec![
-        // tasks, pages, about to be placed, the next three with their last attempts
+        // tasks, pages, tasks being placed, the next three tasks with their last attempts
         (6, vec![], vec![], vec![(0, 0), (1, 0), (2, 0)]),
         (6, vec![(0, full())], vec![], vec![(4, 0), (5, 0)]),
         (9, vec![(0, part())], vec![], vec![(1, 3), (3, 0), (4, 0)]),
@@ -96,10 +96,10 @@
     }
 }
 
-/// The sums that cycles rest on are kept as tasks come and go; they must be what the records
-/// and the noted changes add up to.
+/// The usage sums that cycles read are maintained incrementally; they must equal a recount of the records
+/// and the noted changes.
 #[test]
-fn what_is_taken_of_a_machine_follows_its_tasks() {
+fn machine_usage_follows_its_tasks() {
     let (mut jobs, id) = jobs(4, &[(0, vec![placed("vm-1"), placed("vm-1")])]);
     assert!(
         !jobs.is_occupied(&"vm-1".into()),
--- a/src/jobs/cancel/tests.rs
+++ b/src/jobs/cancel/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_user_is_answered_once() {
+fn a_cancellation_is_answered_once() {
     let (a, b) = (JobId::from("job-1"), JobId::from("job-2"));
     let mut cancellations = PendingCancellations::default();
     cancellations.add(&a, ReplyId(1), Millis(0));
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::jobs::cache::tests::jobs;
 
-/// An array of 25,000 tasks has ends in every heartbeat, and each look went through all that were
-/// noted: the processor was at its share for minutes. No change is left without a look.
+/// An array of 25,000 tasks has completions in every heartbeat, and each scan went through all noted changes:
+/// the CPU was saturated for minutes. Every change is still scanned eventually.
 #[test]
-fn a_job_with_many_changes_is_looked_over_only_so_often() {
+fn a_job_with_many_changes_is_scanned_at_a_bounded_rate() {
     for (count, looks) in [
         (MAX_UNTHROTTLED_CHANGES as u32, 20),
         (MAX_UNTHROTTLED_CHANGES as u32 + 1, 5),
@@ -17,7 +17,7 @@
         let job = jobs.get(&id).unwrap();
         let mut forwarder = CompletionForwarder::default();
         let mut looked = 0;
-        // Twenty reports in two seconds.
+        // Twenty heartbeats in two seconds.
         for step in 1..=20 {
             looked += u32::from(!forwarder.defers_scan(job, Millis(step * 100)));
         }
--- a/src/jobs/crash_loop/tests.rs
+++ b/src/jobs/crash_loop/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Jobs with a mistake were started again at once, all their tasks, and two of them on one sound
-/// machine had it deleted: 206 machines on one day.
+/// All tasks of faulty jobs were restarted at once, and two such jobs on one healthy machine caused its
+/// deletion: 206 machines in one day.
 #[test]
-fn a_job_that_fails_on_several_machines_is_tried_ever_more_seldom() {
+fn a_job_that_fails_on_several_machines_is_retried_with_backoff() {
     let job = JobId::from("job-1");
     let machine_ids: Vec<MachineId> = (0..4).map(|i| format!("vm-{i}").as_str().into()).collect();
     // Kind, where it failed, crash-looping.
@@ -32,7 +32,7 @@
     for (machine_id, at) in [(0, 5), (1, 5), (2, 6), (0, 9)] {
         tracker.record_failure(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
     }
-    // It was the machines after all.
+    // The machines were at fault, not the job.
     for (quarantined, suspect) in [(2, true), (1, false), (0, false)] {
         tracker.forget_machine(&machine_ids[quarantined], Millis(20));
         assert_eq!(
@@ -41,7 +41,7 @@
             "{quarantined} is sick"
         );
     }
-    // A service meets a faulty machine every ten minutes.
+    // A service fails on a faulty machine every ten minutes.
     let mut tracker = CrashLoopTracker::default();
     for (round, machine_id) in machine_ids.iter().enumerate() {
         let at = Millis(5 + 600_000 * round as u64);
--- a/src/jobs/record/tests.rs
+++ b/src/jobs/record/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn pages_survive_writing_and_reading() {
+fn pages_round_trip() {
     let cases = [
         vec![Task::NEVER_PLACED; 128],
         vec![Task::Done; 3],
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_page_of_the_wrong_length_is_refused() {
+fn a_page_of_the_wrong_length_is_rejected() {
     for text in [
         "[]",
         "[{\"d\":1}]",
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn an_older_record_is_ignored() {
     let mut leases = Leases::default();
     let holder = |name: &str| format!("{{\"holder\":\"{name}\",\"permit\":7}}");
     let shard = ShardId::parse("a.0").unwrap();
@@ -146,7 +146,7 @@
 /// revisions of the process before, until its old lease had been ended: it could have rented machines under names
 /// that were in use, and answered workers under a fencing token that was not its own.
 #[test]
-fn leadership_and_shards_belong_to_the_process_that_took_them() {
+fn leadership_and_shards_belong_to_the_process_that_acquired_them() {
     let me = ControllerId::from("n0");
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
@@ -177,7 +177,7 @@
     }
 }
 
-/// A message of a process that has ended may come late, and make silent machines look alive.
+/// A late message of a process that has ended could make silent machines look alive.
 #[test]
 fn a_process_has_ended_once_its_record_is_replaced_or_deleted() {
     let mut leases = Leases::default();
--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -4,10 +4,10 @@
 use super::outgoing::run_outgoing;
 use super::*;
 
-/// After a cut the other end may be gone while frames are still taken: found in a zone cut
-/// during which a controller restarted, after which the leader heard nothing for minutes.
+/// After a partition the peer may be gone while the socket still accepts frames: after a controller restarted
+/// during a zone partition, the leader received nothing for minutes.
 #[tokio::test(start_paused = true)]
-async fn a_connection_without_acknowledgements_is_given_up() {
+async fn a_connection_without_acknowledgements_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn frames_survive_and_nonsense_is_refused() {
+fn frames_round_trip_and_malformed_ones_are_rejected() {
     let message = Message::Status(Status {
         lease_id: Some(4),
         revision: 7,
@@ -26,7 +26,7 @@
     }
 }
 
-/// One of each message.
+/// One message of each kind.
 fn messages() -> Vec<Message> {
     let status = Status {
         lease_id: Some(4),
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn the_lowest_priority_and_the_least_waste_are_stopped_first() {
+fn the_lowest_priority_with_the_least_lost_work_is_preempted_first() {
     use PriorityClass::{BestEffort, Normal, Urgent};
     let cases = [
-        // sites, the machine that is chosen and the tasks that are stopped there
+        // sites, the chosen machine and the tasks preempted there
         (vec![site("a", 2.0, &[(0, 1.0, Normal, 5.0, false)])], None),
         (
             vec![site(
@@ -73,7 +73,7 @@
             )],
             Some(("a", vec![1])),
         ),
-        // An empty machine without the image is no better than one where little work is lost.
+        // An empty machine without the image does not beat one where little work is lost.
         (
             vec![
                 PreemptionSite {
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -41,10 +41,10 @@
     assert_eq!(popped, ["job-4", "job-3", "job-2", "job-5", "job-1"]);
 }
 
-/// A flood of jobs at top priority took all cycles, so nothing else was placed although there was
-/// room for it.
+/// A burst of jobs at top priority took all cycles, so nothing else was placed although there was
+/// capacity.
 #[test]
-fn while_writes_are_short_every_class_and_team_has_its_floor() {
+fn under_a_tight_write_budget_every_class_and_team_has_its_floor() {
     let (mut queue, _) = queue();
     let flow = |class, team| Flow { class, team };
     let jobs = [
@@ -74,7 +74,7 @@
         queue.record_served(flow);
     }
     assert!(served[1] >= 15 && served[2] >= 22, "{served:?}");
-    // While writes are not short, priority and age alone decide.
+    // Without a tight write budget, only priority and age decide.
     assert!(queue.pop().unwrap().id.as_str() < "job-900");
 }
 
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -23,7 +23,7 @@
     HierarchicalQuota::new(&[team("a", 2.0, 0.0), team("b", 0.0, 0.0)], file, 0.2)
 }
 
-/// A state service of one client.
+/// A key-value store with a single client.
 fn write(
     nested: &mut HierarchicalQuota,
     others: &mut [&mut HierarchicalQuota],
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_highest_revision_comes_into_force_everywhere() {
+fn the_highest_revision_takes_effect_everywhere() {
     let (old, new, odd) = (spec(1, 8), spec(2, 12), spec(2, 99));
     let (mut holds_old, mut holds_new) = (nested(Some(&old)), nested(Some(&new)));
     let (mut holds_odd, mut has_none) = (nested(Some(&odd)), nested(None));
@@ -76,14 +76,14 @@
         assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
         assert_eq!(nested.pending_write(9), PendingTreeWrite::Nothing);
     }
-    // Its pages are of no more use; those of the tree in force are.
+    // Its pages are obsolete; those of the tree in force are not.
     assert_eq!(has_none.obsolete_pages().count(), first - 1);
 }
 
-/// Other controllers could not make sense of pages that came back with their keys in another
-/// order, and placed nothing any more.
+/// Other controllers rejected pages that were read back with their keys in a different order, and placed
+/// nothing any more.
 #[test]
-fn pages_that_come_back_written_in_another_way_are_the_same() {
+fn reformatted_pages_are_equal() {
     let file = spec(4, 8);
     let (mut writer, mut reader) = (nested(Some(&file)), nested(None));
     write(&mut writer, &mut [], &mut 10);
@@ -98,8 +98,8 @@
     assert!(reader.is_settled());
 }
 
-/// A list brings the head before its pages. What was decided by the tree before must not be
-/// written, so decisions keep to the version that they rest on.
+/// A snapshot read delivers the head before its pages. Decisions under the previous tree must not be
+/// written, so they stay conditional on the version that they were made with.
 #[test]
 fn a_head_without_its_pages_is_not_in_force() {
     let new = spec(3, 8);
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Holders place as much as their shares allow, the leader sees that late, and deals every now
-/// and then: the sum must never exceed the limit.
+/// Holders place as much as their shares allow, the leader sees this late and reallocates from time to
+/// time: the sum must never exceed the limit.
 #[test]
-fn the_sum_of_all_shards_keeps_the_limit_however_late_the_leader_sees_them() {
+fn the_sum_over_shards_keeps_the_limit_with_a_stale_leader_view() {
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
     for seed in 0..40 {
@@ -23,7 +23,7 @@
         let mut used = [0.0f64; 6];
         let mut most: f64 = 0.0;
         for _ in 0..300 {
-            // The leader's look is newer than all shares.
+            // The leader's view is newer than all shares.
             let seen = used;
             let place = |rng: &mut SmallRng, used: &mut [f64; 6], share: &[f64; 6]| {
                 for shard in 0..6 {
@@ -50,7 +50,7 @@
                 })
                 .collect();
             if rng.random_bool(0.3) && covers(unallocated(&team, &shards), least) {
-                // The leader places in a shard, and raises its share by as much.
+                // The leader places in a shard and raises its share by the same amount.
                 let shard = rng.random_range(0..6);
                 let resources = |gpus| Resources {
                     gpus,
@@ -93,7 +93,7 @@
         memory_gb: 1e9,
     };
     let cases = [
-        // team, use, within the limit, within the guarantee
+        // team, usage, within the limit, within the guarantee
         (team(0.0, 0.0, 0.0, 0.0), resources(1e6, 1e6), true, false),
         (team(0.0, 0.0, 16.0, 48.0), resources(1e6, 16.0), true, true),
         (
--- a/src/request_queue/tests.rs
+++ b/src/request_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn heartbeats_go_before_users_who_have_their_turn_all_the_same() {
+fn heartbeats_precede_user_requests_without_starving_them() {
     let mut queue = RequestQueue::new(100);
     for index in 0..6 {
         queue.push(RequestKind::Heartbeat, format!("r{index}"), Millis(0));
@@ -15,12 +15,12 @@
     assert!(expired.is_empty() && queue.is_empty());
 }
 
-/// A controller that was slow worked on requests whose askers had given up, and so came too
-/// late for all.
+/// A slow controller processed requests whose clients had already timed out, and so was too late for all of
+/// them.
 #[test]
-fn who_has_given_up_is_let_go_and_the_newest_come_first_when_it_is_late() {
+fn abandoned_requests_are_dropped_and_overload_serves_the_newest_first() {
     let cases = [
-        // at, order, given up
+        // time, order, abandoned
         (900, vec!["a", "b", "c"], vec![]),
         (1_001, vec!["c", "b", "a"], vec![]),
         (3_501, vec!["c", "b"], vec!["a"]),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn too_many_push_the_oldest_out() {
+fn a_full_queue_drops_the_oldest_request() {
     let mut queue = RequestQueue::new(2);
     assert_eq!(queue.push(RequestKind::User, 1, Millis(0)), None);
     assert_eq!(queue.push(RequestKind::Heartbeat, 2, Millis(0)), None);
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_wrong_field_is_named() {
+fn an_invalid_field_is_named_in_the_error() {
     assert!(Settings::parse("f", &settings().to_string()).is_ok());
     let cases = [
         (
@@ -80,8 +80,8 @@
     }
 }
 
-/// The sample is checked against the teams that it names; a tree that does not fit the platform
-/// is refused, with its file and field.
+/// The sample is checked against the teams that it names; a tree that does not fit the platform is rejected
+/// with its file and field.
 #[test]
 fn the_tree_of_quotas_is_checked() {
     let sample = include_str!("../../deploy/quota-tree.ini");
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -14,20 +14,20 @@
     }
 }
 
-/// Nothing bounded the sockets: a controller that held all shards stood at its limit, the
-/// system refused workers, users and the state service alike.
+/// Sockets were unbounded: a controller that held all shards reached the process limit, and the system
+/// refused connections of workers, users and the store alike.
 #[test]
-fn all_parts_together_stay_below_the_platforms_limit() {
+fn all_socket_limits_together_stay_below_the_platform_limit() {
     for (sockets, members) in [(40, 0), (64, 2), (300, 2), (1_800, 2), (3_352, 8)] {
         let budget = Budget::new(sockets, members);
-        // Each connection out to a peer, and what is under way to state service and cloud.
+        // Outgoing connections to peers, and calls in flight to the store and the cloud.
         let all = budget.server + budget.direct + budget.peers + members + budget::OWN_SOCKETS / 2;
         assert!(all * 10 <= sockets * 9, "{sockets}: {budget:?}");
     }
 }
 
 #[test]
-fn users_give_way_to_workers_and_workers_connections_to_room() {
+fn user_connections_are_evicted_before_workers_at_the_limit() {
     let mut table = table(100);
     open(&mut table, 0..64, ConnectionClass::Heartbeat);
     assert_eq!(table.pressure(), ConnectionPressure::default());
@@ -45,9 +45,9 @@
     assert!(!table.pressure().users_full);
 }
 
-/// Half-open connections, and some that send a byte a second.
+/// Half-open connections, and some that send one byte a second.
 #[test]
-fn connections_that_ask_nothing_take_a_part_only_and_not_for_long() {
+fn connections_without_a_request_are_bounded_in_number_and_time() {
     let mut table = table(100);
     for key in 0..30 {
         assert!(table.admits());
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn when_it_is_full_idle_users_go_first() {
+fn idle_user_connections_are_evicted_first_when_full() {
     let mut table = table(100);
     open(&mut table, 0..20, ConnectionClass::User);
     open(&mut table, 20..84, ConnectionClass::Heartbeat);
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_bucket_allows_its_rate_and_one_second_of_burst() {
     let cases = [
-        // rate, seconds, most that may pass
+        // rate, seconds, maximum number of calls
         (10.0, 0, 10),
         (10.0, 1, 20),
         (50.0, 2, 150),
@@ -22,10 +22,9 @@
     }
 }
 
-/// With five controllers that each took 45% of the limit, most calls of a busy minute were
-/// refused.
+/// With five controllers that each used 45% of the limit, most calls of a busy minute were rejected.
 #[test]
-fn shares_adapt_to_what_the_others_use() {
+fn shares_adapt_to_the_usage_of_other_controllers() {
     let mut shares: Vec<AdaptiveShare> = (0..5)
         .map(|_| AdaptiveShare::new(30.0, 5, Millis(0)))
         .collect();
@@ -33,7 +32,7 @@
     let (mut passed, mut refused) = (0, 0);
     for ms in (0..60_000).step_by(10) {
         let now = Millis(ms);
-        // All want more than there is for 30 s, then one alone does.
+        // All controllers exceed the budget for 30 s, then a single one does.
         let busy = if ms < 30_000 { 5 } else { 1 };
         for share in &mut shares[..busy] {
             share.increase(now);
@@ -54,9 +53,9 @@
     assert!(refused * 8 < passed, "{refused} refused, {passed} passed");
 }
 
-/// The service's limit was halved without word.
+/// The store's rate limit was halved without notice.
 #[test]
-fn what_is_allowed_but_refused_is_not_asked_for_again_and_again() {
+fn calls_rejected_within_the_budget_are_backed_off() {
     for (limit, least, most_refused) in [(20.0, 1_150, 5), (10.0, 540, 120)] {
         let mut ours = Allowance::new(20.0, Millis(0));
         let mut service = TokenBucket::new(limit, Millis(0));
--- a/src/store/lanes/tests.rs
+++ b/src/store/lanes/tests.rs
@@ -12,7 +12,7 @@
     lanes
 }
 
-/// Plays some seconds; `asks` pushes what comes in each tenth of one. Returns the calls made.
+/// Simulates some seconds; `asks` pushes the calls of each tenth of a second. Returns the calls made.
 fn play(seconds: u64, mut asks: impl FnMut(&mut Lanes<u32>, Millis)) -> Vec<(CallClass, Millis)> {
     let mut lanes = lanes();
     let mut made = Vec::new();
@@ -32,10 +32,10 @@
     made
 }
 
-/// With a swarm of submissions nothing was placed: users' calls went before all others. And a
-/// deal of shares, which is several changes at once, waited for a quarter of a minute.
+/// During a burst of submissions nothing was placed, because users' calls preceded all others; and a quota
+/// allocation, which is several changes at once, waited for 15 s.
 #[test]
-fn a_swarm_of_one_class_leaves_the_others_their_floor() {
+fn a_burst_of_one_lane_class_leaves_the_others_their_floor() {
     let made = play(20, |lanes, now| {
         for n in 0..10 {
             lanes.push(CallClass::Submissions, 1.0, n, now);
@@ -56,9 +56,9 @@
     );
 }
 
-/// A poll's proof stood behind submissions that waited for changes it does not need.
+/// The read barrier of a poll queued behind submissions that waited for a write budget it does not need.
 #[test]
-fn proofs_do_not_wait_for_changes() {
+fn read_barriers_do_not_wait_for_writes() {
     let made = play(5, |lanes, now| {
         for n in 0..20 {
             lanes.push(CallClass::Submissions, 1.0, n, now);
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn watched_changes_are_read() {
+fn watch_events_are_decoded() {
     let text = r#"{"ledger":433,"news":[{"put":"c/9","data":{"a":[1]},"stamp":433},
         {"drop":"c/d","stamp":432},{"stamp":1}]}"#;
     let response: WatchResponse = serde_json::from_str(text).unwrap();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn transactions_are_written_as_the_protocol_has_them() {
+fn transactions_are_encoded_as_the_protocol_requires() {
     let mut txn = Transaction::default();
     txn.require("a/b".into(), Revision(0));
     txn.put_json("a/b".into(), "{\"x\":1}".into(), Some(LeaseId(7)));
--- a/src/workers/direct/tests.rs
+++ b/src/workers/direct/tests.rs
@@ -16,10 +16,10 @@
     }
 }
 
-/// A shard that changed hands had its token shown to hundreds of machines at once, most of them
-/// behind a cut: each took a socket for seconds, and starts waited for them.
+/// When a shard changed holders, its token was announced to hundreds of machines at once, most of them behind
+/// a partition: each occupied a socket for seconds, and starts waited for them.
 #[test]
-fn shows_of_a_token_take_half_of_the_turns_and_late_commands_none() {
+fn token_announcements_take_half_of_the_slots_and_expired_commands_none() {
     let mut queue = RequestQueue::new(4);
     for index in 0..5 {
         queue.push(request(&format!("s{index}"), false), Millis(0));
--- a/src/workers/reachability/tests.rs
+++ b/src/workers/reachability/tests.rs
@@ -3,7 +3,7 @@
 const LEASE: Millis = Millis(26_000);
 
 #[test]
-fn hearing_is_proved_by_effect_only() {
+fn reachability_is_proved_by_effect_only() {
     let plain = HeartbeatObservation {
         agent_epoch: AgentEpoch(1),
         after_silence: false,
@@ -27,7 +27,7 @@
         agent_epoch: AgentEpoch(agent_epoch),
         ..plain
     };
-    // Seconds at which something is reported, none: it answers what we sent; proved after each.
+    // Seconds at which a heartbeat reports an effect, `None` for a direct response; proved after each.
     type Step = (u64, Option<HeartbeatObservation>, bool);
     let cases: [(&str, Vec<Step>); 7] = [
         (
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -4,11 +4,11 @@
 use crate::jobs::{JobKind, JobSpec};
 use crate::types::{AgentEpoch, MachineId, Millis, Revision, ShardId, WorkerToken};
 
-/// A gang placed on one machine with its image and fifteen without: the first waited alone for
-/// 30 s while the others fetched for a minute, its end took theirs with it, and the next attempt
-/// began with nothing. Started once more, it is not proved gone by an answer from before.
+/// A gang was placed on one machine with its image and fifteen without. The first task waited for the others
+/// for 30 s while they fetched for a minute; its timeout ended the whole gang, and the next attempt began from
+/// scratch. After a restart, a response sent before it does not prove the task gone.
 #[test]
-fn a_task_that_waited_alone_waits_again_while_others_fetch() {
+fn a_start_barrier_wait_restarts_while_other_tasks_fetch() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.tasks, spec.kind) = (2, JobKind::Gang);
     let placed = |machine_id: &str, part| {
@@ -34,7 +34,7 @@
         index: 0,
     };
     let cases = [
-        // cause, the other task, may fetch, an order is on its way, started again, released
+        // cause, the other task, may fetch, a command is in flight, started again, released
         (ExitCause::Alone, other.clone(), true, false, true, false),
         (ExitCause::Alone, other.clone(), true, true, false, false),
         (ExitCause::Alone, other.clone(), false, true, false, false),
@@ -90,7 +90,7 @@
     }
 }
 
-/// The records of a job of one task, which is placed.
+/// The records of a job with one placed task.
 fn one_placed(id: &JobId, spec: JobSpec, placement: Placement) -> JobCache {
     let record = JobRecord {
         phase: Phase::Active,
@@ -107,12 +107,12 @@
     jobs
 }
 
-/// A machine came back at once with its counters begun anew, and its shard changed hands: its new
-/// holder found tasks of an agent epoch that the machine had not reached yet, and waited for ever.
+/// A machine restarted at once with its counters reset, and its shard changed holders: the new holder found
+/// tasks of an agent epoch that the machine had not reached yet, and waited for ever.
 #[test]
 fn tasks_of_another_agent_epoch_are_gone() {
     let cases = [
-        // agent epoch of the placement, of the machine, it was asked and answered, released
+        // agent epoch of the placement, of the machine, whether it has answered a probe, released
         (1, 2, false, true),
         (2, 1, true, true),
         (2, 1, false, false),
@@ -147,11 +147,11 @@
     }
 }
 
-/// A task was stopped for another just after its start had left with the answer to a heartbeat.
-/// An answer to direct commands, written before the start came, did not show it; its room was
-/// given up, it was placed elsewhere and ran twice.
+/// A task was preempted just after its start had been sent with the response to a heartbeat. A response to
+/// direct commands, written before the start arrived, did not show the task; it was released, placed
+/// elsewhere, and ran twice.
 #[test]
-fn a_start_on_its_way_is_not_proved_absent() {
+fn a_start_in_flight_is_not_proved_absent() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     spec.tasks = 1;
     let shard = ShardId::parse("a.0").unwrap();
@@ -173,7 +173,7 @@
     )]);
     type Way = fn(&mut Machine, (TaskId, Attempt));
     let cases: [(&str, Way, bool); 4] = [
-        // how its start went, released
+        // channel of its start, released
         ("no start was sent", |_, _| {}, true),
         (
             "it left with the answer to the last report",
@@ -210,8 +210,8 @@
         way(&mut machine, (task.clone(), attempt));
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), gone, "{name}");
-        // A gang waited for ever for a task whose start had been sent to a machine that did not
-        // hear: it is made known to the worker, and ended.
+        // A gang waited for ever for a task whose start had been sent to a machine that received no
+        // commands: the attempt is made known to the worker, and ended.
         let unacknowledged_starts = machine.direct.is_unacknowledged(&task, attempt);
         let verbs = outcome.commands.iter().map(|order| match order {
             WorkerCommand::Start { .. } => "start",
@@ -227,11 +227,11 @@
     }
 }
 
-/// A task was stopped for another and placed again. The stop of its first attempt was held against the
-/// second, which was released before it was started; it was started when the stop was forgotten, the
-/// release was carried out after that, and it ran twice.
+/// A task was preempted and placed again. The stop of its first attempt was applied to the second, which was
+/// released before its start; it was started after the stop had been dropped, the release was applied after
+/// that, and the task ran twice.
 #[test]
-fn a_stop_is_of_one_attempt() {
+fn a_stop_applies_to_one_attempt_only() {
     for (stopped, released) in [(1, false), (2, true)] {
         let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         spec.tasks = 1;
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -2,10 +2,10 @@
 use crate::types::Millis;
 use crate::workers::wire::Heartbeat;
 
-/// A machine was being emptied when its shard changed hands: its new holder held it to be so for
-/// ever, and a gang waited beside four idle machines.
+/// A machine was draining when its shard changed holders: the new holder considered it draining for ever,
+/// and a gang waited beside four idle machines.
 #[test]
-fn what_an_earlier_holder_said_ends_with_its_hold() {
+fn a_holders_drain_request_ends_with_its_hold() {
     let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
     let shard = ShardId::parse("a.0").unwrap();
     let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n1".into());
@@ -20,10 +20,10 @@
     assert!(machine.is_schedulable(now, silence));
 }
 
-/// Two jobs with a mistake had any sound machine deleted that they were tried on; and a gang whose
-/// only machines were faulty was held to be the faulty one, and waited for them for ever.
+/// Two faulty jobs caused the deletion of every healthy machine that they ran on; and a gang whose only
+/// machines were faulty was considered faulty itself, and waited for ever.
 #[test]
-fn a_machine_is_judged_by_who_failed_and_how_often() {
+fn quarantine_depends_on_which_jobs_failed_and_how_often() {
     type Failures = &'static [(&'static str, u64)];
     let cases: [(Failures, &[&str], bool); 8] = [
         // job and second of each failure, suspect jobs, quarantined
@@ -79,14 +79,14 @@
     }
 }
 
-/// Fetches were taken for over after a minute, when one of 20 GB takes three, and a machine
-/// that fetched two other images looked hardly worse than one that fetched none.
+/// Fetches were considered complete after a minute, although 20 GB take three; and a machine that fetched
+/// two other images scored hardly worse than one that fetched none.
 #[test]
-fn fetches_share_a_rate_and_take_their_time() {
+fn fetches_share_the_bandwidth_and_are_timed_by_size() {
     let shard = ShardId::parse("a.0").unwrap();
     type Case = (&'static str, &'static [(&'static str, f64)], u64, f64);
     let cases: [Case; 6] = [
-        // image asked for, of 12 GB at 0.1 GB/s; on their way since second 0; now; seconds
+        // requested image, of 12 GB at 0.1 GB/s; fetches in progress since second 0; now; expected seconds
         ("here", &[], 0, 0.0),
         ("new", &[], 0, 120.0),
         ("new", &[("other", 6.0)], 0, 180.0),
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commands_are_written_as_the_protocol_has_them() {
+fn commands_are_encoded_as_the_protocol_requires() {
     let task = TaskId::parse("job-000412/4").unwrap();
     let attempt = Attempt(2);
     let cases = [
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn nonsense_from_a_worker_is_refused() {
+fn malformed_worker_messages_are_rejected() {
     let good = r#"{"host":"vm-1","address":"a","rig":"g8","yard":"a","loaners":true,"shift":1,
         "tally":88,"baton":41,"warningS":null,"picks":[{"pick":"job-1/3","try":2,
         "stage":"ended","cause":"in_use"}]}"#;
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -94,7 +94,7 @@
 /// A zone was cut off for 51 s. From the 35th second on its machines were deleted, a hundred a second, and
 /// nearly all of them ran tasks.
 #[test]
-fn a_partitioned_zone_is_left_alone_and_then_deleted_in_steps() {
+fn a_partitioned_zone_is_kept_and_then_deleted_in_steps() {
     let zone = Zone::from("a");
     let cases = [
         // silent, its controllers too, deleted after 0, 59, 60, 70, 80 and 110 s
@@ -132,7 +132,7 @@
 /// The cloud takes a hundred names at a time. All machines that were chosen at once counted against the bound,
 /// and those whose deletion had not been sent waited for half a minute.
 #[test]
-fn only_deletions_that_are_sent_count_against_the_bound() {
+fn only_sent_deletions_count_against_the_bound() {
     let mut zones = ZoneHealthTracker::default();
     zones.observe(&Zone::from("a"), seen(1_000, 200, false), Millis(0));
     let mut lost = suspects("a", 200);
@@ -143,9 +143,9 @@
     }
 }
 
-/// Whatever a leader thinks it knows, it can't delete a fleet at once.
+/// A leader with a wrong view of the cluster cannot delete the fleet at once.
 #[test]
-fn deletions_for_silence_are_bounded_in_a_zone_and_in_all() {
+fn deletions_for_silence_are_bounded_per_zone_and_in_total() {
     for (zones_silent, expected) in [(1, 50), (4, 100)] {
         let mut zones = ZoneHealthTracker::default();
         let names = ["a", "b", "c", "d"];
