--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,7 +1,9 @@
-//! The cloud: one machine type, rented by name of request, listed late, deleted for good.
+//! The simulated cloud: one machine type. Rentals are idempotent by request ID, the list of machines lags behind, and
+//! deletion is final. It owns the rental requests; the machines themselves are in [`crate::machines`].
 
 use std::collections::{BTreeSet, HashMap};
 
+use jaspertiller::fleet::wire::MachineTypesBody;
 use jaspertiller::fleet::{CloudCall, CloudResponse, ListedMachine, MachineStage, Offer};
 use jaspertiller::types::{MachineId, Millis};
 use rand::Rng;
@@ -11,35 +13,42 @@
 use crate::config::Config;
 use crate::machines::{Machine, Machines};
 
+/// How long a machine that stopped by itself stays listed.
+const STOPPED_LISTED: Millis = Millis(30_000);
+
 /// The simulated cloud.
 pub struct Cloud {
     config: Config,
+    /// The machines that each rental request got, by request ID.
     rental_requests: HashMap<String, Vec<MachineId>>,
     /// Machines that were deleted.
     pub deleted: BTreeSet<MachineId>,
-    made: u32,
-    /// Machines that were well, reachable and at work when they were deleted.
+    /// Machines rented so far; the last one's number.
+    rented: u32,
+    /// Machines that were healthy, reachable and ran tasks when they were deleted.
     pub deleted_at_work: u64,
 }
 
 impl Cloud {
     /// A cloud that has rented nothing yet.
+    #[must_use]
     pub fn new(config: &Config) -> Self {
         Self {
             config: config.clone(),
             rental_requests: HashMap::new(),
             deleted: BTreeSet::new(),
-            made: 0,
+            rented: 0,
             deleted_at_work: 0,
         }
     }
 
-    /// From now on it has so many machines to give.
+    /// Sets how many machines the cloud can rent out in all.
     pub fn offer(&mut self, capacity: u32) {
         self.config.capacity = capacity;
     }
 
     /// The body that lists the machine types.
+    #[must_use]
     pub fn type_specs(&self) -> Value {
         let machine_type = &self.config.machine_type;
         json!({"rigs": [{"sku": machine_type.id, "vcpus": machine_type.resources.cpus, "accelerators": machine_type.resources.gpus,
@@ -57,53 +66,66 @@
         rng: &mut SmallRng,
     ) -> CloudResponse {
         match call {
-            CloudCall::MachineTypes => match serde_json::from_value(self.type_specs()) {
-                Ok(jaspertiller::fleet::wire::MachineTypesBody { machine_types }) => {
-                    CloudResponse::MachineTypes(machine_types.into_iter().map(Into::into).collect())
-                }
-                Err(_) => CloudResponse::Failed,
-            },
+            CloudCall::MachineTypes => self.machine_types(),
             CloudCall::Rent {
                 request_id,
                 offer,
                 count,
             } => self.rent(request_id, &offer, count, machines, now, rng),
-            CloudCall::Delete(machine_ids) => {
-                for machine_id in machine_ids {
-                    if machines.delete(&machine_id, now) {
-                        self.deleted_at_work += 1;
-                    }
-                    self.deleted.insert(machine_id);
-                }
-                CloudResponse::Deleted
+            CloudCall::Delete(machine_ids) => self.delete(machine_ids, machines, now),
+            CloudCall::List { after } => self.list(after.as_ref(), machines, now),
+        }
+    }
+
+    fn machine_types(&self) -> CloudResponse {
+        match serde_json::from_value(self.type_specs()) {
+            Ok(MachineTypesBody { machine_types }) => {
+                CloudResponse::MachineTypes(machine_types.into_iter().map(Into::into).collect())
             }
-            CloudCall::List { after } => {
-                let after = |machine_id: &&MachineId| {
-                    after.as_ref().is_none_or(|after| *machine_id > after)
-                };
-                let machine_ids = machines
-                    .by_id
-                    .iter()
-                    .filter(|(machine_id, m)| after(machine_id) && !self.gone(machine_id, m, now))
-                    .filter(|(_, m)| m.rented_at + self.config.list_lag < now)
-                    .map(|(machine_id, machine)| self.listed(machine_id, machine, now))
-                    .collect();
-                CloudResponse::Page {
-                    machines: machine_ids,
-                    more: false,
-                }
+            Err(_) => CloudResponse::Failed,
+        }
+    }
+
+    fn delete(
+        &mut self,
+        machine_ids: Vec<MachineId>,
+        machines: &mut Machines,
+        now: Millis,
+    ) -> CloudResponse {
+        for machine_id in machine_ids {
+            if machines.delete(&machine_id, now) {
+                self.deleted_at_work += 1;
             }
+            self.deleted.insert(machine_id);
+        }
+        CloudResponse::Deleted
+    }
+
+    /// All listed machines after an ID, on one page.
+    fn list(&self, after: Option<&MachineId>, machines: &Machines, now: Millis) -> CloudResponse {
+        let is_after = |machine_id: &MachineId| after.is_none_or(|after| machine_id > after);
+        let listed = machines
+            .by_id
+            .iter()
+            .filter(|(id, machine)| is_after(id) && !self.is_unlisted(id, machine, now))
+            .filter(|(_, machine)| machine.rented_at + self.config.list_lag < now)
+            .map(|(id, machine)| self.listed(id, machine, now))
+            .collect();
+        CloudResponse::Page {
+            machines: listed,
+            more: false,
         }
     }
 
-    /// A machine that died stays listed for a while, one that was deleted doesn't.
-    fn gone(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> bool {
-        let died = machine
+    /// Whether a machine is missing from the list: at once if it was deleted, after [`STOPPED_LISTED`] if it stopped.
+    fn is_unlisted(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> bool {
+        let stopped = machine
             .stopped_at
-            .is_some_and(|at| now.since(at).0 > 30_000);
-        self.deleted.contains(machine_id) || died
+            .is_some_and(|at| now.since(at) > STOPPED_LISTED);
+        self.deleted.contains(machine_id) || stopped
     }
 
+    /// A machine as the list shows it: its state `list_lag` ago.
     fn listed(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> ListedMachine {
         let seen = now - self.config.list_lag;
         ListedMachine {
@@ -120,6 +142,7 @@
         }
     }
 
+    /// Rents machines, or returns those that the request has got already.
     fn rent(
         &mut self,
         request_id: String,
@@ -142,16 +165,16 @@
             .filter(|m| m.stopped_at.is_none())
             .count() as u32;
         let count = count.min(self.config.capacity.saturating_sub(alive));
-        let known =
+        let is_offered =
             *machine_type == self.config.machine_type.id && self.config.zones.contains(zone);
-        if count == 0 || !known {
+        if count == 0 || !is_offered {
             return CloudResponse::NoCapacity;
         }
         let boot = self.config.machine_type.boot.0;
         let machine_ids: Vec<MachineId> = (0..count)
             .map(|_| {
-                self.made += 1;
-                let machine_id = MachineId::from(format!("vm-{:06}", self.made));
+                self.rented += 1;
+                let machine_id = MachineId::from(format!("vm-{:06}", self.rented));
                 let up_at = now + Millis(rng.random_range(boot / 2..=boot * 3 / 2));
                 machines.add(&machine_id, zone.clone(), *spot, now, up_at);
                 machine_id
--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -1,12 +1,12 @@
-//! A zone that loses its network, in virtual time: what becomes of its machines and their tasks, and of users
-//! who cancel jobs meanwhile. All is simulated.
+//! Replays of a network partition of one zone, in virtual time. They measure which of the zone's machines and tasks
+//! keep running, and how long users wait who cancel jobs during the partition.
 
 use jaspertiller::types::{MachineId, Millis, Zone};
 
 use crate::config::Config;
 use crate::sim::{JobPlan, World, ZoneCut, job};
 
-/// Second at which the cut begins: the load stands by then.
+/// Second at which the cut begins: all tasks run by then.
 pub const FROM_S: u64 = 60;
 /// Seconds that are played after the cut.
 const AFTER_S: u64 = 90;
@@ -64,8 +64,8 @@
 pub enum Policy {
     /// Controllers keep the zone's machines, with the operator's default settings.
     Keep,
-    /// Controllers answer for a short time only, and nothing is held back: the nearest to how it was before
-    /// zones were kept.
+    /// Controllers renew leases for a short time only, and deletions are not held: nearly the behaviour before
+    /// partitioned zones were kept.
     GiveUp,
 }
 
@@ -150,6 +150,7 @@
     }
 }
 
+/// The cluster of a case.
 fn config(case: Case) -> Config {
     let mut config = Config {
         controllers: if case.inside == Inside::None { 1 } else { 3 },
@@ -200,6 +201,7 @@
     world.crash(ZONE_CONTROLLER, (FROM_S + crash_after_s) * 1_000, DOWN_MS);
 }
 
+/// Counts the tasks that run at a second.
 fn running_tasks(world: &World, zone: &Zone, at_s: u64) -> RunningTasks {
     let mut running = RunningTasks {
         at_s,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -11,13 +11,13 @@
 use crate::machines::Machines;
 
 /// How long polls of one job may fail while others are answered.
-const FORGOTTEN: Millis = Millis(90_000);
+const MAX_POLL_FAILURE: Millis = Millis(90_000);
 
 /// Longest time without a response about a job after all faults have ended.
-const UNHEARD: Millis = Millis(75_000);
+const MAX_SILENCE: Millis = Millis(75_000);
 
 /// Longest time for which a job may wait although a machine that fits has room and its team is under its limit.
-const LEFT_WAITING: Millis = Millis(90_000);
+const MAX_WAIT: Millis = Millis(90_000);
 
 /// Names of the rules, as in the protocol's description.
 pub const RULES: &[&str] = &[
@@ -32,9 +32,9 @@
     "nothing_ran",
 ];
 
-/// What a response told a user.
+/// What a controller's response says to a user about a job.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum JobResponse {
     /// Accepted now, or known already.
     State(JobStage),
     /// The job is not known.
@@ -45,9 +45,12 @@
     Later,
 }
 
-impl From<&JobState> for Told {
+/// Shorter name of [`JobResponse`] for the models of users.
+pub type Told = JobResponse;
+
+impl From<&JobState> for JobResponse {
     fn from(state: &JobState) -> Self {
-        Told::State(state.stage)
+        JobResponse::State(state.stage)
     }
 }
 
@@ -73,8 +76,24 @@
             gpus_max: team.gpus_max,
         }
     }
+
+    /// Whether the group's limits allow that its tasks use so much together.
+    #[must_use]
+    pub fn allows(&self, used: Resources) -> bool {
+        let within = |used: f64, max: f64| max <= 0.0 || used <= max + ROUNDING;
+        within(used.cpus, self.cpus_max) && within(used.gpus, self.gpus_max)
+    }
 }
 
+/// Violations that a run records at most.
+const MAX_VIOLATIONS: usize = 100;
+
+/// Slack for rounding when sums of resources are compared with limits.
+const ROUNDING: f64 = 1e-6;
+
+/// A task and the machine where it runs.
+type PlacedTask<'a> = (&'a MachineId, &'a TaskId);
+
 /// Checks the invariants, and keeps what users know of their jobs.
 #[derive(Default)]
 pub struct Rules {
@@ -100,12 +119,12 @@
     answered: Millis,
     /// When all faults have ended: from then on users must get responses in time.
     pub calm: Millis,
-    /// Of each job when a question about it was last answered with its state, and the longest time
-    /// without that since the troubles were over.
+    /// For each job, when a poll of it was last answered with its state, and the longest time without such an
+    /// answer since all faults ended.
     silences: BTreeMap<JobId, (Millis, Millis)>,
-    /// Since when each job waits that could run, and the longest that one has waited since the troubles
-    /// were over.
+    /// Since when each job waits that could run.
     could_run: BTreeMap<JobId, Millis>,
+    /// The longest time that each job has waited though it could run, since all faults ended.
     waited: BTreeMap<JobId, Millis>,
     /// Tasks that started.
     pub starts: u64,
@@ -124,8 +143,9 @@
         }
     }
 
+    /// Records a violation of a rule; a run that breaks a rule all the time records the first ones only.
     fn broken(&mut self, rule: &str, what: impl std::fmt::Display) {
-        if self.violations.len() < 100 {
+        if self.violations.len() < MAX_VIOLATIONS {
             self.violations.insert(format!("{rule}: {what}"));
         }
     }
@@ -141,30 +161,31 @@
     }
 
     /// What the answer to a submission, poll or cancellation says.
-    pub fn told(&mut self, id: &JobId, told: &Told, machines: &Machines, now: Millis) {
-        match told {
-            Told::Later => {
+    pub fn told(&mut self, id: &JobId, response: &JobResponse, machines: &Machines, now: Millis) {
+        match response {
+            JobResponse::Later => {
                 let last = self.polled.get(id).copied().unwrap_or(now);
                 let others = self.answered.since(last);
-                if self.accepted.contains(id) && others > FORGOTTEN {
+                if self.accepted.contains(id) && others > MAX_POLL_FAILURE {
                     self.broken("forgotten", format!("{id}: no answer since {} ms", last.0));
                 }
                 self.polled.entry(id.clone()).or_insert(now);
                 return;
             }
-            Told::NotFound if self.accepted.contains(id) => {
+            JobResponse::NotFound if self.accepted.contains(id) => {
                 self.broken("forgotten", format!("{id}: not found"));
             }
-            Told::Refused(status) if self.accepted.contains(id) => {
+            JobResponse::Refused(status) if self.accepted.contains(id) => {
                 self.broken("forgotten", format!("{id}: {status}"));
             }
-            Told::NotFound | Told::Refused(_) => {}
-            Told::State(stage) => self.state(id, *stage, machines, now),
+            JobResponse::NotFound | JobResponse::Refused(_) => {}
+            JobResponse::State(stage) => self.state(id, *stage, machines, now),
         }
         self.polled.insert(id.clone(), now);
         self.answered = now;
     }
 
+    /// Takes the stage that a response reports: jobs may not end before their tasks, nor leave a final stage.
     fn state(&mut self, id: &JobId, stage: JobStage, machines: &Machines, now: Millis) {
         if !self.submitted.contains_key(id) {
             return self.broken("invented", id);
@@ -173,27 +194,8 @@
         let silence = self.silences.entry(id.clone());
         silence.or_insert((now, Millis(0))).0 = now;
         match stage {
-            JobStage::Done => {
-                let tasks = machines.jobs.get(id).map_or(0, |job| job.spec.tasks);
-                let task = |index| TaskId {
-                    job: id.clone(),
-                    index,
-                };
-                let left = (0..tasks).find(|i| !machines.completed.contains(&task(*i)));
-                if let Some(index) = left {
-                    self.broken("not_done", format!("{id}/{index}"));
-                }
-                if self.aborted.contains_key(id) {
-                    self.broken("went_back", format!("{id} from cancelled to done"));
-                }
-                self.done.insert(id.clone());
-            }
-            JobStage::Aborted => {
-                if self.done.contains(id) || !self.wanted_aborts.contains_key(id) {
-                    self.broken("went_back", format!("{id} to cancelled"));
-                }
-                self.aborted.entry(id.clone()).or_insert(now);
-            }
+            JobStage::Done => self.reported_done(id, machines),
+            JobStage::Aborted => self.reported_aborted(id, now),
             _ if self.done.contains(id) || self.aborted.contains_key(id) => {
                 self.broken("went_back", format!("{id} to {stage:?}"));
             }
@@ -201,6 +203,29 @@
         }
     }
 
+    fn reported_done(&mut self, id: &JobId, machines: &Machines) {
+        let tasks = machines.jobs.get(id).map_or(0, |job| job.spec.tasks);
+        let task = |index| TaskId {
+            job: id.clone(),
+            index,
+        };
+        let incomplete = (0..tasks).find(|index| !machines.completed.contains(&task(*index)));
+        if let Some(index) = incomplete {
+            self.broken("not_done", format!("{id}/{index}"));
+        }
+        if self.aborted.contains_key(id) {
+            self.broken("went_back", format!("{id} from cancelled to done"));
+        }
+        self.done.insert(id.clone());
+    }
+
+    fn reported_aborted(&mut self, id: &JobId, now: Millis) {
+        if self.done.contains(id) || !self.wanted_aborts.contains_key(id) {
+            self.broken("went_back", format!("{id} to cancelled"));
+        }
+        self.aborted.entry(id.clone()).or_insert(now);
+    }
+
     /// A user asks about a job.
     pub fn asked(&mut self, id: &JobId, now: Millis) {
         if let Some((last, longest)) = self.silences.get_mut(id) {
@@ -208,14 +233,15 @@
         }
     }
 
-    /// Jobs about which users asked and heard nothing for longer than is allowed once the troubles
-    /// were over, and for how long.
+    /// Jobs whose polls got no answer for longer than is allowed after all faults ended, and for how long.
     pub fn unheard(&self) -> Vec<(JobId, Millis)> {
         let silences = self
             .silences
             .iter()
             .map(|(id, (_, longest))| (id.clone(), *longest));
-        silences.filter(|(_, silence)| *silence > UNHEARD).collect()
+        silences
+            .filter(|(_, silence)| *silence > MAX_SILENCE)
+            .collect()
     }
 
     /// Jobs that wait now though they could run.
@@ -232,78 +258,89 @@
     /// Jobs that were left waiting though they could run, and for how long.
     pub fn left_waiting(&self) -> Vec<(JobId, Millis)> {
         let waited = self.waited.iter().map(|(id, waited)| (id.clone(), *waited));
-        waited
-            .filter(|(_, waited)| *waited > LEFT_WAITING)
-            .collect()
+        waited.filter(|(_, waited)| *waited > MAX_WAIT).collect()
     }
 
-    /// Looks at all machines after a step in which these tasks came on theirs.
+    /// Checks all machines after a step in which the tasks `started` began on theirs.
     pub fn check(&mut self, started: &[(MachineId, TaskId)], machines: &Machines, now: Millis) {
         self.starts += started.len() as u64;
-        let present: Vec<(&MachineId, &TaskId)> = machines.tasks_started(now).collect();
-        let spec = |id: &JobId| machines.jobs.get(id).map(|job| &job.spec);
-        for (machine_id, task) in &present {
-            let told = self.aborted.get(&task.job);
-            if told.is_some_and(|at| now.since(*at) > self.cancel) {
-                self.broken(
-                    "ran_cancelled",
-                    format!("{task} on {machine_id} at {}", now.0),
-                );
-            }
-        }
+        let present: Vec<PlacedTask> = machines.tasks_started(now).collect();
+        self.check_cancelled(&present, now);
         if started.is_empty() {
             return;
         }
-        // Tasks of the jobs that started something, by job.
-        let mut of_job: HashMap<&JobId, Vec<(&MachineId, &TaskId)>> = HashMap::new();
-        for (_, task) in started {
-            of_job.entry(&task.job).or_default();
-        }
-        let mut used: BTreeMap<&Team, Resources> = BTreeMap::new();
-        for (machine_id, task) in &present {
-            if let Some(tasks) = of_job.get_mut(&task.job) {
-                tasks.push((machine_id, task));
-            }
-            if let Some(spec) = spec(&task.job) {
-                let sum = used.entry(&spec.team).or_default();
-                *sum = sum.plus(spec.resources);
-            }
-        }
+        let tasks_by_job = tasks_of_started_jobs(started, &present);
         for (machine_id, task) in started {
-            let first = self.first_start.entry(task.job.clone());
-            first.or_insert(now);
-            let its = of_job.get(&task.job).map_or(&[][..], Vec::as_slice);
-            let mut on = its.iter().filter(|(_, other)| *other == task);
-            if let Some((other, _)) = on.find(|(other, _)| *other != machine_id) {
-                let at = now.0;
+            self.first_start.entry(task.job.clone()).or_insert(now);
+            let tasks_of_job = tasks_by_job.get(&task.job).map_or(&[][..], Vec::as_slice);
+            self.check_runs_once(machine_id, task, tasks_of_job, now);
+            self.check_place(machine_id, task, tasks_of_job, machines);
+        }
+        self.check_quotas(&present, machines, now);
+    }
+
+    /// No task of a job may run long after its user learned that the job is cancelled.
+    fn check_cancelled(&mut self, present: &[PlacedTask], now: Millis) {
+        for (machine_id, task) in present {
+            let cancelled_at = self.aborted.get(&task.job);
+            if cancelled_at.is_some_and(|at| now.since(*at) > self.cancel) {
                 self.broken(
-                    "ran_twice",
-                    format!("{task} on {machine_id} and {other} at {at}"),
+                    "ran_cancelled",
+                    format!("{task} on {machine_id} at {}", now.0),
                 );
             }
-            let Some(spec) = spec(&task.job) else {
-                self.broken("invented", format!("{task} started"));
-                continue;
-            };
-            if let Some(why) = wrong_place(machine_id, task, spec, its, machines) {
-                self.broken("wrong_place", why);
-            }
         }
+    }
+
+    /// A task that started may not run on another machine, too.
+    fn check_runs_once(
+        &mut self,
+        machine_id: &MachineId,
+        task: &TaskId,
+        tasks_of_job: &[PlacedTask],
+        now: Millis,
+    ) {
+        let elsewhere = tasks_of_job
+            .iter()
+            .find(|(other_machine, other)| *other == task && *other_machine != machine_id);
+        if let Some((other_machine, _)) = elsewhere {
+            let at = now.0;
+            self.broken(
+                "ran_twice",
+                format!("{task} on {machine_id} and {other_machine} at {at}"),
+            );
+        }
+    }
+
+    /// A task that started must belong to a known job, on a machine that the job allows.
+    fn check_place(
+        &mut self,
+        machine_id: &MachineId,
+        task: &TaskId,
+        tasks_of_job: &[PlacedTask],
+        machines: &Machines,
+    ) {
+        let Some(job) = machines.jobs.get(&task.job) else {
+            return self.broken("invented", format!("{task} started"));
+        };
+        if let Some(why) = wrong_place(machine_id, task, &job.spec, tasks_of_job, machines) {
+            self.broken("wrong_place", why);
+        }
+    }
+
+    /// The tasks of each group of teams must stay under the group's limits.
+    fn check_quotas(&mut self, present: &[PlacedTask], machines: &Machines, now: Millis) {
+        let used = use_by_team(present, machines);
         for index in 0..self.groups.len() {
             let group = &self.groups[index];
             let amounts = group.teams.iter().filter_map(|team| used.get(team));
             let sum = amounts.fold(Resources::default(), |sum, resources| sum.plus(*resources));
-            let over = |used: f64, most: f64| most > 0.0 && used > most + 1e-6;
-            if over(sum.cpus, group.cpus_max) || over(sum.gpus, group.gpus_max) {
-                let its =
-                    |id: &JobId| spec(id).is_some_and(|spec| group.teams.contains(&spec.team));
-                let by = present.iter().filter(|(_, task)| its(&task.job));
-                let by: Vec<String> = by
-                    .map(|(machine_id, task)| format!("{task} on {machine_id}"))
-                    .collect();
-                let what = format!("{} uses {sum:?} at {}: {by:?}", group.name, now.0);
-                self.broken("quota", what);
+            if group.allows(sum) {
+                continue;
             }
+            let tasks = tasks_of_group(group, present, machines);
+            let violation = format!("{} uses {sum:?} at {}: {tasks:?}", group.name, now.0);
+            self.broken("quota", violation);
         }
     }
 
@@ -315,11 +352,57 @@
     }
 }
 
+/// All tasks present of the jobs of which a task started, by job.
+fn tasks_of_started_jobs<'a>(
+    started: &'a [(MachineId, TaskId)],
+    present: &[PlacedTask<'a>],
+) -> HashMap<&'a JobId, Vec<PlacedTask<'a>>> {
+    let mut tasks_by_job: HashMap<&JobId, Vec<PlacedTask>> = HashMap::new();
+    for (_, task) in started {
+        tasks_by_job.entry(&task.job).or_default();
+    }
+    for (machine_id, task) in present {
+        if let Some(tasks) = tasks_by_job.get_mut(&task.job) {
+            tasks.push((machine_id, task));
+        }
+    }
+    tasks_by_job
+}
+
+/// Resources that the tasks present use, by team.
+fn use_by_team<'a>(
+    present: &[PlacedTask],
+    machines: &'a Machines,
+) -> BTreeMap<&'a Team, Resources> {
+    let mut used: BTreeMap<&Team, Resources> = BTreeMap::new();
+    for (_, task) in present {
+        if let Some(job) = machines.jobs.get(&task.job) {
+            let sum = used.entry(&job.spec.team).or_default();
+            *sum = sum.plus(job.spec.resources);
+        }
+    }
+    used
+}
+
+/// The tasks present of a group's teams, each with its machine, for the text of a violation.
+fn tasks_of_group(group: &Group, present: &[PlacedTask], machines: &Machines) -> Vec<String> {
+    let is_in_group = |id: &JobId| {
+        let job = machines.jobs.get(id);
+        job.is_some_and(|job| group.teams.contains(&job.spec.team))
+    };
+    present
+        .iter()
+        .filter(|(_, task)| is_in_group(&task.job))
+        .map(|(machine_id, task)| format!("{task} on {machine_id}"))
+        .collect()
+}
+
+/// Why a task may not run on its machine, by the machine's kind and zone and by its job's other tasks; none if it may.
 fn wrong_place(
     machine_id: &MachineId,
     task: &TaskId,
     spec: &JobSpec,
-    of_its_job: &[(&MachineId, &TaskId)],
+    tasks_of_job: &[PlacedTask],
     machines: &Machines,
 ) -> Option<String> {
     let machine = machines.by_id.get(machine_id)?;
@@ -330,7 +413,7 @@
         return Some(format!("{task} in zone {}", machine.zone));
     }
     let mut zones: BTreeMap<_, u32> = BTreeMap::new();
-    for (machine_id, _) in of_its_job {
+    for (machine_id, _) in tasks_of_job {
         if let Some(machine) = machines.by_id.get(*machine_id) {
             *zones.entry(&machine.zone).or_default() += 1;
         }
--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait although a machine fits them, by what is really on the machines and not by what any
-//! controller believes.
+//! Finds jobs that wait although a machine fits them, from the true state of the machines and not from the view of
+//! any controller.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,27 +9,27 @@
 use crate::machines::Machines;
 use crate::rules::{Group, Rules};
 
-/// A machine that is sound, by what is free there.
-struct Free<'a> {
+/// A healthy machine with the resources that are free on it.
+struct FreeMachine<'a> {
     zone: &'a Zone,
     spot: bool,
     resources: Resources,
 }
 
-/// Jobs of which a task waits, a gang's tasks together, though machines that fit have room and the
-/// team's limit leaves it.
+/// Jobs with a waiting task (for a gang: all waiting tasks together) for which suitable machines have room and the
+/// team's limits have quota.
 pub fn could_run(machines: &Machines, rules: &Rules, now: Millis) -> Vec<JobId> {
-    let on: HashSet<&TaskId> = machines.tasks_allocated(now).collect();
-    let available: Vec<Free> = machines
+    let allocated: HashSet<&TaskId> = machines.tasks_allocated(now).collect();
+    let available: Vec<FreeMachine> = machines
         .healthy(now)
-        .map(|(machine, resources)| Free {
+        .map(|(machine, resources)| FreeMachine {
             zone: &machine.zone,
             spot: machine.spot,
             resources,
         })
         .collect();
-    let over = |id: &JobId| rules.done.contains(id) || rules.wanted_aborts.contains_key(id);
-    let open = rules.accepted.iter().filter(|id| !over(id));
+    let has_ended = |id: &JobId| rules.done.contains(id) || rules.wanted_aborts.contains_key(id);
+    let open = rules.accepted.iter().filter(|id| !has_ended(id));
     let able = open.filter(|id| {
         let Some(job) = machines.jobs.get(*id) else {
             return false;
@@ -38,7 +38,7 @@
             job: (*id).clone(),
             index,
         };
-        let waits = |task: &TaskId| !machines.completed.contains(task) && !on.contains(task);
+        let waits = |task: &TaskId| !machines.completed.contains(task) && !allocated.contains(task);
         let waiting = (0..job.spec.tasks).map(task).filter(waits).count() as u32;
         let together = if job.spec.kind == JobKind::Gang {
             waiting
@@ -49,10 +49,10 @@
             && !job.broken
             && rules.groups.iter().all(|group| {
                 !group.teams.contains(&job.spec.team)
-                    || leaves(
+                    || has_quota_for(
                         group,
                         machines,
-                        &on,
+                        &allocated,
                         job.spec.resources.times(f64::from(together)),
                     )
             })
@@ -61,20 +61,29 @@
     able.cloned().collect()
 }
 
-fn leaves(group: &Group, machines: &Machines, on: &HashSet<&TaskId>, more: Resources) -> bool {
-    let specs = on.iter().filter_map(|task| machines.jobs.get(&task.job));
-    let its = specs.filter(|job| group.teams.contains(&job.spec.team));
-    let used = its.fold(more, |sum, job| sum.plus(job.spec.resources));
-    let within = |used: f64, most: f64| most <= 0.0 || used <= most + 1e-6;
-    within(used.cpus, group.cpus_max) && within(used.gpus, group.gpus_max)
+/// Whether a group's limits leave room for more tasks beside those that are allocated.
+fn has_quota_for(
+    group: &Group,
+    machines: &Machines,
+    allocated: &HashSet<&TaskId>,
+    more: Resources,
+) -> bool {
+    let jobs = allocated
+        .iter()
+        .filter_map(|task| machines.jobs.get(&task.job));
+    let used = jobs
+        .filter(|job| group.teams.contains(&job.spec.team))
+        .fold(more, |sum, job| sum.plus(job.spec.resources));
+    group.allows(used)
 }
 
+/// Whether healthy machines that the job allows have room for so many more of its tasks.
 fn fits(
     spec: &JobSpec,
     id: &JobId,
     tasks: u32,
     machines: &Machines,
-    available: &[Free],
+    available: &[FreeMachine],
     now: Millis,
 ) -> bool {
     let mut placed: BTreeMap<&Zone, u32> = BTreeMap::new();
@@ -84,19 +93,19 @@
     {
         *placed.entry(&machines.by_id[machine_id].zone).or_default() += 1;
     }
-    let mut resources: BTreeMap<&Zone, u32> = BTreeMap::new();
+    let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
     for machine in available {
         let elsewhere = spec.one_zone && placed.keys().any(|zone| *zone != machine.zone);
         let crowded = spec.spread
             && placed.get(machine.zone).copied().unwrap_or(0) >= spec.max_tasks_per_zone();
         let machine_type = machines.machine_type();
         if spec.allows(machine_type, machine.zone, machine.spot) && !elsewhere && !crowded {
-            *resources.entry(machine.zone).or_default() += machine.resources.holds(spec.resources);
+            *room.entry(machine.zone).or_default() += machine.resources.holds(spec.resources);
         }
     }
     if spec.one_zone {
-        resources.values().any(|holds| *holds >= tasks)
+        room.values().any(|holds| *holds >= tasks)
     } else {
-        resources.values().sum::<u32>() >= tasks
+        room.values().sum::<u32>() >= tasks
     }
 }
