--- a/crates/simulator/src/live/users.rs
+++ b/crates/simulator/src/live/users.rs
@@ -15,7 +15,7 @@
 
 use super::SharedRegion;
 use crate::machines::JobDescription;
-use crate::rules::Told;
+use crate::rules::JobResponse;
 use crate::sim::JobPlan;
 
 /// How long a user waits for the answer to a submission or a cancellation.
@@ -37,7 +37,7 @@
 }
 
 /// What an answer tells a user.
-fn told(status: u16, body: &[u8]) -> Told {
+fn told(status: u16, body: &[u8]) -> JobResponse {
     let state = || {
         let state = serde_json::from_slice::<StateBody>(body).ok()?;
         Some(match state.stage.as_str() {
@@ -49,10 +49,10 @@
         })
     };
     match status {
-        200 | 201 => state().map_or(Told::Later, Told::State),
-        404 => Told::NotFound,
-        400 | 422 => Told::Refused(status),
-        _ => Told::Later,
+        200 | 201 => state().map_or(JobResponse::Later, JobResponse::State),
+        404 => JobResponse::NotFound,
+        400 | 422 => JobResponse::Refused(status),
+        _ => JobResponse::Later,
     }
 }
 
@@ -78,7 +78,13 @@
 
     /// Sends a request to the first controller that accepts the connection, from a random one on, as a load
     /// balancer would. A request that may have arrived is not repeated.
-    async fn call(&self, method: Method, path: &str, body: Vec<u8>, timeout: Duration) -> Told {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+        timeout: Duration,
+    ) -> JobResponse {
         let first = rand::rng().random_range(0..self.controllers.len());
         for offset in 0..self.controllers.len() {
             let address = self.controllers[(first + offset) % self.controllers.len()];
@@ -92,11 +98,11 @@
                 Err(Failure::Unknown) => break,
             }
         }
-        Told::Later
+        JobResponse::Later
     }
 
     /// Hands what a user was told to the rules.
-    fn record(&self, id: &JobId, told: &Told) {
+    fn record(&self, id: &JobId, told: &JobResponse) {
         let region = &mut *self.shared.lock();
         let now = region.now();
         region.rules.told(id, told, &region.machines, now);
@@ -134,7 +140,7 @@
     }
 
     /// Submits a job once, without repeating it.
-    pub async fn submit(&self, id: &JobId, body: &[u8]) -> Told {
+    pub async fn submit(&self, id: &JobId, body: &[u8]) -> JobResponse {
         let told = self
             .call(Method::POST, "/api/jobs", body.to_vec(), SUBMIT_TIMEOUT)
             .await;
@@ -143,7 +149,7 @@
     }
 
     /// Asks once for a job's stage.
-    pub async fn poll(&self, id: &JobId) -> Told {
+    pub async fn poll(&self, id: &JobId) -> JobResponse {
         let path = format!("/api/jobs/{id}");
         let told = self
             .call(Method::GET, &path, Vec::new(), POLL_TIMEOUT)
@@ -153,7 +159,7 @@
     }
 
     /// Cancels a job once.
-    async fn cancel(&self, id: &JobId) -> Told {
+    async fn cancel(&self, id: &JobId) -> JobResponse {
         let now = self.shared.lock().now();
         self.shared.lock().rules.wants_abort(id, now);
         let path = format!("/api/jobs/{id}/abort");
@@ -175,9 +181,11 @@
         };
         loop {
             match self.submit(&id, &body).await {
-                Told::State(_) => break,
-                Told::Refused(_) => return,
-                Told::Later | Told::NotFound => tokio::time::sleep(SUBMIT_RETRY_DELAY).await,
+                JobResponse::State(_) => break,
+                JobResponse::Refused(_) => return,
+                JobResponse::Later | JobResponse::NotFound => {
+                    tokio::time::sleep(SUBMIT_RETRY_DELAY).await
+                }
             }
         }
         let cancel_at = cancel_after.map(|after| Instant::now() + after);
@@ -188,7 +196,7 @@
             } else {
                 self.poll(&id).await
             };
-            if matches!(told, Told::State(JobStage::Done | JobStage::Aborted)) {
+            if matches!(told, JobResponse::State(JobStage::Done | JobStage::Aborted)) {
                 return;
             }
         }
--- a/crates/simulator/src/rules/mod.rs
+++ b/crates/simulator/src/rules/mod.rs
@@ -47,9 +47,6 @@
     Later,
 }
 
-/// Shorter name of [`JobResponse`] for the models of users.
-pub type Told = JobResponse;
-
 impl From<&JobState> for JobResponse {
     fn from(state: &JobState) -> Self {
         JobResponse::State(state.stage)
--- a/crates/simulator/src/scale/users.rs
+++ b/crates/simulator/src/scale/users.rs
@@ -10,7 +10,7 @@
 
 use super::measure::{histogram, record};
 use crate::live::users::User;
-use crate::rules::Told;
+use crate::rules::JobResponse;
 use crate::sim::JobPlan;
 
 /// Time between two polls of a job.
@@ -56,12 +56,14 @@
     };
     loop {
         match user.submit(&id, &body).await {
-            Told::State(_) => break,
-            Told::Refused(_) => {
+            JobResponse::State(_) => break,
+            JobResponse::Refused(_) => {
                 times.lock().refused += 1;
                 return;
             }
-            Told::Later | Told::NotFound => tokio::time::sleep(SUBMIT_RETRY_DELAY).await,
+            JobResponse::Later | JobResponse::NotFound => {
+                tokio::time::sleep(SUBMIT_RETRY_DELAY).await
+            }
         }
     }
     let took_ms = send_at.elapsed().as_millis() as u64;
@@ -71,10 +73,10 @@
         tokio::time::sleep_until(poll_at).await;
         let told = user.poll(&id).await;
         let took_ms = poll_at.elapsed().as_millis() as u64;
-        if !matches!(told, Told::Later) {
+        if !matches!(told, JobResponse::Later) {
             record(&mut times.lock().polls, took_ms);
         }
-        if matches!(told, Told::State(JobStage::Done | JobStage::Aborted)) {
+        if matches!(told, JobResponse::State(JobStage::Done | JobStage::Aborted)) {
             return;
         }
         poll_at += POLL_INTERVAL;
--- a/crates/simulator/src/sim/message.rs
+++ b/crates/simulator/src/sim/message.rs
@@ -39,13 +39,19 @@
 
 /// Commands that a controller sends to a worker outside of heartbeat responses.
 pub(super) struct DirectCommands {
+    /// The controller process that sent them.
     pub sender: ProcessId,
+    /// The machine that they are for.
     pub machine_id: MachineId,
+    /// The token under which they are valid.
     pub worker_token: WorkerToken,
+    /// The agent epoch that they are for.
     pub agent_epoch: AgentEpoch,
+    /// The commands, in order.
     pub commands: Vec<WorkerCommand>,
     /// Virtual time in milliseconds at which the controller sent them.
     pub sent_at: u64,
+    /// Whether the sender expects an answer.
     pub reply: Reply,
 }
 
--- a/crates/simulator/src/sim/users.rs
+++ b/crates/simulator/src/sim/users.rs
@@ -9,7 +9,7 @@
 use super::World;
 use super::message::{PendingReply, ScheduledMessage};
 use crate::machines::JobDescription;
-use crate::rules::Told;
+use crate::rules::JobResponse;
 
 /// A user repeats a submission after this many milliseconds, until the job is over.
 const RESUBMIT_INTERVAL: u64 = 5_000;
@@ -146,12 +146,12 @@
     /// Takes a controller's response to the user of a job.
     pub(super) fn receive_response(&mut self, id: JobId, response: &Response) {
         let told = match response {
-            Response::Accepted(_) => Told::State(JobStage::Queued),
+            Response::Accepted(_) => JobResponse::State(JobStage::Queued),
             Response::State(state) => state.into(),
-            Response::Unknown => Told::NotFound,
-            Response::Malformed(_) => Told::Refused(400),
-            Response::NeverRuns(_) => Told::Refused(422),
-            Response::Later(_) => Told::Later,
+            Response::Unknown => JobResponse::NotFound,
+            Response::Malformed(_) => JobResponse::Refused(400),
+            Response::NeverRuns(_) => JobResponse::Refused(422),
+            Response::Later(_) => JobResponse::Later,
         };
         if matches!(response, Response::Accepted(_)) {
             let at = self.now + FIRST_POLL_DELAY;
