--- a/src/controller/hierarchical_quota/publication.rs
+++ b/src/controller/hierarchical_quota/publication.rs
@@ -32,12 +32,12 @@
         }
         self.logged_status = status;
         match status {
-            TreeStatus::Differs => tracing::error!(
+            TreeStatus::Conflicting => tracing::error!(
                 "quota tree file conflicts with the active tree of the same revision: raise its revision"
             ),
-            TreeStatus::Old => tracing::info!("quota tree file is older than the active one"),
-            TreeStatus::New => tracing::info!("quota tree offered"),
-            TreeStatus::None | TreeStatus::InForce => {}
+            TreeStatus::Outdated => tracing::info!("quota tree file is older than the active one"),
+            TreeStatus::Newer => tracing::info!("quota tree offered"),
+            TreeStatus::NoFile | TreeStatus::Active => {}
         }
     }
 }
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -78,15 +78,15 @@
 pub enum TreeStatus {
     /// There is no file.
     #[default]
-    None,
+    NoFile,
     /// The store has this tree.
-    InForce,
+    Active,
     /// The store has a newer tree.
-    Old,
+    Outdated,
     /// The store has another tree with the same revision.
-    Differs,
+    Conflicting,
     /// The file is newer; its tree is being written.
-    New,
+    Newer,
 }
 
 /// The tree in the operator's file, the one in the store, and the active one.
@@ -175,22 +175,22 @@
     /// How this controller's file compares with the tree in the store.
     pub fn tree_status(&self) -> TreeStatus {
         let Some(file) = &self.file else {
-            return TreeStatus::None;
+            return TreeStatus::NoFile;
         };
         match &self.head {
-            Some(head) if head.revision > file.head.revision => TreeStatus::Old,
+            Some(head) if head.revision > file.head.revision => TreeStatus::Outdated,
             Some(head) if head.revision == file.head.revision && *head != file.head => {
-                TreeStatus::Differs
+                TreeStatus::Conflicting
             }
-            Some(head) if head.revision == file.head.revision => TreeStatus::InForce,
-            _ => TreeStatus::New,
+            Some(head) if head.revision == file.head.revision => TreeStatus::Active,
+            _ => TreeStatus::Newer,
         }
     }
 
     /// What has to be written next so that the file becomes active, at most `max_pages` pages at a
     /// time.
     pub fn pending_write(&self, max_pages: usize) -> PendingTreeWrite {
-        let is_new = self.tree_status() == TreeStatus::New;
+        let is_new = self.tree_status() == TreeStatus::Newer;
         let Some(file) = self.file.as_ref().filter(|_| is_new) else {
             return PendingTreeWrite::Nothing;
         };
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -58,16 +58,16 @@
         write(&mut holds_old, &mut others, &mut revision)
     };
     assert!(first > 2, "{first} writes: pages and a head");
-    assert_eq!(holds_new.tree_status(), TreeStatus::New);
+    assert_eq!(holds_new.tree_status(), TreeStatus::Newer);
     assert_eq!(has_none.limits(&"b".into())[0].gpus_max, 8.0);
     let mut others = [&mut holds_old, &mut holds_odd, &mut has_none];
     write(&mut holds_new, &mut others, &mut revision);
     let all = [&holds_old, &holds_new, &holds_odd, &has_none];
     let standings = [
-        TreeStatus::Old,
-        TreeStatus::InForce,
-        TreeStatus::Differs,
-        TreeStatus::None,
+        TreeStatus::Outdated,
+        TreeStatus::Active,
+        TreeStatus::Conflicting,
+        TreeStatus::NoFile,
     ];
     for (nested, standing) in all.into_iter().zip(standings) {
         assert_eq!(nested.tree_status(), standing);
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -349,7 +349,7 @@
         fixtures.writes(&head_of, &head);
         let head = fixtures.text(&head_of);
         writer.apply(TREE_HEAD_KEY, Some(head), Revision(6));
-        let in_force = writer.tree_status() == TreeStatus::InForce;
+        let in_force = writer.tree_status() == TreeStatus::Active;
         fixtures.check(name, "is the writer's own", in_force, true);
         let adopted = reader.apply(TREE_HEAD_KEY, Some(head), Revision(6));
         fixtures.check(name, "is adopted", adopted, true);
