--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -190,7 +190,7 @@
             self.gang_sites_by_zone(job, tasks)
                 .into_values()
                 .map(|sites| match &ledger {
-                    Some(ledger) => ledger.clone().plan_all(resources, sites, tasks),
+                    Some(ledger) => ledger.clone().plan_gang(resources, sites, tasks),
                     None => sites
                         .iter()
                         .filter_map(|site| preempt::offer_on_site(resources, site))
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -224,7 +224,7 @@
 
     /// The machines and stops for all tasks of a gang among these sites, or none. The wanted amount
     /// is that of the whole gang, so its tasks are not counted one by one.
-    pub fn plan_all(
+    pub fn plan_gang(
         mut self,
         resources: Resources,
         mut sites: Vec<PreemptionSite>,
