--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -86,7 +86,7 @@
         self.membership.leases.shards.clear();
         self.membership.leases.leader = None;
         self.quota.allocations = QuotaAllocations::default();
-        self.quota.hierarchy.resync();
+        self.quota.hierarchy.forget_records();
         self.jobs.set_groups(self.quota.hierarchy.groups());
         self.scheduler.forwarded.clear();
         self.scheduler.stops.clear();
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -235,7 +235,7 @@
 
     /// Forgets the records before a snapshot read. The active tree stays until the snapshot
     /// replaces it.
-    pub fn resync(&mut self) {
+    pub fn forget_records(&mut self) {
         self.head = None;
         self.head_version = Revision(0);
         self.active_version = Revision(0);
