--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -25,7 +25,7 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.commit_state = CommitState::Resolving(Some(revision));
                 }
-                self.settle_at(id, revision);
+                self.resolve_at_revision(id, revision);
             }
             StoreResponse::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&id) {
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -141,7 +141,7 @@
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.commit_state = CommitState::Resolving(Some(revision));
                     }
-                    self.settle_at(id, revision);
+                    self.resolve_at_revision(id, revision);
                 }
                 _ => {
                     self.quota.to_fence_off.insert(id, shard.clone());
@@ -151,7 +151,7 @@
     }
 
     /// Settles a job's changes as soon as everything up to `revision` is applied to the cache.
-    pub(in crate::controller) fn settle_at(&mut self, job: JobId, revision: Revision) {
+    pub(in crate::controller) fn resolve_at_revision(&mut self, job: JobId, revision: Revision) {
         self.resume_at_revision(revision, self.now, PendingRead::ResolveTransaction { job });
         self.resume_ready_reads();
     }
