--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -67,7 +67,7 @@
             return;
         }
         self.quota.excess_checked_at = self.now;
-        for team in self.quota.hierarchy.limited() {
+        for team in self.quota.hierarchy.all_limits() {
             let used = self.jobs.usage(&team.name);
             if !quota::within_limit(used, &team) {
                 self.stop_excess_of(&team, used);
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -73,9 +73,9 @@
             && self.quota.unresolved_allocations.is_empty()
             && self.store_sync.synced
             && self.store_sync.applied >= self.store_sync.snapshot_end
-            && self.store_sync.applied >= self.quota.allocations.newest()
+            && self.store_sync.applied >= self.quota.allocations.newest_version()
             // All placements conditioned on an earlier tree are known, and no more can be applied.
-            && self.quota.hierarchy.is_settled()
+            && self.quota.hierarchy.newest_head_is_active()
             && self.store_sync.applied >= self.quota.hierarchy.active_version()
             && self.membership.leases.shards.keys().all(|shard| self.knows_all_placements(shard))
     }
@@ -172,7 +172,7 @@
                 continue;
             }
             if !self.may_raise_allocations()
-                || !quota::keeps_limit(team, &self.planned_allocations(team))
+                || !quota::worst_case_within_limit(team, &self.planned_allocations(team))
             {
                 return false;
             }
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -41,7 +41,7 @@
     fn changed_allocations(&self) -> BTreeMap<ShardId, AllocationRecord> {
         let min_useful = self.largest_machine_type();
         let mut records = BTreeMap::new();
-        for team in self.quota.hierarchy.limited() {
+        for team in self.quota.hierarchy.all_limits() {
             let shards = self.shards_of_team(&team);
             let current: Vec<ShardAllocation> = shards
                 .iter()
--- a/src/quota/allocate.rs
+++ b/src/quota/allocate.rs
@@ -100,7 +100,7 @@
 }
 
 /// Whether a team keeps its limit even if every shard uses its whole allocation.
-pub fn keeps_limit(team: &TeamSettings, shards: &[ShardAllocation]) -> bool {
+pub fn worst_case_within_limit(team: &TeamSettings, shards: &[ShardAllocation]) -> bool {
     let bound = |amount: fn(&ShardAllocation) -> ShardAmount| -> f64 {
         let amounts = shards.iter().map(amount);
         amounts.map(|amount| amount.upper_bound()).sum()
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -106,7 +106,7 @@
     }
 
     /// The newest version of any record.
-    pub fn newest(&self) -> Revision {
+    pub fn newest_version(&self) -> Revision {
         self.shards
             .values()
             .map(|stored| stored.version)
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether the newest head that was read is the active one.
-    pub fn is_settled(&self) -> bool {
+    pub fn newest_head_is_active(&self) -> bool {
         self.active_version == self.head_version
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// All teams and nodes that have a limit, each once, by name.
-    pub fn limited(&self) -> Vec<TeamSettings> {
+    pub fn all_limits(&self) -> Vec<TeamSettings> {
         let teams = self.teams.iter();
         let mut limited: Vec<TeamSettings> = teams
             .flat_map(|team| self.limits(&team.name).iter().cloned())
@@ -245,7 +245,7 @@
     /// Activates the tree of the newest head if all its pages are there. An invalid tree is logged
     /// and leaves the active one as it is.
     fn activate(&mut self) -> bool {
-        if self.is_settled() {
+        if self.newest_head_is_active() {
             return false;
         }
         let Some(head) = &self.head else {
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -71,7 +71,7 @@
     ];
     for (nested, standing) in all.into_iter().zip(standings) {
         assert_eq!(nested.tree_status(), standing);
-        assert!(nested.is_settled());
+        assert!(nested.newest_head_is_active());
         assert_eq!(nested.active_version(), Revision(revision));
         assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
         assert_eq!(nested.pending_write(9), PendingTreeWrite::Nothing);
@@ -95,7 +95,7 @@
     }
     let head = serde_json::to_string_pretty(writer.head.as_ref().unwrap()).unwrap();
     assert!(reader.apply(TREE_HEAD_KEY, Some(&head), writer.head_version));
-    assert!(reader.is_settled());
+    assert!(reader.newest_head_is_active());
 }
 
 /// A snapshot read delivers the head before its pages. Decisions under the previous tree must not be
@@ -109,7 +109,7 @@
     let mut reader = nested(None);
     let head = serde_json::to_string(writer.head.as_ref().unwrap()).unwrap();
     assert!(!reader.apply(TREE_HEAD_KEY, Some(&head), Revision(revision)));
-    assert!(!reader.is_settled());
+    assert!(!reader.newest_head_is_active());
     assert_eq!(reader.active_version(), Revision(0));
     let pages: Vec<_> = writer.pages.by_key.clone().into_iter().collect();
     for (index, (key, StoredPage { text, version })) in pages.iter().enumerate() {
@@ -135,7 +135,7 @@
     };
     assert_eq!(names("a"), ["a 6", "#top 8"]);
     assert_eq!(names("b"), ["#top 8"]);
-    assert_eq!(nested.limited().len(), 2);
+    assert_eq!(nested.all_limits().len(), 2);
     assert!(nested.share_a_limit(&"a".into(), &"b".into()));
     let off = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
     nested.file = Some(PagedTree::new(&off, 8.0));
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -18,8 +18,8 @@
 pub mod reclaim;
 
 pub use allocate::{
-    ShardAllocation, ShardOwnership, allocate, covers, keeps_limit, raised_allocation, unallocated,
-    within_allocation,
+    ShardAllocation, ShardOwnership, allocate, covers, raised_allocation, unallocated,
+    within_allocation, worst_case_within_limit,
 };
 pub use allocation::{
     ALLOCATION_KEY_PREFIX, AllocationRecord, QuotaAllocation, QuotaAllocations, StoredAllocations,
