--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -14,7 +14,8 @@
     format!("{ALLOCATION_KEY_PREFIX}{shard}")
 }
 
-/// What a team may use in one shard, of each kind of resource that its limit names.
+/// What a team may use in one shard. Amounts are meaningful only for resources that the team has
+/// a limit on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaAllocation {
     /// Number of CPUs.
@@ -24,7 +25,7 @@
 }
 
 impl QuotaAllocation {
-    /// The part of `resources` that quotas govern.
+    /// The CPUs and GPUs of `resources`; quotas do not cover memory.
     pub fn of(resources: Resources) -> Self {
         Self {
             cpus: resources.cpus,
@@ -32,7 +33,6 @@
         }
     }
 
-    /// The sum of both, for each kind of resource.
     pub(super) fn plus(self, other: QuotaAllocation) -> Self {
         Self {
             cpus: self.cpus + other.cpus,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The larger of both, for each kind of resource.
-    pub(super) fn at_least(self, other: QuotaAllocation) -> Self {
+    /// The larger amount for each kind of resource.
+    pub(super) fn max(self, other: QuotaAllocation) -> Self {
         Self {
             cpus: self.cpus.max(other.cpus),
             gpus: self.gpus.max(other.gpus),
@@ -49,7 +49,8 @@
     }
 }
 
-/// The record of a shard: the allocation of each team that has a limit.
+/// The content of a shard's record: the allocation of each team, and of each node of the quota
+/// tree under its group name, that has a limit.
 pub type AllocationRecord = BTreeMap<Team, QuotaAllocation>;
 
 /// A shard's allocation record as it was read from the store.
@@ -70,7 +71,8 @@
 
 impl QuotaAllocations {
     /// Applies a watch event: the new content of a shard's record, or `None` if it was deleted.
-    /// Returns whether it is newer than what was known.
+    /// Returns false if the version is not newer than the known one. An invalid record counts as
+    /// empty: nothing is allocated.
     pub fn apply(&mut self, shard: ShardId, data: Option<&str>, version: Revision) -> bool {
         if self.version(&shard) >= version {
             return false;
@@ -90,7 +92,7 @@
             .unwrap_or_default()
     }
 
-    /// What is allocated to a team in a shard.
+    /// The allocation of a team in a shard; zero if the record does not contain the team.
     pub fn allocation(&self, shard: &ShardId, team: &Team) -> QuotaAllocation {
         let stored = self.shards.get(shard);
         let allocation = stored.and_then(|stored| stored.record.get(team));
@@ -105,7 +107,7 @@
             .unwrap_or_default()
     }
 
-    /// The newest version of any record.
+    /// The highest version of any record; 0 if there are no records.
     pub fn newest_version(&self) -> Revision {
         self.shards
             .values()
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -7,30 +7,31 @@
 };
 use rustc_hash::FxHashMap as HashMap;
 
-use super::pages::{Head, hash_of};
+use super::pages::{Head, hash_nodes};
 use super::{TREE_HEAD_KEY, flat_limits, group_name, platform_teams};
 use crate::jobs::cache::Groups;
 use crate::settings::TeamSettings;
 use crate::types::{Millis, Resources, Team};
 
-/// The active tree, and what its nodes are entitled to.
+/// The active tree with the limits that it implies and the nodes' current entitlements.
 pub struct ActiveTree {
-    /// Entitlements of the nodes by the teams' demands.
+    /// The nodes' entitlements, computed from the teams' demands.
     pub entitlements: Entitlements,
     /// By team: the limits that apply to it, its own first.
     limits: HashMap<Team, Vec<TeamSettings>>,
-    /// By team: the nodes above it, under their groups' names.
+    /// By team: the group names of the nodes above its leaf.
     groups: Groups,
     /// By node: the name under which its usage is counted.
-    names: Vec<Team>,
+    usage_names: Vec<Team>,
 }
 
 impl ActiveTree {
-    /// Reads a tree from its records. `None`: the tree is switched off.
+    /// Loads a tree from its records. `None`: the tree is disabled, and quotas are flat.
     ///
     /// # Errors
     ///
-    /// If the pages are not JSON, are not those that the head names, or are not a valid tree.
+    /// If the pages are not valid JSON, do not match the hash in the head, or are not a valid tree
+    /// for these teams.
     pub(super) fn load(
         head: &Head,
         pages: &[&str],
@@ -39,7 +40,7 @@
         if !head.enabled {
             return Ok(None);
         }
-        let problem = |reason: TreeProblem| TreeError {
+        let tree_error = |reason: TreeProblem| TreeError {
             file: TREE_HEAD_KEY.into(),
             field: format!("revision {}", head.revision),
             reason,
@@ -47,11 +48,11 @@
         let mut nodes: Vec<NodeSpec> = Vec::new();
         for text in pages {
             let page: Vec<NodeSpec> = serde_json::from_str(text)
-                .map_err(|error| problem(TreeProblem::Syntax(error.to_string())))?;
+                .map_err(|error| tree_error(TreeProblem::Syntax(error.to_string())))?;
             nodes.extend(page);
         }
-        if hash_of(&nodes) != head.hash {
-            return Err(problem(TreeProblem::HashMismatch));
+        if hash_nodes(&nodes) != head.hash {
+            return Err(tree_error(TreeProblem::HashMismatch));
         }
         let spec = TreeSpec {
             revision: head.revision,
@@ -64,7 +65,7 @@
     }
 
     fn new(tree: Arc<Tree>, teams: &[TeamSettings]) -> Self {
-        let names = node_names(&tree);
+        let usage_names = usage_names(&tree);
         let mut limits: HashMap<Team, Vec<TeamSettings>> = HashMap::default();
         let mut groups = Groups::default();
         for team in teams {
@@ -72,16 +73,16 @@
                 limits.insert(team.name.clone(), flat_limits(team));
                 continue;
             };
-            limits.insert(team.name.clone(), path_limits(&tree, leaf, &names));
+            limits.insert(team.name.clone(), path_limits(&tree, leaf, &usage_names));
             let above = tree.path(leaf).skip(1);
-            let above = above.map(|ix| names[ix.0 as usize].clone()).collect();
+            let above = above.map(|ix| usage_names[ix.0 as usize].clone()).collect();
             groups.insert(team.name.clone(), above);
         }
         Self {
             entitlements: Entitlements::new(tree),
             limits,
             groups,
-            names,
+            usage_names,
         }
     }
 
@@ -90,29 +91,30 @@
         &self.limits
     }
 
-    /// The groups that each team is counted in.
+    /// The groups that each team's usage is counted in.
     pub(super) fn groups(&self) -> &Groups {
         &self.groups
     }
 
-    /// The node that represents a team, if the team is in the tree.
+    /// The leaf that represents a team; `None` if the team is not in the tree.
     pub fn leaf(&self, team: &Team) -> Option<NodeIndex> {
         self.entitlements.tree().leaf(team.as_str())
     }
 
-    /// The name under which a node's usage is counted.
+    /// The name under which a node's usage is counted: the team of a leaf, or the group name of
+    /// another node.
     pub fn usage_name(&self, ix: NodeIndex) -> &Team {
-        &self.names[ix.0 as usize]
+        &self.usage_names[ix.0 as usize]
     }
 
-    /// Whether a team's leaf is a node or below it, so that its usage counts there.
+    /// Whether a team's leaf is the node or below it, so that the team's usage counts there.
     pub fn is_below(&self, team: &Team, ix: NodeIndex) -> bool {
         let leaf = self.leaf(team);
         leaf.is_some_and(|leaf| self.entitlements.tree().path(leaf).any(|at| at == ix))
     }
 
-    /// Takes the teams' demands and recomputes the entitlements. Returns the teams that are
-    /// entitled to more than before.
+    /// Updates the teams' demands and recomputes the entitlements. Returns the teams that
+    /// are entitled to more than before. Teams that `demands` lacks have no demand.
     pub(super) fn refresh(
         &mut self,
         now: Millis,
@@ -134,8 +136,9 @@
     }
 }
 
-/// The names under which the nodes' usage is counted: a leaf's team, or the group of a node.
-fn node_names(tree: &Tree) -> Vec<Team> {
+/// The names under which the nodes' usage is counted, by node index: the team of a leaf, or the
+/// group name of another node.
+fn usage_names(tree: &Tree) -> Vec<Team> {
     tree.all()
         .map(|ix| match &tree.node(ix).team {
             Some(team) => team.as_str().into(),
@@ -144,13 +147,13 @@
         .collect()
 }
 
-/// The limits of a leaf and of the nodes above it, the leaf's first; nodes without one are left
-/// out.
-fn path_limits(tree: &Tree, leaf: NodeIndex, names: &[Team]) -> Vec<TeamSettings> {
+/// The limits of a leaf and of the nodes above it, the leaf's first. Nodes without a limit are
+/// omitted.
+fn path_limits(tree: &Tree, leaf: NodeIndex, usage_names: &[Team]) -> Vec<TeamSettings> {
     let settings = tree.path(leaf).map(|ix| {
         let node = tree.node(ix);
         TeamSettings {
-            name: names[ix.0 as usize].clone(),
+            name: usage_names[ix.0 as usize].clone(),
             cpus: node.guarantee.cpus,
             cpus_max: node.limit.cpus,
             gpus: node.guarantee.gpus,
--- a/src/quota/hierarchical/pages.rs
+++ b/src/quota/hierarchical/pages.rs
@@ -1,4 +1,4 @@
-//! The stored form of a quota tree: a head record, and the nodes in pages that each fit one value.
+//! The stored form of a quota tree: a head record, and pages of nodes that each fit in one value.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 use super::TREE_PAGES_PREFIX;
 use crate::types::Revision;
 
-/// The part of the largest value that a page may fill. The rest is a margin below the store's
-/// limit.
+/// The fraction of the largest value that a page may fill. The remainder is a margin below the
+/// store's limit.
 const PAGE_FILL: f64 = 0.9;
 
-/// Bytes of the hash that name a tree. Together with the revision they only have to tell apart a
-/// few trees that operators wrote.
+/// Number of bytes of the hash in a tree's keys and head. Together with the revision they only
+/// have to tell apart a few trees that operators wrote.
 const HASH_BYTES: usize = 8;
 
-/// The head record: which tree is active, and which pages it consists of.
+/// The head record: the active tree, and the pages that it consists of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Head {
-    /// The tree with the highest revision is active.
+    /// The revision in the operator's file. The tree with the highest revision is active.
     pub(super) revision: u64,
-    /// Hash of the nodes, in hexadecimal.
+    /// Hash of the nodes, see [`hash_nodes`].
     pub(super) hash: String,
     /// Number of pages.
     pub(super) pages: u32,
-    /// How long demand that falls still counts, in milliseconds.
+    /// How long a team's previous demand still counts after it has fallen, in milliseconds.
     pub(super) hold_ms: u64,
-    /// Whether the tree applies; without it quotas are flat.
+    /// Whether the tree applies; if not, quotas are flat.
     pub(super) enabled: bool,
 }
 
@@ -38,7 +38,7 @@
         format!("{TREE_PAGES_PREFIX}{}-{}/", self.revision, self.hash)
     }
 
-    /// The key of a page. Revision and hash in it determine what the page contains.
+    /// The key of a page. Its revision and hash determine the content, so a page never changes.
     pub(super) fn page_key(&self, page: u32) -> String {
         format!("{}{page}", self.page_prefix())
     }
@@ -54,13 +54,14 @@
 }
 
 impl PagedTree {
-    /// Splits a tree into pages for a store whose values have at most `value_kb` KiB.
+    /// Splits a tree into pages for a store whose values have at most `value_kb` KiB. A node that
+    /// alone exceeds that gets a page of its own.
     pub(super) fn new(spec: &TreeSpec, value_kb: f64) -> Self {
         let max_bytes = (value_kb * 1024.0 * PAGE_FILL) as usize;
         let pages = split_into_pages(&spec.nodes, max_bytes);
         let head = Head {
             revision: spec.revision,
-            hash: hash_of(&spec.nodes),
+            hash: hash_nodes(&spec.nodes),
             pages: pages.len() as u32,
             hold_ms: (spec.hold_s * 1e3) as u64,
             enabled: spec.enabled,
@@ -80,7 +81,7 @@
     let mut pages = Vec::new();
     let mut page = String::from("[");
     for node in nodes {
-        // A node is plain data with text keys, which always has a JSON form.
+        // Cannot fail: a node's JSON form has only text keys.
         let text = serde_json::to_string(node).unwrap_or_default();
         let is_empty = page.len() == 1;
         if !is_empty && page.len() + text.len() + 2 > max_bytes {
@@ -95,9 +96,10 @@
     pages
 }
 
-/// The hash of the nodes. It is taken from their canonical JSON and not from the pages' text: the
-/// store keeps JSON values and may return them with other spacing or key order.
-pub(super) fn hash_of(nodes: &[NodeSpec]) -> String {
+/// The first [`HASH_BYTES`] bytes of the SHA-256 of the nodes, in hexadecimal. It is computed from
+/// their canonical JSON and not from the pages' text, because the store keeps JSON values and may
+/// return them with different spacing or key order.
+pub(super) fn hash_nodes(nodes: &[NodeSpec]) -> String {
     let mut hash = Sha256::new();
     for node in nodes {
         hash.update(serde_json::to_vec(node).unwrap_or_default());
@@ -113,16 +115,16 @@
 /// A page as it was read from the store.
 #[derive(Clone, Debug)]
 pub(super) struct StoredPage {
-    /// Its JSON text.
+    /// The page's nodes as JSON, with the store's spacing and key order.
     pub(super) text: String,
-    /// The version of its record.
+    /// The version of the page's record.
     pub(super) version: Revision,
 }
 
-/// The pages that are in the store, by key.
+/// The pages that are in the store, those of replaced trees among them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoredPages {
-    /// The pages by their keys in the store.
+    /// The pages by their keys.
     pub(super) by_key: BTreeMap<String, StoredPage>,
 }
 
@@ -149,15 +151,15 @@
         }
     }
 
-    /// The texts of a tree's pages, or `None` if some are not in the store yet.
-    pub(super) fn texts_of(&self, head: &Head) -> Option<Vec<&str>> {
+    /// The JSON texts of a tree's pages in order, or `None` if some are not in the store yet.
+    pub(super) fn page_texts(&self, head: &Head) -> Option<Vec<&str>> {
         (0..head.pages)
             .map(|page| Some(self.by_key.get(&head.page_key(page))?.text.as_str()))
             .collect()
     }
 
-    /// Pages of trees that the tree of this head has replaced. Those of a newer revision are left
-    /// alone: their tree is being written.
+    /// The keys of pages of trees that the tree of this head has replaced, and of pages with an
+    /// invalid key. Pages of a higher revision are kept because their tree is being written.
     pub(super) fn obsolete<'a>(
         &'a self,
         head: Option<&'a Head>,
@@ -165,7 +167,7 @@
         self.by_key.keys().filter(move |key| {
             let revision = key
                 .strip_prefix(TREE_PAGES_PREFIX)
-                .and_then(|rest| rest.split('-').next())
+                .and_then(|suffix| suffix.split('-').next())
                 .and_then(|text| text.parse::<u64>().ok());
             head.is_some_and(|head| {
                 revision.is_none_or(|revision| revision <= head.revision)
--- a/src/quota/hierarchical/tests.rs
+++ b/src/quota/hierarchical/tests.rs
@@ -19,19 +19,20 @@
     TreeSpec::parse("f", &text).unwrap()
 }
 
-fn nested(file: Option<&TreeSpec>) -> HierarchicalQuota {
+fn quota_with(file: Option<&TreeSpec>) -> HierarchicalQuota {
     HierarchicalQuota::new(&[team("a", 2.0, 0.0), team("b", 0.0, 0.0)], file, 0.2)
 }
 
-/// A key-value store with a single client.
-fn write(
-    nested: &mut HierarchicalQuota,
+/// Writes the tree file of one controller until nothing is pending, and delivers each write to all
+/// controllers. Returns the number of writes.
+fn publish(
+    writer: &mut HierarchicalQuota,
     others: &mut [&mut HierarchicalQuota],
     revision: &mut u64,
 ) -> usize {
     let mut writes = 0;
     loop {
-        let changes = match nested.pending_write(1) {
+        let changes = match writer.pending_write(1) {
             PendingTreeWrite::Nothing => return writes,
             PendingTreeWrite::Pages(pages) => pages,
             PendingTreeWrite::Head(text, _) => vec![(TREE_HEAD_KEY.to_string(), text)],
@@ -39,7 +40,7 @@
         for (key, text) in changes {
             *revision += 1;
             writes += 1;
-            nested.apply(&key, Some(&text), Revision(*revision));
+            writer.apply(&key, Some(&text), Revision(*revision));
             for other in others.iter_mut() {
                 other.apply(&key, Some(&text), Revision(*revision));
             }
@@ -48,50 +49,51 @@
 }
 
 #[test]
-fn the_highest_revision_takes_effect_everywhere() {
-    let (old, new, odd) = (spec(1, 8), spec(2, 12), spec(2, 99));
-    let (mut holds_old, mut holds_new) = (nested(Some(&old)), nested(Some(&new)));
-    let (mut holds_odd, mut has_none) = (nested(Some(&odd)), nested(None));
+fn all_controllers_activate_the_tree_with_the_highest_revision() {
+    let (old, new, conflicting) = (spec(1, 8), spec(2, 12), spec(2, 99));
+    let (mut with_old, mut with_new) = (quota_with(Some(&old)), quota_with(Some(&new)));
+    let (mut with_conflicting, mut without_file) =
+        (quota_with(Some(&conflicting)), quota_with(None));
     let mut revision = 10;
     let first = {
-        let mut others = [&mut holds_new, &mut holds_odd, &mut has_none];
-        write(&mut holds_old, &mut others, &mut revision)
+        let mut others = [&mut with_new, &mut with_conflicting, &mut without_file];
+        publish(&mut with_old, &mut others, &mut revision)
     };
     assert!(first > 2, "{first} writes: pages and a head");
-    assert_eq!(holds_new.tree_status(), TreeStatus::Newer);
-    assert_eq!(has_none.limits(&"b".into())[0].gpus_max, 8.0);
-    let mut others = [&mut holds_old, &mut holds_odd, &mut has_none];
-    write(&mut holds_new, &mut others, &mut revision);
-    let all = [&holds_old, &holds_new, &holds_odd, &has_none];
-    let standings = [
+    assert_eq!(with_new.tree_status(), TreeStatus::Newer);
+    assert_eq!(without_file.limits(&"b".into())[0].gpus_max, 8.0);
+    let mut others = [&mut with_old, &mut with_conflicting, &mut without_file];
+    publish(&mut with_new, &mut others, &mut revision);
+    let all = [&with_old, &with_new, &with_conflicting, &without_file];
+    let statuses = [
         TreeStatus::Outdated,
         TreeStatus::Active,
         TreeStatus::Conflicting,
         TreeStatus::NoFile,
     ];
-    for (nested, standing) in all.into_iter().zip(standings) {
-        assert_eq!(nested.tree_status(), standing);
-        assert!(nested.newest_head_is_active());
-        assert_eq!(nested.active_version(), Revision(revision));
-        assert_eq!(nested.limits(&"b".into())[0].gpus_max, 12.0);
-        assert_eq!(nested.pending_write(9), PendingTreeWrite::Nothing);
+    for (quota, status) in all.into_iter().zip(statuses) {
+        assert_eq!(quota.tree_status(), status);
+        assert!(quota.newest_head_is_active());
+        assert_eq!(quota.active_version(), Revision(revision));
+        assert_eq!(quota.limits(&"b".into())[0].gpus_max, 12.0);
+        assert_eq!(quota.pending_write(9), PendingTreeWrite::Nothing);
     }
-    // Its pages are obsolete; those of the tree in force are not.
-    assert_eq!(has_none.obsolete_pages().count(), first - 1);
+    // The pages of the old tree are obsolete; those of the active tree are not.
+    assert_eq!(without_file.obsolete_pages().count(), first - 1);
 }
 
-/// Other controllers rejected pages that were read back with their keys in a different order, and placed
-/// nothing any more.
+/// The store may return JSON with a different key order. A hash of the pages' text then did not
+/// match, so other controllers rejected the tree and placed no more tasks.
 #[test]
-fn reformatted_pages_are_equal() {
+fn reformatted_records_are_accepted() {
     let file = spec(4, 8);
-    let (mut writer, mut reader) = (nested(Some(&file)), nested(None));
-    write(&mut writer, &mut [], &mut 10);
+    let (mut writer, mut reader) = (quota_with(Some(&file)), quota_with(None));
+    publish(&mut writer, &mut [], &mut 10);
     for (key, StoredPage { text, version }) in writer.pages.by_key.clone() {
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
-        let other = serde_json::to_string_pretty(&value).unwrap();
-        assert_ne!(text, other);
-        reader.apply(&key, Some(&other), version);
+        let reformatted = serde_json::to_string_pretty(&value).unwrap();
+        assert_ne!(text, reformatted);
+        reader.apply(&key, Some(&reformatted), version);
     }
     let head = serde_json::to_string_pretty(writer.head.as_ref().unwrap()).unwrap();
     assert!(reader.apply(TREE_HEAD_KEY, Some(&head), writer.head_version));
@@ -99,14 +101,14 @@
 }
 
 /// A snapshot read delivers the head before its pages. Decisions under the previous tree must not be
-/// written, so they stay conditional on the version that they were made with.
+/// written, so the active version, which they are conditioned on, stays that of the previous tree.
 #[test]
-fn a_head_without_its_pages_is_not_in_force() {
+fn a_head_is_not_activated_before_its_pages() {
     let new = spec(3, 8);
-    let mut writer = nested(Some(&new));
+    let mut writer = quota_with(Some(&new));
     let mut revision = 10;
-    write(&mut writer, &mut [], &mut revision);
-    let mut reader = nested(None);
+    publish(&mut writer, &mut [], &mut revision);
+    let mut reader = quota_with(None);
     let head = serde_json::to_string(writer.head.as_ref().unwrap()).unwrap();
     assert!(!reader.apply(TREE_HEAD_KEY, Some(&head), Revision(revision)));
     assert!(!reader.newest_head_is_active());
@@ -121,24 +123,24 @@
 }
 
 #[test]
-fn limits_of_every_level_cap_a_team() {
+fn the_limits_of_all_levels_apply_to_a_team() {
     let file = spec(1, 8);
-    let mut nested = nested(Some(&file));
-    let flat = nested.limits(&"a".into());
+    let mut quota = quota_with(Some(&file));
+    let flat = quota.limits(&"a".into());
     assert!(flat.is_empty(), "{flat:?}");
-    write(&mut nested, &mut [], &mut 10);
+    publish(&mut quota, &mut [], &mut 10);
     let names = |team: &str| -> Vec<String> {
-        let limits = nested.limits(&team.into()).iter();
+        let limits = quota.limits(&team.into()).iter();
         limits
-            .map(|l| format!("{} {}", l.name, l.gpus_max))
+            .map(|limit| format!("{} {}", limit.name, limit.gpus_max))
             .collect()
     };
     assert_eq!(names("a"), ["a 6", "#top 8"]);
     assert_eq!(names("b"), ["#top 8"]);
-    assert_eq!(nested.all_limits().len(), 2);
-    assert!(nested.share_a_limit(&"a".into(), &"b".into()));
-    let off = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
-    nested.file = Some(PagedTree::new(&off, 8.0));
-    write(&mut nested, &mut [], &mut 100);
-    assert!(nested.active_tree().is_none() && nested.limits(&"b".into()).is_empty());
+    assert_eq!(quota.all_limits().len(), 2);
+    assert!(quota.share_a_limit(&"a".into(), &"b".into()));
+    let disabled = TreeSpec::parse("f", "[tree]\nrevision = 2\nenabled = no\n").unwrap();
+    quota.file = Some(PagedTree::new(&disabled, 8.0));
+    publish(&mut quota, &mut [], &mut 100);
+    assert!(quota.active_tree().is_none() && quota.limits(&"b".into()).is_empty());
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,13 +1,13 @@
 //! Team guarantees and limits.
 //!
-//! A team's limit is allocated to the shards in parts. The holder of a shard places within the
+//! A team's limit is divided into per-shard allocations. The holder of a shard places within the
 //! shard's allocation, on condition that the allocation record has not changed. The leader
-//! allocates so that the sum never exceeds the limit, whatever was placed that it has not seen
-//! yet.
+//! allocates so that the team's total usage never exceeds the limit, even with placements that the
+//! leader has not observed yet.
 //!
 //! - [`allocation`]: the records of what is allocated to each shard,
 //! - [`mod@allocate`]: how the leader divides a limit among the shards,
-//! - [`hierarchical`]: the tree of nested quotas that is active,
+//! - [`hierarchical`]: the active tree of nested quotas,
 //! - [`reclaim`]: which tasks to stop so that work within its entitlement finds capacity.
 //!
 //! This module itself compares usage with a team's limit and guarantee.
@@ -29,19 +29,19 @@
 use crate::settings::TeamSettings;
 use crate::types::Resources;
 
-/// Tolerance of comparisons, in CPUs or GPUs. Sums of decimal amounts carry rounding errors far
-/// below it, and no task asks for as little.
+/// Absolute tolerance of comparisons, in CPUs or GPUs. The rounding errors of sums of decimal
+/// amounts are far below it, and no task requests as little.
 const TOLERANCE: f64 = 1e-6;
 
-/// Whether an amount is within a limit, of which 0 means none.
+/// Whether an amount is within a limit; a limit of 0 means that there is none.
 fn within_amount(amount: f64, limit: f64) -> bool {
     limit <= 0.0 || amount <= limit + TOLERANCE
 }
 
-/// What a team that uses `resources` may still use before it reaches its limit. Infinite where it
-/// has no limit, negative where it is beyond it.
-pub fn headroom(resources: Resources, team: &TeamSettings) -> Resources {
-    let headroom = |limit: f64, used: f64| {
+/// What a team with this usage may still use before it reaches its limit: infinite for resources
+/// without a limit, among them memory, and negative where the usage exceeds the limit.
+pub fn headroom(usage: Resources, team: &TeamSettings) -> Resources {
+    let remaining = |limit: f64, used: f64| {
         if limit > 0.0 {
             limit - used
         } else {
@@ -49,23 +49,23 @@
         }
     };
     Resources {
-        cpus: headroom(team.cpus_max, resources.cpus),
-        gpus: headroom(team.gpus_max, resources.gpus),
+        cpus: remaining(team.cpus_max, usage.cpus),
+        gpus: remaining(team.gpus_max, usage.gpus),
         memory_gb: f64::INFINITY,
     }
 }
 
-/// Whether a team that uses `resources` is within its limit.
-pub fn within_limit(resources: Resources, team: &TeamSettings) -> bool {
-    within_amount(resources.cpus, team.cpus_max) && within_amount(resources.gpus, team.gpus_max)
+/// Whether a team with this usage is within its limit. A team without a limit always is.
+pub fn within_limit(usage: Resources, team: &TeamSettings) -> bool {
+    within_amount(usage.cpus, team.cpus_max) && within_amount(usage.gpus, team.gpus_max)
 }
 
-/// Whether a team that uses `resources` is within its guarantee. A team that is guaranteed nothing
-/// never is.
-pub fn within_guarantee(resources: Resources, team: &TeamSettings) -> bool {
+/// Whether a team with this usage is within its guarantee. A team without a guarantee never is; a
+/// resource that is not guaranteed to a team with a guarantee does not count.
+pub fn within_guarantee(usage: Resources, team: &TeamSettings) -> bool {
     (team.cpus > 0.0 || team.gpus > 0.0)
-        && within_amount(resources.cpus, team.cpus)
-        && within_amount(resources.gpus, team.gpus)
+        && within_amount(usage.cpus, team.cpus)
+        && within_amount(usage.gpus, team.gpus)
 }
 
 #[cfg(test)]
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -1,9 +1,9 @@
 //! Which tasks to stop so that work within its entitlement finds capacity.
 //!
-//! Under a quota tree a team may use more than it is entitled to while others leave capacity
-//! unused, and must give it back when they need it. A [`ReclaimPlanner`] chooses the tasks to stop
-//! for one job. It counts every stop before it chooses the next, so that several stops together
-//! never take a team below its entitlement.
+//! Under a quota tree a team may borrow: use more than it is entitled to while other teams leave
+//! capacity unused. Borrowed capacity is reclaimed when those teams need it. A [`ReclaimPlanner`]
+//! chooses the tasks to stop for one job. It counts every stop before it chooses the next one, so
+//! that several stops together never take a team below its entitlement.
 
 use std::cell::RefCell;
 
@@ -15,27 +15,27 @@
 use crate::preempt::{PreemptionOffer, PreemptionSite, Victim, cheapest_set, offer_on_site};
 use crate::types::{MachineId, Resources, TaskId, Team};
 
-/// Overuse is rounded up to steps of this fraction of what the tree's root has: among borrowers
-/// that are about as far over their entitlement, the wasted work decides.
+/// Overuse is rounded up to steps of one part in this many of the root's guarantee, so that among
+/// borrowers about equally far over their entitlement the wasted work decides.
 const OVERUSE_STEPS_PER_ROOT: f64 = 64.0;
 
-/// A machine is reserved only if at least this part of the task's resources is available there at
-/// once. On a machine with less, most of the reservation would be spent waiting.
-const MIN_RESERVED_PART: f64 = 0.25;
+/// A machine is reserved only if at least this fraction of the task's resources is available there
+/// at once. On a machine with less, most of the reservation would be spent waiting.
+const MIN_AVAILABLE_FRACTION: f64 = 0.25;
 
 /// Resources that a team is about to gain or lose.
 #[derive(Clone, Debug)]
 pub struct TeamUsage {
-    /// The team.
+    /// The team whose usage changes.
     pub team: Team,
-    /// What it gains or loses.
+    /// The amount of the change; whether it is a gain or a loss depends on the list it is in.
     pub resources: Resources,
 }
 
-/// Usage that is about to change, by decisions that are not carried out yet.
+/// Changes of usage by decisions that have not taken effect yet.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUsage {
-    /// Capacity that is being made available to jobs of these teams.
+    /// Capacity that is being freed for jobs of these teams.
     pub gained: Vec<TeamUsage>,
     /// Capacity of tasks that are being stopped.
     pub lost: Vec<TeamUsage>,
@@ -44,15 +44,15 @@
 /// A machine to reserve for a task, and the tasks to stop there at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineReservation {
-    /// The machine.
+    /// The machine to reserve.
     pub machine_id: MachineId,
-    /// Tasks to stop there; the others run to their end.
+    /// Tasks to stop there; the machine's other tasks run to completion.
     pub victims: Vec<TaskId>,
 }
 
-/// What decides whether a task may be stopped: its team, its size, and how many tasks of the team
-/// and that size are stopped on the same machine before it. Amounts are kept as bits, which are
-/// equal and hashable.
+/// What determines whether a task may be stopped: its team, its size, and how many tasks of that
+/// team are stopped on the same machine before it. Amounts are kept as their bits, which can be
+/// compared for equality and hashed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct VictimKey {
     team: Team,
@@ -61,7 +61,7 @@
     stopped_before: u32,
 }
 
-/// Plans which tasks to stop for one job, by the teams' usage and what is about to change in it.
+/// Plans which tasks to stop for one job, by the teams' observed usage and its pending changes.
 #[derive(Clone)]
 pub struct ReclaimPlanner<'a> {
     tree: &'a ActiveTree,
@@ -71,12 +71,13 @@
     leaf: NodeIndex,
     wanted: ResourceRequest,
     pending: PendingUsage,
-    /// Overuse by victim, as long as no further stop is planned; `None`: must not be stopped.
-    known_overuse: RefCell<HashMap<VictimKey, Option<i64>>>,
+    /// Cache of the overuse by victim, cleared whenever a stop is planned. `None`: the victim must
+    /// not be stopped.
+    overuse_cache: RefCell<HashMap<VictimKey, Option<i64>>>,
 }
 
 impl<'a> ReclaimPlanner<'a> {
-    /// A planner for work of a team that wants `wanted`. `None`: the team is not in the tree.
+    /// A planner for the request `wanted` of a team. `None`: the team is not in the tree.
     pub fn new(
         tree: &'a ActiveTree,
         jobs: &'a JobCache,
@@ -91,32 +92,33 @@
             team: team.clone(),
             wanted,
             pending,
-            known_overuse: RefCell::default(),
+            overuse_cache: RefCell::default(),
         })
     }
 
-    /// What the teams below a node use once all that is pending, and `also` stopping these, is
-    /// carried out.
-    fn used(&self, ix: NodeIndex, also: &[TeamUsage]) -> Amount {
+    /// What the teams below a node will use after the pending changes, and after the tasks with
+    /// the usage `also_stopped` are stopped too.
+    fn used(&self, ix: NodeIndex, also_stopped: &[TeamUsage]) -> Amount {
         let sum = |usages: &[TeamUsage]| {
             usages
                 .iter()
                 .filter(|usage| self.tree.is_below(&usage.team, ix))
                 .fold(Resources::default(), |sum, usage| sum.plus(usage.resources))
         };
-        let now = self.jobs.observed_usage(self.tree.usage_name(ix));
-        let lost = sum(&self.pending.lost).plus(sum(also));
-        now.plus(sum(&self.pending.gained)).minus(lost).into()
+        let observed = self.jobs.observed_usage(self.tree.usage_name(ix));
+        let lost = sum(&self.pending.lost).plus(sum(also_stopped));
+        observed.plus(sum(&self.pending.gained)).minus(lost).into()
     }
 
-    /// Whether one more task is within the team's entitlement.
+    /// Whether the wanted request is within the team's entitlement.
     fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
         self.tree.entitlements.within(self.leaf, used, self.wanted)
     }
 
     /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
-    /// `stopped_before` others of the same size. `None`: it must not be stopped.
+    /// `stopped_before` others, which are counted with the size of this task. `None`: the task must
+    /// not be stopped.
     fn reclaimable_overuse(
         &self,
         team: &Team,
@@ -129,37 +131,42 @@
             gpus: resources.gpus.to_bits(),
             stopped_before,
         };
-        if let Some(known) = self.known_overuse.borrow().get(&key) {
+        if let Some(known) = self.overuse_cache.borrow().get(&key) {
             return *known;
         }
-        let from = self.tree.leaf(team)?;
-        let also = [TeamUsage {
+        let victim_leaf = self.tree.leaf(team)?;
+        let also_stopped = [TeamUsage {
             team: team.clone(),
             resources: resources.times(f64::from(stopped_before)),
         }];
-        let used = |ix| self.used(ix, &also);
-        let shares = &self.tree.entitlements;
-        let allowed = shares.may_reclaim(from, resources.into(), self.leaf, self.wanted, used);
-        let overuse = allowed.then(|| overuse_steps(self.tree, from, used(from)));
-        self.known_overuse.borrow_mut().insert(key, overuse);
+        let used = |ix| self.used(ix, &also_stopped);
+        let allowed = self.tree.entitlements.may_reclaim(
+            victim_leaf,
+            resources.into(),
+            self.leaf,
+            self.wanted,
+            used,
+        );
+        let overuse = allowed.then(|| overuse_steps(self.tree, victim_leaf, used(victim_leaf)));
+        self.overuse_cache.borrow_mut().insert(key, overuse);
         overuse
     }
 
-    /// A site with only those victims that may be stopped. All of them may be chosen, so tasks of
-    /// one team are counted one after the other.
+    /// A site with only those victims that may be stopped. All of them may be chosen together, so
+    /// each task of a team is checked as if the team's tasks before it had been stopped.
     fn with_allowed_victims(&self, site: &PreemptionSite) -> PreemptionSite {
         let mut stopped: HashMap<&Team, u32> = HashMap::default();
         let mut victims = Vec::with_capacity(site.victims.len());
         for victim in &site.victims {
-            let mut over = None;
+            let mut overuse = None;
             if let Some(team) = victim.borrowing_team.as_ref().filter(|_| !victim.leaving) {
                 let stopped_before = stopped.entry(team).or_default();
-                over = self.reclaimable_overuse(team, victim.resources, *stopped_before);
-                *stopped_before += u32::from(over.is_some());
+                overuse = self.reclaimable_overuse(team, victim.resources, *stopped_before);
+                *stopped_before += u32::from(overuse.is_some());
             }
-            if victim.leaving || victim.unconditional || over.is_some() {
+            if victim.leaving || victim.unconditional || overuse.is_some() {
                 victims.push(Victim {
-                    overuse_steps: over,
+                    overuse_steps: overuse,
                     ..victim.clone()
                 });
             }
@@ -172,7 +179,7 @@
         }
     }
 
-    /// Takes the cheapest site for one more task out of `sites`, and counts its stops as pending.
+    /// Removes the cheapest site for one more task from `sites`, and counts its stops as pending.
     fn take_cheapest(
         &mut self,
         resources: Resources,
@@ -196,11 +203,11 @@
                 });
             }
         }
-        self.known_overuse.borrow_mut().clear();
+        self.overuse_cache.borrow_mut().clear();
         Some(best)
     }
 
-    /// Where to stop tasks for up to `max_tasks` tasks, each on a machine of its own. For the first,
+    /// The stops for up to `max_tasks` tasks, each on a machine of its own. For the first task,
     /// priority alone may justify the stops; the others must be within the team's entitlement.
     pub fn plan(
         mut self,
@@ -222,8 +229,9 @@
         chosen
     }
 
-    /// The machines and stops for all tasks of a gang among these sites, or none. The wanted amount
-    /// is that of the whole gang, so its tasks are not counted one by one.
+    /// The machines and stops for all `count` tasks of a gang, or an empty list if not all tasks
+    /// can be placed on these sites. The wanted amount is that of the whole gang, so its tasks are
+    /// not added to the pending usage one by one.
     pub fn plan_gang(
         mut self,
         resources: Resources,
@@ -239,11 +247,11 @@
         }
     }
 
-    /// The machine to reserve for a task that needs most of one, when no machine has enough
-    /// borrowed work to stop for it: the one where the largest part of its resources is available
-    /// after borrowed work is stopped, then the one whose other tasks end first.
+    /// The machine to reserve for a task that needs most of a machine, when no machine has enough
+    /// borrowed work to stop for it: the one where the largest fraction of its resources is
+    /// available after borrowed work is stopped; among equals, the one whose other tasks end first.
     ///
-    /// `remaining_s` returns the seconds until everything that is not stopped on a machine has
+    /// `remaining_s` returns the seconds until all tasks that are not stopped on a machine have
     /// ended; `None` if that takes too long.
     pub fn plan_reservation(
         self,
@@ -258,8 +266,8 @@
             .iter()
             .filter_map(|site| self.reservation_candidate(resources, site, &remaining_s));
         let best = candidates.min_by(|a, b| {
-            b.available_part
-                .total_cmp(&a.available_part)
+            b.available_fraction
+                .total_cmp(&a.available_fraction)
                 .then(a.remaining_s.total_cmp(&b.remaining_s))
                 .then(a.machine_id.cmp(b.machine_id))
         })?;
@@ -283,14 +291,14 @@
         let available = freed
             .clone()
             .fold(site.available, |sum, victim| sum.plus(victim.resources));
-        let available_part = available.share_of(resources).min(1.0);
+        let available_fraction = available.share_of(resources).min(1.0);
         let victims: Vec<TaskId> = freed
             .filter(|victim| !victim.leaving)
             .map(|victim| victim.task.clone())
             .collect();
         let remaining_s = remaining_s(site, &victims)?;
-        (available_part >= MIN_RESERVED_PART).then_some(ReservationCandidate {
-            available_part,
+        (available_fraction >= MIN_AVAILABLE_FRACTION).then_some(ReservationCandidate {
+            available_fraction,
             remaining_s,
             machine_id: &site.machine_id,
             victims,
@@ -300,16 +308,16 @@
 
 /// A machine that could be reserved.
 struct ReservationCandidate<'a> {
-    /// The part of the task's resources that is available at once.
-    available_part: f64,
-    /// Seconds until the rest is available.
+    /// The fraction of the task's resources that is available at once, at most 1.
+    available_fraction: f64,
+    /// Seconds until the machine's remaining tasks have ended.
     remaining_s: f64,
     machine_id: &'a MachineId,
-    /// Tasks to stop.
     victims: Vec<TaskId>,
 }
 
-/// How far a leaf with this usage is over its entitlement, in steps.
+/// How far a leaf with the usage `used` is over its entitlement, in steps of
+/// 1 / [`OVERUSE_STEPS_PER_ROOT`] of the root's guarantee, rounded up; 0 if it is within it.
 pub fn overuse_steps(tree: &ActiveTree, leaf: NodeIndex, used: Amount) -> i64 {
     (tree.entitlements.overuse(leaf, used) * OVERUSE_STEPS_PER_ROOT).ceil() as i64
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Holders place as much as their shares allow, the leader sees this late and reallocates from time to
-/// time: the sum must never exceed the limit.
+/// Holders place as much as their allocations permit, and the leader observes this late while it
+/// reallocates: the total usage must never exceed the limit.
 #[test]
-fn the_sum_over_shards_keeps_the_limit_with_a_stale_leader_view() {
+fn total_usage_stays_within_the_limit_with_a_stale_leader_view() {
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
     for seed in 0..40 {
@@ -15,42 +15,42 @@
             gpus: 0.0,
             gpus_max: [16.0, 80.0, 700.0][seed as usize % 3],
         };
-        let least = Resources {
+        let task = Resources {
             gpus: 4.0,
             ..Resources::default()
         };
-        let mut share = [0.0f64; 6];
+        let mut allocated = [0.0f64; 6];
         let mut used = [0.0f64; 6];
-        let mut most: f64 = 0.0;
+        let mut peak: f64 = 0.0;
         for _ in 0..300 {
-            // The leader's view is newer than all shares.
-            let seen = used;
-            let place = |rng: &mut SmallRng, used: &mut [f64; 6], share: &[f64; 6]| {
+            // The leader's view is newer than all allocations.
+            let observed = used;
+            let place = |rng: &mut SmallRng, used: &mut [f64; 6], allocated: &[f64; 6]| {
                 for shard in 0..6 {
                     let resources = f64::from(rng.random_range(1..=4u8));
-                    if rng.random_bool(0.6) && used[shard] + resources <= share[shard] {
+                    if rng.random_bool(0.6) && used[shard] + resources <= allocated[shard] {
                         used[shard] += resources;
                     } else if rng.random_bool(0.2) {
                         used[shard] = (used[shard] - resources).max(0.0);
                     }
                 }
             };
-            place(&mut rng, &mut used, &share);
+            place(&mut rng, &mut used, &allocated);
             let shards: Vec<ShardAllocation> = (0..6)
-                .map(|b| ShardAllocation {
+                .map(|shard| ShardAllocation {
                     allocated: QuotaAllocation {
                         cpus: 0.0,
-                        gpus: share[b],
+                        gpus: allocated[shard],
                     },
                     used: QuotaAllocation {
                         cpus: 0.0,
-                        gpus: seen[b],
+                        gpus: observed[shard],
                     },
-                    leased: b != 5,
+                    leased: shard != 5,
                 })
                 .collect();
-            if rng.random_bool(0.3) && covers(unallocated(&team, &shards), least) {
-                // The leader places in a shard and raises its share by the same amount.
+            if rng.random_bool(0.3) && covers(unallocated(&team, &shards), task) {
+                // The leader places a task in a shard and raises its allocation by the same amount.
                 let shard = rng.random_range(0..6);
                 let resources = |gpus| Resources {
                     gpus,
@@ -58,23 +58,23 @@
                 };
                 let raised = raised_allocation(
                     shards[shard].allocated,
-                    resources(seen[shard]),
-                    least,
+                    resources(observed[shard]),
+                    task,
                     ShardOwnership::Remote,
                 );
-                share[shard] = raised.gpus;
+                allocated[shard] = raised.gpus;
                 used[shard] += 4.0;
             } else {
-                for (shard, dealt) in allocate(&team, least, &shards).into_iter().enumerate() {
-                    share[shard] = dealt.gpus;
+                for (shard, allocation) in allocate(&team, task, &shards).into_iter().enumerate() {
+                    allocated[shard] = allocation.gpus;
                 }
             }
-            place(&mut rng, &mut used, &share);
+            place(&mut rng, &mut used, &allocated);
             let sum: f64 = used.iter().sum();
             assert!(sum <= team.gpus_max + 1e-6, "seed {seed}: {used:?}");
-            most = most.max(sum);
+            peak = peak.max(sum);
         }
-        assert!(most >= team.gpus_max * 0.5, "seed {seed}: {most} at most");
+        assert!(peak >= team.gpus_max * 0.5, "seed {seed}: {peak} at most");
     }
 }
 
