--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -1,8 +1,8 @@
 //! Stopping work beyond a lowered limit.
 //!
-//! A new tree may lower a limit below what runs. Each controller then stops its part of the excess
-//! in the shards that it holds, the least valuable tasks first. The stopped tasks wait until they
-//! fit within the limit again.
+//! A new tree may lower a limit below the current usage. Each controller then stops its part of
+//! the excess in the shards that it holds, the least valuable tasks first. The stopped tasks wait
+//! until they fit within the limit again.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -16,34 +16,34 @@
 use crate::types::{MachineId, Millis, Resources, ShardId, TaskId, Team};
 use crate::workers::reconcile::Stop;
 
-/// Time between comparisons of usage with the limits. Usage exceeds them only after a new tree, and
-/// the tasks that were stopped last must be observed as stopping first.
+/// Time between comparisons of usage with the limits. Usage exceeds a limit only after a new tree,
+/// and the previous stops must be observed before the next comparison.
 const EXCESS_CHECK_INTERVAL: Millis = Millis(2_000);
 
 /// Excess below this many CPUs or GPUs is a rounding error.
 const EXCESS_TOLERANCE: f64 = 1e-6;
 
-/// Divisor in place of a usage of zero.
+/// Lower bound of a usage that is divided by, which avoids division by zero.
 const MIN_USED: f64 = 1e-9;
 
 /// A task that may be stopped because its team is over its limit.
 struct ExcessTask {
     task: TaskId,
     /// Tasks of services are stopped last.
-    service: bool,
-    /// How far the team is over its entitlement, in steps; the furthest over is stopped first.
+    is_service: bool,
+    /// How far the team is over its entitlement, in steps; the highest is stopped first.
     overuse_steps: i64,
     /// The lowest priority is stopped first.
     priority: PriorityClass,
-    /// Seconds of machine time that stopping it wastes; the least is stopped first.
+    /// Seconds of machine time that stopping the task wastes; the lowest is stopped first.
     waste_s: f64,
 }
 
 impl ExcessTask {
     /// The order in which tasks are stopped.
     fn stop_order(&self, other: &Self) -> Ordering {
-        self.service
-            .cmp(&other.service)
+        self.is_service
+            .cmp(&other.is_service)
             .then(other.overuse_steps.cmp(&self.overuse_steps))
             .then(self.priority.cmp(&other.priority))
             .then(self.waste_s.total_cmp(&other.waste_s))
@@ -51,16 +51,17 @@
     }
 }
 
-/// A shard's part of a team's excess.
+/// A shard's part of the excess of a team or node.
 struct ShardExcess {
-    /// The resources still to be freed, without those that are being freed already.
+    /// The resources to free, without those of tasks that are being stopped already.
     remaining: Resources,
-    /// The tasks to choose from.
+    /// The tasks that may be stopped.
     tasks: Vec<ExcessTask>,
 }
 
 impl Controller {
-    /// Stops tasks of the teams and nodes that use more than their limit in the tree.
+    /// Stops tasks of the teams and nodes that use more than their limit in the tree, at most once
+    /// per [`EXCESS_CHECK_INTERVAL`].
     pub(super) fn stop_excess(&mut self) {
         let due = self.now.since(self.quota.excess_checked_at) >= EXCESS_CHECK_INTERVAL;
         if !due || self.quota.hierarchy.active_tree().is_none() || !self.may_place() {
@@ -75,23 +76,23 @@
         }
     }
 
-    /// Stops a team's excess in the shards that this controller holds, in each in proportion to the
-    /// shard's part of the team's usage.
+    /// Stops a team's excess in the shards that this controller holds, in proportion to each
+    /// shard's fraction of the team's usage.
     fn stop_excess_of(&mut self, team: &TeamSettings, used: Resources) {
         let cpus = excess_amount(team.cpus_max, used.cpus);
         let gpus = excess_amount(team.gpus_max, used.gpus);
         for shard in self.held_shards_of(team) {
-            let used_here = self.jobs.usage_in_shard(&team.name, &shard);
+            let used_in_shard = self.jobs.usage_in_shard(&team.name, &shard);
             let part = Resources {
-                cpus: cpus * used_here.cpus / used.cpus.max(MIN_USED),
-                gpus: gpus * used_here.gpus / used.gpus.max(MIN_USED),
+                cpus: cpus * used_in_shard.cpus / used.cpus.max(MIN_USED),
+                gpus: gpus * used_in_shard.gpus / used.gpus.max(MIN_USED),
                 memory_gb: 0.0,
             };
             let mut excess = self.shard_excess(team, &shard, part);
             excess.tasks.sort_by(ExcessTask::stop_order);
             let machine_ids = self.stop_tasks(excess);
             if !machine_ids.is_empty() {
-                tracing::info!(team = %team.name, %shard, ?machine_ids, "stopping tasks over lowered limit");
+                tracing::info!(team = %team.name, %shard, ?machine_ids, "usage exceeds limit; stopping tasks");
             }
             for machine_id in machine_ids {
                 self.push_commands(&machine_id);
@@ -108,8 +109,9 @@
             .collect()
     }
 
-    /// The tasks of a shard that count towards a team's limit and may be stopped. Resources that
-    /// are being freed already are subtracted from `part`, the shard's part of the excess.
+    /// The tasks of a shard that count towards a team's limit and may be stopped, which excludes
+    /// gangs of several tasks and tasks with an unwritten change. Resources that are being freed
+    /// already are subtracted from `part`, the shard's part of the excess.
     fn shard_excess(&self, team: &TeamSettings, shard: &ShardId, part: Resources) -> ShardExcess {
         let mut remaining = part;
         let mut tasks = Vec::new();
@@ -139,14 +141,14 @@
     fn excess_task(&self, job: &Job, task: TaskId) -> ExcessTask {
         ExcessTask {
             task,
-            service: job.spec.kind == crate::jobs::JobKind::Service,
+            is_service: job.spec.kind == crate::jobs::JobKind::Service,
             overuse_steps: self.team_overuse_steps(&job.spec.team),
             priority: job.spec.priority,
             waste_s: self.wasted_machine_s(job),
         }
     }
 
-    /// How far a team is over its entitlement, in steps; 0 without a tree.
+    /// How far a team is over its entitlement, in steps; 0 if the team is not in a tree.
     fn team_overuse_steps(&self, team: &Team) -> i64 {
         let Some(tree) = self.quota.hierarchy.active_tree() else {
             return 0;
@@ -157,7 +159,8 @@
         })
     }
 
-    /// Marks tasks as stopping, in their order, until the excess is gone. Returns their machines.
+    /// Marks tasks as stopping, in their order, until the excess is covered. Returns their
+    /// machines, which must be sent the commands.
     fn stop_tasks(&mut self, excess: ShardExcess) -> BTreeSet<MachineId> {
         let mut remaining = excess.remaining;
         let mut machine_ids = BTreeSet::new();
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -1,11 +1,11 @@
 //! Nested quotas in the controller.
 //!
-//! Whether work is within its team's guarantee or entitlement is decided here; the submodules do
-//! the rest:
+//! This module decides whether work is within its team's guarantee or entitlement. Its submodules:
 //! - `publication`: writes the operator's tree file to the store and deletes replaced pages,
-//! - `demand`: refreshes the entitlements by the teams' demands and wakes jobs that gained,
+//! - `demand`: refreshes the entitlements by the teams' demands and wakes jobs of teams that are
+//!   entitled to more,
 //! - `reclaim`: stops borrowed work for work within its entitlement,
-//! - `reservation`: reserves a machine for a task that needs most of one,
+//! - `reservation`: reserves a machine for a task that needs most of a machine,
 //! - `excess`: stops work beyond a lowered limit.
 //!
 //! The state is part of `Quota`: [`TreePublication`] and [`ReclaimState`]. The tree itself is
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Whether a job's next task, or all tasks of a gang, are within its team's guarantee on the
-    /// platform or its entitlement in the tree.
+    /// Whether a job's next task, or all tasks of a gang or service, are within its team's
+    /// guarantee on the platform or its entitlement in the tree.
     pub(super) fn is_entitled(&self, job: &Job) -> bool {
         self.within_flat_guarantee(job) || self.within_entitlement(job)
     }
 
-    /// Whether the team's usage with the job's next task, or whole gang, is within its flat
-    /// guarantee.
+    /// Whether the team's usage with the resources that the job needs at once is within the team's
+    /// guarantee on the platform, which applies with and without a tree.
     fn within_flat_guarantee(&self, job: &Job) -> bool {
         let name = &job.spec.team;
         let used = self.jobs.usage(name).plus(resources_at_once(job));
@@ -69,7 +69,8 @@
         team.is_some_and(|team| quota::within_guarantee(used, team))
     }
 
-    /// Whether the job's next task, or whole gang, is within its team's entitlement in the tree.
+    /// Whether the resources that the job needs at once are within its team's entitlement in the
+    /// tree. False without a tree.
     fn within_entitlement(&self, job: &Job) -> bool {
         let name = &job.spec.team;
         let Some(tree) = self.quota.hierarchy.active_tree() else {
@@ -77,7 +78,7 @@
         };
         tree.leaf(name).is_some_and(|leaf| {
             let used = self.jobs.observed_usage(name).into();
-            tree.entitlements.within(leaf, used, wanted(job))
+            tree.entitlements.within(leaf, used, resource_request(job))
         })
     }
 
@@ -86,15 +87,15 @@
         self.quota.in_tree(team)
     }
 
-    /// Whether a parked job may become placeable because the team `freed` uses less.
-    pub(super) fn may_gain_from(&self, freed: &Team, id: &JobId) -> bool {
+    /// Whether a parked job may become placeable because the usage of the team `reduced` fell.
+    pub(super) fn may_gain_from(&self, reduced: &Team, id: &JobId) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| self.quota.hierarchy.share_a_limit(freed, &job.spec.team))
+        job.is_some_and(|job| self.quota.hierarchy.share_a_limit(reduced, &job.spec.team))
     }
 }
 
-/// The resources that must be placed together for a job to make progress: one task of an array, or
-/// all tasks of a gang.
+/// The resources that must be placed together for a job to make progress: those of one task of an
+/// array, or of all tasks of a gang or service.
 fn resources_at_once(job: &Job) -> Resources {
     let tasks = match job.spec.kind {
         JobKind::Array => 1,
@@ -103,8 +104,8 @@
     job.spec.resources.times(f64::from(tasks))
 }
 
-/// The same in the form in which entitlements are checked.
-fn wanted(job: &Job) -> ResourceRequest {
+/// [`resources_at_once`] as the request that is checked against entitlements.
+fn resource_request(job: &Job) -> ResourceRequest {
     ResourceRequest {
         total: resources_at_once(job).into(),
         task: job.spec.resources.into(),
--- a/src/controller/hierarchical_quota/publication.rs
+++ b/src/controller/hierarchical_quota/publication.rs
@@ -1,4 +1,4 @@
-//! Publishing the operator's tree file: writing it to the store, and deleting replaced trees.
+//! Publication of the operator's tree file: writes it to the store, and deletes replaced trees.
 
 use super::super::calls::CallPurpose;
 use super::super::{Controller, quota_allocation::Quota};
@@ -6,11 +6,11 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::Millis;
 
-/// Time between comparisons of the file with the store; it is written if it is newer. An operator
-/// changes the tree a few times a day at most.
+/// Time between comparisons of the tree file with the store; the file is written if it is newer. An
+/// operator changes the tree a few times a day at most.
 const PUBLICATION_INTERVAL: Millis = Millis(2_000);
 
-/// Maximum number of pages in one transaction. With values of 8 KiB it stays below 64 KiB.
+/// Maximum number of pages in one transaction, which with values of 8 KiB stays below 64 KiB.
 const MAX_PAGES_PER_TRANSACTION: usize = 6;
 
 /// Progress of writing the tree file to the store.
@@ -18,7 +18,7 @@
 pub(in crate::controller) struct TreePublication {
     /// When the file was last compared with the store.
     checked_at: Millis,
-    /// The status of the file that was last logged.
+    /// The status of the file when it was last logged.
     logged_status: TreeStatus,
     /// Whether a transaction that writes or deletes tree records is in flight.
     write_in_flight: bool,
@@ -33,18 +33,22 @@
         self.logged_status = status;
         match status {
             TreeStatus::Conflicting => tracing::error!(
-                "quota tree file conflicts with the active tree of the same revision: raise its revision"
+                "quota tree file differs from the active tree of the same revision; raise its revision to publish it"
             ),
-            TreeStatus::Outdated => tracing::info!("quota tree file is older than the active one"),
-            TreeStatus::Newer => tracing::info!("quota tree offered"),
+            TreeStatus::Outdated => {
+                tracing::info!("quota tree file is older than the active tree; ignoring it")
+            }
+            TreeStatus::Newer => {
+                tracing::info!("quota tree file is newer than the active tree; publishing it")
+            }
             TreeStatus::NoFile | TreeStatus::Active => {}
         }
     }
 }
 
 impl Quota {
-    /// The transaction that brings the store closer to containing exactly the file's tree. It is
-    /// empty if there is nothing to do. Only the leader deletes replaced pages. `max_changes` is
+    /// The next transaction towards a store that contains the file's tree and no replaced pages. It
+    /// is empty if there is nothing to do. Only the leader deletes replaced pages. `max_changes` is
     /// the number of changes that the store accepts in a transaction.
     fn tree_transaction(&self, max_changes: usize, is_leader: bool) -> Transaction {
         let mut txn = Transaction::default();
@@ -73,7 +77,8 @@
 }
 
 impl Controller {
-    /// Writes the next part of the tree file to the store if it is newer than the tree there.
+    /// Writes the next part of the tree file to the store if the file is newer than the tree there,
+    /// or deletes replaced pages. Only one such transaction is in flight at a time.
     pub(super) fn publish_tree(&mut self) {
         if self.now.since(self.quota.tree_publication.checked_at) < PUBLICATION_INTERVAL
             || !self.store_sync.synced
@@ -95,12 +100,12 @@
         }
     }
 
-    /// Handles the answer to a transaction that wrote tree records.
-    pub(in crate::controller) fn on_tree_written(&mut self, answer: &StoreResponse) {
+    /// Handles the response to a transaction that wrote or deleted tree records.
+    pub(in crate::controller) fn on_tree_written(&mut self, response: &StoreResponse) {
         let publication = &mut self.quota.tree_publication;
         publication.write_in_flight = false;
-        // The next part follows immediately, as long as the store accepts them.
-        if matches!(answer, StoreResponse::Committed(_)) {
+        // After a commit the next part follows without waiting for the interval.
+        if matches!(response, StoreResponse::Committed(_)) {
             publication.checked_at = Millis(0);
         }
     }
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -1,11 +1,11 @@
 //! Reclaiming capacity for work within its entitlement: which tasks may be stopped for a job, and
-//! how long the capacity is kept for it.
+//! how long the capacity is kept for that job.
 
 use rustc_hash::FxHashMap as HashMap;
 
 use super::super::Controller;
 use super::super::quota_allocation::Quota;
-use super::wanted;
+use super::resource_request;
 use crate::jobs::JobKind;
 use crate::jobs::cache::{Job, TaskChange};
 use crate::preempt::PreemptionOffer;
@@ -13,7 +13,7 @@
 use crate::types::{JobId, MachineId, Millis};
 
 /// Maximum number of tasks of a job for which capacity is reclaimed at a time. A job that is
-/// entitled to more requests again.
+/// entitled to more requests capacity again afterwards.
 const MAX_RECLAIMS_PER_JOB: u32 = 16;
 
 /// Reclaimed capacity is kept for the time that the slowest stopped task needs to save its
@@ -25,22 +25,22 @@
 pub(in crate::controller) struct ReclaimState {
     /// The first waiting job of each team in the tree.
     pub(super) head_of_line_jobs: Vec<JobId>,
-    /// When a machine may be reserved for a job.
+    /// The earliest time at which a machine may be reserved for a job.
     pub(super) reserve_not_before: HashMap<JobId, Millis>,
 }
 
 impl Quota {
     /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
-    /// no gang.
+    /// not a gang of several tasks.
     fn reclaims_per_task(&self, job: Option<&Job>) -> bool {
-        let gang = job.is_none_or(Job::is_gang_of_several);
-        self.hierarchy.active_tree().is_some() && !gang
+        let is_gang = job.is_none_or(Job::is_gang_of_several);
+        self.hierarchy.active_tree().is_some() && !is_gang
     }
 }
 
 impl Controller {
-    /// Plans by the tree which tasks to stop for a job. `None`: there is no tree, or the job's team
-    /// is not in it.
+    /// A planner that chooses the tasks to stop for a job by the quota tree. `None`: there is no
+    /// tree, or the job's team is not in it.
     pub(in crate::controller) fn reclaim_planner<'a>(
         &'a self,
         job: &Job,
@@ -50,10 +50,16 @@
             gained: self.nominated_usage(job),
             lost: self.stopping_usage(),
         };
-        ReclaimPlanner::new(tree, &self.jobs, &job.spec.team, wanted(job), pending)
+        ReclaimPlanner::new(
+            tree,
+            &self.jobs,
+            &job.spec.team,
+            resource_request(job),
+            pending,
+        )
     }
 
-    /// Capacity that is being freed for other jobs.
+    /// Capacity that is being freed for jobs other than `job`, by their current nominations.
     fn nominated_usage(&self, job: &Job) -> Vec<TeamUsage> {
         let mut usages = Vec::new();
         for (id, nomination) in &self.scheduler.nominations.by_job {
@@ -82,7 +88,8 @@
         usages.collect()
     }
 
-    /// Maximum number of a job's tasks for which capacity is reclaimed at a time.
+    /// Maximum number of a job's tasks for which capacity is reclaimed at a time. A gang counts as
+    /// one.
     pub(in crate::controller) fn max_reclaims(job: &Job) -> usize {
         match job.spec.kind {
             JobKind::Gang => 1,
@@ -92,14 +99,14 @@
         }
     }
 
-    /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
-    /// no gang.
+    /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job
+    /// exists and is not a gang of several tasks.
     pub(in crate::controller) fn reclaims_per_task(&self, id: &JobId) -> bool {
         self.quota.reclaims_per_task(self.jobs.get(id))
     }
 
     /// How long reclaimed capacity is kept for a job. `None`: capacity is not reclaimed for the
-    /// job's tasks one by one, and the usual time applies.
+    /// job's tasks one by one, and the default timeout applies.
     pub(in crate::controller) fn nomination_timeout(
         &self,
         id: &JobId,
@@ -112,21 +119,21 @@
             .then(|| NOMINATION_MARGIN + Millis::from_secs(longest_save_s))
     }
 
-    /// Queues a job for which the leader reclaims capacity in our shards: this controller places
-    /// its tasks.
+    /// Queues a job for which the leader reclaims capacity in the shards of this controller, which
+    /// then places the job's tasks.
     pub(in crate::controller) fn expect_reclaimed_capacity(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|_| self.reclaims_per_task(id)) else {
             return;
         };
         if job.is_active() && job.waiting_tasks() > 0 {
-            let order = self.queue_key(job);
+            let key = self.queue_key(job);
             self.scheduler.forwarded.insert(id.clone());
-            self.scheduler.queue.park_nominated(id, 0, order, self.now);
+            self.scheduler.queue.park_nominated(id, 0, key, self.now);
         }
     }
 
-    /// Ends the nominations that a job has used by placing tasks. Where capacity is reclaimed for
-    /// several of its tasks, the other nominations stay.
+    /// Removes the nominations that a job has used by placing tasks. Where capacity is reclaimed
+    /// for its tasks one by one, the nominations on other machines stay.
     pub(in crate::controller) fn end_used_nominations(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|_| self.reclaims_per_task(id)) else {
             return self.scheduler.nominations.remove(id);
@@ -144,7 +151,8 @@
         }
     }
 
-    /// Ends a job's nominations on machines where another controller placed its tasks.
+    /// Removes a job's nominations on machines where another controller placed its tasks. Does
+    /// nothing without a tree.
     pub(in crate::controller) fn end_nominations_on(
         &mut self,
         id: &JobId,
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -11,9 +11,9 @@
 use crate::types::{AgentEpoch, Attempt, Millis, ShardId};
 use hierarchical_quota::TreeSpec;
 
-/// A leader with one job of eight tasks and a tree in force at revision 11 that limits the job's team, and
-/// its parent node to one task more.
-fn with_tree(applied: u64, most: u32) -> (Controller, JobId) {
+/// A leader with one job of eight tasks and an active tree of version 11. The tree limits the job's team to
+/// `gpus_max` GPUs and the team's parent node to one more. The cache has applied events up to `applied`.
+fn leader_with_tree(applied: u64, gpus_max: u32) -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 8);
     let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED; 8]);
@@ -26,8 +26,8 @@
     };
     let text = format!(
         "[tree]\nrevision=1\n[node top]\ngpus=4\ngpus_max={}\n\
-         [node v]\nparent=top\nteam=vision\ngpus_max={most}\n",
-        most + 1
+         [node v]\nparent=top\nteam=vision\ngpus_max={gpus_max}\n",
+        gpus_max + 1
     );
     let file = TreeSpec::parse("f", &text).unwrap();
     controller.quota.hierarchy =
@@ -76,32 +76,32 @@
 }
 
 fn required(txn: &Transaction, key: &str) -> Option<u64> {
-    let known = txn.conditions.iter().find(|(k, _)| k == key);
-    known.map(|(_, version)| version.0)
+    let condition = txn.conditions.iter().find(|(name, _)| name == key);
+    condition.map(|(_, version)| version.0)
 }
 
-/// A transaction may be applied minutes late, when a tree with other limits is in force. So every
-/// placement and every allocation is conditional on the version of the tree.
+/// A transaction may be applied minutes late, when a tree with other limits is active. So every
+/// placement and every reallocation is conditioned on the version of the tree.
 #[test]
-fn placements_and_allocations_are_conditional_on_the_tree_version() {
-    let (mut controller, id) = with_tree(11, 5);
+fn placements_and_reallocations_are_conditioned_on_the_tree_version() {
+    let (mut controller, id) = leader_with_tree(11, 5);
     let txn = place(&mut controller, &id, 0).unwrap();
     assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
-    // The same transaction raises the shares of both levels in the shard's single record.
+    // The same transaction raises the allocations of the team and the node in the shard's single record.
     let text = format!("{:?}", txn.changes);
     assert!(text.contains("vision") && text.contains("#top"), "{text}");
     assert_eq!(txn.changes.len(), 2, "{text}");
 
-    let (mut controller, _) = with_tree(11, 60);
+    let (mut controller, _) = leader_with_tree(11, 60);
     controller.now = Millis(10_000);
     controller.reallocate_quota();
     let txn = written(&controller).unwrap();
     assert_eq!(required(&txn, TREE_HEAD_KEY), Some(11));
 
-    // A newer head whose pages have not arrived: decisions under the old tree are conditional on its
-    // version, and so fail; nothing is allocated or raised.
+    // A newer head whose pages have not been read: decisions under the old tree are conditioned on its
+    // version, and so fail; nothing is reallocated or raised.
     let head = r#"{"revision":2,"hash":"x","pages":1,"hold_ms":0,"enabled":true}"#;
-    let (mut controller, id) = with_tree(12, 60);
+    let (mut controller, id) = leader_with_tree(12, 60);
     controller.apply(TREE_HEAD_KEY, Some(head), Revision(12));
     controller.now = Millis(10_000);
     controller.reallocate_quota();
@@ -109,20 +109,21 @@
     assert!(place(&mut controller, &id, 0).is_none());
 }
 
-/// No share is raised until all placements under the previous tree are known.
+/// The leader can't tell how much of a limit is unallocated while placements under the previous tree may be
+/// missing from its cache.
 #[test]
-fn no_share_rises_before_all_placements_under_the_old_tree_are_known() {
-    for (applied, rises) in [(10, false), (11, true)] {
-        let (mut controller, id) = with_tree(applied, 5);
-        let wrote = place(&mut controller, &id, 0).is_some();
-        assert_eq!(wrote, rises, "applied up to {applied}");
+fn no_allocation_is_raised_before_all_placements_under_the_old_tree_are_known() {
+    for (applied, may_raise) in [(10, false), (11, true)] {
+        let (mut controller, id) = leader_with_tree(applied, 5);
+        let is_placed = place(&mut controller, &id, 0).is_some();
+        assert_eq!(is_placed, may_raise, "applied up to {applied}");
     }
 }
 
-/// The team's limit admits five tasks and its node's limit six: the sixth task is not placed.
+/// The team's limit permits five tasks and its node's limit six: the sixth task is not placed.
 #[test]
-fn every_level_caps_placements() {
-    let (mut controller, id) = with_tree(11, 5);
+fn the_limits_of_all_levels_apply_to_placements() {
+    let (mut controller, id) = leader_with_tree(11, 5);
     for task in 0..5 {
         let placement = Placement {
             machine_id: "vm-a".into(),
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -8,8 +8,8 @@
 use crate::types::ShardId;
 
 impl Controller {
-    /// Whether the cache contains everything that was placed in a shard before its current holder
-    /// acquired it.
+    /// Whether the cache contains all placements that were made in a shard before its current
+    /// holder acquired it.
     pub(in crate::controller) fn knows_all_placements(&self, shard: &ShardId) -> bool {
         let token = self
             .membership
@@ -21,19 +21,19 @@
     }
 
     /// The shards in which the next task of a job would exceed the allocation of its team, or of a
-    /// node above it.
+    /// node above the team in the quota tree. A shard may be listed more than once.
     ///
-    /// With `raise`, the number of tasks to place, the leader may also place beyond an allocation:
-    /// it raises the allocation in the same transaction, as long as the limit allows that many
-    /// tasks.
+    /// With `raise_for`, the number of tasks to place, the leader may also place beyond an
+    /// allocation: it raises the allocation in the same transaction, as long as the limit permits
+    /// that many tasks.
     pub(in crate::controller) fn shards_without_quota(
         &self,
         job: &Job,
-        raise: Option<u32>,
+        raise_for: Option<u32>,
     ) -> Vec<ShardId> {
-        let mut full: Vec<ShardId> = Vec::new();
+        let mut full_shards: Vec<ShardId> = Vec::new();
         for team in self.limits(job) {
-            if raise.is_some_and(|tasks| self.may_raise_for(team, job, tasks)) {
+            if raise_for.is_some_and(|tasks| self.may_raise_for(team, job, tasks)) {
                 continue;
             }
             let fits = |shard: &ShardId| {
@@ -44,17 +44,17 @@
                 let allocated = self.quota.allocations.allocation(shard, &team.name);
                 // The leader places in another controller's shard only by raising its allocation.
                 let held_here = self.membership.leases.holds(shard, &self.me).is_some();
-                let usable = (held_here || raise.is_none()) && self.knows_all_placements(shard);
+                let usable = (held_here || raise_for.is_none()) && self.knows_all_placements(shard);
                 usable && quota::within_allocation(used, allocated, team)
             };
             let shards = self.membership.leases.shards.keys();
-            full.extend(shards.filter(|shard| !fits(shard)).cloned());
+            full_shards.extend(shards.filter(|shard| !fits(shard)).cloned());
         }
-        full
+        full_shards
     }
 
-    /// Whether the leader may raise a team's allocations by the resources of `tasks` tasks of a
-    /// job.
+    /// Whether this controller may raise a team's allocations by the resources of `tasks` tasks of
+    /// a job.
     fn may_raise_for(&self, team: &TeamSettings, job: &Job, tasks: u32) -> bool {
         let resources = job.spec.resources.times(f64::from(tasks));
         self.may_raise_allocations()
@@ -66,7 +66,7 @@
 
     /// Whether this controller is the leader and its cache contains everything that raising an
     /// allocation depends on: all placements made before any allocation last changed. No change of
-    /// an allocation may be in flight or of unknown outcome.
+    /// an allocation may be in flight or of unknown outcome, because its effect is not known.
     pub(super) fn may_raise_allocations(&self) -> bool {
         self.leading().is_some()
             && self.quota.allocations_in_flight == 0
@@ -80,7 +80,8 @@
             && self.membership.leases.shards.keys().all(|shard| self.knows_all_placements(shard))
     }
 
-    /// All shards in which a team may use resources: allocated, leased, or with tasks of the team.
+    /// All shards in which a team may use resources: those with an allocation record, those that are
+    /// leased, and those with tasks of the team.
     pub(super) fn shards_of_team(&self, team: &TeamSettings) -> Vec<ShardId> {
         let mut shards: Vec<ShardId> = self.quota.allocations.shards.keys().cloned().collect();
         shards.extend(self.membership.leases.shards.keys().cloned());
@@ -103,8 +104,8 @@
         }
     }
 
-    /// A team's allocations in all shards, raised by what is reserved in other controllers' shards
-    /// but not written yet.
+    /// A team's allocations in all shards, raised as the reservations that are not written yet
+    /// require.
     fn planned_allocations(&self, team: &TeamSettings) -> Vec<ShardAllocation> {
         let planned = |shard: ShardId| {
             let current = self.current_allocation(team, &shard);
@@ -120,7 +121,7 @@
         self.shards_of_team(team).into_iter().map(planned).collect()
     }
 
-    /// Whether this controller holds a shard and knows all placements there.
+    /// A shard is local if this controller holds it and knows all placements there.
     fn ownership(&self, shard: &ShardId) -> ShardOwnership {
         if self.membership.leases.holds(shard, &self.me).is_some()
             && self.knows_all_placements(shard)
@@ -131,12 +132,12 @@
         }
     }
 
-    /// Adds to a placement's transaction the conditions and changes that its quota needs: the
-    /// version of each shard's allocation record and, where the leader places beyond an
-    /// allocation, the raised record. `placed` has the number of tasks for each shard.
+    /// Adds to a placement's transaction the conditions and changes that the quota requires: the
+    /// version of each shard's allocation record and, where the leader places beyond an allocation,
+    /// the raised record. `placed` contains the number of tasks for each shard.
     ///
-    /// Returns false if the allocations have changed since the tasks were reserved and the tasks no
-    /// longer fit.
+    /// Returns false if the allocations have changed since the tasks were reserved, so that the
+    /// tasks no longer fit. The transaction must not be sent then.
     #[must_use]
     pub(in crate::controller) fn require_allocations(
         &self,
@@ -152,7 +153,7 @@
             .all(|(shard, tasks)| self.require_allocation(job, txn, shard, *tasks))
     }
 
-    /// The same for the tasks of one shard.
+    /// [`Self::require_allocations`] for the tasks of one shard.
     fn require_allocation(
         &self,
         job: &Job,
@@ -164,7 +165,7 @@
         txn.require(allocation_key(shard), self.quota.allocations.version(shard));
         let mut raised_record = None;
         for team in self.limits(job) {
-            // Reserved tasks count as used already.
+            // The tasks are reserved, so `used` includes them.
             let used = self.jobs.usage_in_shard(&team.name, shard);
             let allocated = self.quota.allocations.allocation(shard, &team.name);
             if ownership == ShardOwnership::Local && quota::within_allocation(used, allocated, team)
@@ -177,9 +178,9 @@
                 return false;
             }
             let resources = job.spec.resources.times(f64::from(tasks));
-            let before = used.minus(resources);
+            let used_before = used.minus(resources);
             let record = raised_record.get_or_insert_with(|| self.quota.allocations.record(shard));
-            let raised = quota::raised_allocation(allocated, before, resources, ownership);
+            let raised = quota::raised_allocation(allocated, used_before, resources, ownership);
             record.insert(team.name.clone(), raised);
         }
         if let Some(record) = raised_record {
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -1,9 +1,9 @@
 //! Fencing off transactions of unknown outcome.
 //!
-//! A transaction whose answer is lost may still be applied later. Until that is ruled out, the
-//! resources that it takes must not be given to others. Each such transaction is conditioned on
-//! the version of some shard's allocation record, so rewriting that record rules it out: the
-//! transaction was applied before the rewrite, and its effect is known, or it fails.
+//! A transaction whose response is lost may still be applied later. Until that is ruled out, the
+//! resources that it uses must not be assigned to other work. Each such transaction is conditioned
+//! on the version of a shard's allocation record, so rewriting that record rules it out: the
+//! transaction either was applied before the rewrite, and its effect is known, or it fails.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, Revision, ShardId};
 
-/// Minimum time between fencing off transactions of unknown outcome. A store that does not answer
-/// must not get a rewrite on every tick.
+/// Minimum time between attempts to fence off transactions of unknown outcome. A store that does
+/// not respond must not get a rewrite on every tick.
 const FENCE_OFF_INTERVAL: Millis = Millis(500);
 
 /// A reallocation of unknown outcome: it can be applied only while the allocation record of
@@ -29,7 +29,7 @@
 }
 
 impl Quota {
-    /// Drops the reallocations that can no longer be applied because the record that they are
+    /// Drops the reallocations that can no longer take effect because the record that they are
     /// conditioned on has changed.
     fn forget_resolved_allocations(&mut self) {
         let allocations = &self.allocations;
@@ -42,14 +42,14 @@
         !self.to_fence_off.is_empty() || !self.unresolved_allocations.is_empty()
     }
 
-    /// Takes the shards whose allocation records have to be rewritten, each with the jobs that
-    /// wait for the rewrite.
+    /// Takes the jobs to fence off, and returns the shards whose allocation records have to be
+    /// rewritten, each with the jobs that wait for the rewrite.
     fn take_shards_to_rewrite(&mut self) -> BTreeMap<ShardId, Vec<JobId>> {
         let mut shards: BTreeMap<ShardId, Vec<JobId>> = BTreeMap::new();
         for (job, shard) in std::mem::take(&mut self.to_fence_off) {
             shards.entry(shard).or_default().push(job);
         }
-        // A write in flight changes the records as well.
+        // A write in flight changes the records as well, so these are rewritten only without one.
         if self.allocations_in_flight == 0 {
             for unresolved in &self.unresolved_allocations {
                 shards.entry(unresolved.shard.clone()).or_default();
@@ -58,19 +58,20 @@
         shards
     }
 
-    /// Rewrites a shard's allocation record unchanged, which gives it a new version.
-    fn rewrite_allocation(&self, shard: &ShardId) -> Transaction {
+    /// A transaction that rewrites a shard's allocation record unchanged, which gives the record a
+    /// new version.
+    fn rewrite_transaction(&self, shard: &ShardId) -> Transaction {
         let mut txn = Transaction::default();
         txn.require(allocation_key(shard), self.allocations.version(shard));
         txn.put(allocation_key(shard), &self.allocations.record(shard));
         txn
     }
 
-    /// Handles the answer to a reallocation that was conditioned on this version of a shard's
+    /// Handles the response to a reallocation that was conditioned on this version of a shard's
     /// record. After an unknown outcome nothing is reallocated or raised until the reallocation is
-    /// fenced off: the new allocations would not take it into account.
-    fn on_allocated(&mut self, (shard, version): (ShardId, Revision), answer: &StoreResponse) {
-        if matches!(answer, StoreResponse::Unknown) {
+    /// fenced off, because the new allocations would not take it into account.
+    fn on_allocated(&mut self, (shard, version): (ShardId, Revision), response: &StoreResponse) {
+        if matches!(response, StoreResponse::Unknown) {
             self.unresolved_allocations
                 .push(UnresolvedAllocation { shard, version });
         }
@@ -78,8 +79,8 @@
 }
 
 impl Controller {
-    /// Marks a job for fencing off after a transaction that placed tasks got no answer. Returns
-    /// whether that is needed: only placements under a limit are conditioned on an allocation.
+    /// Marks a job's transaction, whose outcome is unknown, for fencing off. Returns false if there
+    /// is nothing to fence off: only placements under a limit are conditioned on an allocation.
     ///
     /// `changes` are those of the transaction. The job may have other changes by now, in shards
     /// that the transaction is not conditioned on.
@@ -101,16 +102,17 @@
         true
     }
 
-    /// Handles the answer to a reallocation that was conditioned on `rests_on`.
+    /// Handles the response to a reallocation that was conditioned on the shard and the record
+    /// version in `rests_on`.
     pub(in crate::controller) fn on_allocated(
         &mut self,
         rests_on: (ShardId, Revision),
-        answer: StoreResponse,
+        response: StoreResponse,
     ) {
-        self.quota.on_allocated(rests_on, &answer);
+        self.quota.on_allocated(rests_on, &response);
     }
 
-    /// Fences off the transactions of unknown outcome.
+    /// Fences off the transactions of unknown outcome, at most once per [`FENCE_OFF_INTERVAL`].
     pub(in crate::controller) fn resolve_unknown_transactions(&mut self) {
         self.quota.forget_resolved_allocations();
         if !self.quota.has_unresolved_transactions()
@@ -120,23 +122,24 @@
         }
         self.quota.fenced_off_at = self.now;
         for (shard, jobs) in self.quota.take_shards_to_rewrite() {
-            let txn = self.quota.rewrite_allocation(&shard);
+            let txn = self.quota.rewrite_transaction(&shard);
             let purpose = CallPurpose::FenceOff { jobs, shard };
             self.transact(CallClass::Coordination, txn, purpose);
         }
     }
 
-    /// Handles the answer to the rewrite of a shard's allocation record, which `jobs` wait for.
+    /// Handles the response to the rewrite of a shard's allocation record, which `jobs` wait for.
+    /// After any response but a commit or a conflict the rewrite is repeated.
     pub(in crate::controller) fn on_fenced_off(
         &mut self,
         jobs: Vec<JobId>,
         shard: ShardId,
-        answer: StoreResponse,
+        response: StoreResponse,
     ) {
         for id in jobs {
-            match answer {
-                // Either way the record has a new version: the transaction of unknown outcome was
-                // applied before that, or never will be.
+            match response {
+                // In both cases the record has a new version: the transaction of unknown outcome
+                // was applied before the record changed, or never will be.
                 StoreResponse::Committed(revision) | StoreResponse::Conflict(revision) => {
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.commit_state = CommitState::Resolving(Some(revision));
@@ -150,7 +153,8 @@
         }
     }
 
-    /// Settles a job's changes as soon as everything up to `revision` is applied to the cache.
+    /// Resolves a job's transaction of unknown outcome as soon as all events up to `revision` are
+    /// applied to the cache.
     pub(in crate::controller) fn resolve_at_revision(&mut self, job: JobId, revision: Revision) {
         self.resume_at_revision(revision, self.now, PendingRead::ResolveTransaction { job });
         self.resume_ready_reads();
--- a/src/controller/quota_allocation/mod.rs
+++ b/src/controller/quota_allocation/mod.rs
@@ -1,11 +1,11 @@
 //! Per-shard allocation of the teams' limits.
 //!
-//! A team's limit holds for the whole cluster, but every controller places tasks on its own. The
-//! leader therefore allocates a part of each limit to each shard, and the holder of a shard places
-//! only within the shard's allocation. Every placement is conditioned on the version of the
+//! A team's limit applies to the whole cluster, but every controller places tasks independently.
+//! The leader therefore allocates a part of each limit to each shard, and the holder of a shard
+//! places only within the shard's allocation. Every placement is conditioned on the version of the
 //! allocation record that it was checked against, so a changed allocation invalidates it.
 //!
-//! [`Quota`] owns the state. The submodules use it together with the job cache and the leases:
+//! [`Quota`] owns the state, which the submodules use together with the job cache and the leases:
 //! - `admission`: whether a placement is within the allocations, and the conditions it is written
 //!   under,
 //! - `reallocation`: the leader's periodic rewrite of the allocations,
@@ -31,15 +31,15 @@
 pub(super) struct Quota {
     /// The allocation records of all shards, as the store has them.
     pub(super) allocations: QuotaAllocations,
-    /// The tree of nested quotas, and the flat limits that hold without one.
+    /// The tree of nested quotas, and the flat limits that apply without one.
     pub(super) hierarchy: HierarchicalQuota,
     /// Progress of writing this controller's tree file to the store.
     pub(super) tree_publication: TreePublication,
     /// State of reclaiming borrowed capacity under a tree.
     pub(super) reclaim: ReclaimState,
-    /// When usage was last checked for being beyond a lowered limit.
+    /// When usage was last checked against the limits of the tree.
     pub(super) excess_checked_at: Millis,
-    /// Transactions in flight that write allocation records.
+    /// Number of transactions in flight that write allocation records.
     pub(super) allocations_in_flight: u32,
     /// Reallocations of unknown outcome that may still be applied.
     pub(super) unresolved_allocations: Vec<UnresolvedAllocation>,
@@ -53,7 +53,7 @@
 }
 
 impl Quota {
-    /// The quota of a controller that has read nothing from the store yet.
+    /// The state of a controller that has read nothing from the store yet.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             allocations: QuotaAllocations::default(),
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -7,12 +7,13 @@
 use crate::store::{CallClass, Transaction};
 use crate::types::{Millis, Resources, Revision, ShardId};
 
-/// Minimum time between rewrites of allocations. Every rewrite invalidates the placements in flight
-/// in the shards that it changes, so rewrites must be rare compared with placements.
+/// Minimum time between reallocations. Every reallocation invalidates the placements in flight in
+/// the shards that it changes, so reallocations must be rare compared with placements.
 const REALLOCATION_INTERVAL: Millis = Millis(4_000);
 
 impl Controller {
-    /// As the leader, rewrites the allocation records whose allocations are far from their targets.
+    /// As the leader, rewrites the allocation records whose allocations are far from their targets,
+    /// at most once per [`REALLOCATION_INTERVAL`].
     pub(in crate::controller) fn reallocate_quota(&mut self) {
         if self.now.since(self.quota.allocated_at) < REALLOCATION_INTERVAL
             || !self.may_place()
@@ -60,8 +61,8 @@
         records
     }
 
-    /// The most CPUs and the most GPUs that any machine type has. A smaller allocation may not be
-    /// enough for a single task.
+    /// The largest number of CPUs and of GPUs of any machine type, which may belong to different
+    /// types. A smaller allocation may not be enough for a single task.
     fn largest_machine_type(&self) -> Resources {
         self.autoscaler
             .type_specs
@@ -74,8 +75,8 @@
             })
     }
 
-    /// Writes as many of the records as a transaction may change; the others follow at the next
-    /// reallocation.
+    /// A transaction that writes as many of the records as the store accepts at once; the others
+    /// follow at the next reallocation.
     fn allocation_transaction(
         &self,
         leader_version: Revision,
@@ -83,7 +84,7 @@
     ) -> Transaction {
         let mut txn = Transaction::default();
         txn.require(crate::lease::LEADER.into(), leader_version);
-        // Allocations computed by another tree might exceed the limits of the active one.
+        // Allocations computed from another tree might exceed the limits of the active one.
         self.require_tree(&mut txn);
         for (shard, record) in records {
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
