--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -221,7 +221,9 @@
             CallPurpose::ReadRevision => self.on_revision(answer),
             CallPurpose::Submit { job } => self.on_submitted(job, answer),
             CallPurpose::Abort { reply, job } => self.on_cancel_committed(reply, job, answer),
-            CallPurpose::TaskChanges { job, changes } => self.on_changes(job, changes, answer),
+            CallPurpose::TaskChanges { job, changes } => {
+                self.on_task_changes_written(job, changes, answer)
+            }
             CallPurpose::DeleteDescription { job } => self.on_finalized(job),
             CallPurpose::DeletePages => self.commits.deleting_pages = false,
             CallPurpose::AllocateQuota { rests_on } => self.on_allocated(rests_on, answer),
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     /// Handles the store's answer to a transaction of task changes.
-    pub(in crate::controller) fn on_changes(
+    pub(in crate::controller) fn on_task_changes_written(
         &mut self,
         id: JobId,
         changes: Vec<(u32, TaskChange)>,
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -103,7 +103,7 @@
     let later = TaskChange::Place(placement("vm-a", "a.0"));
     controller.jobs.note_change(&id, 0, later);
     controller.commits.backlog.in_flight = 1;
-    controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
+    controller.on_task_changes_written(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
     controller.resolve_unknown_transactions();
     let b = allocation_key(&ShardId::parse("b.0").unwrap());
