--- a/src/controller/store_sync/availability.rs
+++ b/src/controller/store_sync/availability.rs
@@ -21,7 +21,7 @@
 
     /// Whether all peers report that they have lost the key-value store too, which indicates an
     /// outage of the store rather than of this controller's connection to it.
-    pub(in crate::controller) fn outage_is_common(&self) -> bool {
+    pub(in crate::controller) fn all_peers_lost_store(&self) -> bool {
         let alone = self.without_store();
         self.settings.members.iter().all(|member| {
             self.peers.statuses.get(&member.label).is_some_and(|peer| {
@@ -36,7 +36,7 @@
         let lost = self.without_store() > READINESS_TIMEOUT;
         self.store_sync.synced
             && !self.autoscaler.type_specs.is_empty()
-            && (!lost || self.outage_is_common())
+            && (!lost || self.all_peers_lost_store())
     }
 
     /// Whether heartbeats may be answered. A controller that lost the store continues to answer: it
@@ -44,6 +44,6 @@
     /// shards shows the machines a higher fencing token.
     pub(in crate::controller) fn may_answer_heartbeats(&self) -> bool {
         let keep = self.settings.operator.partition_lease_keep;
-        self.without_store() < keep || self.outage_is_common()
+        self.without_store() < keep || self.all_peers_lost_store()
     }
 }
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -41,7 +41,7 @@
             matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
         let circumstances = Circumstances {
             lease_over: lease_over && self.store_sync.synced,
-            outage: lease_over && self.outage_is_common(),
+            outage: lease_over && self.all_peers_lost_store(),
             holds_shards: self.holds_shards(),
         };
         if self.partition.mode.update(circumstances, self.now) {
