--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -37,7 +37,7 @@
         self.expire_nominations();
         self.forget_finished_jobs();
         self.forget_silent_machines();
-        self.reconsider_all();
+        self.update_all_queue_entries();
     }
 
     /// Releases the tasks of workers whose lease has expired: they have stopped all they ran.
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -239,7 +239,7 @@
             LeaseChange::Leader => self.on_leader_change(),
             LeaseChange::Controller(_) => {
                 if self.store_sync.synced && self.leading().is_some() {
-                    self.reconsider_all();
+                    self.update_all_queue_entries();
                 }
             }
             LeaseChange::Shard(shard) => self.on_shard_change(shard),
@@ -259,7 +259,7 @@
         // Jobs that waited for the old leader are tried again.
         self.scheduler.queue.wake(self.now, |_, _| true);
         if self.store_sync.synced {
-            self.reconsider_all();
+            self.update_all_queue_entries();
         }
     }
 
--- a/src/controller/store_sync/apply.rs
+++ b/src/controller/store_sync/apply.rs
@@ -130,7 +130,7 @@
     }
 
     /// Queues every job that this controller is responsible for.
-    pub(in crate::controller) fn reconsider_all(&mut self) {
+    pub(in crate::controller) fn update_all_queue_entries(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().map(|job| job.id.clone()).collect();
         for id in ids {
             self.update_queue_entry(&id);
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -67,7 +67,7 @@
         self.autoscaler.arrivals_until = self.now;
         self.autoscaler.arrivals_since = self.now;
         self.autoscaler.arrivals.clear();
-        self.reconsider_all();
+        self.update_all_queue_entries();
         self.renew_membership();
         self.poll_watch();
     }
