--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -1,5 +1,5 @@
-//! This controller's part in dividing the store's write limit: the rate at which it may write, the
-//! demand that it reports, and the plan that it writes while it leads.
+//! How this controller takes part in dividing the store's write limit: the rate at which it may
+//! write, the demand that it reports, and the plan that it writes while it leads.
 //!
 //! State: `commits.admission`. Status messages between peers carry the demand to the other
 //! controllers.
@@ -11,7 +11,8 @@
 use crate::types::{ControllerId, Revision};
 
 impl Controller {
-    /// Follows the newest plan, reports the demand, and writes the next plan if this controller leads.
+    /// Follows the newest plan, reports the demand, and writes the next plan if this controller
+    /// leads.
     pub(super) fn update_admission_plan(&mut self) {
         let limit = WriteAdmission::limit(self.settings.deployment.state.write_rps);
         self.follow_admission_plan(limit);
@@ -26,7 +27,7 @@
     /// Sets the write budget to this controller's allowance.
     fn follow_admission_plan(&mut self, limit: f64) {
         let base = admission_control::plan::base(limit, self.settings.controllers());
-        let is_member = self.obeys_plan();
+        let is_member = self.is_plan_member();
         let plan = &self.commits.admission.plan;
         let allowed = plan.allowance(self.me.as_str(), is_member, base);
         if allowed != self.commits.admission.allowed {
@@ -35,10 +36,11 @@
         }
     }
 
-    /// Whether this controller has a lease, by its own clock, and its cache contains everything
-    /// that was written before it obtained that lease. Without the second condition, a controller
-    /// that has just returned would follow a plan that counts it as absent.
-    fn obeys_plan(&self) -> bool {
+    /// Whether this controller may use the share that the plan gives it: it has a lease, by its own
+    /// clock, and its cache contains everything that was written before it obtained that lease.
+    /// Without the second condition, a controller that has just returned would follow a plan that
+    /// counts it as absent.
+    fn is_plan_member(&self) -> bool {
         let OwnLease::Held { lease_id, until } = self.membership.leases.own else {
             return false;
         };
@@ -58,13 +60,13 @@
             .filter(|call| !call.written.is_empty())
             .count();
         let waiting = unanswered_writes + self.commits.backlog.overdue(self.now);
-        let obeys = if self.obeys_plan() {
+        let plan_version = if self.is_plan_member() {
             self.commits.admission.version
         } else {
             Revision(0)
         };
         AdmissionReport {
-            plan_version: obeys,
+            plan_version,
             demand: self.commits.admission.demand(waiting, self.now),
         }
     }
@@ -82,11 +84,12 @@
         let admission = &self.commits.admission;
         let next = admission.next(limit, controllers.iter().cloned(), has_lease, self.now);
         let Some(plan) = next else { return };
-        tracing::debug!(shares = ?plan.shares, "admission plan updated");
+        tracing::debug!(shares = ?plan.shares, "writing admission plan");
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), leader_revision);
         txn.require(PLAN_KEY.into(), admission.version);
-        // A controller that returns in the meantime may follow a plan that includes it.
+        // The write fails if a controller that this plan counts as absent returns in the meantime,
+        // since that controller may follow a plan that includes it.
         for controller in controllers
             .iter()
             .filter(|controller| !has_lease(controller))
@@ -95,7 +98,8 @@
         }
         txn.put(PLAN_KEY.into(), &plan);
         self.commits.admission.record_plan(self.now);
-        // The plan must not queue behind the writes that it is to speed up.
+        // The class of lease calls, so that the plan does not queue behind the writes whose rate it
+        // is meant to raise.
         self.transact(CallClass::Leases, txn, CallPurpose::AdmissionPlan);
     }
 }
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Asks users who have waited too long to retry later. A task on an unreachable machine may
-    /// take long to be proven gone.
+    /// Asks users who have waited too long to retry later. It may take long until a task on an
+    /// unreachable machine is known to be gone.
     pub(super) fn expire_cancellations(&mut self) {
         for reply in self.requests.cancellations.take_expired(self.now) {
             self.respond(reply, Response::later());
--- a/src/controller/cancellation/tests.rs
+++ b/src/controller/cancellation/tests.rs
@@ -10,7 +10,7 @@
 /// was confirmed to the user.
 #[test]
 fn a_cancelled_job_ends_once_all_its_placed_tasks_are_known_and_gone() {
-    let here = Task::Placed(Placement {
+    let placed = Task::Placed(Placement {
         machine_id: "vm-a".into(),
         shard: ShardId::parse("a.0").unwrap(),
         agent_epoch: AgentEpoch(1),
@@ -20,9 +20,9 @@
         // the task, revision that the cache has reached, job has ended
         (Task::NEVER_PLACED, 19, false),
         (Task::NEVER_PLACED, 20, true),
-        (here, 20, false),
+        (placed, 20, false),
     ];
-    for (task, applied, over) in cases {
+    for (task, applied, finalized) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![task.clone()]);
@@ -36,12 +36,15 @@
         controller.store_sync.read_barrier.awaiting_cache.clear();
         controller.effects.clear();
         controller.finalize_cancelled(&id);
-        let completions = controller.effects.iter().any(|effect| {
+        let wrote_final_record = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
             matches!(call, StoreCall::Transaction(txn) if !txn.changes.is_empty())
         });
-        assert_eq!(completions, over, "{task:?}, known up to {applied}");
+        assert_eq!(
+            wrote_final_record, finalized,
+            "{task:?}, known up to {applied}"
+        );
     }
 }
--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -1,5 +1,5 @@
-//! Writes the final records of cancelled jobs, and deletes the descriptions and pages that finished
-//! jobs no longer need.
+//! Writes the final records of cancelled jobs, which no longer contain the spec, and deletes the
+//! pages of finished jobs.
 
 use super::Controller;
 use crate::controller::CallPurpose;
@@ -18,16 +18,16 @@
         if job.is_active() || job.placed > 0 || job.commit_state != CommitState::Idle {
             return;
         }
-        if !self.knows_all_of(job) {
+        if !self.all_placements_known(job) {
             let (version, job) = (job.version, id.clone());
             return self.resume_at_revision(
                 version,
                 self.now,
-                PendingRead::DeleteDescription { job },
+                PendingRead::FinalizeCancelled { job },
             );
         }
         let class = match job.record.phase {
-            // A user waits for it.
+            // A user waits for the end of the job.
             Phase::Aborting => CallClass::Cancellations,
             _ => CallClass::Background,
         };
@@ -51,21 +51,22 @@
         }
     }
 
-    /// Whether the cache shows everything that was placed of a job before it was cancelled;
-    /// afterwards nothing can be placed any more. Otherwise a task could still be on its machine
-    /// when the user is informed that the job is over.
-    pub(super) fn knows_all_of(&self, job: &Job) -> bool {
+    /// Whether the cache shows every task that was placed before the job was cancelled; none can be
+    /// placed afterwards. Otherwise a task could still be on its machine when the user is told that
+    /// the job has ended.
+    pub(super) fn all_placements_known(&self, job: &Job) -> bool {
         self.store_sync.applied >= job.version
     }
 
     /// Deletes pages of finished jobs, if this controller leads and has nothing else to write. No
-    /// transaction can restore them: all are conditioned on the version of the job's record.
+    /// transaction can write these pages again, since each is conditioned on the version of the
+    /// job's record.
     pub(in crate::controller) fn delete_finished_pages(&mut self) {
         if !self.commits.backlog.is_empty() || self.commits.deleting_pages || !self.may_place() {
             return;
         }
         let max_ops = self.settings.deployment.state.txn_ops;
-        // All controllers have the pages in their cache; one deletes them.
+        // Every controller has the pages in its cache; only the leader deletes them.
         let Some(leader_revision) = self.leading() else {
             return;
         };
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/commit_schedule.rs
@@ -1,30 +1,30 @@
 //! When a job's noted changes are due, and in which lane of the backlog they wait.
 //!
 //! A transaction costs the same whatever it contains, so changes that no user or task waits for are
-//! gathered, and for longer while writes are scarce. The decision is a pure function of the job and
-//! the write pressure.
+//! batched, and for longer while writes are scarce. The decision is a pure function of the job, the
+//! write pressure and the team's use of its limit.
 
 use crate::admission::backlog::Lane;
 use crate::jobs::cache::{Job, TaskChange};
 use crate::jobs::{JobKind, PriorityClass};
 use crate::types::Millis;
 
-/// How long completions of some of a job's tasks are gathered. Their resources are available in the
-/// meantime, and the store's limit counts changes.
-const GATHER_INTERVAL: Millis = Millis(3_000);
-/// The same while writes are scarce.
-const GATHER_INTERVAL_SCARCE: Millis = Millis(45_000);
+/// How long completions of some of a job's tasks are batched. The resources of these tasks are
+/// available in the meantime, and the store's write limit counts changes.
+const BATCH_INTERVAL: Millis = Millis(3_000);
+/// How long such completions are batched while writes are scarce.
+const BATCH_INTERVAL_SCARCE: Millis = Millis(45_000);
 /// While writes are scarce, the first placements of an array wait this long for more of them.
 const MORE_PLACEMENTS_TIMEOUT: Millis = Millis(2_500);
-/// How long to wait for the last tasks of a job that is being stopped: other holders are about to
-/// report that their tasks of it have left, too.
+/// How long to wait for the remaining tasks of a cancelled job or of a broken gang: other holders
+/// are about to report that their tasks of it have left, too.
 const LAST_TASKS_TIMEOUT: Millis = Millis(400);
 /// Urgent changes are written before others that have waited for up to this long.
 const URGENT_HEAD_START: Millis = Millis(2_000);
 
-/// How a job's changes wait in the backlog.
+/// In which lane and until when a job's changes wait in the backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct CommitTurn {
+pub(super) struct CommitSchedule {
     /// The lane of the backlog.
     pub(super) lane: Lane,
     /// When the changes may be written. A time in the past ranks before others that are due.
@@ -47,7 +47,7 @@
     Stop,
     /// Completions of the last tasks, or of a gang.
     FinalCompletions,
-    /// Completions of some of the tasks.
+    /// Completions of some of the tasks of an array.
     PartialCompletions,
     /// Tasks of a gang leave their machines; the gang can restart only as a whole.
     BrokenGang,
@@ -66,29 +66,31 @@
     pressure: WritePressure,
     near_limit: impl Fn() -> bool,
     now: Millis,
-) -> CommitTurn {
+) -> CommitSchedule {
     let urgent = Millis(now.0.saturating_sub(URGENT_HEAD_START.0));
     let scarce = pressure == WritePressure::Scarce;
-    let more_will_leave = more_will_leave(job);
+    let more_departures_expected = more_departures_expected(job);
     let (lane, due) = match kind_of(job) {
         // A user waits for the confirmation that the tasks of a cancelled job are gone.
-        ChangeKind::Stop if more_will_leave => (Lane::Completions, now + LAST_TASKS_TIMEOUT),
+        ChangeKind::Stop if more_departures_expected => {
+            (Lane::Completions, now + LAST_TASKS_TIMEOUT)
+        }
         ChangeKind::Stop => (Lane::Completions, urgent),
         ChangeKind::FinalCompletions => (Lane::Completions, now),
         ChangeKind::PartialCompletions => {
-            let due = now + gather_interval(scarce, near_limit());
+            let due = now + batch_interval(scarce, near_limit());
             (Lane::PartialCompletions, due)
         }
         ChangeKind::BrokenGang => (Lane::Placements, now + LAST_TASKS_TIMEOUT),
-        // Its resources are on machines of several holders, which may allocate them in the
-        // meantime.
+        // The gang's resources may be on machines of several holders, which may allocate them in
+        // the meantime.
         ChangeKind::GangPlacement => (Lane::Completions, urgent),
         _ if job.spec.priority >= PriorityClass::Urgent => (Lane::Placements, urgent),
         // While writes are scarce, waiting for more placements costs less than a transaction.
         ChangeKind::ArrayPlacements if scarce => (Lane::Placements, now + MORE_PLACEMENTS_TIMEOUT),
         _ => (Lane::Placements, now),
     };
-    CommitTurn { lane, due }
+    CommitSchedule { lane, due }
 }
 
 /// Classifies a job's noted changes.
@@ -101,7 +103,7 @@
         ChangeKind::FinalCompletions
     } else if completions {
         ChangeKind::PartialCompletions
-    } else if more_will_leave(job) && job.is_broken_gang() {
+    } else if more_departures_expected(job) && job.is_broken_gang() {
         ChangeKind::BrokenGang
     } else if job.is_gang_of_several() && job.placed == 0 {
         ChangeKind::GangPlacement
@@ -113,7 +115,7 @@
 }
 
 /// Whether tasks of the job are placed for which no change is noted yet.
-fn more_will_leave(job: &Job) -> bool {
+fn more_departures_expected(job: &Job) -> bool {
     job.placed as usize > job.changes.len()
 }
 
@@ -124,13 +126,13 @@
     job.changes.values().all(is_placement)
 }
 
-/// How long completions of some of a job's tasks are gathered. Near its team's limit the next tasks
+/// How long completions of some of a job's tasks are batched. Near the team's limit its next tasks
 /// wait for every completion.
-fn gather_interval(scarce: bool, near_limit: bool) -> Millis {
+fn batch_interval(scarce: bool, near_limit: bool) -> Millis {
     match (near_limit, scarce) {
         (true, false) => Millis(0),
-        (true, true) | (false, false) => GATHER_INTERVAL,
-        (false, true) => GATHER_INTERVAL_SCARCE,
+        (true, true) | (false, false) => BATCH_INTERVAL,
+        (false, true) => BATCH_INTERVAL_SCARCE,
     }
 }
 
--- a/src/controller/commits/turn/tests.rs
+++ b/src/controller/commits/commit_schedule/tests.rs
@@ -113,10 +113,10 @@
             (WritePressure::Normal, normal),
             (WritePressure::Scarce, scarce),
         ] {
-            let turn = choose(jobs.get(&id).unwrap(), pressure, || false, NOW);
+            let schedule = choose(jobs.get(&id).unwrap(), pressure, || false, NOW);
             let due = at(offset);
             let case = format!("{kind:?}, {priority:?}, {placed}, {changes:?}, {pressure:?}");
-            assert_eq!(turn, CommitTurn { lane, due }, "{case}");
+            assert_eq!(schedule, CommitSchedule { lane, due }, "{case}");
         }
     }
 }
@@ -127,12 +127,12 @@
     let job = jobs.get(&id).unwrap();
     let cases = [
         (WritePressure::Normal, NOW),
-        (WritePressure::Scarce, NOW + GATHER_INTERVAL),
+        (WritePressure::Scarce, NOW + BATCH_INTERVAL),
     ];
     for (pressure, due) in cases {
         let lane = Lane::PartialCompletions;
-        let turn = choose(job, pressure, || true, NOW);
-        assert_eq!(turn, CommitTurn { lane, due }, "{pressure:?}");
+        let schedule = choose(job, pressure, || true, NOW);
+        assert_eq!(schedule, CommitSchedule { lane, due }, "{pressure:?}");
     }
 }
 
@@ -148,8 +148,8 @@
         let (mut jobs, id) = job(JobKind::Array, PriorityClass::Normal, 2, &changes);
         jobs.get_mut(&id).unwrap().record.phase = Phase::Aborting;
         let job = jobs.get(&id).unwrap();
-        let turn = choose(job, WritePressure::Normal, || false, NOW);
+        let schedule = choose(job, WritePressure::Normal, || false, NOW);
         let lane = Lane::Completions;
-        assert_eq!(turn, CommitTurn { lane, due }, "{left} of 2");
+        assert_eq!(schedule, CommitSchedule { lane, due }, "{left} of 2");
     }
 }
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -1,7 +1,8 @@
 //! Departures of tasks that the job's owner writes for all holders.
 //!
-//! The holder of a shard sees a task leave its machine; the owner of the job writes that for all
-//! holders in one transaction. Both sides check the departure against the records.
+//! The holder of a shard observes that a task has left its machine; the owner of the job writes the
+//! departures that all holders observed in one transaction. Both controllers check a departure
+//! against the records.
 
 use super::Controller;
 use crate::controller::Effect;
@@ -11,9 +12,9 @@
 use crate::types::{Attempt, FencingToken, JobId};
 
 impl Controller {
-    /// Forwards a job's noted changes to its owner, if that controller can be reached and may write
-    /// all of them. Returns whether they were forwarded.
-    pub(super) fn forwarded_to_owner(&mut self, id: &JobId) -> bool {
+    /// Forwards a job's noted changes to its owner, if the owner can be reached and may write all
+    /// of them. Returns whether they were forwarded.
+    pub(super) fn forward_to_owner(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -57,16 +58,16 @@
         let mut changes = Vec::new();
         for departure in departures {
             let id = JobId::from(departure.job.as_str());
-            if self.confirms(&id, &departure) {
+            if self.matches_records(&id, &departure) {
                 changes.push((id, departure.index, departure.change()));
             }
         }
         self.request_changes(changes);
     }
 
-    /// Whether the records still have the task on the machine that it left, under the token of the
-    /// holder that reported it, and no change of it is noted.
-    fn confirms(&self, id: &JobId, departure: &TaskDeparture) -> bool {
+    /// Whether the records still show the task on the machine that it left, under the token of the
+    /// holder that reported the departure, and no change of the task is noted.
+    fn matches_records(&self, id: &JobId, departure: &TaskDeparture) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -80,13 +81,13 @@
             && self.known_token(&placement.shard) == Some(FencingToken(departure.token))
     }
 
-    /// Drops noted departures of tasks that another controller has written in the meantime.
-    pub(in crate::controller) fn drop_overtaken(&mut self, id: &JobId) {
+    /// Discards noted departures of tasks that another controller has written in the meantime.
+    pub(in crate::controller) fn discard_superseded_departures(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle {
             return;
         }
-        let is_overtaken = |index: u32, attempt: Attempt| {
+        let is_superseded = |index: u32, attempt: Attempt| {
             let placement = job.task(index).placement();
             placement.is_none_or(|placement| placement.attempt != attempt)
         };
@@ -96,7 +97,7 @@
             .filter(|(index, change)| match change {
                 TaskChange::Place(_) => false,
                 TaskChange::Finish { attempt } | TaskChange::Release { attempt, .. } => {
-                    is_overtaken(**index, *attempt)
+                    is_superseded(**index, *attempt)
                 }
             })
             .map(|(index, _)| *index)
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -1,20 +1,20 @@
 //! Commits of task changes: one transaction per job at a time, conditioned on every record that the
 //! decision depends on.
 //!
-//! Heartbeats and scheduling cycles note changes on a job in the cache. [`turn`] decides in which
-//! lane and when a job's changes are due, the backlog divides the write limit among due jobs,
-//! [`planned_write`] checks the changes against the current records, and this module sends the
-//! transaction and handles its outcome. [`forwarding`] sends changes to the controller that owns
-//! the job, and [`cleanup`] deletes what a finished job no longer needs.
+//! Heartbeats and scheduling cycles note changes on a job in the cache. [`commit_schedule`] decides
+//! in which lane and when a job's changes are due, the backlog divides the write limit among due
+//! jobs, [`planned_write`] checks the changes against the current records, this module sends the
+//! transaction, and [`outcome`] handles its result. [`forwarding`] sends changes to the controller
+//! that owns the job, and [`cleanup`] deletes what a finished job no longer needs.
 //!
 //! State: [`Commits`], and for each [`Job`] in the cache its noted changes and whether a
 //! transaction with them is in flight.
 
 mod cleanup;
+mod commit_schedule;
 mod forwarding;
 mod outcome;
 mod planned_write;
-mod turn;
 
 use std::collections::BTreeMap;
 
@@ -33,20 +33,21 @@
 use crate::settings::{Settings, TeamSettings};
 use crate::store::{CallClass, Transaction};
 use crate::types::{JobId, Millis, Revision};
+use commit_schedule::{CommitSchedule, WritePressure};
 use planned_write::PlannedWrite;
-use turn::{CommitTurn, WritePressure};
 
-/// Maximum number of job transactions in flight. One that waited long for the write budget would be
-/// conditioned on versions that others have changed since; changes that wait in the backlog are
-/// combined instead, and written as they are when their turn comes.
+/// Maximum number of job transactions in flight. A transaction that waited long for the write
+/// budget would be conditioned on versions that other controllers have changed since. Changes that
+/// wait in the backlog are combined instead, and checked again just before they are written.
 const MAX_IN_FLIGHT: usize = 3;
 /// Seconds' worth of the allowed write rate that may be in flight.
 const IN_FLIGHT_S: f64 = 0.1;
 /// Time the owner of a job has to write the completions that were forwarded to it; after that this
 /// controller writes them itself.
 const OWNER_WRITE_TIMEOUT: Millis = Millis(12_000);
-/// Fraction of its limit above which a team may have jobs that wait for each single completion.
-const NEAR_LIMIT: f64 = 0.8;
+/// Fraction of a team's limit above which its queued jobs may be waiting for each single
+/// completion.
+const NEAR_LIMIT_FRACTION: f64 = 0.8;
 
 /// Task changes on their way to the store, and the admission that divides its write limit.
 pub(super) struct Commits {
@@ -54,9 +55,9 @@
     pub(super) noted_jobs: Vec<JobId>,
     /// Departures of tasks that other controllers are asked to write.
     pub(super) completions: CompletionForwarder,
-    /// The classes and teams that have floors, which are guaranteed shares of the writes.
+    /// The classes and teams that have floors, which are guaranteed minimum shares of the writes.
     pub(super) flows: Flows,
-    /// This controller's part of the write limit, and the plan that divides the limit.
+    /// This controller's share of the write limit, and the plan that divides the limit.
     pub(super) admission: WriteAdmission,
     /// Decides whether a submission is accepted now.
     pub(super) gate: Gate,
@@ -70,7 +71,8 @@
 }
 
 impl Commits {
-    /// Nothing noted, nothing in flight, and no write allowed before the first plan.
+    /// Starts without noted changes or transactions in flight; no write is allowed before the first
+    /// plan.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             noted_jobs: Vec::new(),
@@ -109,9 +111,10 @@
             WritePressure::Normal
         };
         let near_limit = || self.limits(job).iter().any(|team| self.near_limit(team));
-        let CommitTurn { lane, due } = turn::choose(job, pressure, near_limit, self.now);
+        let CommitSchedule { lane, due } =
+            commit_schedule::choose(job, pressure, near_limit, self.now);
         let class = self.commits.flows.of(&job.spec).class;
-        let due = if self.forwarded_to_owner(id) {
+        let due = if self.forward_to_owner(id) {
             due + OWNER_WRITE_TIMEOUT
         } else {
             due
@@ -120,9 +123,9 @@
         self.write_next();
     }
 
-    /// Whether a team uses more than [`NEAR_LIMIT`] of its limit.
+    /// Whether a team uses more than [`NEAR_LIMIT_FRACTION`] of its limit.
     fn near_limit(&self, team: &TeamSettings) -> bool {
-        let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT);
+        let used = self.jobs.usage(&team.name).times(1.0 / NEAR_LIMIT_FRACTION);
         !quota::within_limit(used, team)
     }
 
@@ -167,8 +170,8 @@
     }
 
     /// The transaction with all conditions of the planned changes, and no records yet. `None` if
-    /// the records rule out the placements among them: other controllers may have placed tasks of
-    /// the job since these were reserved.
+    /// the current records rule out the planned placements: other controllers may have placed tasks
+    /// of the job since these placements were reserved.
     fn write_conditions(&self, job: &Job, planned: &PlannedWrite) -> Option<Transaction> {
         let mut txn = Transaction::default();
         txn.require(job_key(&job.id), job.version);
@@ -186,8 +189,9 @@
         if placements.planned > 0 {
             self.require_tree(&mut txn);
         }
-        // In shards of other holders a leader places tasks by its view of all shards. Applied after
-        // its term, such a placement would add to what its successor has allocated in the meantime.
+        // A leader places tasks in shards of other holders by its own view of all shards. If such a
+        // placement were committed after its term, it would add to what the next leader has
+        // allocated in the meantime.
         if let Some(leader_revision) = self.leading().filter(|_| placements.in_other_shards > 0) {
             txn.require(LEADER.into(), leader_revision);
         }
@@ -197,10 +201,10 @@
         Some(txn)
     }
 
-    /// Adds the records that result from the planned changes: the job's final record if these
-    /// concern its last tasks, else the pages.
+    /// Adds the records that result from the planned changes: the job's final record if no task of
+    /// it remains, else the pages.
     fn add_records(&self, job: &Job, planned: &PlannedWrite, txn: &mut Transaction) {
-        if let Some(phase) = planned.final_phase(job, self.knows_all_of(job)) {
+        if let Some(phase) = planned.final_phase(job, self.all_placements_known(job)) {
             // The final record needs no spec, and the pages are deleted later.
             txn.put(job_key(&job.id), &job.record.finished(phase));
             return;
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -21,7 +21,7 @@
         match answer {
             StoreResponse::Committed(_) => self.on_committed(&id, changes),
             StoreResponse::Conflict(revision) => {
-                tracing::debug!(job = %id, "transaction conflict");
+                tracing::debug!(job = %id, "transaction conflict, waiting for the current records");
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.commit_state = CommitState::Resolving(Some(revision));
                 }
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Restarts from the records after a transaction that did not plainly succeed; by now the cache
-    /// shows its outcome. Noted changes are dropped, except completions: the next heartbeats and
-    /// cycles produce again those that still apply.
+    /// Restarts from the records after a transaction that failed, or whose outcome was unknown and
+    /// is shown by the cache now. Noted changes are discarded, except completions: the next
+    /// heartbeats and scheduling cycles note those again that still apply.
     pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
         let completions = self.noted_completions(id);
@@ -77,9 +77,9 @@
             job.commit_state = CommitState::Idle;
             self.back_off(id);
         }
-        // The last heartbeats of machines that tasks left are still valid evidence. Without this,
-        // when replicas on machines of two holders end at the same time, one holder would wait for
-        // its machine's next heartbeat.
+        // The last heartbeats of machines that tasks left are still valid evidence. If they were
+        // not used, and replicas on machines of two holders ended at the same time, one holder
+        // would wait for its machine's next heartbeat.
         for machine_id in departed_from {
             self.reconcile_again(&machine_id);
         }
@@ -89,7 +89,7 @@
                 self.jobs.note_change(id, index, change);
             }
         }
-        self.drop_overtaken(id);
+        self.discard_superseded_departures(id);
         self.commit(id);
     }
 
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -1,8 +1,8 @@
 //! What one transaction for a job writes: its noted changes, as far as the records still allow
 //! them.
 //!
-//! Changes wait in the backlog while the records change, so each is checked again just before it is
-//! written. A change that has been overtaken is stale, and dropped.
+//! The records may change while changes wait in the backlog, so each change is checked again just
+//! before it is written. A change that no longer fits the records is stale and is discarded.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
 pub(super) struct PlacementCounts {
     /// Placements that the transaction writes.
     pub(super) planned: u32,
-    /// Of these, placements in shards that another controller holds. Only the leader makes them.
+    /// Those of `planned` in shards that another controller holds; only the leader makes them.
     pub(super) in_other_shards: u32,
     /// Placements that no longer fit the records.
     pub(super) stale: u32,
@@ -77,8 +77,8 @@
     /// complete together: one completion proves that all tasks of its attempt are done, including
     /// those whose departure from their machine was not observed.
     pub(super) fn complete_gang(&mut self, job: &Job) {
-        let small = job.record.pages() as usize <= MAX_PAGES;
-        if !job.is_gang_of_several() || !job.is_active() || !small {
+        let fits_transaction = job.record.pages() as usize <= MAX_PAGES;
+        if !job.is_gang_of_several() || !job.is_active() || !fits_transaction {
             return;
         }
         let Some(finished) = self.finished_attempt() else {
@@ -112,11 +112,12 @@
         })
     }
 
-    /// Makes placements of a job that is bound to zones rewrite its first page: when the job has
-    /// many pages, that is the record on which controllers agree about the zones.
+    /// Adds the first page to a transaction that places tasks of a job with a zone constraint and
+    /// several pages. That page is the record on which the controllers agree about the zones:
+    /// concurrent placements by two of them conflict on it.
     pub(super) fn require_zone_page(&mut self, job: &Job) {
-        let bound = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
-        if self.placements.planned > 0 && bound && !self.pages.contains_key(&0) {
+        let has_zone_constraint = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
+        if self.placements.planned > 0 && has_zone_constraint && !self.pages.contains_key(&0) {
             self.pages.insert(0, job.page_tasks(0));
         }
     }
@@ -136,8 +137,9 @@
         shards
     }
 
-    /// The final phase of the job if this transaction leaves no task of it. `all_placements_known`:
-    /// whether the cache shows everything that was placed of a finished job.
+    /// The final phase of the job, if no task of it remains after this transaction.
+    /// `all_placements_known`: whether the cache shows every task that was placed before a
+    /// cancellation.
     pub(super) fn final_phase(&self, job: &Job, all_placements_known: bool) -> Option<Phase> {
         let finished = self.changes.iter().filter(|(_, c)| c.finishes()).count() as u32;
         if job.is_active() {
@@ -222,7 +224,8 @@
         })
     }
 
-    /// A holder's evidence is valid as long as its token is; the deletion of a machine is final.
+    /// A holder's evidence is valid only as long as its token is; the deletion of a machine is
+    /// final.
     fn check_release(&self, placement: &Placement, evidence: Evidence) -> Option<AllowedChange> {
         let shard_token = match evidence {
             Evidence::Deleted => None,
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -72,8 +72,8 @@
     (controller, id)
 }
 
-/// Changes that were decided during another transaction, or while the write budget was short, used to be
-/// written although the records were newer.
+/// Changes that were noted during another transaction, or while the write budget was exhausted, were
+/// written although the records had changed since.
 #[test]
 fn changes_overtaken_by_newer_records_are_not_written() {
     let release = |attempt, token| TaskChange::Release {
@@ -97,7 +97,7 @@
     };
     let cases: Vec<(&str, f64, [Task; 2], TaskChange, bool)> = vec![
         (
-            "present attempt",
+            "current attempt",
             1.0,
             [on_a(), waits(0)],
             release(2, 5),
@@ -117,33 +117,45 @@
             release(2, 4),
             false,
         ),
-        ("deleted", 1.0, [on_a(), waits(0)], deleted(2), true),
-        ("deleted before", 1.0, [on_a(), waits(0)], deleted(1), false),
+        ("machine deleted", 1.0, [on_a(), waits(0)], deleted(2), true),
+        (
+            "machine of earlier attempt deleted",
+            1.0,
+            [on_a(), waits(0)],
+            deleted(1),
+            false,
+        ),
         ("done", 1.0, [on_a(), waits(0)], finish(2), true),
-        ("done before", 1.0, [on_a(), waits(0)], finish(1), false),
         (
-            "start",
+            "earlier attempt done",
+            1.0,
+            [on_a(), waits(0)],
+            finish(1),
+            false,
+        ),
+        (
+            "placement",
             1.0,
             [waits(2), on_a()],
             place("vm-b", "b.0", 3),
             true,
         ),
         (
-            "used attempt",
+            "attempt already used",
             1.0,
             [waits(3), on_a()],
             place("vm-b", "b.0", 3),
             false,
         ),
         (
-            "zone is full",
+            "spread excludes the zone",
             1.0,
             [waits(2), on_a()],
             place("vm-a", "a.0", 3),
             false,
         ),
         (
-            "no room any more",
+            "no resources left",
             8.0,
             [waits(2), on_a()],
             place("vm-a", "a.0", 3),
@@ -157,7 +169,7 @@
             false,
         ),
         (
-            "block of nobody",
+            "shard without a holder",
             1.0,
             [waits(2), on_a()],
             place("vm-b", "b.1", 3),
@@ -167,7 +179,7 @@
     for (name, gpus, tasks, change, written) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks, spec.one_zone) = (JobKind::Array, 2, false);
-        spec.spread = name != "no room any more";
+        spec.spread = name != "no resources left";
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
         // The change was valid when it was noted; the records are newer now.
@@ -204,34 +216,34 @@
         (waits(2), None, true),
         (waits(3), None, false),
     ];
-    for (mate, noted, done) in cases {
+    for (other_task, noted, done) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Gang, 2);
-        let tasks = vec![placed("vm-a", "a.0", 2), mate.clone()];
+        let tasks = vec![placed("vm-a", "a.0", 2), other_task.clone()];
         let (mut controller, id) = controller(spec, tasks);
         controller.jobs.note_change(&id, 0, finish.clone());
         if let Some(noted) = noted {
             controller.jobs.note_change(&id, 1, noted);
         }
         controller.write(&id);
-        let completions = controller.effects.iter().any(|effect| {
+        let gang_done = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
                 return false;
             };
-            let over = |c: &crate::store::Mutation| {
+            let is_final_record = |c: &crate::store::Mutation| {
                 matches!(c, crate::store::Mutation::Put { key, data, .. }
                     if *key == job_key(&id) && data.contains("\"done\""))
             };
-            matches!(call, StoreCall::Transaction(txn) if txn.changes.iter().any(over))
+            matches!(call, StoreCall::Transaction(txn) if txn.changes.iter().any(is_final_record))
         });
-        assert_eq!(completions, done, "{mate:?}");
+        assert_eq!(gang_done, done, "{other_task:?}");
     }
 }
 
-/// Under a tight write budget the capacity preempted for a gang was released in the records 2.5 s late,
-/// because releases were batched like the first starts of arrays. Only starts may wait for a batch.
+/// While writes were scarce, the capacity preempted for a gang was released in the records 2.5 s late,
+/// because releases were batched like the first placements of arrays. Releases must be written at once.
 #[test]
-fn under_a_tight_budget_starts_are_batched_and_releases_are_not() {
+fn while_writes_are_scarce_placements_are_batched_and_releases_are_not() {
     let release = TaskChange::Release {
         attempt: Attempt(2),
         evidence: Evidence::Holder(FencingToken(5)),
@@ -240,13 +252,13 @@
         unreachable!()
     };
     let cases = [
-        // budget is tight, change, written at once
+        // writes are scarce, task, change, written at once
         (false, 0, release.clone(), true),
         (true, 0, release, true),
         (false, 1, TaskChange::Place(free.clone()), true),
         (true, 1, TaskChange::Place(free), false),
     ];
-    for (short, index, change, at_once) in cases {
+    for (scarce, index, change, at_once) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks, spec.one_zone) = (JobKind::Array, 3, false);
         (spec.priority, spec.spread) = (PriorityClass::Normal, false);
@@ -257,12 +269,12 @@
         ];
         let (mut controller, id) = controller(spec, tasks);
         controller.now = Millis(10_000);
-        if short {
+        if scarce {
             controller.commits.writes_short_until = Millis(11_000);
         }
         controller.jobs.note_change(&id, index, change.clone());
         controller.commit(&id);
         let written = controller.jobs.get(&id).unwrap().commit_state == CommitState::InFlight;
-        assert_eq!(written, at_once, "{change:?}, short: {short}");
+        assert_eq!(written, at_once, "{change:?}, scarce: {scarce}");
     }
 }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! This controller's lease in the key-value store, its own record, and the leadership.
+//! This controller's lease in the key-value store, its controller record, and the leadership.
 //!
 //! [`Membership`] owns this controller's view of all leases. Each tick, and each answer of the
 //! store, takes the next step that is missing: end the lease of the previous process, obtain a
@@ -23,7 +23,7 @@
 pub(super) struct Membership {
     /// The records of controllers, the leader and the shards.
     pub(super) leases: Leases,
-    /// Whether the lease of the previous process with our label has ended.
+    /// Whether the lease of the previous process with this controller's label has ended.
     pub(super) old_lease_ended: bool,
     /// When this controller last became the leader.
     pub(super) leading_since: Millis,
@@ -36,11 +36,11 @@
 /// A step of membership that is one call to the store; at most one call of each is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum MembershipStep {
-    /// Ends the lease of the process that had our label before.
+    /// Ends the lease of the previous process with this controller's label.
     EndOldLease,
-    /// Renews our lease.
+    /// Renews this controller's lease.
     Renew,
-    /// Writes our controller record.
+    /// Writes this controller's record.
     Register,
     /// Takes the leadership.
     Lead,
@@ -49,7 +49,7 @@
 }
 
 impl Membership {
-    /// Marks a step as in flight; false if it is already.
+    /// Marks a step as in flight. Returns false if it is in flight already.
     fn begin(&mut self, step: MembershipStep) -> bool {
         self.in_flight.insert(step)
     }
@@ -59,11 +59,11 @@
         self.in_flight.remove(&step);
     }
 
-    /// Records our lease: it holds until `lease` after the call that granted or renewed it was
-    /// sent.
-    fn hold(&mut self, lease_id: LeaseId, sent: Millis, lease: Millis) {
+    /// Records this controller's lease, which is valid until `duration` after the call that granted
+    /// or renewed it was sent.
+    fn hold(&mut self, lease_id: LeaseId, sent: Millis, duration: Millis) {
         self.leases.renewal_base = sent;
-        let until = sent + lease;
+        let until = sent + duration;
         self.leases.own = OwnLease::Held { lease_id, until };
     }
 }
@@ -92,9 +92,9 @@
         }
     }
 
-    /// Ends the lease under which our record from before a restart was written: the process that
-    /// held it has ended. Its fencing tokens are not used again, since its commands may still be in
-    /// flight.
+    /// Ends the lease under which this controller's record was written before a restart: the
+    /// process that held it has ended. The fencing tokens of that lease are not used again, since
+    /// commands under them may still be in flight.
     fn end_old_lease(&mut self) {
         let record = self.membership.leases.controllers.get(&self.me);
         let Some(lease_id) = record.map(|(record, _)| record.lease_id) else {
@@ -107,19 +107,14 @@
         }
     }
 
-    /// Requests a lease.
     fn request_lease(&mut self) {
         self.membership.leases.own = OwnLease::Requested;
-        let life_ms = self.settings.operator.lease.0;
+        let ttl_ms = self.settings.operator.lease.0;
         let purpose = CallPurpose::Grant { sent: self.now };
-        self.call_store(
-            CallClass::Leases,
-            StoreCall::Grant { ttl_ms: life_ms },
-            purpose,
-        );
+        self.call_store(CallClass::Leases, StoreCall::Grant { ttl_ms }, purpose);
     }
 
-    /// Renews our lease if it is time to.
+    /// Renews this controller's lease if a renewal is due.
     fn renew_lease(&mut self, lease_id: LeaseId) {
         let interval = Millis(self.settings.operator.lease.0 / RENEWALS_PER_LEASE);
         let due = self.membership.leases.renewal_base + interval;
@@ -129,7 +124,7 @@
         }
     }
 
-    /// Whether our record is written under this lease and is up to date.
+    /// Whether this controller's record is written under this lease and is up to date.
     fn is_registered(&self, lease_id: LeaseId) -> bool {
         let own = self.membership.leases.controllers.get(&self.me);
         own.is_some_and(|(record, _)| {
@@ -138,7 +133,7 @@
         })
     }
 
-    /// Writes our controller record under this lease.
+    /// Writes this controller's record under this lease.
     fn register(&mut self, lease_id: LeaseId) {
         if !self.membership.begin(MembershipStep::Register) {
             return;
@@ -157,8 +152,7 @@
         self.transact(CallClass::Leases, txn, CallPurpose::Register);
     }
 
-    /// Takes the leadership if it is vacant, and performs the leader's part of membership if we
-    /// have it.
+    /// Takes the leadership if it is vacant, and assigns the shards if this controller leads.
     fn maintain_leadership(&mut self) {
         let Some(lease_id) = self.membership.leases.lease_id() else {
             return;
@@ -201,7 +195,7 @@
                 tracing::info!("lease expired");
                 self.membership.leases.lose(&self.me);
             }
-            // Perhaps an outage of the store, in which leases do not expire.
+            // The lease is kept: this may be an outage of the store, in which leases do not expire.
             _ => self.membership.leases.renewal_base = self.now - FAILED_RENEWAL_ADVANCE,
         }
     }
@@ -214,7 +208,7 @@
         }
     }
 
-    /// Handles the answer to writing our controller record.
+    /// Handles the answer to writing this controller's record.
     pub(super) fn on_registered(&mut self, answer: &StoreResponse) {
         self.membership.finish(MembershipStep::Register);
         self.lose_lease_if_ended(answer);
@@ -226,7 +220,7 @@
         self.lose_lease_if_ended(answer);
     }
 
-    /// Drops our lease if the answer shows that it has ended.
+    /// Records the loss of this controller's lease if the answer shows that it has ended.
     fn lose_lease_if_ended(&mut self, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::LeaseExpired) {
             self.membership.leases.lose(&self.me);
@@ -256,7 +250,7 @@
             tracing::info!(%leader, "leader elected");
         }
         self.scheduler.forwarded.clear();
-        // Jobs that waited for the old leader are tried again.
+        // Jobs that waited for the previous leader are tried again.
         self.scheduler.queue.wake(self.now, |_, _| true);
         if self.store_sync.synced {
             self.update_all_queue_entries();
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -34,14 +34,14 @@
 }
 
 impl Controller {
-    /// Writes the shards whose holder differs from the desired one, as the leader since `lead`. The
-    /// remaining ones are written with the next transaction.
-    pub(super) fn assign_shards(&mut self, lead: Revision) {
+    /// Writes the records of shards whose holder differs from the desired one, as the leader since
+    /// `leader_revision`. Shards that do not fit into the transaction are written with the next.
+    pub(super) fn assign_shards(&mut self, leader_revision: Revision) {
         let step = MembershipStep::AssignShards;
         if self.membership.in_flight.contains(&step) {
             return;
         }
-        let txn = self.assignment_transaction(lead);
+        let txn = self.assignment_transaction(leader_revision);
         if !txn.changes.is_empty() {
             self.membership.begin(step);
             self.transact(CallClass::Leases, txn, CallPurpose::AssignShards);
@@ -49,12 +49,12 @@
     }
 
     /// The transaction that writes as many changed shard records as the store accepts.
-    fn assignment_transaction(&self, lead: Revision) -> Transaction {
+    fn assignment_transaction(&self, leader_revision: Revision) -> Transaction {
         let zones = &self.settings.deployment.zones;
         let shards_per_zone = self.settings.operator.shards_per_zone;
         let controllers = &self.membership.leases.controllers;
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), lead);
+        txn.require(LEADER.into(), leader_revision);
         for (shard, holder) in lease::desired_assignment(zones, shards_per_zone, controllers) {
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
@@ -69,13 +69,13 @@
     /// The record that makes `holder` the holder of a shard; `None` if it is already.
     fn assignment(&self, shard: ShardId, holder: ControllerId) -> Option<Assignment> {
         let leases = &self.membership.leases;
-        let present = leases.shards.get(&shard);
-        if present.is_some_and(|(current, _)| *current == holder) {
+        let current_record = leases.shards.get(&shard);
+        if current_record.is_some_and(|(current_holder, _)| *current_holder == holder) {
             return None;
         }
         let (record, holder_version) = leases.controllers.get(&holder)?;
         Some(Assignment {
-            shard_version: present.map_or(Revision(0), |(_, token)| Revision(token.0)),
+            shard_version: current_record.map_or(Revision(0), |(_, token)| Revision(token.0)),
             shard,
             holder,
             holder_version: *holder_version,
--- a/src/controller/store_sync/apply.rs
+++ b/src/controller/store_sync/apply.rs
@@ -1,6 +1,6 @@
-//! Dispatches each record that a snapshot read, a watch or a transaction of ours delivers to the
-//! component that caches it, and then handles the consequences of a change of a job's records: jobs
-//! are queued, machines get commands, parked jobs wake up.
+//! Dispatches each record that a snapshot read, a watch or a transaction of this controller
+//! delivers to the component that caches it, and then handles the consequences of a change of a
+//! job's records: jobs are queued, machines get commands, parked jobs are woken.
 
 use std::collections::BTreeSet;
 
@@ -41,7 +41,7 @@
         self.on_job_change(change);
     }
 
-    /// Applies a shard's quota allocation, and wakes jobs that it may help.
+    /// Applies a shard's quota allocation, and wakes the parked jobs that may fit into it now.
     fn apply_quota_allocation(&mut self, shard: &str, data: Option<&str>, version: Revision) {
         if let Some(shard) = ShardId::parse(shard)
             && self.quota.allocations.apply(shard, data, version)
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Applies the stored machine types.
+    /// Applies the stored machine types, which this controller uses if it knows none yet.
     fn apply_machine_types(&mut self, data: Option<&str>) {
         self.autoscaler.stored_type_specs = data
             .and_then(|text| serde_json::from_str(text).ok())
@@ -65,7 +65,7 @@
     /// Handles the consequences of a change of a job's records.
     fn on_job_change(&mut self, change: RecordChange) {
         let Some(id) = change.job else { return };
-        self.drop_overtaken(&id);
+        self.discard_superseded_departures(&id);
         self.end_nominations_on(&id, &change.allocated);
         if self.store_sync.synced {
             self.update_queue_entry(&id);
@@ -73,7 +73,7 @@
                 self.accept_forwarded(&id);
             }
         }
-        self.expect_image_on(&id, &change.allocated);
+        self.add_pending_image_fetches(&id, &change.allocated);
         self.stop_finished_job(&id);
         self.push_foreign_placements(&id, change.allocated);
         if !change.freed.is_empty() {
@@ -88,7 +88,7 @@
     }
 
     /// Records that machines which gained a task of a job will fetch its image.
-    fn expect_image_on(&mut self, id: &JobId, allocated: &[MachineId]) {
+    fn add_pending_image_fetches(&mut self, id: &JobId, allocated: &[MachineId]) {
         let Some(job) = self.jobs.get(id) else { return };
         for machine_id in allocated {
             if let Some(machine) = self.machines.get_mut(machine_id) {
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Sends machines of ours the starts of tasks that another controller placed there, for example
-    /// for a gang over the shards of several holders. For our own transactions the starts are sent
-    /// on commit.
+    /// Sends this controller's machines the commands to start tasks that another controller placed
+    /// there, for example for a gang over the shards of several holders. For transactions of this
+    /// controller these commands are sent on commit.
     fn push_foreign_placements(&mut self, id: &JobId, allocated: Vec<MachineId>) {
         let foreign = self
             .jobs
--- a/src/controller/store_sync/apply/tests.rs
+++ b/src/controller/store_sync/apply/tests.rs
@@ -4,8 +4,8 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::types::Revision;
 
-/// A job's last tasks and its end are written in one transaction. The job's team was dropped from the cache with
-/// it, so no job that waited for the team's quota was woken: tasks waited for half a minute beside free machines.
+/// A job's last completions and its end are written in one transaction. The cache forgot the job's team with the
+/// job, so no job that waited for the team's quota was woken: tasks waited for half a minute beside free machines.
 #[test]
 fn the_end_of_a_job_wakes_jobs_waiting_for_its_quota_or_resources() {
     use crate::jobs::record::{JobRecord, job_key};
@@ -19,13 +19,13 @@
     ] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
-        let here = Task::Placed(Placement {
+        let placed = Task::Placed(Placement {
             machine_id: "vm-a".into(),
             shard: ShardId::parse("a.0").unwrap(),
             agent_epoch: AgentEpoch(1),
             attempt: Attempt(1),
         });
-        let (mut controller, first) = controller(spec, vec![here]);
+        let (mut controller, first) = controller(spec, vec![placed]);
         let record = controller.jobs.get(&first).unwrap().record.clone();
         let second = JobId::from("job-2");
         let text = serde_json::to_string(&record).unwrap();
@@ -41,18 +41,18 @@
             now,
             &mut controller.rng,
         );
-        let rejected = |c: &Controller| {
+        let is_parked = |c: &Controller| {
             let cause = c.scheduler.queue.waits_for(&second);
             matches!(cause, Some(crate::queue::WaitReason::Rejected { .. }))
         };
-        assert!(rejected(&controller), "{check:?}");
-        let over = JobRecord {
+        assert!(is_parked(&controller), "{check:?}");
+        let final_record = JobRecord {
             phase,
             spec: None,
             ..record
         };
-        let text = serde_json::to_string(&over).unwrap();
+        let text = serde_json::to_string(&final_record).unwrap();
         controller.apply(&job_key(&first), Some(&text), Revision(30));
-        assert!(!rejected(&controller), "{check:?}, {phase:?}");
+        assert!(!is_parked(&controller), "{check:?}, {phase:?}");
     }
 }
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -14,7 +14,7 @@
 /// only if the watch has not answered for this long.
 const WATCH_GRACE_PERIOD: Millis = Millis(250);
 /// A user's read is abandoned once its request is older than this. A poll does not wait longer for
-/// its answer, and other controllers may have sent the user a newer one by then.
+/// its answer, and other controllers may have sent the user a newer answer by then.
 const USER_READ_TIMEOUT: Millis = Millis(2_000);
 
 /// The action to take once the cache is known to be new enough.
@@ -43,9 +43,9 @@
         /// The job to cancel.
         job: JobId,
     },
-    /// Delete the description of a finished job: all placements before its cancellation are known.
-    DeleteDescription {
-        /// The finished job.
+    /// Write the final record of a cancelled job: all placements before its cancellation are known.
+    FinalizeCancelled {
+        /// The cancelled job.
         job: JobId,
     },
     /// Resolve a transaction of unknown outcome: the cache shows whether it was committed.
@@ -56,8 +56,8 @@
 }
 
 impl PendingRead {
-    /// Whether a user waits for it.
-    fn is_of_user(&self) -> bool {
+    /// Whether a user waits for the answer to this read.
+    fn is_user_request(&self) -> bool {
         matches!(
             self,
             PendingRead::State { .. } | PendingRead::Refuse { .. } | PendingRead::Abort { .. }
@@ -82,7 +82,7 @@
 impl WaitingRead {
     /// Whether a user's request is so old that it must not be answered any more.
     fn has_expired(&self, now: Millis) -> bool {
-        self.read.is_of_user() && now.since(self.requested_at) > USER_READ_TIMEOUT
+        self.read.is_user_request() && now.since(self.requested_at) > USER_READ_TIMEOUT
     }
 }
 
@@ -102,7 +102,8 @@
 }
 
 impl ReadBarrier {
-    /// Handles the opening of a watch: its answer will show everything that was committed before.
+    /// Handles the opening of a watch: its answer will show everything that was committed before it
+    /// was opened.
     pub(super) fn on_watch_opened(&mut self) {
         let requested = std::mem::take(&mut self.unsent);
         self.awaiting_watch.extend(requested);
@@ -166,8 +167,8 @@
 
 impl Controller {
     /// Requests a read barrier: `read` continues once the cache shows everything that was committed
-    /// before this moment. The next watch provides that, or a read of the revision if nothing
-    /// changes.
+    /// before this moment. The answer to the next watch gives the revision to reach, or a read of
+    /// the store's revision if the watch does not answer in time.
     pub(in crate::controller) fn request_read_barrier(&mut self, read: PendingRead) {
         self.store_sync.read_barrier.unsent.push((self.now, read));
         self.poll_watch();
@@ -231,7 +232,7 @@
             .wait_for(revision, requested_at, read);
     }
 
-    /// Abandons users' reads whose revision the cache has not reached in time.
+    /// Abandons users' reads for which the cache has not reached the needed revision in time.
     pub(in crate::controller) fn expire_pending_reads(&mut self) {
         for expired in self.store_sync.read_barrier.take_expired(self.now) {
             self.on_read_barrier_expired(expired.read);
--- a/src/controller/store_sync/read_barrier/tests.rs
+++ b/src/controller/store_sync/read_barrier/tests.rs
@@ -17,18 +17,18 @@
         (2_100, false, false),
         (25_000, true, false),
     ];
-    for (after_ms, ticks, answered) in cases {
+    for (after_ms, expires_reads, answered) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, job) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         (controller.now, controller.store_sync.applied) = (Millis(5_000), Revision(20));
         let reply = ReplyId(1);
-        let asked = controller.now;
+        let requested_at = controller.now;
         let state = PendingRead::State { reply, job };
-        controller.resume_at_revision(Revision(21), asked, state);
+        controller.resume_at_revision(Revision(21), requested_at, state);
         controller.resume_ready_reads();
         assert!(controller.effects.is_empty());
-        controller.now = asked + Millis(after_ms);
-        if ticks {
+        controller.now = requested_at + Millis(after_ms);
+        if expires_reads {
             controller.expire_pending_reads();
         }
         controller.store_sync.applied = Revision(22);
@@ -40,7 +40,7 @@
         assert_eq!(
             answers.collect::<Vec<_>>(),
             [answered],
-            "{after_ms} ms, {ticks}"
+            "{after_ms} ms, {expires_reads}"
         );
     }
 }
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -72,11 +72,11 @@
         self.poll_watch();
     }
 
-    /// Drops all cached records, to read them again.
+    /// Discards all cached records, so that the next snapshot read fills the cache again.
     pub(super) fn resync(&mut self) {
         self.store_sync.synced = false;
         self.store_sync.in_flight = None;
-        // Reservations are dropped too, so transactions in flight must fail: they are conditioned
+        // Reservations are discarded too, so transactions in flight must fail: they are conditioned
         // on the shards' fencing tokens, which end with the lease.
         self.membership.old_lease_ended = false;
         self.membership.leases.lose(&self.me);
--- a/src/controller/store_sync/watch.rs
+++ b/src/controller/store_sync/watch.rs
@@ -8,8 +8,8 @@
 
 /// How long the store holds a watch open when nothing changes, in milliseconds.
 const WATCH_TIMEOUT_MS: u64 = 10_000;
-/// The part of the store's request budget that the watches of all controllers may use together. One
-/// watch delivers all changes that are closer together than this allows.
+/// The share of the store's request budget that the watches of all controllers may use together. If
+/// changes follow each other faster than this allows, one watch delivers several of them.
 const MAX_WATCH_BUDGET_SHARE: f64 = 0.3;
 /// Maximum pause, in seconds, before a busy watch is repeated, however small the request budget is.
 const MAX_WATCH_PAUSE_S: f64 = 1.0;
@@ -35,7 +35,7 @@
         match answer {
             StoreResponse::Updates { updates, revision } => self.on_updates(updates, revision),
             StoreResponse::Compacted => {
-                tracing::info!("watch compacted, resyncing");
+                tracing::info!("watch revision compacted, reading a new snapshot");
                 self.resync();
             }
             _ => self.store_sync.next_read_at = self.now + READ_RETRY_DELAY,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,7 +1,8 @@
 //! Requests of users: submissions and polls, and the answers that wait for a read barrier.
 //!
-//! A submission is idempotent: a known job is answered with its state. Answers to polls, and
-//! refusals, wait until the cache is proved to be as new as the request. State: [`UserRequests`].
+//! A submission is idempotent: if the job is known already, the answer is its state. Answers to
+//! polls, and refusals, wait until the cache is known to be as new as the request. State:
+//! [`UserRequests`].
 
 use admission_control::gate::{SubmissionRequest, Urgency};
 use rand::Rng;
@@ -16,9 +17,10 @@
 use crate::store::{CallClass, StoreResponse, Transaction};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// If the key-value store has not answered for this long, users are asked to retry later.
+/// If the key-value store has not answered for this long, users are asked to retry.
 const STORE_TIMEOUT: Millis = Millis(2_500);
-/// Seconds after which users are asked to retry while the store or the fleet is not known.
+/// Seconds after which users are asked to retry while the store is not ready or no machine types
+/// are known.
 const NOT_READY_RETRY_S: u32 = 2;
 
 /// Requests of users that wait for the store or for tasks to end.
@@ -116,9 +118,9 @@
         self.transact(CallClass::Submissions, txn, CallPurpose::Submit { job: id });
     }
 
-    /// Refuses a submission, unless its job is known after a read barrier. A job that was accepted
-    /// once is never refused, even if its body or the settings have changed since, and the cache
-    /// may be outdated.
+    /// Refuses a submission, unless its job is known after a read barrier, since the cache may be
+    /// outdated. A job that was accepted once is never refused, even if its body or the settings
+    /// have changed since.
     fn refuse(&mut self, reply: ReplyId, job: JobId, why: Refusal) {
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
@@ -132,27 +134,31 @@
         for reply in replies {
             match answer {
                 StoreResponse::Committed(_) => self.respond(reply, Response::Accepted(id.clone())),
-                // Known already: from another controller, or from an earlier request here that was
-                // presumed lost.
+                // The job is known already: it was submitted to another controller, or by an
+                // earlier request to this one that was presumed lost.
                 StoreResponse::Conflict(revision) => {
                     let job = id.clone();
                     self.resume_at_revision(revision, self.now, PendingRead::State { reply, job });
                     self.resume_ready_reads();
                 }
                 _ => {
-                    tracing::debug!(job = %id, ?answer, "submission not accepted");
+                    tracing::debug!(
+                        job = %id,
+                        ?answer,
+                        "submission not confirmed, asking the user to retry"
+                    );
                     self.respond(reply, Response::later());
                 }
             }
         }
     }
 
-    /// Waits for a read barrier, or gives up immediately if the store does not answer.
-    pub(super) fn after_read_barrier(&mut self, after: PendingRead) {
+    /// Continues `read` after a read barrier, or gives up immediately if the store does not answer.
+    pub(super) fn after_read_barrier(&mut self, read: PendingRead) {
         if self.store_is_ready() {
-            self.request_read_barrier(after);
+            self.request_read_barrier(read);
         } else {
-            self.on_read_barrier_expired(after);
+            self.on_read_barrier_expired(read);
         }
     }
 
@@ -165,9 +171,9 @@
         }
     }
 
-    /// Continues what waited for a read barrier: the cache is now as new as the request.
-    pub(super) fn on_read_barrier_reached(&mut self, after: PendingRead) {
-        match after {
+    /// Continues a read whose read barrier was reached: the cache is now as new as the request.
+    pub(super) fn on_read_barrier_reached(&mut self, read: PendingRead) {
+        match read {
             PendingRead::State { reply, job } => {
                 let response = self
                     .jobs
@@ -184,25 +190,27 @@
                 Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
                 Some(_) => self.cancel_known(reply, job),
             },
-            PendingRead::DeleteDescription { job } => self.finalize_cancelled(&job),
+            PendingRead::FinalizeCancelled { job } => self.finalize_cancelled(&job),
             PendingRead::ResolveTransaction { job } => self.restart_from_records(&job),
         }
     }
 
     /// Handles a read barrier that was not reached in time.
-    pub(super) fn on_read_barrier_expired(&mut self, after: PendingRead) {
-        match after {
+    pub(super) fn on_read_barrier_expired(&mut self, read: PendingRead) {
+        match read {
             PendingRead::State { reply, job }
             | PendingRead::Refuse { reply, job, .. }
             | PendingRead::Abort { reply, job } => {
-                tracing::debug!(%job, "read barrier expired");
+                tracing::debug!(%job, "read barrier expired, asking the user to retry");
                 self.respond(reply, Response::later());
             }
-            PendingRead::DeleteDescription { job } => self.finalize_cancelled(&job),
+            PendingRead::FinalizeCancelled { job } => self.finalize_cancelled(&job),
             // The outcome of a transaction must become known, however long it takes.
-            settle @ PendingRead::ResolveTransaction { .. } => {
-                self.store_sync.read_barrier.unsent.push((self.now, settle))
-            }
+            unresolved @ PendingRead::ResolveTransaction { .. } => self
+                .store_sync
+                .read_barrier
+                .unsent
+                .push((self.now, unresolved)),
         }
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -7,8 +7,8 @@
 use crate::jobs::{Phase, Task};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
-/// A controller whose cache has `job-1`, with one task, in a phase.
-fn knowing(phase: Phase) -> Controller {
+/// A controller whose cache has `job-1`, with one task, in the given phase.
+fn controller_with_job(phase: Phase) -> Controller {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     spec.tasks = 1;
     let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED]);
@@ -28,38 +28,41 @@
     controller.on_submit(ReplyId(7), submission);
 }
 
-fn told(controller: &mut Controller) -> Option<Response> {
+fn take_response(controller: &mut Controller) -> Option<Response> {
     let effects = std::mem::take(&mut controller.effects).into_iter();
-    let mut told = effects.filter_map(|effect| match effect {
+    let mut responses = effects.filter_map(|effect| match effect {
         Effect::User { response, .. } => Some(response),
         _ => None,
     });
-    told.next()
+    responses.next()
 }
 
 /// Completes the read barriers of all pending requests.
-fn prove(controller: &mut Controller) {
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.unsent) {
-        controller.on_read_barrier_reached(after);
+fn complete_read_barriers(controller: &mut Controller) {
+    for (_, read) in std::mem::take(&mut controller.store_sync.read_barrier.unsent) {
+        controller.on_read_barrier_reached(read);
     }
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_watch) {
-        controller.on_read_barrier_reached(after);
+    for (_, read) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_watch) {
+        controller.on_read_barrier_reached(read);
     }
-    for (_, after) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_revision) {
-        controller.on_read_barrier_reached(after);
+    for (_, read) in std::mem::take(&mut controller.store_sync.read_barrier.awaiting_revision) {
+        controller.on_read_barrier_reached(read);
     }
 }
 
 /// A repeated submission of an accepted job is answered with the job's state, even if it is invalid.
 #[test]
 fn resubmitting_a_known_job_is_never_rejected() {
-    let odd = [
+    let invalid_changes = [
         ("nothing", json!({})),
         ("a field's type", json!({"picks": "many"})),
         ("a field that is null", json!({"kit": null})),
-        ("a team that is no more", json!({"crew": "nobody"})),
-        ("a type that is no more", json!({"rigs": ["g0"]})),
-        ("more than any machine has", json!({"vcpus": 9000.0})),
+        ("a removed team", json!({"crew": "nobody"})),
+        ("a removed machine type", json!({"rigs": ["g0"]})),
+        (
+            "more resources than any machine has",
+            json!({"vcpus": 9000.0}),
+        ),
     ];
     for (phase, stage) in [
         (Phase::Active, JobStage::Queued),
@@ -67,17 +70,17 @@
         (Phase::Done, JobStage::Done),
         (Phase::Aborted, JobStage::Aborted),
     ] {
-        for (what, changes) in &odd {
-            let mut controller = knowing(phase);
+        for (what, changes) in &invalid_changes {
+            let mut controller = controller_with_job(phase);
             let mut job = body();
             job["id"] = "job-1".into();
             for (field, value) in changes.as_object().unwrap() {
                 job[field] = value.clone();
             }
             submit(&mut controller, &job);
-            let at_once = told(&mut controller);
-            prove(&mut controller);
-            let answer = at_once.or(told(&mut controller));
+            let at_once = take_response(&mut controller);
+            complete_read_barriers(&mut controller);
+            let answer = at_once.or(take_response(&mut controller));
             let Some(Response::State(state)) = answer else {
                 panic!("{phase:?}, {what}: {answer:?}");
             };
@@ -95,18 +98,18 @@
         job[field] = value;
         job
     };
-    let (malformed, never) = (
+    let (malformed, never_runs) = (
         unknown("picks", json!("many")),
         unknown("crew", json!("nobody")),
     );
-    for (job, status) in [(&malformed, 400), (&never, 422)] {
-        for (accepted, away) in [(false, false), (true, false), (false, true)] {
-            let mut controller = knowing(Phase::Active);
-            if away {
+    for (job, status) in [(&malformed, 400), (&never_runs, 422)] {
+        for (accepted, store_lost) in [(false, false), (true, false), (false, true)] {
+            let mut controller = controller_with_job(Phase::Active);
+            if store_lost {
                 controller.now = Millis(9_000);
             }
             submit(&mut controller, job);
-            let at_once = told(&mut controller);
+            let at_once = take_response(&mut controller);
             if accepted {
                 let known = JobId::from("job-1");
                 let record = &controller.jobs.get(&known).unwrap().record;
@@ -114,12 +117,12 @@
                 controller.apply(&job_key(&"job-9".into()), Some(&text), Revision(30));
                 controller.effects.clear();
             }
-            prove(&mut controller);
-            let later = told(&mut controller);
-            let case = format!("{status}, accepted {accepted}, away {away}");
-            assert_eq!(at_once.is_some(), away, "{case}: {at_once:?}");
+            complete_read_barriers(&mut controller);
+            let later = take_response(&mut controller);
+            let case = format!("{status}, accepted {accepted}, store_lost {store_lost}");
+            assert_eq!(at_once.is_some(), store_lost, "{case}: {at_once:?}");
             match at_once.or(later).expect("an answer") {
-                Response::Later(_) => assert!(away, "{case}"),
+                Response::Later(_) => assert!(store_lost, "{case}"),
                 Response::State(_) => assert!(accepted, "{case}"),
                 Response::Malformed(_) => assert!(status == 400 && !accepted, "{case}"),
                 Response::NeverRuns(_) => assert!(status == 422 && !accepted, "{case}"),
@@ -138,10 +141,10 @@
         (Phase::Done, "job-9", None),
         (Phase::Done, "no job's id", None),
     ] {
-        let mut controller = knowing(phase);
+        let mut controller = controller_with_job(phase);
         controller.on_cancel(ReplyId(3), id.into());
-        prove(&mut controller);
-        match told(&mut controller) {
+        complete_read_barriers(&mut controller);
+        match take_response(&mut controller) {
             Some(Response::State(state)) => assert_eq!(Some(state.stage), expected, "{id}"),
             Some(Response::Unknown) => assert_eq!(expected, None, "{phase:?} {id}"),
             other => panic!("{phase:?} {id}: {other:?}"),
