--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -104,7 +104,7 @@
     let later = TaskChange::Place(placement("vm-a", "a.0"));
     controller.jobs.note_change(&id, 0, later);
     controller.commits.backlog.in_flight = 1;
-    controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
+    controller.on_task_changes_written(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
     controller.resolve_unknown_transactions();
     let allocation = allocation_key(&ShardId::parse("b.0").unwrap());
