--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -22,7 +22,7 @@
 impl Controller {
     /// Expires leases of workers by our own clock, probes silent machines, and drops outdated
     /// state.
-    pub(in crate::controller) fn detect_silent_machines(&mut self) {
+    pub(in crate::controller) fn sweep_machines(&mut self) {
         if self.now.since(self.contact.last_sweep) < SWEEP_INTERVAL {
             return;
         }
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -37,7 +37,7 @@
     let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
     for (after_s, gone) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
-        controller.detect_silent_machines();
+        controller.sweep_machines();
         assert_eq!(released(&controller), gone, "{after_s} s after");
     }
 }
@@ -104,7 +104,7 @@
             controller.answer_heartbeat(heartbeat(3, FencingToken(5)));
         }
         controller.now = Millis(shown * 1_000) + Millis::from_secs(then_s);
-        controller.detect_silent_machines();
+        controller.sweep_machines();
         let released = !controller.jobs.get(&id).unwrap().changes.is_empty();
         assert_eq!(
             released, gone,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -162,7 +162,7 @@
         self.resolve_unknown_transactions();
         self.reallocate_quota();
         self.refresh_quota_tree();
-        self.detect_silent_machines();
+        self.sweep_machines();
         self.update_admission_plan();
         self.broadcast_status();
         self.reconcile_fleet();
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -25,7 +25,7 @@
         controller.on_peer("n1".into(), Message::Unplaced { job });
         assert!(!controller.scheduler.queue.contains(&id));
         controller.now = Millis(known_after);
-        controller.detect_silent_machines();
+        controller.sweep_machines();
         let record = record.unwrap().replace("\"n0\"", "\"n1\"");
         // Its owner is alive, so only the forwarding makes this controller responsible.
         let node = r#"{"permit":2,"zone":"a","hears":true}"#;
