--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -86,7 +86,7 @@
             &self.autoscaler.type_specs,
             |offer| {
                 self.autoscaler.is_refused(offer, self.now)
-                    || self.partition.zone_health.out_of_reach(&offer.zone)
+                    || self.partition.zone_health.is_unreachable(&offer.zone)
             },
             self.settings.operator.idle_return,
         )
@@ -138,7 +138,7 @@
                 self.now.since(rented.rented_at).secs() <= late_s
             }
             MachineStage::Running => {
-                let max_silences = if self.partition.zone_health.out_of_reach(&rented.zone) {
+                let max_silences = if self.partition.zone_health.is_unreachable(&rented.zone) {
                     MAX_SILENCES_OUT_OF_REACH
                 } else {
                     MAX_SILENCES
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -219,7 +219,7 @@
 
     /// Whether nothing should be started or rented in a zone, since no command would arrive there.
     #[must_use]
-    pub fn out_of_reach(&self, zone: &Zone) -> bool {
+    pub fn is_unreachable(&self, zone: &Zone) -> bool {
         self.health(zone) == ZoneHealth::Partitioned
     }
 
