--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -6,7 +6,7 @@
 
 use super::scale_in::MAX_DELETIONS_PER_REQUEST;
 use super::{Autoscaler, Controller};
-use crate::controller::heartbeats::Silence;
+use crate::controller::heartbeats::MachineSilence;
 use crate::fleet::{MachineStage, RentedMachine};
 use crate::types::{MachineId, Millis, ShardId, Zone};
 use crate::workers::shard_of;
@@ -45,7 +45,7 @@
 /// The state of a running machine's contact with the controllers.
 struct MachineContact {
     /// How long it has been silent, by the holder of its shard; `None` if that holder cannot tell.
-    silence: Option<Silence>,
+    silence: Option<MachineSilence>,
     /// Whether it sends heartbeats while nothing confirms that it receives commands.
     unproved: bool,
 }
@@ -132,7 +132,7 @@
         // A new holder that receives no heartbeats cannot tell; the machine's silence is then
         // measured from the last heartbeat that any controller received.
         let (held, since_heard) = match &contact.silence {
-            Some(silence) => (silence.held, silence.since_contact),
+            Some(silence) => (silence.held_for, silence.since_contact),
             None => {
                 let unheard = self.now.since(self.last_contact(machine_id));
                 (unheard.since(self.heartbeat_timeout()), unheard)
@@ -184,7 +184,7 @@
         };
         let early = !contact.unproved
             && silence.since_contact > self.early_loss_timeout()
-            && silence.held > HOLDER_DISCOVERY_TIME;
+            && silence.held_for > HOLDER_DISCOVERY_TIME;
         silence.outlasts(self.lease_timeout())
             || early && self.most_of_zone_reports(machine_id, &rented.zone)
     }
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -11,17 +11,17 @@
 const MIN_HEARD_MACHINES: usize = 2;
 
 /// How long a machine has been silent, and how long its shard has had the same holder.
-pub(in crate::controller) struct Silence {
+pub(in crate::controller) struct MachineSilence {
     /// Time since any controller last received a sign of life from it.
     pub since_contact: Millis,
     /// Time since its shard last changed its holder.
-    pub held: Millis,
+    pub held_for: Millis,
 }
 
-impl Silence {
+impl MachineSilence {
     /// Whether the worker's lease has expired, whichever controller it reported to before.
     pub(crate) fn outlasts(&self, lease: Millis) -> bool {
-        self.since_contact.min(self.held) > lease
+        self.since_contact.min(self.held_for) > lease
     }
 }
 
@@ -52,15 +52,15 @@
         &self,
         machine_id: &MachineId,
         shard: &ShardId,
-    ) -> Option<Silence> {
+    ) -> Option<MachineSilence> {
         let (holder, _) = self.membership.leases.shards.get(shard)?;
         if !self.holder_receives_heartbeats(holder) {
             return None;
         }
         let moved_at = self.membership.shard_moved_at.get(shard);
-        Some(Silence {
+        Some(MachineSilence {
             since_contact: self.now.since(self.last_contact(machine_id)),
-            held: moved_at.map_or(self.now, |at| self.now.since(*at)),
+            held_for: moved_at.map_or(self.now, |at| self.now.since(*at)),
         })
     }
 
--- a/src/controller/heartbeats/mod.rs
+++ b/src/controller/heartbeats/mod.rs
@@ -22,7 +22,7 @@
 use super::{Controller, Effect};
 use crate::types::{Millis, ReplyId};
 use crate::workers::wire::Heartbeat;
-pub(in crate::controller) use liveness::Silence;
+pub(in crate::controller) use liveness::MachineSilence;
 
 pub(super) use sweep::FORGET;
 
