--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -63,7 +63,7 @@
 
     /// Ends a direct exchange. `answer` is `None` if it is unknown whether the commands were, or
     /// will be, executed.
-    pub(in crate::controller) fn on_direct(
+    pub(in crate::controller) fn on_direct_reply(
         &mut self,
         machine_id: &MachineId,
         answer: Option<CommandReply>,
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -33,7 +33,7 @@
         "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
     controller.now = lease;
     let heartbeat = Some(serde_json::from_value(heartbeat).unwrap());
-    controller.on_direct(&machine_id, Some(CommandReply { heartbeat }));
+    controller.on_direct_reply(&machine_id, Some(CommandReply { heartbeat }));
     let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
     for (after_s, gone) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
@@ -98,7 +98,7 @@
         let answer = CommandReply {
             heartbeat: heartbeat_of_answer,
         };
-        controller.on_direct(&machine_id, Some(answer));
+        controller.on_direct_reply(&machine_id, Some(answer));
         if let Some(after) = after {
             controller.now = Millis(after * 1_000);
             controller.answer_heartbeat(heartbeat(3, FencingToken(5)));
@@ -136,7 +136,7 @@
     let asked = |c: &Controller| c.machines[&machine_id].direct.in_flight;
     assert!(asked(&controller), "it is asked");
     let answer = Some(heartbeat(6));
-    controller.on_direct(&machine_id, Some(CommandReply { heartbeat: answer }));
+    controller.on_direct_reply(&machine_id, Some(CommandReply { heartbeat: answer }));
     assert!(fit(&controller), "it answered");
 }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -135,7 +135,7 @@
             Event::Poll { reply, job } => self.on_poll(reply, job),
             Event::Abort { reply, job } => self.on_cancel(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
-            Event::Direct { machine_id, answer } => self.on_direct(&machine_id, answer),
+            Event::Direct { machine_id, answer } => self.on_direct_reply(&machine_id, answer),
             Event::Ready { reply } => {
                 let ready = self.ready();
                 self.effects.push(Effect::Ready { reply, ready });
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -66,7 +66,7 @@
     let answer = CommandReply {
         heartbeat: Some(heartbeat),
     };
-    controller.on_direct(&MachineId::from(HOST), Some(answer));
+    controller.on_direct_reply(&MachineId::from(HOST), Some(answer));
 }
 
 /// Commands sent to the machine since the last call.
