--- a/src/controller/peer_messages/mod.rs
+++ b/src/controller/peer_messages/mod.rs
@@ -55,7 +55,7 @@
 
 impl Controller {
     /// Handles a message of another controller.
-    pub(super) fn on_peer(&mut self, from: ControllerId, message: Message) {
+    pub(super) fn on_peer_message(&mut self, from: ControllerId, message: Message) {
         match message {
             Message::Hello { .. } => {}
             Message::Unplaced { job } => self.on_unplaced(&job.into()),
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -22,7 +22,7 @@
         let record = serde_json::to_string(&controller.jobs.get(&known).unwrap().record);
         let job = "job-9".to_string();
         let id = JobId::from(job.clone());
-        controller.on_peer("n1".into(), Message::Unplaced { job });
+        controller.on_peer_message("n1".into(), Message::Unplaced { job });
         assert!(!controller.scheduler.queue.contains(&id));
         controller.now = Millis(known_after);
         controller.sweep_machines();
@@ -73,7 +73,7 @@
             machines: vec![heartbeat],
             ..Status::default()
         };
-        controller.on_peer("n1".into(), Message::Status(status));
+        controller.on_peer_message("n1".into(), Message::Status(status));
         let machine = &controller.machines[&machine_id];
         assert_eq!(machine.agent_epoch, AgentEpoch(told));
         let taken = machine.is_newer(AgentEpoch(agent_epoch), heartbeat_sequence);
@@ -155,7 +155,7 @@
         );
         let mut status = status.expect("a status");
         status.shards.clear();
-        holder.on_peer("n1".into(), Message::Status(status));
+        holder.on_peer_message("n1".into(), Message::Status(status));
         assert_eq!(
             holder.autoscaler.drains.contains(&MachineId::from("vm-a")),
             told,
