--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -52,7 +52,7 @@
 use store_sync::StoreSync;
 use user_requests::UserRequests;
 use work_counters::WorkCounters;
-use zones::Partition;
+use zones::PartitionState;
 
 /// One controller of a deployment.
 pub struct Controller {
@@ -71,7 +71,7 @@
     /// This controller's lease, and the cached leases of all controllers.
     membership: Membership,
     /// Partition mode, and the health of zones.
-    partition: Partition,
+    partition: PartitionState,
     /// Whether workers and this controller reach each other.
     contact: WorkerContact,
     /// All machines that sent a heartbeat to this controller or to a peer.
@@ -106,7 +106,7 @@
             calls: Calls::new(),
             store_sync: StoreSync::default(),
             membership: Membership::default(),
-            partition: Partition::default(),
+            partition: PartitionState::default(),
             contact: WorkerContact::new(),
             machines: HashMap::default(),
             jobs: JobCache::default(),
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -17,7 +17,7 @@
 
 /// This controller's own partition mode, and the health of all zones as the leader observes it.
 #[derive(Debug, Default)]
-pub(super) struct Partition {
+pub(super) struct PartitionState {
     /// Whether this controller keeps its workers' leases while it is cut off from the store.
     pub(super) mode: PartitionMode,
     /// The health of all zones; only the leader's is used.
