--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -10,7 +10,7 @@
 use crate::lease::OwnLease;
 use crate::types::{ControllerId, FencingToken, MachineId, ShardId, WorkerToken, Zone};
 use crate::workers::wire::HeartbeatResponse;
-use crate::zones::partition_mode::{Circumstances, PartitionMode, may_renew};
+use crate::zones::partition_mode::{Circumstances, PartitionMode, may_renew_worker_lease};
 use crate::zones::zone_health::{
     EvictionCost, SuspectedMachine, ZoneHealthTracker, ZoneObservation,
 };
@@ -83,8 +83,8 @@
             .shards
             .get(shard)
             .is_some_and(|(holder, _)| self.recent_status(holder).is_some());
-        let renews =
-            self.may_answer_heartbeats() && may_renew(worker_token, cut_off, holder_in_contact);
+        let renews = self.may_answer_heartbeats()
+            && may_renew_worker_lease(worker_token, cut_off, holder_in_contact);
         renews.then(|| HeartbeatResponse::Commands {
             worker_token,
             commands: Vec::new(),
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -71,7 +71,11 @@
 /// commands: the worker has seen that its holder is in partition mode, this controller is cut off (or has
 /// read nothing of the store yet) and so has seen no later holder, and the last known holder is not in contact.
 #[must_use]
-pub fn may_renew(worker_token: WorkerToken, cut_off: bool, holder_in_contact: bool) -> bool {
+pub fn may_renew_worker_lease(
+    worker_token: WorkerToken,
+    cut_off: bool,
+    holder_in_contact: bool,
+) -> bool {
     worker_token.is_partitioned() && cut_off && !holder_in_contact
 }
 
--- a/src/zones/partition_mode/tests.rs
+++ b/src/zones/partition_mode/tests.rs
@@ -75,7 +75,10 @@
         (WorkerToken::partitioned(token), false, false, false),
         (WorkerToken::partitioned(token), true, true, false),
     ] {
-        assert_eq!(may_renew(worker_token, cut_off, holder_in_contact), renews);
+        assert_eq!(
+            may_renew_worker_lease(worker_token, cut_off, holder_in_contact),
+            renews
+        );
     }
     assert!(WorkerToken::of(token) < WorkerToken::partitioned(token));
     assert!(WorkerToken::partitioned(token) < WorkerToken::of(FencingToken(8)));
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -3,7 +3,7 @@
 //! is in docs/network-partitions.md.
 
 use jaspertiller::types::{FencingToken, WorkerToken};
-use jaspertiller::zones::partition_mode::may_renew;
+use jaspertiller::zones::partition_mode::may_renew_worker_lease;
 
 /// Ticks of a worker's lease; its clock may lag by `MAX_DRIFT_TICKS` in total.
 const LEASE_TICKS: u8 = 2;
@@ -279,7 +279,7 @@
         then(&|s| {
             // The worker reports to a process without records: the restarted holder, or the bystander.
             let restarted = s.first == Holder::Restarted && s.inside || s.bystander_restarted;
-            let marked = may_renew(s.worker_token, restarted, false);
+            let marked = may_renew_worker_lease(s.worker_token, restarted, false);
             let renews = marked || restarted && !conditions.renew_only_partitioned_tokens;
             if s.deleted || !renews {
                 return false;
