--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -10,7 +10,7 @@
 use crate::lease::OwnLease;
 use crate::types::{ControllerId, FencingToken, MachineId, ShardId, WorkerToken, Zone};
 use crate::workers::wire::HeartbeatResponse;
-use crate::zones::partition_mode::{Circumstances, PartitionMode, may_renew_worker_lease};
+use crate::zones::partition_mode::{PartitionConditions, PartitionMode, may_renew_worker_lease};
 use crate::zones::zone_health::{
     EvictionCost, SuspectedMachine, ZoneHealthTracker, ZoneObservation,
 };
@@ -25,7 +25,8 @@
 }
 
 impl Controller {
-    /// The token that workers see for a fencing token that we hold.
+    /// The token that workers get for a fencing token that this controller holds; marked while this
+    /// controller is in partition mode.
     pub(super) fn worker_token(&self, token: FencingToken) -> WorkerToken {
         if self.partition.mode.is_on() {
             WorkerToken::partitioned(token)
@@ -37,17 +38,17 @@
     /// Enters partition mode once this controller is cut off from the store together with its
     /// machines.
     pub(super) fn check_partition_mode(&mut self) {
-        let lease_over =
+        let lease_expired =
             matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
-        let circumstances = Circumstances {
-            lease_over: lease_over && self.store_sync.synced,
-            outage: lease_over && self.outage_is_common(),
+        let conditions = PartitionConditions {
+            lease_expired: lease_expired && self.store_sync.synced,
+            outage: lease_expired && self.outage_is_common(),
             holds_shards: self.holds_shards(),
         };
-        if self.partition.mode.update(circumstances, self.now) {
+        if self.partition.mode.update(conditions, self.now) {
             tracing::info!("partition mode entered");
-            // All workers must see the marked token before this controller might crash: only
-            // workers that have seen it may have their lease renewed by other controllers then.
+            // All workers must see the marked token before this controller might crash: after a
+            // crash other controllers may renew only the leases of workers that have seen it.
             self.announce_tokens();
         }
     }
@@ -58,8 +59,9 @@
         holders.any(|(holder, _)| *holder == self.me)
     }
 
-    /// Leaves partition mode, since the store answers again. The shards are released: under a token
-    /// that is marked as partitioned, a worker's silence is no evidence that its lease has expired.
+    /// Leaves partition mode, to be called when the store answers again. The shards are released:
+    /// under a token that is marked as partitioned, a worker's silence is no evidence that its
+    /// lease has expired.
     pub(super) fn leave_partition_mode(&mut self) {
         if let Some(duration) = self.partition.mode.leave(self.now) {
             tracing::info!(kept_s = duration.secs(), "partition mode left");
@@ -91,8 +93,8 @@
         })
     }
 
-    /// Records what the leader observes of each zone's machines, and whether any controller of the
-    /// zone has a lease that has not expired.
+    /// Updates the health of each zone by the leader's observation of its machines, completed by
+    /// whether the zone's controllers are silent.
     pub(super) fn observe_zones(&mut self, zones: BTreeMap<Zone, ZoneObservation>) {
         for (zone, mut observation) in zones {
             observation.controllers_silent = self.controllers_are_silent(&zone);
@@ -107,10 +109,10 @@
         }
     }
 
-    /// Whether a zone has controllers and none of them has a lease.
+    /// Whether a zone has controllers and none of them has an unexpired lease.
     fn controllers_are_silent(&self, zone: &Zone) -> bool {
-        let members = self.settings.members.iter().map(|m| (&m.label, &m.zone));
-        let mut labels = members
+        let peers = self.settings.members.iter().map(|m| (&m.label, &m.zone));
+        let mut labels = peers
             .chain([(&self.me, &self.settings.zone)])
             .filter(|(_, member_zone)| *member_zone == zone)
             .map(|(label, _)| label)
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -14,16 +14,16 @@
     serde_json::from_value(heartbeat).unwrap()
 }
 
-/// A leader that assigned itself a shard knew that before the watch had brought the last placements there, and
-/// sent the start of a task that had been placed elsewhere since.
+/// A leader that assigned a shard to itself knew so before the watch had delivered the shard's last placements,
+/// and sent the start of a task that had been placed elsewhere in the meantime.
 #[test]
 fn a_new_holder_sends_no_commands_before_its_cache_shows_all_placements() {
     for (applied, starts) in [(29, 0), (30, 1)] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![Task::NEVER_PLACED]);
-        let parts = controller.settings.operator.shards_per_zone;
-        let shard = shard_of(&"vm-a".into(), &"a".into(), parts);
+        let shards_per_zone = controller.settings.operator.shards_per_zone;
+        let shard = shard_of(&"vm-a".into(), &"a".into(), shards_per_zone);
         let here = Task::Placed(Placement {
             machine_id: "vm-a".into(),
             shard: shard.clone(),
@@ -34,26 +34,26 @@
         let holder = r#"{"holder":"n0","permit":1}"#;
         controller.apply(&crate::lease::shard_key(&shard), Some(holder), Revision(30));
         controller.store_sync.applied = Revision(applied);
-        let answer = controller.answer_heartbeat(heartbeat(WorkerToken::of(FencingToken(30))));
+        let response = controller.answer_heartbeat(heartbeat(WorkerToken::of(FencingToken(30))));
         let HeartbeatResponse::Commands {
             worker_token,
             commands,
-        } = answer
+        } = response
         else {
-            panic!("{answer:?}");
+            panic!("{response:?}");
         };
         assert_eq!(worker_token, WorkerToken::of(FencingToken(30)));
-        assert_eq!(commands.len(), starts, "known up to {applied}");
+        assert_eq!(commands.len(), starts, "cache at revision {applied}");
     }
 }
 
-/// Under a token that is marked as partitioned, silence is no evidence that a lease has expired. So the token
-/// is not used again once partition mode is left.
+/// Under a token that is marked as partitioned, silence is no evidence that a lease has expired, so the token
+/// must not be used again after partition mode.
 #[test]
 fn shards_are_released_on_leaving_partition_mode() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
-    let held = |c: &Controller| {
+    let held_shards = |c: &Controller| {
         c.membership
             .leases
             .shards
@@ -74,10 +74,10 @@
         controller.worker_token(FencingToken(5)),
         WorkerToken::partitioned(FencingToken(5))
     );
-    assert_eq!(held(&controller), 2);
+    assert_eq!(held_shards(&controller), 2);
     controller.leave_partition_mode();
     assert_eq!(
-        (held(&controller), controller.partition.mode.is_on()),
+        (held_shards(&controller), controller.partition.mode.is_on()),
         (0, false)
     );
     assert!(!controller.membership.old_lease_ended);
--- a/src/zones/partition_mode.rs
+++ b/src/zones/partition_mode.rs
@@ -2,9 +2,10 @@
 //! renewing their leases, so that their tasks go on.
 //!
 //! Workers kill their tasks when no controller answers their heartbeats for the length of a lease. In
-//! partition mode their holder goes on answering, under a token that is marked as partitioned. If the holder
-//! crashes, any controller that a worker with such a token finds may renew its lease too, without commands.
-//! In return the holder may never treat a worker's silence under this token as the expiry of its lease.
+//! partition mode the holder of their shard keeps answering, under a token that is marked as partitioned. If
+//! the holder crashes, any controller that a worker with such a token reaches may renew the worker's lease too,
+//! without commands. In return the holder must never treat a worker's silence under this token as the expiry
+//! of its lease.
 
 use crate::types::{Millis, WorkerToken};
 
@@ -13,30 +14,30 @@
 pub struct PartitionMode {
     /// When partition mode was entered.
     entered: Option<Millis>,
-    /// Since when the circumstances have been those of a partition.
-    suspected: Option<Millis>,
+    /// Since when the conditions have indicated a partition without interruption.
+    suspected_since: Option<Millis>,
 }
 
-/// The circumstances must last this long before partition mode is entered. A process that was suspended, or
-/// slow, finds its lease over before it has read the store's answers that wait for it.
+/// The conditions must last this long before partition mode is entered. A process that was suspended, or slow,
+/// finds its lease expired before it has read the store's responses that are already waiting.
 const CONFIRMATION_TIME: Millis = Millis(1_500);
 
 /// What decides whether partition mode is entered.
 #[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
-    /// Our lease in the key-value store is over, by our own clock.
-    pub lease_over: bool,
+pub struct PartitionConditions {
+    /// This controller's lease in the key-value store has expired, by its own clock.
+    pub lease_expired: bool,
     /// All other controllers report that they have lost the store too. In such an outage leases do not
-    /// expire, so nothing has to be kept.
+    /// expire, so no workers' leases have to be kept by partition mode.
     pub outage: bool,
-    /// We hold shards.
+    /// This controller holds shards.
     pub holds_shards: bool,
 }
 
-impl Circumstances {
-    /// Whether we are cut off from the store with machines of ours.
+impl PartitionConditions {
+    /// Whether this controller is cut off from the store together with machines of its shards.
     fn indicate_partition(self) -> bool {
-        self.lease_over && !self.outage && self.holds_shards
+        self.lease_expired && !self.outage && self.holds_shards
     }
 }
 
@@ -47,29 +48,31 @@
         self.entered.is_some()
     }
 
-    /// Updates the mode by the circumstances at `now`; true if partition mode is entered with them.
-    pub fn update(&mut self, circumstances: Circumstances, now: Millis) -> bool {
-        if !circumstances.indicate_partition() {
-            self.suspected = None;
+    /// Updates the mode by the conditions at `now`; true if this call enters partition mode. It never leaves the
+    /// mode; [`PartitionMode::leave`] does.
+    pub fn update(&mut self, conditions: PartitionConditions, now: Millis) -> bool {
+        if !conditions.indicate_partition() {
+            self.suspected_since = None;
             return false;
         }
-        let suspected = *self.suspected.get_or_insert(now);
-        if self.is_on() || now.since(suspected) < CONFIRMATION_TIME {
+        let suspected_since = *self.suspected_since.get_or_insert(now);
+        if self.is_on() || now.since(suspected_since) < CONFIRMATION_TIME {
             return false;
         }
         self.entered = Some(now);
         true
     }
 
-    /// Leaves partition mode, and returns how long it lasted; none if it was not on.
+    /// Leaves partition mode, and returns how long it lasted; `None` if it was not on.
     pub fn leave(&mut self, now: Millis) -> Option<Millis> {
         self.entered.take().map(|entered| now.since(entered))
     }
 }
 
 /// Whether a controller that is not known to hold a worker's shard may renew the worker's lease, without
-/// commands: the worker has seen that its holder is in partition mode, this controller is cut off (or has
-/// read nothing of the store yet) and so has seen no later holder, and the last known holder is not in contact.
+/// commands. The worker's token must show that its holder is in partition mode, this controller must be cut off
+/// (or have read nothing from the store yet) and so have seen no later holder, and the last known holder must
+/// not be in contact.
 #[must_use]
 pub fn may_renew_worker_lease(
     worker_token: WorkerToken,
--- a/src/zones/partition_mode/tests.rs
+++ b/src/zones/partition_mode/tests.rs
@@ -2,33 +2,33 @@
 use crate::types::FencingToken;
 
 /// In an outage all controllers lose the key-value store at once, and leases do not expire. If partition mode
-/// were entered then, every shard would get a new token when the store is back, for nothing.
+/// were entered then, every shard would needlessly get a new token once the store is available again.
 #[test]
 fn partition_mode_is_entered_when_cut_off_and_not_in_an_outage() {
-    for (lease_over, outage, holds_shards, entered) in [
+    for (lease_expired, outage, holds_shards, entered) in [
         (true, false, true, true),
         (false, false, true, false),
         (true, true, true, false),
         (true, false, false, false),
     ] {
         let mut partition_mode = PartitionMode::default();
-        let circumstances = Circumstances {
-            lease_over,
+        let conditions = PartitionConditions {
+            lease_expired,
             outage,
             holds_shards,
         };
         assert!(
-            !partition_mode.update(circumstances, Millis(9)),
-            "not at once"
+            !partition_mode.update(conditions, Millis(9)),
+            "entered without confirmation"
         );
         assert_eq!(
-            partition_mode.update(circumstances, Millis(1_509)),
+            partition_mode.update(conditions, Millis(1_509)),
             entered,
-            "{circumstances:?}"
+            "{conditions:?}"
         );
         assert!(
-            !partition_mode.update(circumstances, Millis(1_510)),
-            "once only"
+            !partition_mode.update(conditions, Millis(1_510)),
+            "entered twice"
         );
         assert_eq!(
             partition_mode.leave(Millis(1_519)),
@@ -38,17 +38,17 @@
     }
 }
 
-/// A process that was suspended for half a minute found its lease over, entered partition mode, and gave its
-/// shards up a quarter of a second later when it read the answers that had been waiting.
+/// A process that was suspended for half a minute found its lease expired, entered partition mode, and released
+/// its shards a quarter of a second later when it read the responses that had been waiting.
 #[test]
 fn a_suspended_process_reads_waiting_answers_first() {
     let mut partition_mode = PartitionMode::default();
-    let circumstances = |lease_over| Circumstances {
-        lease_over,
+    let conditions = |lease_expired| PartitionConditions {
+        lease_expired,
         outage: false,
         holds_shards: true,
     };
-    for (at, lease_over, entered) in [
+    for (at, lease_expired, entered) in [
         (100, false, false),
         (32_000, true, false),
         (32_200, false, false),
@@ -57,15 +57,15 @@
         (35_100, true, true),
     ] {
         assert_eq!(
-            partition_mode.update(circumstances(lease_over), Millis(at)),
+            partition_mode.update(conditions(lease_expired), Millis(at)),
             entered,
             "at {at}"
         );
     }
 }
 
-/// Outside partition mode a holder may take a worker's tasks for ended once the worker's lease is over, so no
-/// other controller may renew that lease.
+/// Outside partition mode a holder may treat a worker's tasks as ended once the worker's lease has expired, so
+/// no other controller may renew that lease.
 #[test]
 fn only_workers_under_a_partitioned_token_are_renewed_by_others() {
     let token = FencingToken(7);
--- a/src/zones/zone_health.rs
+++ b/src/zones/zone_health.rs
@@ -2,12 +2,12 @@
 //!
 //! A single silent machine has most likely failed: it is deleted, and its tasks start elsewhere. A zone that
 //! falls silent as a whole is most likely cut off, with its machines still running their tasks, and deleting
-//! them destroys work that would be available again after the partition. So deletions in such a zone are held
-//! back first, and then done in steps that double, the machines that are cheapest to lose first. Regardless of
-//! the health of zones, the number of machines deleted for their silence within a time window is bounded.
+//! them destroys work that would be available again after the partition. Deletions in such a zone are therefore
+//! deferred at first, and then made in steps whose total doubles, cheapest machines first. Regardless of the
+//! health of zones, the number of machines deleted for their silence within a time window is bounded.
 //!
-//! [`ZoneHealthTracker`] owns the health of each zone and the recent deletions; the leader's autoscaler feeds
-//! it once a second and asks it which silent machines to delete.
+//! [`ZoneHealthTracker`] owns the health of each zone and the recent deletions; the leader's autoscaler passes
+//! it an observation of each zone once a second and asks it which silent machines to delete.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -20,10 +20,10 @@
     #[default]
     Healthy,
     /// Many machines are silent while others send heartbeats, or all are silent while a controller of the zone is
-    /// in contact: the silent ones have failed.
+    /// in contact: the silent machines have failed.
     Degraded,
     /// Nearly all machines are silent and so are the zone's controllers, or many machines are in contact one
-    /// way only: the zone is cut off and its machines work on.
+    /// way only: the zone is cut off and its machines keep running their tasks.
     Partitioned,
     /// Machines of a zone that was partitioned send heartbeats again, but not nearly all of them yet.
     Recovering,
@@ -34,16 +34,16 @@
 pub struct ZoneObservation {
     /// Machines whose silence at least one controller can judge.
     pub machines: u32,
-    /// Those of them that are silent.
+    /// Machines among them that are silent.
     pub silent: u32,
-    /// Those of them that have been in contact one way only for a while: they send heartbeats and commands are
-    /// not proved to arrive, or the other way round.
+    /// Machines among them that have been in contact one way only for a while: they send heartbeats but nothing
+    /// confirms that commands arrive, or the reverse.
     pub one_way: u32,
     /// The zone has controllers, and none of them is in contact.
     pub controllers_silent: bool,
 }
 
-/// What is lost with a machine; cheaper first.
+/// What is lost if a machine is deleted while it still runs; cheaper first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionCost {
     /// No task.
@@ -67,26 +67,26 @@
     pub eviction_cost: EvictionCost,
 }
 
-/// A zone with fewer machines keeps its health: so few say nothing about the zone.
-const MIN_MACHINES: u32 = 3;
+/// A zone with fewer machines keeps its health, since so few are no evidence about the zone.
+const MIN_OBSERVED_MACHINES: u32 = 3;
 
-/// A threshold with hysteresis, so that a zone near it does not change its health all the time. Fractions of
-/// the zone's machines.
+/// A threshold with hysteresis, so that a zone near it does not change its health repeatedly. Both values are
+/// fractions of the zone's machines.
 #[derive(Clone, Copy)]
 struct Threshold {
     /// The state is entered at this fraction.
     enter: f64,
-    /// It is left below this fraction.
+    /// The state is left below this fraction.
     leave: f64,
 }
 
-/// Silent machines of a zone that is partitioned.
+/// Fraction of silent machines at which a zone counts as partitioned.
 const PARTITIONED: Threshold = Threshold {
     enter: 0.8,
     leave: 0.5,
 };
-/// Silent machines of a zone that is not healthy; also machines in contact one way only of a zone that is
-/// partitioned, since no failure of single machines explains a quarter of them.
+/// Fraction of silent machines at which a zone is not healthy. Also the fraction of machines in contact one way
+/// only at which a zone may count as partitioned, since independent failures do not explain a quarter of them.
 const DEGRADED: Threshold = Threshold {
     enter: 0.25,
     leave: 0.125,
@@ -94,7 +94,7 @@
 /// In a zone with few machines, this fraction of them in contact one way only is a partition.
 const MIN_ONE_WAY_FRACTION: f64 = 0.5;
 
-/// Deletions for silence are bounded within a window of this length, so that an error of judgement shows
+/// Deletions for silence are bounded within a window of this length, so that a wrong judgement becomes visible
 /// before the whole fleet is deleted.
 const DELETION_WINDOW: Millis = Millis(30_000);
 /// The fraction of a zone's machines that may be deleted for silence within the window.
@@ -103,17 +103,16 @@
 const MAX_FLEET_FRACTION: f64 = 0.25;
 /// This many machines may be deleted in any case, so that a small fleet recovers from the loss of a few.
 const MIN_DELETION_BOUND: usize = 8;
-/// In a zone of any size, this many machines in contact one way only are too many for failures of single
-/// machines.
-const MANY_ONE_WAY: usize = 8;
+/// In a zone of any size, this many machines in contact one way only are too many to be independent failures.
+const MANY_ONE_WAY_MACHINES: usize = 8;
 
-/// Of a partitioned zone, this fraction is deleted in the first step after the hold, and twice as many in
-/// total with each further step.
+/// Of a partitioned zone, this fraction of the machines may be deleted in the first step after the hold; each
+/// further step doubles the total.
 const FIRST_STEP_FRACTION: f64 = 0.02;
-/// The time from one step to the next; also how long nothing is deleted in a zone that recovers, since
-/// heartbeats of its machines may be on their way.
+/// Time between steps; also how long nothing is deleted in a zone that recovers, since heartbeats of its
+/// machines may still be in transit.
 const STEP_INTERVAL: Millis = Millis(10_000);
-/// Bounds the exponent. Long before this many doublings the steps allow every machine of a zone.
+/// Upper bound of the exponent. The steps allow every machine of a zone long before this many doublings.
 const MAX_DOUBLINGS: u64 = 16;
 
 impl Threshold {
@@ -128,11 +127,11 @@
 struct ZoneState {
     health: ZoneHealth,
     /// When the health last changed.
-    since: Millis,
+    changed_at: Millis,
     /// Machines at the last observation.
     machines: u32,
     /// Machines deleted for silence since the zone was partitioned.
-    deleted: usize,
+    deleted_since_partition: usize,
 }
 
 impl ZoneState {
@@ -141,9 +140,9 @@
         let was_partitioned = self.health == ZoneHealth::Partitioned;
         let silent = f64::from(observation.silent) / f64::from(observation.machines);
         let one_way = f64::from(observation.one_way) / f64::from(observation.machines);
-        // That many machines in contact one way only have not failed: the fault is in the network.
-        let many_one_way = observation.one_way as usize >= MANY_ONE_WAY
-            || observation.one_way >= MIN_MACHINES && one_way >= MIN_ONE_WAY_FRACTION;
+        // So many machines in contact one way only have not failed: the fault is in the network.
+        let many_one_way = observation.one_way as usize >= MANY_ONE_WAY_MACHINES
+            || observation.one_way >= MIN_OBSERVED_MACHINES && one_way >= MIN_ONE_WAY_FRACTION;
         let partitioned = PARTITIONED.is_reached(silent, was_partitioned)
             && observation.controllers_silent
             || many_one_way && DEGRADED.is_reached(one_way, was_partitioned);
@@ -156,11 +155,13 @@
         }
     }
 
-    /// Whether the zone's silent machines are left alone at `now`.
-    fn holds_deletions(&self, hold: Millis, now: Millis) -> bool {
-        let elapsed = now.since(self.since);
+    /// Whether the zone's silent machines must not be deleted at `now`.
+    fn defers_deletions(&self, hold: Millis, now: Millis) -> bool {
+        let elapsed = now.since(self.changed_at);
         match self.health {
-            ZoneHealth::Partitioned => self.deleted >= self.allowed_deletions(elapsed, hold),
+            ZoneHealth::Partitioned => {
+                self.deleted_since_partition >= self.allowed_deletions(elapsed, hold)
+            }
             ZoneHealth::Recovering => elapsed < STEP_INTERVAL,
             ZoneHealth::Healthy | ZoneHealth::Degraded => false,
         }
@@ -193,7 +194,7 @@
         now: Millis,
     ) -> Option<ZoneHealth> {
         let state = self.zones.entry(zone.clone()).or_default();
-        if observation.machines < MIN_MACHINES {
+        if observation.machines < MIN_OBSERVED_MACHINES {
             return None;
         }
         state.machines = observation.machines;
@@ -202,9 +203,9 @@
             return None;
         }
         if next == ZoneHealth::Partitioned {
-            state.deleted = 0;
+            state.deleted_since_partition = 0;
         }
-        (state.health, state.since) = (next, now);
+        (state.health, state.changed_at) = (next, now);
         Some(next)
     }
 
@@ -217,49 +218,50 @@
             .unwrap_or_default()
     }
 
-    /// Whether nothing should be started or rented in a zone, since no command would arrive there.
+    /// Whether nothing should be started or rented in a zone, since no command would arrive there: the zone is
+    /// partitioned.
     #[must_use]
     pub fn is_unreachable(&self, zone: &Zone) -> bool {
         self.health(zone) == ZoneHealth::Partitioned
     }
 
-    /// Chooses the machines to delete now among those that are presumed lost, the cheapest first; the others
-    /// are left alone for the time being. The caller must delete what is returned, as it counts against the
-    /// bound. `max_deletions` is what the caller can delete now; `hold` is how long a partitioned zone is left
-    /// alone.
+    /// Chooses the machines to delete now among those that are presumed lost, cheapest first. The caller must
+    /// delete all returned machines, since they count against the bound; all other machines must be kept for
+    /// now. `max_deletions` is how many the caller can delete now; `hold` is the time after the start of a
+    /// partition during which no machine of the zone is deleted.
     #[must_use]
     pub fn choose_deletions(
         &mut self,
-        mut lost: Vec<SuspectedMachine>,
+        mut suspected: Vec<SuspectedMachine>,
         max_deletions: usize,
         hold: Millis,
         now: Millis,
     ) -> Vec<MachineId> {
         self.forget_old_deletions(now);
-        lost.sort_by(|a, b| {
+        suspected.sort_by(|a, b| {
             (a.eviction_cost, &a.machine_id).cmp(&(b.eviction_cost, &b.machine_id))
         });
         let all_machines: u32 = self.zones.values().map(|state| state.machines).sum();
         let fleet_bound = deletion_bound(MAX_FLEET_FRACTION, all_machines);
         let mut chosen = Vec::new();
-        let mut retained = 0;
-        for suspect in lost {
+        let mut deferred = 0;
+        for suspect in suspected {
             let state = self.zones.entry(suspect.zone.clone()).or_default();
             let recent = &self.recent_deletions;
             let in_zone = recent.iter().filter(|(_, zone)| *zone == suspect.zone);
-            let bounded = in_zone.count() >= deletion_bound(MAX_ZONE_FRACTION, state.machines)
+            let at_bound = in_zone.count() >= deletion_bound(MAX_ZONE_FRACTION, state.machines)
                 || recent.len() >= fleet_bound;
-            let held = state.holds_deletions(hold, now);
-            if bounded || held || chosen.len() >= max_deletions {
-                retained += 1;
+            let held = state.defers_deletions(hold, now);
+            if at_bound || held || chosen.len() >= max_deletions {
+                deferred += 1;
                 continue;
             }
-            state.deleted += 1;
+            state.deleted_since_partition += 1;
             self.recent_deletions.push_back((now, suspect.zone));
             chosen.push(suspect.machine_id);
         }
-        if retained > 0 {
-            tracing::debug!(held = retained, "silent machines retained");
+        if deferred > 0 {
+            tracing::debug!(held = deferred, "deletion of silent machines deferred");
         }
         chosen
     }
--- a/src/zones/zone_health/tests.rs
+++ b/src/zones/zone_health/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 const HOLD: Millis = Millis(60_000);
-const ANY: usize = usize::MAX;
+const UNLIMITED: usize = usize::MAX;
 
-fn seen(machines: u32, silent: u32, controllers_silent: bool) -> ZoneObservation {
+fn observation(machines: u32, silent: u32, controllers_silent: bool) -> ZoneObservation {
     ZoneObservation {
         machines,
         silent,
@@ -60,7 +60,7 @@
             vec![Degraded, Degraded, Healthy],
         ),
     ];
-    // Machines in contact one way only: a few are replaced, many are a partition, and so are most of a small zone's.
+    // Machines in contact one way only: a few are replaced; many, or most of a small zone's, are a partition.
     for (machines, one_way, expected) in [
         (4, 2, Degraded),
         (5, 3, Partitioned),
@@ -71,7 +71,7 @@
         let mut zones = ZoneHealthTracker::default();
         let observed = ZoneObservation {
             one_way,
-            ..seen(machines, one_way, false)
+            ..observation(machines, one_way, false)
         };
         zones.observe(&Zone::from("a"), observed, Millis(1));
         assert_eq!(
@@ -85,7 +85,7 @@
         for (index, (observed, expected)) in observations.iter().zip(&expected).enumerate() {
             let (machines, silent, controllers) = *observed;
             let at = Millis(index as u64 * 1_000);
-            zones.observe(&zone, seen(machines, silent, controllers), at);
+            zones.observe(&zone, observation(machines, silent, controllers), at);
             assert_eq!(zones.health(&zone), *expected, "{observations:?}, {index}");
         }
     }
@@ -97,22 +97,23 @@
 fn a_partitioned_zone_is_kept_and_then_deleted_in_steps() {
     let zone = Zone::from("a");
     let cases = [
-        // silent, its controllers too, deleted after 0, 59, 60, 70, 80 and 110 s
+        // silent machines, whether the zone's controllers are silent too; deleted after 0, 59, 60, 70, 80 and 110 s
         (10, false, [10, 10, 10, 10, 10, 10]),
-        // The bound of half a zone in 30 s holds then.
+        // At 110 s the bound of half a zone in 30 s limits the count.
         (100, true, [0, 0, 2, 4, 8, 54]),
     ];
     for (silent, controllers, expected) in cases {
         let mut zones = ZoneHealthTracker::default();
-        zones.observe(&zone, seen(100, silent, controllers), Millis(0));
-        zones.observe(&Zone::from("b"), seen(900, 0, false), Millis(0));
-        let mut left = suspects("a", silent as usize);
-        let mut given_up = 0;
+        zones.observe(&zone, observation(100, silent, controllers), Millis(0));
+        zones.observe(&Zone::from("b"), observation(900, 0, false), Millis(0));
+        let mut remaining = suspects("a", silent as usize);
+        let mut deleted = 0;
         for (at_s, expected) in [0, 59, 60, 70, 80, 110].into_iter().zip(expected) {
-            let gone = zones.choose_deletions(left.clone(), ANY, HOLD, Millis(at_s * 1_000));
-            left.retain(|suspect| !gone.contains(&suspect.machine_id));
-            given_up += gone.len();
-            assert_eq!(given_up, expected, "{silent} silent, after {at_s} s");
+            let chosen =
+                zones.choose_deletions(remaining.clone(), UNLIMITED, HOLD, Millis(at_s * 1_000));
+            remaining.retain(|suspect| !chosen.contains(&suspect.machine_id));
+            deleted += chosen.len();
+            assert_eq!(deleted, expected, "{silent} silent, after {at_s} s");
         }
     }
 }
@@ -121,25 +122,25 @@
 fn the_cheapest_machines_are_deleted_first() {
     let mut zones = ZoneHealthTracker::default();
     let zone = Zone::from("a");
-    zones.observe(&zone, seen(40, 40, true), Millis(0));
-    let gone = zones.choose_deletions(suspects("a", 40), ANY, Millis(0), Millis(30_000));
+    zones.observe(&zone, observation(40, 40, true), Millis(0));
+    let chosen = zones.choose_deletions(suspects("a", 40), UNLIMITED, Millis(0), Millis(30_000));
     let expected: Vec<MachineId> = (0..7)
         .map(|i| format!("vm-{:04}", 4 * i + 1).into())
         .collect();
-    assert_eq!(gone, expected);
+    assert_eq!(chosen, expected);
 }
 
-/// The cloud takes a hundred names at a time. All machines that were chosen at once counted against the bound,
-/// and those whose deletion had not been sent waited for half a minute.
+/// A request to the cloud deletes at most a hundred machines. All machines that were chosen at once counted
+/// against the bound, and those that did not fit into the request waited for half a minute.
 #[test]
 fn only_sent_deletions_count_against_the_bound() {
     let mut zones = ZoneHealthTracker::default();
-    zones.observe(&Zone::from("a"), seen(1_000, 200, false), Millis(0));
-    let mut lost = suspects("a", 200);
+    zones.observe(&Zone::from("a"), observation(1_000, 200, false), Millis(0));
+    let mut suspected = suspects("a", 200);
     for at in [1_000, 2_000] {
-        let gone = zones.choose_deletions(lost.clone(), 100, HOLD, Millis(at));
-        assert_eq!(gone.len(), 100, "at {at}");
-        lost.retain(|suspect| !gone.contains(&suspect.machine_id));
+        let chosen = zones.choose_deletions(suspected.clone(), 100, HOLD, Millis(at));
+        assert_eq!(chosen.len(), 100, "at {at}");
+        suspected.retain(|suspect| !chosen.contains(&suspect.machine_id));
     }
 }
 
@@ -149,30 +150,32 @@
     for (zones_silent, expected) in [(1, 50), (4, 100)] {
         let mut zones = ZoneHealthTracker::default();
         let names = ["a", "b", "c", "d"];
-        let mut lost = Vec::new();
+        let mut suspected = Vec::new();
         for (index, name) in names.into_iter().enumerate() {
             let silent = if index < zones_silent { 100 } else { 0 };
-            zones.observe(&Zone::from(name), seen(100, silent, false), Millis(0));
-            lost.extend(
-                suspects(name, silent as usize)
-                    .into_iter()
-                    .map(|s| SuspectedMachine {
-                        machine_id: format!("{name}-{}", s.machine_id).into(),
-                        ..s
-                    }),
+            zones.observe(
+                &Zone::from(name),
+                observation(100, silent, false),
+                Millis(0),
             );
+            suspected.extend(suspects(name, silent as usize).into_iter().map(|s| {
+                SuspectedMachine {
+                    machine_id: format!("{name}-{}", s.machine_id).into(),
+                    ..s
+                }
+            }));
         }
-        let first = zones.choose_deletions(lost.clone(), ANY, HOLD, Millis(1_000));
+        let first = zones.choose_deletions(suspected.clone(), UNLIMITED, HOLD, Millis(1_000));
         assert_eq!(first.len(), expected, "{zones_silent} zones");
-        lost.retain(|suspect| !first.contains(&suspect.machine_id));
+        suspected.retain(|suspect| !first.contains(&suspect.machine_id));
         assert!(
             zones
-                .choose_deletions(lost.clone(), ANY, HOLD, Millis(30_000))
+                .choose_deletions(suspected.clone(), UNLIMITED, HOLD, Millis(30_000))
                 .is_empty()
         );
         assert!(
             !zones
-                .choose_deletions(lost, ANY, HOLD, Millis(32_000))
+                .choose_deletions(suspected, UNLIMITED, HOLD, Millis(32_000))
                 .is_empty()
         );
     }
