--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -8,21 +8,21 @@
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 use crate::workers::{Machine, shard_of};
 
-/// If an agent epoch ends within this fraction of the lease after one of our answers, the worker
-/// did not receive that answer.
-const ANSWERED_EPOCH_LEASE_FRACTION: f64 = 0.75;
-/// Factor by which a worker's clock may be slower than ours.
+/// If an agent epoch ends within this fraction of the lease after a response of this controller,
+/// the worker did not receive that response.
+const LOST_RESPONSE_LEASE_FRACTION: f64 = 0.75;
+/// Factor by which a worker's clock may be slower than this controller's.
 const CLOCK_RATE_ALLOWANCE: f64 = 1.05;
-/// Seconds by which a worker's timers may be late when they end an agent epoch.
+/// Seconds by which a worker's timers may fire late when they end an agent epoch.
 const EPOCH_END_MARGIN_S: f64 = 2.0;
 
 /// How a heartbeat changed this controller's view of the machine.
 enum HeartbeatOutcome {
-    /// It was sent before one that has been applied already.
+    /// The heartbeat was sent before one that has been applied already.
     Outdated,
-    /// It replaced the previous state of the machine.
+    /// The heartbeat replaced the previous state of the machine.
     Applied {
-        /// Whether the machine could take new tasks under our token before.
+        /// Whether the machine could take new tasks under this controller's token before.
         was_schedulable: bool,
     },
 }
@@ -36,23 +36,23 @@
         let shards_per_zone = self.settings.operator.shards_per_zone;
         let shard = shard_of(&heartbeat.machine_id, &heartbeat.zone, shards_per_zone);
         let Some(token) = self.token_for(&shard) else {
-            return self.answer_for_other_holder(&shard, heartbeat.worker_token);
+            return self.response_for_unheld_shard(&shard, heartbeat.worker_token);
         };
         let worker_token = self.worker_token(token);
         if heartbeat.worker_token > worker_token {
-            // Another controller holds this shard under a higher token, though we have not
-            // learned of it yet.
+            // Another controller holds this shard under a higher token, of which this controller
+            // has not learned yet.
             return HeartbeatResponse::Redirect(None);
         }
         if !self.may_answer_heartbeats() {
             return HeartbeatResponse::RetryLater;
         }
-        // A holder that has not yet read all earlier placements in the shard gives no commands: it
+        // A holder that has not yet read all earlier placements in the shard sends no commands: it
         // might restart a task that has left the machine since.
-        let complete = self.knows_all_placements(&shard);
+        let knows_placements = self.knows_all_placements(&shard);
         let commands = match self.record_heartbeat(shard, token, &heartbeat) {
-            HeartbeatOutcome::Applied { was_schedulable } if complete => {
-                self.commands_in_answer(&heartbeat.machine_id, token, was_schedulable)
+            HeartbeatOutcome::Applied { was_schedulable } if knows_placements => {
+                self.commands_for_response(&heartbeat.machine_id, token, was_schedulable)
             }
             HeartbeatOutcome::Applied { .. } | HeartbeatOutcome::Outdated => Vec::new(),
         };
@@ -62,8 +62,8 @@
         }
     }
 
-    /// The response to a worker whose shard we do not hold.
-    fn answer_for_other_holder(
+    /// The response to a worker whose shard this controller does not hold.
+    fn response_for_unheld_shard(
         &self,
         shard: &ShardId,
         worker_token: WorkerToken,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Records a heartbeat, and probes the machine immediately if nothing confirms that our
-    /// commands reach it.
+    /// Records a heartbeat, and probes the machine immediately if nothing confirms that commands
+    /// reach it.
     fn record_heartbeat(
         &mut self,
         shard: ShardId,
@@ -87,7 +87,7 @@
     ) -> HeartbeatOutcome {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let lease_s = self.settings.deployment.workers.lease_s;
-        let answered_epoch_min = Millis::from_secs(lease_s * ANSWERED_EPOCH_LEASE_FRACTION);
+        let lost_response_window = Millis::from_secs(lease_s * LOST_RESPONSE_LEASE_FRACTION);
         let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + EPOCH_END_MARGIN_S);
         let machine = self
             .machines
@@ -102,18 +102,18 @@
                     self.me.clone(),
                 )
             });
-        // Our answer may renew the worker's lease whatever the age of the heartbeat.
+        // The response may renew the worker's lease whatever the age of the heartbeat.
         let previous_answer = machine.last_answer.replace((token, now));
         if !machine.is_newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence) {
             return HeartbeatOutcome::Outdated;
         }
         let was_schedulable = machine.is_schedulable_under(token, now, silence);
-        let answered_just_now = previous_answer
-            .is_some_and(|(under, at)| under == token && now.since(at) < answered_epoch_min);
+        let answered_recently = previous_answer
+            .is_some_and(|(under, at)| under == token && now.since(at) < lost_response_window);
         let observation = HeartbeatObservation {
             agent_epoch: heartbeat.agent_epoch,
             after_silence: now.since(machine.last_contact) > silence,
-            epoch_ended_early: heartbeat.agent_epoch > machine.agent_epoch && answered_just_now,
+            epoch_ended_early: heartbeat.agent_epoch > machine.agent_epoch && answered_recently,
             starts_shown: machine.shows_piggybacked_start(heartbeat),
         };
         machine
@@ -129,7 +129,7 @@
     }
 
     /// The commands that the response to a newer heartbeat carries.
-    fn commands_in_answer(
+    fn commands_for_response(
         &mut self,
         machine_id: &MachineId,
         token: FencingToken,
@@ -140,8 +140,8 @@
             return Vec::new();
         };
         if machine.worker_token.token() < token {
-            // The worker's first heartbeat to us: it reads our token from the answer and
-            // immediately reports again.
+            // The worker's first heartbeat to this controller: the worker reads the token from the
+            // response and immediately reports again.
             return Vec::new();
         }
         machine.direct.set_validity(token, machine.agent_epoch);
--- a/src/controller/heartbeats/contact.rs
+++ b/src/controller/heartbeats/contact.rs
@@ -1,4 +1,4 @@
-//! A controller that receives no heartbeats releases its shards until it reaches workers again.
+//! A controller that receives no heartbeats releases its shards until it can reach workers again.
 
 use crate::controller::{Controller, Effect};
 use crate::types::Millis;
@@ -6,18 +6,19 @@
 
 /// Time between inspections of a worker by a controller that receives no heartbeats.
 const INSPECTION_INTERVAL: Millis = Millis(2_000);
-/// Added to the silence limit before the absence of all heartbeats counts: a single machine may be
-/// silent for unrelated reasons, and releasing shards is expensive.
+/// Added to the heartbeat timeout before the absence of all heartbeats counts, since a single
+/// machine may be silent for unrelated reasons and releasing shards is expensive.
 const NO_HEARTBEATS_MARGIN: Millis = Millis(2_000);
-/// With fewer expected machines than this, their silence is no evidence about this controller.
+/// With fewer machines that should report than this, their silence is no evidence about this
+/// controller.
 const MIN_EXPECTED_MACHINES: usize = 2;
-/// A machine counts as expected if a controller heard from it within this many times the limit: one
-/// that was silent long before the others has failed by itself.
+/// A machine is expected to report if a controller has received a sign of life from it within this
+/// many times the limit: a machine that was silent long before the others has failed by itself.
 const EXPECTED_CONTACT_FACTOR: u64 = 4;
 
 impl Controller {
-    /// Releases the shards of a controller that receives no heartbeats, and inspects a worker from
-    /// time to time until one can be reached.
+    /// Releases this controller's shards if it receives no heartbeats, and then inspects a worker
+    /// at intervals until one answers.
     pub(in crate::controller) fn check_worker_contact(&mut self) {
         if self.contact.receives_heartbeats {
             self.release_shards_without_contact();
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Inspects the worker with the most recent contact, to find out whether it can be reached.
+    /// Inspects the worker with the most recent sign of life, to find out whether it can be
+    /// reached.
     fn inspect_one_worker(&mut self) {
         if self.now.since(self.contact.last_inspection) < INSPECTION_INTERVAL {
             return;
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Releases our shards if no heartbeats arrive here while another controller may receive them.
+    /// Releases this controller's shards if no heartbeats arrive here while another controller may
+    /// receive them.
     fn release_shards_without_contact(&mut self) {
         let limit = self.heartbeat_timeout() + NO_HEARTBEATS_MARGIN;
         let expected = self
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Whether a machine has reported to us, should still report, and did until recently.
+    /// Whether a machine has reported to this controller, should still report to it, and sent a
+    /// sign of life until recently.
     fn expects_heartbeat(&self, machine: &Machine, limit: Millis) -> bool {
         let moved_at = self.membership.shard_moved_at.get(&machine.shard);
         machine.last_answer.is_some()
@@ -74,7 +78,8 @@
     }
 
     /// Whether every other controller has reported recently that it receives no heartbeats either.
-    /// Then the workers are unable to report, and no other holder would do better with our shards.
+    /// Then the workers are unable to report, and no other holder could manage the shards better.
+    /// False without other controllers.
     fn no_controller_receives_heartbeats(&self) -> bool {
         let members = &self.settings.members;
         let receives_none = |label| {
@@ -87,7 +92,7 @@
     /// Handles the outcome of the inspection of a worker.
     pub(in crate::controller) fn on_inspected(&mut self, answered: bool) {
         if answered && !self.contact.receives_heartbeats {
-            tracing::info!("workers reachable again");
+            tracing::info!("worker answered inspection, may hold shards again");
             self.contact.restore(self.now);
         }
     }
--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that a worker gets without waiting for its next heartbeat, and its answers to them.
+//! Commands that a worker gets without waiting for its next heartbeat, and its replies to them.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
         let Some(DirectTarget { address, token }) = self.direct_target(machine) else {
             return;
         };
-        let commands = without_forgotten(self.reconciled(machine, token).commands);
+        let commands = without_forgotten(self.reconciliation_for(machine, token).commands);
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -46,23 +46,24 @@
         });
     }
 
-    /// Where to send commands directly; only a worker that has seen our token and reported very
-    /// recently qualifies: a start that remains unanswered ties its task to the machine.
+    /// Where to send commands directly. Only a worker that has seen this controller's token and
+    /// reported very recently qualifies, since a start that remains unanswered ties its task to the
+    /// machine.
     fn direct_target(&self, machine: &Machine) -> Option<DirectTarget> {
         let token = self.token_for(&machine.shard)?;
         let address = machine.address?;
-        let answered = machine.last_answer.is_some_and(|(under, _)| under == token);
+        let answered_under_token = machine.last_answer.is_some_and(|(under, _)| under == token);
         let allowed = machine.worker_token.token() == token
             && self.knows_all_placements(&machine.shard)
-            && answered
+            && answered_under_token
             && machine.reachability.is_confirmed()
             && self.now.since(machine.last_contact) <= self.heartbeat_timeout()
             && self.may_answer_heartbeats();
         allowed.then_some(DirectTarget { address, token })
     }
 
-    /// Ends a direct exchange. `answer` is `None` if it is unknown whether the commands were, or
-    /// will be, executed.
+    /// Ends an exchange of direct commands. `answer` is `None` if the worker did not reply: it is
+    /// unknown whether the commands were, or will be, executed.
     pub(in crate::controller) fn on_direct_reply(
         &mut self,
         machine_id: &MachineId,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Applies the heartbeat with which a worker answered direct commands, if it is newer than the
+    /// Applies the heartbeat in a worker's reply to direct commands, if it is newer than the
     /// machine's known state.
     fn apply_direct_heartbeat(
         &mut self,
@@ -109,8 +110,8 @@
             machine.reachability.confirm();
         }
         if heartbeat.agent_epoch != machine.agent_epoch {
-            // The lease of an agent epoch that was unknown to us starts when the epoch began, not
-            // when we last answered a heartbeat.
+            // The lease of an agent epoch that was unknown here starts when the epoch began, not
+            // when this controller last answered a heartbeat.
             machine.token_confirmed = None;
         }
         machine.apply_heartbeat(heartbeat, now, &self.me);
@@ -127,13 +128,13 @@
         }
         let commands = self.reconcile_machine(machine_id, token);
         if unable_to_report {
-            self.stop_where_unable_to_report(machine_id, token, commands);
+            self.send_stops_only(machine_id, token, commands);
         }
     }
 }
 
-/// The commands that may be sent directly. Only the answer to a heartbeat may forget an attempt, or
-/// restart one that waited alone: direct commands may arrive minutes late.
+/// The commands that may be sent directly. Only the response to a heartbeat may forget an attempt
+/// or restart one that waited alone, since direct commands may arrive minutes late.
 fn without_forgotten(mut commands: Vec<WorkerCommand>) -> Vec<WorkerCommand> {
     let forgotten: HashSet<(TaskId, Attempt)> = commands
         .iter()
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -4,11 +4,11 @@
 use crate::controller::peer_messages::PeerStatus;
 use crate::types::{ControllerId, MachineId, Millis, ShardId, Zone};
 
-/// Machines that have been silent for this many times the limit are no evidence of the network's
+/// Machines that have been silent for this many heartbeat timeouts are no evidence of the network's
 /// state: they failed some time ago.
 const RECENT_SILENCE_FACTOR: u64 = 8;
-/// A zone's network counts as sound only if at least this many other machines report.
-const MIN_HEARD_MACHINES: usize = 2;
+/// A zone's network counts as working only if at least this many other machines report.
+const MIN_REPORTING_MACHINES: usize = 2;
 
 /// How long a machine has been silent, and how long its shard has had the same holder.
 pub(in crate::controller) struct MachineSilence {
@@ -34,15 +34,15 @@
         self.peers.recent_status(controller, self.now)
     }
 
-    /// When any controller last received a sign of life of a machine, as far as this controller
-    /// knows; 0: never.
+    /// When any controller last received a sign of life from a machine, as far as this controller
+    /// knows; 0 if never.
     pub(in crate::controller) fn last_contact(&self, machine_id: &MachineId) -> Millis {
         let known = self
             .machines
             .get(machine_id)
             .map(|machine| machine.last_contact);
-        let heard = known.or_else(|| self.contact.relayed_heartbeats.get(machine_id).copied());
-        heard.unwrap_or_default()
+        let latest = known.or_else(|| self.contact.relayed_heartbeats.get(machine_id).copied());
+        latest.unwrap_or_default()
     }
 
     /// How long a machine has been silent, as its shard's holder sees it; only the holder receives
@@ -73,8 +73,8 @@
             .is_some_and(|peer| peer.receives_heartbeats)
     }
 
-    /// Whether most other machines of the zone report. Then the machine itself is silent, and the
-    /// network to its zone is sound.
+    /// Whether most other machines of the zone report. Then the network to the zone works, and the
+    /// cause of this machine's silence is the machine itself.
     pub(in crate::controller) fn most_of_zone_reports(
         &self,
         machine_id: &MachineId,
@@ -90,9 +90,12 @@
                     && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
             })
             .map(|machine| self.now.since(machine.last_contact))
-            .filter(|silent| silent.0 < RECENT_SILENCE_FACTOR * limit.0)
+            .filter(|silent_for| silent_for.0 < RECENT_SILENCE_FACTOR * limit.0)
             .collect();
-        let heard = others.iter().filter(|silent| **silent <= limit).count();
-        heard >= MIN_HEARD_MACHINES && heard * 3 >= others.len() * 2
+        let reporting = others
+            .iter()
+            .filter(|silent_for| **silent_for <= limit)
+            .count();
+        reporting >= MIN_REPORTING_MACHINES && reporting * 3 >= others.len() * 2
     }
 }
--- a/src/controller/heartbeats/mod.rs
+++ b/src/controller/heartbeats/mod.rs
@@ -1,13 +1,13 @@
 //! Workers' heartbeats at the controller: which controller answers them, and what they prove.
 //!
-//! The modules here hold the steps; the state belongs to [`Machine`](crate::workers::Machine),
+//! The modules here hold the logic; the state belongs to [`Machine`](crate::workers::Machine),
 //! [`WorkerContact`](super::reachability::WorkerContact) and the job cache.
 //!
 //! * `answer`: the response to a heartbeat.
 //! * `observation`: a machine's newest heartbeat compared with the job records.
 //! * `direct_commands`: commands that do not wait for a heartbeat.
-//! * `liveness`: how long machines have been silent, and which controller can tell.
-//! * `contact`: a controller that receives no heartbeats at all.
+//! * `liveness`: how long machines have been silent, and which controller can judge that.
+//! * `contact`: release of the shards of a controller that receives no heartbeats at all.
 //! * `sweep`: the periodic pass over all machines.
 //! * `replica_migration`: service replicas on machines that are being drained.
 
@@ -24,14 +24,14 @@
 use crate::workers::wire::Heartbeat;
 pub(in crate::controller) use liveness::MachineSilence;
 
-pub(super) use sweep::FORGET;
+pub(super) use sweep::SILENT_MACHINE_TTL;
 
-/// A worker that missed this many heartbeat intervals gets no new tasks: two lost heartbeats are
-/// common, and the third is due half an interval later.
+/// A worker that has been silent for this many heartbeat intervals gets no new tasks. The loss of
+/// two heartbeats is common, and the third is due half an interval later.
 const MISSED_HEARTBEAT_INTERVALS: f64 = 2.5;
 
 impl Controller {
-    /// A worker that has been silent for longer than this gets no new tasks.
+    /// The silence after which a worker gets no new tasks.
     pub(super) fn heartbeat_timeout(&self) -> Millis {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         Millis::from_secs(interval_s * MISSED_HEARTBEAT_INTERVALS)
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -1,5 +1,5 @@
-//! What a machine's newest heartbeat proves about its tasks, and the changes of records that
-//! follow.
+//! What a machine's newest heartbeat proves about its tasks, and the resulting changes of the job
+//! records.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +12,13 @@
 use crate::workers::wire::{ExitCause, TaskStage, WorkerCommand};
 use crate::workers::{FETCH_TIMEOUT_FACTOR, Machine, TaskObservation};
 
-/// How long new tasks for a machine are paused after a start was refused for lack of resources:
-/// more is allocated there than this controller knows, and the next heartbeats show what.
+/// How long a machine gets no new tasks after it refused a start for lack of resources: more is
+/// allocated there than this controller knows, and the next heartbeats show what.
 const REFUSED_START_PAUSE: Millis = Millis(3_000);
 
 impl Controller {
-    /// Reconciles a machine's newest heartbeat with the records again.
+    /// Reconciles a machine's newest heartbeat with the records again, if this controller holds its
+    /// shard and knows all placements there.
     pub(in crate::controller) fn reconcile_again(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -25,7 +26,7 @@
         if let Some(token) = self.token_for(&machine.shard)
             && self.knows_all_placements(&machine.shard)
         {
-            // The answer to the next heartbeat carries the commands.
+            // The response to the next heartbeat carries the commands.
             let _ = self.reconcile_machine(machine_id, token);
         }
     }
@@ -38,11 +39,11 @@
         token: FencingToken,
     ) -> Vec<WorkerCommand> {
         self.record_image_use(machine_id);
-        self.drain_warned(machine_id);
+        self.checkpoint_before_termination(machine_id);
         let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
-        let outcome = self.reconciled(machine, token);
+        let outcome = self.reconciliation_for(machine, token);
         self.record_task_results(machine_id, &outcome);
         self.attribute_failures(machine_id, &outcome.failures);
         if !outcome.changes.is_empty() {
@@ -52,8 +53,12 @@
         outcome.commands
     }
 
-    /// The result of comparing a machine's newest heartbeat with the records, without any effect.
-    pub(super) fn reconciled(&self, machine: &Machine, token: FencingToken) -> Reconciliation {
+    /// The result of comparing a machine's newest heartbeat with the records; changes no state.
+    pub(super) fn reconciliation_for(
+        &self,
+        machine: &Machine,
+        token: FencingToken,
+    ) -> Reconciliation {
         let may_be_fetching = |job: &Job| self.may_be_fetching(job);
         reconcile(
             machine,
@@ -64,8 +69,8 @@
         )
     }
 
-    /// Whether tasks of a gang may still be fetching its image, on whatever machines they were
-    /// placed.
+    /// Whether tasks of a gang may still be fetching its image on any of their machines, assuming
+    /// the slowest fetch rate of all machine types.
     fn may_be_fetching(&self, job: &Job) -> bool {
         let rates = self.autoscaler.type_specs.iter().map(MachineTypeSpec::rate);
         let slowest_rate = rates.fold(f64::MAX, f64::min);
@@ -75,7 +80,8 @@
         job.is_gang_of_several() && self.now.since(job.last_placement_change) < limit
     }
 
-    /// Updates the machine's own state by how its tasks ended.
+    /// Updates the machine's own state by how its tasks ended: a success resets its failures and
+    /// quarantine, a refused start pauses new tasks.
     fn record_task_results(&mut self, machine_id: &MachineId, outcome: &Reconciliation) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -83,13 +89,13 @@
         if outcome.successes > 0 {
             machine.record_success();
         }
-        let no_room = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::NoRoom;
-        if outcome.failures.iter().any(no_room) {
+        let refused = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::NoRoom;
+        if outcome.failures.iter().any(refused) {
             machine.starts_paused_until = self.now + REFUSED_START_PAUSE;
         }
     }
 
-    /// Failures of the tasks themselves count against the job or the machine; refused starts only
+    /// Counts failures of the tasks themselves against the job or the machine. Refused starts only
     /// return the job to the queue.
     fn attribute_failures(&mut self, machine_id: &MachineId, failures: &[(JobId, ExitCause)]) {
         let mut failed = BTreeSet::new();
@@ -104,7 +110,8 @@
         self.report_task_failures(failed, machine_id);
     }
 
-    /// Notes changes of tasks and commits them job by job. The changes must be grouped by job.
+    /// Records pending changes of tasks and commits them job by job. The changes must be grouped by
+    /// job, or a job is committed more than once.
     pub(in crate::controller) fn request_changes(
         &mut self,
         changes: Vec<(JobId, u32, TaskChange)>,
@@ -121,8 +128,8 @@
         }
     }
 
-    /// Records images as cached on the machine: a task past its fetch shows that its image is
-    /// there.
+    /// Records the images of the machine's tasks as cached there, as far as the tasks' stages show
+    /// that the fetch has finished.
     fn record_image_use(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -139,8 +146,8 @@
             .map(|job| (&job.spec.image, job.spec.image_gb))
             .collect();
         for (image, gb) in images {
-            if let Some(coming) = machine.pending_fetches.get(image) {
-                let took_s = self.now.since(coming.last_used).secs();
+            if let Some(fetch) = machine.pending_fetches.get(image) {
+                let took_s = self.now.since(fetch.last_used).secs();
                 let others = machine.pending_fetches.len() - 1;
                 tracing::debug!(%machine_id, image = image.as_str(), gb, took_s, others, "image fetched");
             }
--- a/src/controller/heartbeats/replica_migration.rs
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -1,4 +1,4 @@
-//! Service replicas move off machines that are being drained, one at a time.
+//! Migration of service replicas off machines that are being drained.
 
 use crate::controller::Controller;
 use crate::jobs::JobKind;
@@ -7,10 +7,11 @@
 use crate::workers::Machine;
 use crate::workers::reconcile::Stop;
 
-/// Time between migrations. Each interrupts its replica briefly; one at a time keeps the service
-/// available.
+/// Time between rounds of migrations. Each migration interrupts its replica briefly; pauses between
+/// them keep the service available.
 const MIGRATION_INTERVAL: Millis = Millis(20_000);
-/// A replica that has just started is not moved for this long, so that it serves between moves.
+/// A service whose placements have changed is not migrated for this long, so that a replica serves
+/// between moves.
 const MIN_REPLICA_AGE: Millis = Millis(40_000);
 
 /// A replica that is to be stopped, so that it is placed elsewhere.
@@ -21,9 +22,9 @@
 }
 
 impl Controller {
-    /// Stops replicas on machines that are being drained, if another machine has the resources for
-    /// them and their image, so that they restart without a fetch.
-    pub(super) fn move_replicas(&mut self) {
+    /// Stops a replica on each machine that is being drained, if another machine has the resources
+    /// for it and its image, so that it restarts without a fetch.
+    pub(super) fn migrate_replicas(&mut self) {
         if self.now.since(self.scheduler.replica_moved_at) < MIGRATION_INTERVAL {
             return;
         }
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The first replica on a machine that can run elsewhere.
+    /// The first replica on a machine that can run on another one.
     fn migration_from(&self, machine: &Machine) -> Option<Migration> {
         let mut placed = self.jobs.tasks_on(&machine.machine_id);
         placed.find_map(|(id, index)| {
@@ -58,13 +59,13 @@
                 job: id.clone(),
                 index: *index,
             };
-            let movable = self.is_settled_service(job)
+            let can_move = self.is_stable_service(job)
                 && !self.scheduler.stops.contains_key(&task)
                 && self
                     .machines
                     .values()
                     .any(|target| self.can_take_replica(target, job, machine));
-            movable.then(|| Migration {
+            can_move.then(|| Migration {
                 task,
                 attempt: placement.attempt,
                 machine_id: machine.machine_id.clone(),
@@ -73,7 +74,7 @@
     }
 
     /// Whether the job is an active service whose placements have not changed recently.
-    fn is_settled_service(&self, job: &Job) -> bool {
+    fn is_stable_service(&self, job: &Job) -> bool {
         job.spec.kind == JobKind::Service
             && job.is_active()
             && self.now.since(job.last_placement_change) > MIN_REPLICA_AGE
@@ -81,11 +82,11 @@
 
     /// Whether a replica of the job may move from `source` to `target`.
     fn can_take_replica(&self, target: &Machine, job: &Job, source: &Machine) -> bool {
-        // A service with several replicas is spread over zones, so each stays in its own.
-        let zone_kept = job.record.tasks == 1 || target.zone == source.zone;
+        // A service with several replicas is spread over zones, so each replica stays in its own.
+        let zone_allowed = job.record.tasks == 1 || target.zone == source.zone;
         (self.is_schedulable_by_us(target) || self.is_schedulable_by_peer(target))
             && target.images.contains_key(&job.spec.image)
-            && zone_kept
+            && zone_allowed
             && job
                 .spec
                 .allows(&target.machine_type, &target.zone, target.spot)
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -1,4 +1,4 @@
-//! The periodic pass over all machines: expired leases, finished stops, machines that are gone.
+//! The periodic pass over all machines: expired leases, probes, and outdated state.
 
 use crate::controller::Controller;
 use crate::fleet::fetch_rate;
@@ -8,39 +8,40 @@
 
 /// Time between passes over all machines.
 const SWEEP_INTERVAL: Millis = Millis(1_000);
-/// A job that was forwarded to us and remains unknown for this long is forgotten: the watch
-/// delivers records much sooner.
+/// A forwarded job whose record is still unknown after this time is dropped: the watch delivers
+/// records much sooner.
 const FORWARDED_EARLY_TTL: Millis = Millis(10_000);
 /// A machine without tasks from which no controller has received heartbeats for this long is
-/// forgotten.
-pub(in crate::controller) const FORGET: Millis = Millis(120_000);
-/// Factor by which a worker's clock may be slower than ours.
+/// dropped from this controller's view.
+pub(in crate::controller) const SILENT_MACHINE_TTL: Millis = Millis(120_000);
+/// Factor by which a worker's clock may be slower than this controller's.
 const CLOCK_RATE_ALLOWANCE: f64 = 1.002;
-/// Seconds by which a worker's timers may be late when its lease expires.
+/// Seconds by which a worker's timers may fire late when its lease expires.
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 
 impl Controller {
-    /// Expires leases of workers by our own clock, probes silent machines, and drops outdated
-    /// state.
+    /// Expires workers' leases by this controller's clock, probes silent machines, and drops
+    /// outdated state; at most once per [`SWEEP_INTERVAL`].
     pub(in crate::controller) fn sweep_machines(&mut self) {
         if self.now.since(self.contact.last_sweep) < SWEEP_INTERVAL {
             return;
         }
         self.contact.last_sweep = self.now;
-        self.update_quiet_machines();
+        self.update_overdue_heartbeats();
         self.announce_tokens();
         self.probe_silent_machines();
         self.release_tasks_of_expired_leases();
         self.expire_image_fetches();
         self.forget_finished_stops();
-        self.move_replicas();
+        self.migrate_replicas();
         self.expire_nominations();
         self.forget_finished_jobs();
         self.forget_silent_machines();
         self.reconsider_all();
     }
 
-    /// Releases the tasks of workers whose lease has expired: they have stopped all they ran.
+    /// Releases the tasks of workers whose lease has expired: such a worker has stopped all its
+    /// tasks.
     fn release_tasks_of_expired_leases(&mut self) {
         let lease_s = self.settings.deployment.workers.lease_s;
         let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + LEASE_EXPIRY_MARGIN_S);
@@ -49,17 +50,17 @@
             let Some(token) = self.token_for(&machine.shard) else {
                 continue;
             };
-            // In partition mode any controller may renew the leases of our workers.
+            // In partition mode any controller may renew the leases of this controller's workers.
             if self.partition.mode.is_on() || !machine.lease_expired(token, lease, self.now) {
                 continue;
             }
-            changes.extend(self.releases_of(machine, token));
+            changes.extend(self.task_releases(machine, token));
         }
         self.request_changes(changes);
     }
 
     /// Releases of all tasks on a machine for which no change is in progress.
-    fn releases_of(
+    fn task_releases(
         &self,
         machine: &Machine,
         token: FencingToken,
@@ -78,7 +79,7 @@
         })
     }
 
-    /// Drops pending image fetches that should have finished by now.
+    /// Drops pending image fetches that should have finished already.
     fn expire_image_fetches(&mut self) {
         let fetching = |machine: &&mut Machine| !machine.pending_fetches.is_empty();
         for machine in self.machines.values_mut().filter(fetching) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Forgets stops of attempts that have left their machine.
+    /// Drops stops of attempts that are no longer placed.
     fn forget_finished_stops(&mut self) {
         let jobs = &self.jobs;
         self.scheduler.stops.retain(|task, stop| {
@@ -132,11 +133,11 @@
             .retain(|_, since| now.since(*since) < FORWARDED_EARLY_TTL);
     }
 
-    /// Forgets machines without tasks from which no controller has received heartbeats for long.
+    /// Drops machines without tasks that have been silent for [`SILENT_MACHINE_TTL`].
     fn forget_silent_machines(&mut self) {
         let (now, jobs) = (self.now, &self.jobs);
         self.machines.retain(|machine_id, machine| {
-            now.since(machine.last_contact) < FORGET || jobs.is_occupied(machine_id)
+            now.since(machine.last_contact) < SILENT_MACHINE_TTL || jobs.is_occupied(machine_id)
         });
     }
 }
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -9,11 +9,11 @@
 use crate::types::{AgentEpoch, Attempt, FencingToken, MachineId, Revision, ShardId, WorkerToken};
 use crate::workers::Machine;
 
-/// A machine restarted at once and reported its new agent epoch in a response to direct commands. Its last
-/// answered heartbeat was from the previous agent epoch, so its lease was considered expired while its
-/// tasks ran, and they were started elsewhere.
+/// A machine restarted at once and reported its new agent epoch in a reply to direct commands. Its last answered
+/// heartbeat was from the previous agent epoch, so its lease was considered expired while its tasks ran, and
+/// they were started elsewhere.
 #[test]
-fn an_agent_epoch_learned_from_a_direct_response_has_a_full_lease() {
+fn an_agent_epoch_learned_from_a_direct_reply_has_a_full_lease() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 1);
     let here = Task::Placed(Placement {
@@ -35,10 +35,10 @@
     let heartbeat = Some(serde_json::from_value(heartbeat).unwrap());
     controller.on_direct_reply(&machine_id, Some(CommandReply { heartbeat }));
     let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
-    for (after_s, gone) in [(5.0, false), (40.0, true)] {
+    for (after_s, expired) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
         controller.sweep_machines();
-        assert_eq!(released(&controller), gone, "{after_s} s after");
+        assert_eq!(released(&controller), expired, "{after_s} s after");
     }
 }
 
@@ -46,18 +46,18 @@
 /// until the new token was announced directly. Then the worker fell silent. Its lease was considered expired
 /// counting from the lost response, while its tasks ran for another ten seconds.
 #[test]
-fn silence_counts_from_the_workers_acknowledgement_of_our_token() {
-    type Heard = Option<u64>;
-    let cases: [(Heard, u64, Heard, f64, bool); 5] = [
-        // answered heartbeat, acknowledgement of our token, next answered heartbeat; seconds after the
-        // acknowledgement; lease has expired
+fn silence_counts_from_the_workers_acknowledgement_of_the_holders_token() {
+    type AnsweredAt = Option<u64>;
+    let cases: [(AnsweredAt, u64, AnsweredAt, f64, bool); 5] = [
+        // time in seconds of an answered heartbeat, of the acknowledgement of the controller's token and of the
+        // next answered heartbeat; seconds after the acknowledgement; whether the lease has expired
         (Some(1), 16, None, 20.0, false),
         (Some(1), 16, None, 40.0, true),
         (Some(15), 16, Some(30), 36.0, false),
         (Some(15), 16, Some(30), 60.0, true),
         (None, 16, None, 40.0, true),
     ];
-    for (before, shown, after, then_s, gone) in cases {
+    for (before, acknowledged, after, then_s, expired) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let here = Task::Placed(Placement {
@@ -83,9 +83,9 @@
             "n0".into(),
         );
         controller.machines.insert(machine_id.clone(), machine);
-        let heartbeat = |heartbeat_sequence: u64, seen: FencingToken| {
+        let heartbeat = |heartbeat_sequence: u64, seen_token: FencingToken| {
             let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-                "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(seen),
+                "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(seen_token),
                 "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
             serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
         };
@@ -93,22 +93,21 @@
             controller.now = Millis(before * 1_000);
             controller.answer_heartbeat(heartbeat(1, FencingToken(4)));
         }
-        controller.now = Millis(shown * 1_000);
-        let heartbeat_of_answer = Some(heartbeat(2, FencingToken(5)));
-        let answer = CommandReply {
-            heartbeat: heartbeat_of_answer,
+        controller.now = Millis(acknowledged * 1_000);
+        let reply = CommandReply {
+            heartbeat: Some(heartbeat(2, FencingToken(5))),
         };
-        controller.on_direct_reply(&machine_id, Some(answer));
+        controller.on_direct_reply(&machine_id, Some(reply));
         if let Some(after) = after {
             controller.now = Millis(after * 1_000);
             controller.answer_heartbeat(heartbeat(3, FencingToken(5)));
         }
-        controller.now = Millis(shown * 1_000) + Millis::from_secs(then_s);
+        controller.now = Millis(acknowledged * 1_000) + Millis::from_secs(then_s);
         controller.sweep_machines();
         let released = !controller.jobs.get(&id).unwrap().changes.is_empty();
         assert_eq!(
-            released, gone,
-            "{before:?}, {shown}, {after:?}, {then_s} s later"
+            released, expired,
+            "{before:?}, {acknowledged}, {after:?}, {then_s} s later"
         );
     }
 }
@@ -116,7 +115,7 @@
 /// A late copy of a heartbeat arrived after its machine was deleted. The machine was considered alive, and
 /// tasks were placed there whose end was never observed.
 #[test]
-fn a_machine_first_seen_by_heartbeat_gets_tasks_after_a_direct_response() {
+fn a_machine_first_seen_by_heartbeat_gets_tasks_after_a_direct_reply() {
     let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
     let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
     controller.now = Millis(20_000);
@@ -127,17 +126,22 @@
         serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
     };
     let machine_id = MachineId::from("vm-2");
-    let fit = |c: &Controller| c.is_schedulable_by_us(&c.machines[&machine_id]);
+    let takes_tasks = |c: &Controller| c.is_schedulable_by_us(&c.machines[&machine_id]);
     for heartbeat_sequence in [4, 5] {
         controller.effects.clear();
         controller.answer_heartbeat(heartbeat(heartbeat_sequence));
-        assert!(!fit(&controller), "after report {heartbeat_sequence}");
+        assert!(
+            !takes_tasks(&controller),
+            "after heartbeat {heartbeat_sequence}"
+        );
     }
-    let asked = |c: &Controller| c.machines[&machine_id].direct.in_flight;
-    assert!(asked(&controller), "it is asked");
-    let answer = Some(heartbeat(6));
-    controller.on_direct_reply(&machine_id, Some(CommandReply { heartbeat: answer }));
-    assert!(fit(&controller), "it answered");
+    let probed = |c: &Controller| c.machines[&machine_id].direct.in_flight;
+    assert!(probed(&controller), "the machine is probed");
+    let reply = CommandReply {
+        heartbeat: Some(heartbeat(6)),
+    };
+    controller.on_direct_reply(&machine_id, Some(reply));
+    assert!(takes_tasks(&controller), "the machine replied");
 }
 
 /// While no worker reached any controller, each controller released its shards, acquired others, received no
@@ -145,7 +149,8 @@
 #[test]
 fn shards_keep_their_holders_while_no_controller_receives_heartbeats() {
     let cases = [
-        // the peer's report (none, no heartbeats, heartbeats); earlier releases; released, next acquisition after ms
+        // whether the peer receives heartbeats (`None`: no status); earlier releases in a row; ms from the release
+        // to the next inspection (`None`: not released)
         (None, 0, Some(2_000)),
         (Some(false), 0, None),
         (Some(true), 0, Some(2_000)),
@@ -153,14 +158,14 @@
         (Some(true), 2, Some(22_000)),
         (Some(true), 9, Some(82_000)),
     ];
-    for (peer_receives_heartbeats, before, expected) in cases {
+    for (peer_receives_heartbeats, earlier_releases, expected) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED]);
         controller.now = Millis(100_000);
         (
             controller.contact.receives_heartbeats,
             controller.contact.shard_release_streak,
-        ) = (true, before);
+        ) = (true, earlier_releases);
         controller.contact.last_heartbeat =
             controller.now - Millis(controller.heartbeat_timeout().0 + 2_001);
         for machine in controller.machines.values_mut() {
@@ -170,7 +175,7 @@
         }
         controller.membership.shard_moved_at.clear();
         for member in controller.settings.members.clone() {
-            let said = peer_receives_heartbeats.map(|receives_heartbeats| PeerStatus {
+            let status = peer_receives_heartbeats.map(|receives_heartbeats| PeerStatus {
                 received_at: controller.now,
                 revision: Revision(1),
                 without_store: Millis(0),
@@ -179,10 +184,10 @@
             controller
                 .peers
                 .statuses
-                .extend(said.map(|said| (member.label, said)));
+                .extend(status.map(|status| (member.label, status)));
         }
         controller.check_worker_contact();
-        let case = format!("{peer_receives_heartbeats:?}, {before}");
+        let case = format!("{peer_receives_heartbeats:?}, {earlier_releases}");
         assert_eq!(
             controller.contact.receives_heartbeats,
             expected.is_none(),
@@ -190,14 +195,14 @@
         );
         let Some(expected) = expected else { continue };
         let from = controller.now;
-        for (after, asks) in [(expected - 1, false), (expected, true)] {
+        for (after, inspects) in [(expected - 1, false), (expected, true)] {
             controller.effects.clear();
             controller.now = from + Millis(after);
             controller.check_worker_contact();
-            let asked = |effect: &Effect| matches!(effect, Effect::Inspect { .. });
+            let inspected = |effect: &Effect| matches!(effect, Effect::Inspect { .. });
             assert_eq!(
-                controller.effects.iter().any(asked),
-                asks,
+                controller.effects.iter().any(inspected),
+                inspects,
                 "{case}, {after}"
             );
         }
--- a/src/controller/reachability/contact.rs
+++ b/src/controller/reachability/contact.rs
@@ -5,8 +5,8 @@
 use crate::types::{MachineId, Millis};
 
 /// Time before a controller that released its shards a second time in a row inspects workers again;
-/// it doubles each time. Without it, shards would change holders every few seconds while heartbeats
-/// reach no controller.
+/// it doubles with each further release. Without this delay, shards would change holders every few
+/// seconds while heartbeats reach no controller.
 const RELEASE_BACKOFF: Millis = Millis(10_000);
 /// The backoff stops growing after this many doublings.
 const MAX_RELEASE_BACKOFF_DOUBLINGS: u32 = 3;
@@ -23,23 +23,24 @@
     pub(in crate::controller) last_inspection: Millis,
     /// How many times in a row this controller released its shards because no heartbeats arrived.
     pub(in crate::controller) shard_release_streak: u32,
-    /// Whether most of our machines have sent no heartbeat for a while.
-    pub(in crate::controller) most_machines_quiet: bool,
-    /// When peers received heartbeats of machines that are not described here yet.
+    /// Whether the heartbeats of most machines of this controller's shards are overdue.
+    pub(in crate::controller) most_heartbeats_overdue: bool,
+    /// When peers received heartbeats of machines that no peer has described to this controller
+    /// yet.
     pub(in crate::controller) relayed_heartbeats: HashMap<MachineId, Millis>,
     /// When the last sweep over all machines began.
     pub(in crate::controller) last_sweep: Millis,
 }
 
 impl WorkerContact {
-    /// The state of a controller that has received no heartbeats yet, and expects them.
+    /// The state of a controller that has not received any heartbeats yet, but expects them.
     pub(in crate::controller) fn new() -> Self {
         Self {
             receives_heartbeats: true,
             last_heartbeat: Millis(0),
             last_inspection: Millis(0),
             shard_release_streak: 0,
-            most_machines_quiet: false,
+            most_heartbeats_overdue: false,
             relayed_heartbeats: HashMap::default(),
             last_sweep: Millis(0),
         }
@@ -52,12 +53,12 @@
         self.shard_release_streak = 0;
     }
 
-    /// Whether heartbeats arrive, the last within `silence`.
+    /// Whether heartbeats arrive at this controller, the last one within `silence`.
     pub(in crate::controller) fn is_current(&self, now: Millis, silence: Millis) -> bool {
         self.receives_heartbeats && now.since(self.last_heartbeat) <= silence
     }
 
-    /// Records that the shards are released since no heartbeats arrive; the first inspection of a
+    /// Records that the shards are released since no heartbeats arrive. The first inspection of a
     /// worker follows after the backoff.
     pub(in crate::controller) fn begin_shard_release(&mut self, now: Millis) {
         self.receives_heartbeats = false;
@@ -65,8 +66,8 @@
         self.shard_release_streak += 1;
     }
 
-    /// Records that a worker answered an inspection, so workers can be reached. The streak lasts
-    /// until a heartbeat arrives.
+    /// Records that a worker answered an inspection, so workers can be reached. The streak of
+    /// releases is reset only when a heartbeat arrives.
     pub(in crate::controller) fn restore(&mut self, now: Millis) {
         self.receives_heartbeats = true;
         self.last_heartbeat = now;
--- a/src/controller/reachability/evacuation.rs
+++ b/src/controller/reachability/evacuation.rs
@@ -1,59 +1,63 @@
-//! Evacuation of machines whose heartbeats are lost, so that their lease expires, and of those that
-//! the cloud takes away.
+//! Evacuation of machines whose lease expires because their heartbeats are lost, and of machines
+//! whose termination the cloud has announced.
 
 use crate::controller::Controller;
-use crate::controller::heartbeats::FORGET;
+use crate::controller::heartbeats::SILENT_MACHINE_TTL;
 use crate::jobs::JobKind;
 use crate::types::{FencingToken, MachineId, Millis, TaskId};
 use crate::workers::Machine;
 use crate::workers::reconcile::Stop;
 use crate::workers::wire::{TaskStage, WorkerCommand};
 
-/// A machine is silent once it has sent no heartbeat for this many intervals, which takes more than
-/// one lost heartbeat.
-const QUIET_HEARTBEAT_INTERVALS: f64 = 1.6;
-/// Fewer silent machines than this are single failures, whatever fraction of all machines they are.
-const MIN_QUIET_MACHINES: usize = 3;
+/// A machine's heartbeat is overdue once none has arrived for this many intervals, which takes more
+/// than one lost heartbeat.
+const OVERDUE_HEARTBEAT_INTERVALS: f64 = 1.6;
+/// Fewer machines with overdue heartbeats than this are single failures, whatever fraction of all
+/// machines they are.
+const MIN_OVERDUE_MACHINES: usize = 3;
 /// Time within which the machines of a shard find its new holder.
 const HOLDER_DISCOVERY_TIMEOUT: Millis = Millis(10_000);
-/// Time for a stop command to reach a machine and for the answer to arrive, in addition to the time
+/// Time for a stop command to reach a machine and for the reply to arrive, in addition to the time
 /// for the checkpoint.
 const STOP_ROUND_TRIP: Millis = Millis(7_000);
 
 impl Controller {
-    /// Records whether most of our machines have not reported for a while. Then no other machines
-    /// are better for placing tasks, and such an outage mostly ends before the leases do, or before
-    /// a lease that begins in the meantime does: machines that answer direct commands are used as
-    /// if they reported. Evacuating them like single machines would stop nearly all tasks for
-    /// nothing.
-    pub(in crate::controller) fn update_quiet_machines(&mut self) {
+    /// Records whether the heartbeats of most machines of this controller's shards are overdue.
+    /// Then no other machines are better for placing tasks, and such an outage mostly ends before
+    /// the leases do, including leases that begin during it. So machines that answer direct
+    /// commands are used as if they reported: evacuating each of them would needlessly stop nearly
+    /// all tasks.
+    pub(in crate::controller) fn update_overdue_heartbeats(&mut self) {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
-        let quiet_after = Millis::from_secs(interval_s * QUIET_HEARTBEAT_INTERVALS);
-        let (mut all, mut quiet) = (0, 0);
+        let overdue_after = Millis::from_secs(interval_s * OVERDUE_HEARTBEAT_INTERVALS);
+        let (mut all, mut overdue) = (0, 0);
         for machine in self.machines.values() {
             let silent_for = self.now.since(machine.last_heartbeat);
-            let counts = machine.last_heartbeat > Millis(0) && silent_for < FORGET;
-            if counts && self.token_for(&machine.shard).is_some() {
+            let reported_recently =
+                machine.last_heartbeat > Millis(0) && silent_for < SILENT_MACHINE_TTL;
+            if reported_recently && self.token_for(&machine.shard).is_some() {
                 all += 1;
-                quiet += usize::from(silent_for > quiet_after);
+                overdue += usize::from(silent_for > overdue_after);
             }
         }
-        self.contact.most_machines_quiet = quiet >= MIN_QUIET_MACHINES && quiet * 2 >= all;
+        self.contact.most_heartbeats_overdue =
+            overdue >= MIN_OVERDUE_MACHINES && overdue * 2 >= all;
     }
 
-    /// Whether a machine of ours has not reported for so long that its worker must be unable to.
-    /// Its answers to direct commands do not renew its lease.
+    /// Whether a machine of this controller's shards has not sent a heartbeat for so long that its
+    /// worker must be unable to send one. The worker's replies to direct commands do not renew its
+    /// lease.
     pub(in crate::controller) fn is_unable_to_report(&self, machine_id: &MachineId) -> bool {
-        if self.contact.most_machines_quiet {
+        if self.contact.most_heartbeats_overdue {
             return false;
         }
         self.machines.get(machine_id).is_some_and(|machine| {
             let moved_at = self.membership.shard_moved_at.get(&machine.shard);
-            let held = self.now.since(moved_at.copied().unwrap_or_default());
+            let held_for = self.now.since(moved_at.copied().unwrap_or_default());
             let silent = self.now.since(machine.last_heartbeat) > self.heartbeat_timeout();
-            // A machine that the previous holder knew as unable to report remains so until it
+            // A machine that the previous holder found unable to report counts as such until it
             // reports.
-            silent && (held > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
+            silent && (held_for > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
         })
     }
 
@@ -67,11 +71,12 @@
         let lease = Millis::from_secs(self.settings.deployment.workers.lease_s);
         let lease_left = (machine.last_heartbeat + lease).since(self.now);
         for (task, save) in self.tasks_to_evacuate(machine, lease_left) {
-            self.stop_with_its_gang(&task, save);
+            self.stop_with_gang(&task, save);
         }
     }
 
-    /// The tasks placed on a machine that are to be stopped now, and whether each saves first.
+    /// The tasks placed on a machine that are to be stopped now, and whether each saves a
+    /// checkpoint first.
     fn tasks_to_evacuate(&self, machine: &Machine, lease_left: Millis) -> Vec<(TaskId, bool)> {
         let placed = self.jobs.tasks_on(&machine.machine_id);
         placed
@@ -95,9 +100,9 @@
             .collect()
     }
 
-    /// Requests a stop of a task where it was placed; for a gang, of all tasks, since they save
+    /// Requests a stop of a task's current attempt; for a gang, of all its tasks, since they save
     /// together.
-    fn stop_with_its_gang(&mut self, task: &TaskId, save: bool) {
+    fn stop_with_gang(&mut self, task: &TaskId, save: bool) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -114,9 +119,9 @@
         }
     }
 
-    /// Stops the running tasks that can save a checkpoint on a machine that the cloud will take
-    /// away.
-    pub(in crate::controller) fn drain_warned(&mut self, machine_id: &MachineId) {
+    /// Stops the running tasks that can save a checkpoint on a machine whose termination the cloud
+    /// has announced.
+    pub(in crate::controller) fn checkpoint_before_termination(&mut self, machine_id: &MachineId) {
         let Some(machine) = self
             .machines
             .get(machine_id)
@@ -124,24 +129,26 @@
         else {
             return;
         };
-        let saves = |task: &TaskId| {
+        let has_checkpoints = |task: &TaskId| {
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| job.spec.checkpoint_s > 0.0)
         };
         let stopped: Vec<TaskId> = machine
             .tasks
             .iter()
-            .filter(|(task, observed)| observed.stage == TaskStage::Running && saves(task))
+            .filter(|(task, observed)| {
+                observed.stage == TaskStage::Running && has_checkpoints(task)
+            })
             .map(|(task, _)| task.clone())
             .collect();
         for task in stopped {
-            self.stop_with_its_gang(&task, true);
+            self.stop_with_gang(&task, true);
         }
     }
 
-    /// Sends a machine that cannot report only the stops among `commands`: tasks that start there
-    /// end with its lease.
-    pub(in crate::controller) fn stop_where_unable_to_report(
+    /// Sends a machine that is unable to report only the stops among `commands`: tasks that start
+    /// there would end with its lease.
+    pub(in crate::controller) fn send_stops_only(
         &mut self,
         machine_id: &MachineId,
         token: FencingToken,
--- a/src/controller/reachability/mod.rs
+++ b/src/controller/reachability/mod.rs
@@ -1,8 +1,8 @@
-//! Machines whose contact works in one direction only, and the state of the contact as a whole.
+//! Machines that are reachable in one direction only, and whether heartbeats arrive here at all.
 //!
 //! Machines whose heartbeats arrive while nothing confirms that commands do are probed (`probes`).
 //! Machines that answer commands while their heartbeats are lost are evacuated before their lease
-//! expires (`evacuation`). [`WorkerContact`] shows whether heartbeats arrive here at all.
+//! expires (`evacuation`). [`WorkerContact`] holds the state of heartbeats from all workers.
 
 mod contact;
 mod evacuation;
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -1,29 +1,31 @@
-//! Probes: direct commands that carry only our token. The answer to one is current, and proves that
-//! commands arrive.
+//! Probes: direct commands that carry only this controller's token. The worker's reply shows its
+//! current state, and proves that commands arrive.
 
-use crate::controller::heartbeats::FORGET;
+use crate::controller::heartbeats::SILENT_MACHINE_TTL;
 use crate::controller::{Controller, Effect};
 use crate::types::{FencingToken, MachineId, Millis};
 use crate::workers::wire::WorkerCommand;
 
-/// Time between probes of a machine that may not receive commands.
+/// Time between probes of a machine that is silent, or that may not receive commands.
 const PROBE_INTERVAL: Millis = Millis(2_500);
 /// Maximum number of silent machines that are probed in a sweep: most have failed, and each probe
 /// holds a connection until it times out.
 const MAX_SILENT_PROBES: usize = 32;
 
 impl Controller {
-    /// Probes machines of ours that are silent: they may still be running.
+    /// Probes silent machines of this controller's shards: they may still be running.
     pub(in crate::controller) fn probe_silent_machines(&mut self) {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let silent: Vec<MachineId> = self
             .machines
             .values()
             .filter(|machine| {
-                let ours = self.token_for(&machine.shard) == Some(machine.worker_token.token());
+                let token_seen =
+                    self.token_for(&machine.shard) == Some(machine.worker_token.token());
                 let silent_for = now.since(machine.last_contact);
-                ours && silent_for > silence
-                    && silent_for < FORGET
+                token_seen
+                    && silent_for > silence
+                    && silent_for < SILENT_MACHINE_TTL
                     && !machine.reachability.is_doubtful(now, silence)
                     && now.since(machine.direct.probed_at) >= PROBE_INTERVAL
             })
@@ -35,9 +37,9 @@
         }
     }
 
-    /// Sends our token to the machines of our shards that have not seen it: until then they may
-    /// continue to report to an earlier holder, which may not know that it lost the shard. Probes
-    /// machines whose heartbeats arrive while nothing confirms that commands do.
+    /// Sends this controller's token to the machines of its shards that have not seen it: until
+    /// then they may continue to report to an earlier holder, which may not know that it lost the
+    /// shard. Probes machines whose heartbeats arrive while nothing confirms that commands do.
     pub(in crate::controller) fn announce_tokens(&mut self) {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let targets: Vec<MachineId> = self
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Sends a machine of ours only our token.
+    /// Sends a machine of this controller's shards only the token; does nothing for other machines.
     pub(in crate::controller) fn probe(&mut self, machine_id: &MachineId) {
         let machine = self.machines.get(machine_id);
         if let Some(token) = machine.and_then(|machine| self.token_for(&machine.shard)) {
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Sends a machine commands that start nothing, unless an exchange is in progress.
+    /// Sends a machine commands that start nothing, unless an exchange is in progress, the machine
+    /// is gone, or its address is unknown.
     pub(super) fn send_direct(
         &mut self,
         machine_id: &MachineId,
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -12,7 +12,7 @@
 use crate::workers::wire::{Heartbeat, WorkerCommand};
 
 const HOST: &str = "vm-2";
-/// Time of the machine's last heartbeat.
+/// Time of the machine's last heartbeat, in milliseconds.
 const REPORTED: u64 = 60_000;
 
 fn heartbeat(id: &JobId, heartbeat_sequence: u64, stages: &[&str]) -> Heartbeat {
@@ -27,7 +27,7 @@
 }
 
 /// An array of two tasks on a machine that sent a heartbeat: the first runs, the second has not started.
-fn reported() -> (Controller, JobId) {
+fn reported_machine() -> (Controller, JobId) {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.kind, spec.tasks) = (JobKind::Array, 2);
     let here = Task::Placed(Placement {
@@ -61,12 +61,12 @@
     (controller, id)
 }
 
-fn answers(controller: &mut Controller, heartbeat: Heartbeat, at: u64) {
+fn reply_to_direct(controller: &mut Controller, heartbeat: Heartbeat, at: u64) {
     controller.now = Millis(at);
-    let answer = CommandReply {
+    let reply = CommandReply {
         heartbeat: Some(heartbeat),
     };
-    controller.on_direct_reply(&MachineId::from(HOST), Some(answer));
+    controller.on_direct_reply(&MachineId::from(HOST), Some(reply));
 }
 
 /// Commands sent to the machine since the last call.
@@ -79,12 +79,12 @@
     commands.flatten().collect()
 }
 
-/// Machines that answered direct commands but could not send heartbeats were given tasks repeatedly: all of
-/// these tasks died with the worker's lease.
+/// Machines that answered direct commands but could not send heartbeats were given tasks repeatedly, and all of
+/// these tasks ended when the worker's lease expired.
 #[test]
 fn machines_that_answer_but_cannot_report_get_no_tasks() {
-    let silence = reported().0.heartbeat_timeout().0;
-    for (after, shard_taken, known_unable_to_report, resources) in [
+    let silence = reported_machine().0.heartbeat_timeout().0;
+    for (after, shard_moved_at, known_unable_to_report, schedulable) in [
         (silence, 0, false, true),
         (silence + 1, 0, false, false),
         // Workers may not have found a new holder yet.
@@ -92,7 +92,7 @@
         (silence + 1, REPORTED, true, false),
         (silence + 12_000, REPORTED, false, false),
     ] {
-        let (mut controller, id) = reported();
+        let (mut controller, id) = reported_machine();
         if known_unable_to_report {
             let machine = controller.machines.get_mut(&MachineId::from(HOST));
             machine
@@ -104,20 +104,22 @@
         controller
             .membership
             .shard_moved_at
-            .insert(shard, Millis(shard_taken));
-        answers(
+            .insert(shard, Millis(shard_moved_at));
+        reply_to_direct(
             &mut controller,
             heartbeat(&id, 2, &["running"]),
             REPORTED + after,
         );
-        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
-        let case =
-            format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
-        assert_eq!(fit, resources, "{case}");
+        let takes_tasks =
+            controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+        let case = format!(
+            "{after} ms after, shard moved at {shard_moved_at}, known unable: {known_unable_to_report}"
+        );
+        assert_eq!(takes_tasks, schedulable, "{case}");
         // Its next heartbeat makes it schedulable again, once it has answered the probe sent then.
         let (now, machine_id) = (controller.now, MachineId::from(HOST));
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
-        answers(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
+        reply_to_direct(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
         assert!(
             controller.is_schedulable_by_us(&controller.machines[&machine_id]),
             "{case}"
@@ -126,9 +128,9 @@
 }
 
 #[test]
-fn a_machine_whose_heartbeats_are_lost_is_vacated_before_its_lease_expires() {
-    let lease = Millis::from_secs(reported().0.settings.deployment.workers.lease_s).0;
-    let silence = reported().0.heartbeat_timeout().0;
+fn a_machine_whose_heartbeats_are_lost_is_evacuated_before_its_lease_expires() {
+    let lease = Millis::from_secs(reported_machine().0.settings.deployment.workers.lease_s).0;
+    let silence = reported_machine().0.heartbeat_timeout().0;
     let running = &["running"][..];
     let cases = [
         // cancelled, ms after the last heartbeat; stops of the running task, whether the other task is released
@@ -137,8 +139,8 @@
         (false, lease - 3_000, 1, true),
         (true, silence + 1, 1, true),
     ];
-    for (cancelled, after, stops, given_up) in cases {
-        let (mut controller, id) = reported();
+    for (cancelled, after, stops, released) in cases {
+        let (mut controller, id) = reported_machine();
         controller.membership.shard_moved_at.clear();
         if cancelled {
             let record = JobRecord {
@@ -149,65 +151,66 @@
             controller.apply(&job_key(&id), Some(&text), Revision(20));
             controller.effects.clear();
         }
-        answers(
+        reply_to_direct(
             &mut controller,
             heartbeat(&id, 2, running),
             REPORTED + after,
         );
         let sent = sent(&mut controller);
         let case = format!("cancelled {cancelled}, after {after} ms: {sent:?}");
-        let stop = |order: &&WorkerCommand| matches!(order, WorkerCommand::Stop { task, .. } if task.index == 0);
+        let stop = |command: &&WorkerCommand| matches!(command, WorkerCommand::Stop { task, .. } if task.index == 0);
         assert_eq!(sent.iter().filter(stop).count(), stops, "{case}");
-        let starts = |order: &WorkerCommand| matches!(order, WorkerCommand::Start { .. });
+        let starts = |command: &WorkerCommand| matches!(command, WorkerCommand::Start { .. });
         assert!(!sent.iter().any(starts), "{case}");
         let changes = &controller.jobs.get(&id).unwrap().changes;
-        assert_eq!(changes.contains_key(&1), given_up, "{case}");
+        assert_eq!(changes.contains_key(&1), released, "{case}");
         assert!(!changes.contains_key(&0), "{case}");
     }
 }
 
-/// Silence does not reveal its cause: a machine that is alive shows this by answering a probe.
+/// Silence does not show its cause: a machine that still runs proves so by answering a probe.
 #[test]
 fn silent_machines_are_probed() {
-    for (after, asked) in [(1, false), (2, true)] {
-        let (mut controller, _) = reported();
+    for (after, probed) in [(1, false), (2, true)] {
+        let (mut controller, _) = reported_machine();
         controller.now = Millis(REPORTED + controller.heartbeat_timeout().0 - 1 + after);
         controller.probe_silent_machines();
         let sent = controller.effects.iter();
-        let asks = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
-        assert_eq!(sent.filter(asks).count(), usize::from(asked), "{after}");
+        let probes = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
+        assert_eq!(sent.filter(probes).count(), usize::from(probed), "{after}");
     }
 }
 
-/// Where most machines could not send heartbeats, each was vacated as if it were the only one, and nearly
+/// When most machines could not send heartbeats, each was evacuated as if it were the only one, and nearly
 /// all tasks were stopped, although the fault ended before the leases expired.
 #[test]
-fn with_most_machines_silent_responding_machines_are_used() {
+fn with_most_heartbeats_overdue_responding_machines_are_used() {
     let (heartbeat_interval_s, silence) = {
-        let settings = reported().0;
-        let heartbeat_interval_s = settings.settings.deployment.workers.heartbeat_interval_s;
-        (heartbeat_interval_s, settings.heartbeat_timeout().0)
+        let controller = reported_machine().0;
+        let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
+        (heartbeat_interval_s, controller.heartbeat_timeout().0)
     };
-    let quiet = (heartbeat_interval_s * 1_600.0) as u64;
-    for (machines, quiet_ones, used) in [(1, 1, false), (3, 3, true), (9, 4, false), (9, 5, true)] {
-        let (mut controller, id) = reported();
+    let overdue_after = (heartbeat_interval_s * 1_600.0) as u64;
+    for (machines, overdue, used) in [(1, 1, false), (3, 3, true), (9, 4, false), (9, 5, true)] {
+        let (mut controller, id) = reported_machine();
         controller.membership.shard_moved_at.clear();
         controller
             .machines
             .retain(|machine_id, _| machine_id.as_str() == HOST);
         let at = REPORTED + silence + 1;
-        let one = controller.machines[&MachineId::from(HOST)].clone();
+        let template = controller.machines[&MachineId::from(HOST)].clone();
         for index in 1..machines {
-            let mut other = one.clone();
+            let mut other = template.clone();
             other.machine_id = MachineId::from(format!("vm-{}", 100 + index));
-            let since = if index < quiet_ones { quiet + 1 } else { quiet };
-            other.last_heartbeat = Millis(at - since);
+            let silent_for = overdue_after + u64::from(index < overdue);
+            other.last_heartbeat = Millis(at - silent_for);
             controller.machines.insert(other.machine_id.clone(), other);
         }
         controller.now = Millis(at);
-        controller.update_quiet_machines();
-        answers(&mut controller, heartbeat(&id, 2, &["running"]), at);
-        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
-        assert_eq!(fit, used, "{quiet_ones} of {machines}");
+        controller.update_overdue_heartbeats();
+        reply_to_direct(&mut controller, heartbeat(&id, 2, &["running"]), at);
+        let takes_tasks =
+            controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+        assert_eq!(takes_tasks, used, "{overdue} of {machines}");
     }
 }
