--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -13,9 +13,9 @@
 
 impl Controller {
     /// Applies the status of another controller, unless it comes from a process that has ended.
-    pub(super) fn on_status(&mut self, from: ControllerId, status: Status) {
+    pub(super) fn on_peer_status(&mut self, from: ControllerId, status: Status) {
         if self.sender_has_ended(&status) {
-            tracing::debug!(%from, "message from ended process dropped");
+            tracing::debug!(%from, "status from ended controller process ignored");
             return;
         }
         self.record_peer_status(&from, &status);
@@ -36,14 +36,14 @@
         }
     }
 
-    /// Whether the sender's lease is over because its process has ended. A controller that lost the
-    /// key-value store has lost its lease, too, but continues to run.
+    /// Whether the sender's lease has ended because its process has ended. A controller that lost
+    /// the key-value store has also lost its lease, but continues to run.
     fn sender_has_ended(&self, status: &Status) -> bool {
-        let lease_over = status
+        let lease_ended = status
             .lease_id
             .is_some_and(|lease_id| self.membership.leases.has_ended(LeaseId(lease_id)));
         let lost_store = Millis(status.without_store_ms) > self.settings.operator.lease;
-        lease_over && !lost_store
+        lease_ended && !lost_store
     }
 
     /// Stores the parts of a status that are read later.
@@ -65,8 +65,8 @@
         self.commits.admission.reports.insert(from.clone(), report);
     }
 
-    /// Another controller holds a shard under a higher token than the one known here: this
-    /// controller no longer holds it.
+    /// Applies the tokens of the shards that another controller holds. If a token is higher than
+    /// the one known here, the sender is the shard's new holder.
     fn apply_shard_tokens(&mut self, holder: &ControllerId, shards: Vec<(String, u64)>) {
         for (shard, token) in shards {
             let Some(shard) = ShardId::parse(&shard) else {
@@ -74,13 +74,13 @@
             };
             let token = FencingToken(token);
             if self.membership.leases.supersede(&shard, holder, token) {
-                tracing::info!(%shard, %holder, token = token.0, "fenced by higher token");
+                tracing::info!(%shard, %holder, token = token.0, "shard has a newer holder");
                 self.membership.shard_moved_at.insert(shard, self.now);
             }
         }
     }
 
-    /// Applies a peer's description of a machine, unless the machine's shard is ours.
+    /// Applies a peer's description of a machine, unless this controller holds the machine's shard.
     fn apply_machine_view(&mut self, from: &ControllerId, view: MachineView) {
         let now = self.now;
         let shards_per_zone = self.settings.operator.shards_per_zone;
@@ -114,8 +114,8 @@
             .push(machine.machine_id.clone());
     }
 
-    /// Applies the frequently changing part of a machine's state, unless the machine's shard is
-    /// ours. Returns the machine if that makes it schedulable.
+    /// Applies the frequently changing part of a machine's state, unless this controller holds the
+    /// machine's shard. Returns the machine if that makes it schedulable.
     fn apply_machine_heartbeat(
         &mut self,
         from: &ControllerId,
@@ -123,11 +123,13 @@
     ) -> Option<MachineId> {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let machine_id = MachineId::from(heartbeat.machine_id.as_str());
-        let heard = now - Millis(heartbeat.silent_ms);
+        let contact_at = now - Millis(heartbeat.silent_ms);
         let Some(machine) = self.machines.get_mut(&machine_id) else {
             // A machine that is unknown here will be described soon. Until then it must not be
             // mistaken for one that has never sent a heartbeat to its holder.
-            self.contact.relayed_heartbeats.insert(machine_id, heard);
+            self.contact
+                .relayed_heartbeats
+                .insert(machine_id, contact_at);
             return None;
         };
         let token = self.membership.leases.holds(&machine.shard, &self.me);
@@ -135,18 +137,18 @@
             return None;
         }
         let was_schedulable = machine.is_schedulable(now, silence);
-        machine.last_contact = machine.last_contact.max(heard);
+        machine.last_contact = machine.last_contact.max(contact_at);
         machine.last_contact_by = from.clone();
         let agent_epoch = AgentEpoch(heartbeat.agent_epoch);
         if agent_epoch != machine.agent_epoch {
-            // The sequence number that we have belongs to another agent epoch.
+            // The known sequence number belongs to another agent epoch.
             machine.agent_epoch = agent_epoch;
             machine.heartbeat_sequence = 0;
         }
         machine.reachability.set_by_holder(!heartbeat.doubtful, now);
         machine.termination_announced = heartbeat.warned;
         if machine.quarantined && !heartbeat.quarantined {
-            // The jobs were at fault, not the machine.
+            // The holder lifted the quarantine: the jobs were at fault, not the machine.
             self.autoscaler.drains.remove(&machine_id);
         }
         if heartbeat.quarantined && !machine.quarantined {
--- a/src/controller/peer_messages/mod.rs
+++ b/src/controller/peer_messages/mod.rs
@@ -1,7 +1,8 @@
 //! Messages between controllers: a status once a second, forwarded jobs, requests to preempt.
 //!
 //! [`Peers`] owns the last statuses of the other controllers and what was last sent to them.
-//! `incoming_status` applies the status of another controller, `outgoing_status` builds our own.
+//! `incoming_status` applies the status of another controller, `outgoing_status` builds the status
+//! of this controller.
 
 mod incoming_status;
 mod outgoing_status;
@@ -13,32 +14,32 @@
 use crate::peers::Message;
 use crate::types::{ControllerId, JobId, MachineId, Millis, Revision};
 
-/// The status of another controller is valid for this long: one arrives every second, and two of
-/// them may be lost.
+/// How long the status of another controller is valid: one arrives every second, and two in a row
+/// may be lost.
 const PEER_STATUS_TTL: Millis = Millis(3_000);
 
 /// The content of another controller's last status.
 #[derive(Debug)]
 pub(super) struct PeerStatus {
-    /// When its status arrived.
+    /// When the status arrived.
     pub(super) received_at: Millis,
-    /// The revision that its cache had reached.
+    /// The store revision that the sender's cache had reached.
     pub(super) revision: Revision,
-    /// How long the key-value store had not answered it.
+    /// Time since the key-value store last answered the sender, when it sent the status.
     pub(super) without_store: Millis,
-    /// Whether workers' heartbeats reach it.
+    /// Whether workers' heartbeats reach the sender.
     pub(super) receives_heartbeats: bool,
 }
 
 /// The other controllers, as known from their messages.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    /// The last status of each.
+    /// The last status of each controller, however old.
     pub(super) statuses: HashMap<ControllerId, PeerStatus>,
-    /// When we last sent ours.
+    /// When this controller last sent its status.
     status_sent_at: Millis,
-    /// The hash of each machine's description as it was last sent to the others.
-    announced: HashMap<MachineId, u64>,
+    /// The hash of each machine's description as it was last sent to the other controllers.
+    sent_description_hashes: HashMap<MachineId, u64>,
 }
 
 impl Peers {
@@ -78,29 +79,29 @@
             Message::Failed { job, machine_id } => {
                 self.record_task_failure(&job.into(), &machine_id.into());
             }
-            Message::Status(status) => self.on_status(from, status),
+            Message::Status(status) => self.on_peer_status(from, status),
         }
     }
 
-    /// Handles a job that another controller cannot place. A job that is queued here already keeps
-    /// its position: it must not be tried sooner than its backoff allows.
+    /// Handles a job that another controller cannot place; only the leader takes it. A job that is
+    /// queued here already keeps its position: it must not be tried sooner than its backoff allows.
     fn on_unplaced(&mut self, job: &JobId) {
         if self.leading().is_some() && !self.scheduler.queue.contains(job) {
             self.accept_forwarded(job);
         }
     }
 
-    /// Queues a job that was forwarded to us. If the message was faster than the watch, it is
-    /// queued as soon as its record arrives.
+    /// Queues a job that was forwarded to this controller. If the message arrived before the watch
+    /// delivered the job's record, the job is queued as soon as the record arrives.
     pub(super) fn accept_forwarded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             self.scheduler.forwarded_early.insert(id.clone(), self.now);
             return;
         };
         if job.is_active() && job.waiting_tasks() > 0 {
-            let order = self.queue_key(job);
+            let key = self.queue_key(job);
             self.scheduler.forwarded.insert(id.clone());
-            self.scheduler.queue.activate(id, order);
+            self.scheduler.queue.activate(id, key);
         }
     }
 
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -1,4 +1,4 @@
-//! Our own status, sent to all other controllers once a second.
+//! This controller's status, sent to all other controllers once a second.
 
 use std::hash::BuildHasher;
 
@@ -15,43 +15,46 @@
 /// Heartbeats that a peer reported of a machine are dropped if no peer described the machine within
 /// this time.
 const RELAYED_HEARTBEAT_TTL: Millis = Millis(120_000);
-/// Each machine is described again once in this many statuses, whether it changed or not, since a
-/// message may be lost.
+/// Each machine is described once in this many statuses even if it has not changed, since a message
+/// may be lost.
 const DESCRIPTION_ROUNDS: u64 = 8;
-/// Machines that the leader wants drained remain so for this long after its last status.
+/// How long the leader's last list of machines to drain remains in effect.
 const DRAIN_TTL: Millis = Millis(15_000);
 
 impl Peers {
     /// Whether a machine is to be described in this round: it has changed since it was last
-    /// described, or its turn has come.
+    /// described, or the round is the one in which it is repeated. Records the description as sent.
     fn is_description_due(&mut self, machine: &Machine, round: u64) -> bool {
-        // A sum, so that the order of the images makes no difference.
+        // A sum, so that the order of the images does not matter.
         let images = machine
             .images
             .keys()
             .map(|image| FxBuildHasher.hash_one(image))
             .fold(0u64, u64::wrapping_add);
         let hash = FxBuildHasher.hash_one((machine.address, images));
-        let announced = self.announced.insert(machine.machine_id.clone(), hash);
-        let turn = FxBuildHasher.hash_one(&machine.machine_id) % DESCRIPTION_ROUNDS;
-        announced != Some(hash) || turn == round
+        let sent = self
+            .sent_description_hashes
+            .insert(machine.machine_id.clone(), hash);
+        let repeat_round = FxBuildHasher.hash_one(&machine.machine_id) % DESCRIPTION_ROUNDS;
+        sent != Some(hash) || repeat_round == round
     }
 }
 
 impl Controller {
-    /// Sends the other controllers our status, once a second.
+    /// Sends this controller's status to all others, at most once a second.
     pub(in crate::controller) fn broadcast_status(&mut self) {
         self.expire_drains();
         if self.now.since(self.peers.status_sent_at) < STATUS_INTERVAL {
             return;
         }
         self.peers.status_sent_at = self.now;
-        let status = self.status();
+        let status = self.build_status();
         self.forget_unknown_machines();
         self.send_to_all(&Message::Status(status));
     }
 
-    /// Clears the machines that the leader wants drained, after a long time without its status.
+    /// Clears the machines that the leader wants drained if no status of a leader has arrived for
+    /// [`DRAIN_TTL`].
     fn expire_drains(&mut self) {
         if self.leading().is_none()
             && !self.autoscaler.drains.is_empty()
@@ -61,8 +64,8 @@
         }
     }
 
-    /// Our status as of now.
-    fn status(&mut self) -> Status {
+    /// This controller's status as of now. Records the machine descriptions in it as sent.
+    fn build_status(&mut self) -> Status {
         let report = self.commits.admission.reports.get(&self.me).copied();
         let report = report.unwrap_or_default();
         let leases = &self.membership.leases;
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Machines of our shards whose worker has seen our token.
+    /// Machines of this controller's shards whose worker has seen this controller's token.
     fn reporting_machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines
             .values()
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Descriptions of the machines that changed, and of those whose turn has come.
+    /// Descriptions of the machines that changed, and of those that are repeated in this round.
     fn due_machine_views(&mut self) -> Vec<MachineView> {
         let round = self.now.0 / STATUS_INTERVAL.0 % DESCRIPTION_ROUNDS;
         let leases = &self.membership.leases;
@@ -132,28 +135,31 @@
             return Vec::new();
         }
         let fleet = &self.autoscaler.fleet;
-        // Tasks placed on a machine that is being deleted fail immediately, so its holder must not
-        // place any there either.
+        // Tasks placed on a machine that is gone fail immediately, so the holder of its shard must
+        // not place any there either.
         let gone = fleet.gone.iter();
         let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
         let leaving = fleet.deleting.union(&self.autoscaler.drains).chain(gone);
         leaving.map(MachineId::to_string).collect()
     }
 
-    /// Drops relayed heartbeats of machines that are known now, or that were not described within
-    /// [`RELAYED_HEARTBEAT_TTL`], and the descriptions of machines that are no longer known.
+    /// Drops relayed heartbeats of machines that are known now, or that no peer described within
+    /// [`RELAYED_HEARTBEAT_TTL`], and hashes of sent descriptions of machines that are no longer
+    /// known.
     fn forget_unknown_machines(&mut self) {
         let (known, now) = (&self.machines, self.now);
-        self.contact.relayed_heartbeats.retain(|machine_id, heard| {
-            !known.contains_key(machine_id) && now.since(*heard) < RELAYED_HEARTBEAT_TTL
-        });
+        self.contact
+            .relayed_heartbeats
+            .retain(|machine_id, received_at| {
+                !known.contains_key(machine_id) && now.since(*received_at) < RELAYED_HEARTBEAT_TTL
+            });
         self.peers
-            .announced
+            .sent_description_hashes
             .retain(|machine_id, _| known.contains_key(machine_id));
     }
 }
 
-/// The description of a machine that peers get.
+/// The description of a machine as sent to other controllers.
 fn machine_view(machine: &Machine) -> MachineView {
     MachineView {
         machine_id: machine.machine_id.to_string(),
