--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -52,7 +52,7 @@
 use store_sync::StoreSync;
 use user_requests::UserRequests;
 use work_counters::WorkCounters;
-use zones::Partition;
+use zones::PartitionState;
 
 /// One controller of a deployment.
 pub struct Controller {
@@ -71,7 +71,7 @@
     /// This controller's lease, and the cached leases of all controllers.
     membership: Membership,
     /// Partition mode, and the health of zones.
-    partition: Partition,
+    partition: PartitionState,
     /// Whether workers and this controller reach each other.
     contact: WorkerContact,
     /// All machines that sent a heartbeat to this controller or to a peer.
@@ -106,7 +106,7 @@
             calls: Calls::new(),
             store_sync: StoreSync::default(),
             membership: Membership::default(),
-            partition: Partition::default(),
+            partition: PartitionState::default(),
             contact: WorkerContact::new(),
             machines: HashMap::default(),
             jobs: JobCache::default(),
@@ -129,13 +129,13 @@
             Event::Tick => self.on_tick(),
             Event::Store { tag, answer } => self.on_store(tag, answer),
             Event::Cloud { tag, answer } => self.on_cloud(tag, answer),
-            Event::Peer { from, message } => self.on_peer(from, message),
+            Event::Peer { from, message } => self.on_peer_message(from, message),
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
             Event::Poll { reply, job } => self.on_poll(reply, job),
             Event::Abort { reply, job } => self.on_cancel(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
-            Event::Direct { machine_id, answer } => self.on_direct(&machine_id, answer),
+            Event::Direct { machine_id, answer } => self.on_direct_reply(&machine_id, answer),
             Event::Ready { reply } => {
                 let ready = self.ready();
                 self.effects.push(Effect::Ready { reply, ready });
@@ -162,7 +162,7 @@
         self.resolve_unknown_transactions();
         self.reallocate_quota();
         self.refresh_quota_tree();
-        self.detect_silent_machines();
+        self.sweep_machines();
         self.update_admission_plan();
         self.broadcast_status();
         self.reconcile_fleet();
