--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -22,7 +22,7 @@
 impl Autoscaler {
     /// Updates the fleet with a machine of the cloud's list.
     fn merge_listed(&mut self, listed: ListedMachine, now: Millis) {
-        if self.fleet.gone.contains(&listed.machine_id) {
+        if self.fleet.deleted.contains(&listed.machine_id) {
             return;
         }
         let rented_at = now - listed.age;
--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -226,7 +226,7 @@
     /// Starts to drain the machines that are quarantined.
     fn drain_quarantined_machines(&mut self) {
         for (machine_id, machine) in &self.machines {
-            if machine.quarantined && !self.autoscaler.fleet.gone.contains(machine_id) {
+            if machine.quarantined && !self.autoscaler.fleet.deleted.contains(machine_id) {
                 self.autoscaler.drains.insert(machine_id.clone());
             }
         }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -94,7 +94,7 @@
         now: Millis,
     ) {
         for machine in machines.values() {
-            if self.fleet.gone.contains(&machine.machine_id) {
+            if self.fleet.deleted.contains(&machine.machine_id) {
                 continue;
             }
             let rented = self
--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -115,7 +115,7 @@
             self.autoscaler.drains.remove(&machine_id);
             self.machines.remove(&machine_id);
             changes.extend(self.releases_on(&machine_id));
-            self.autoscaler.fleet.gone.insert(machine_id);
+            self.autoscaler.fleet.deleted.insert(machine_id);
         }
         self.request_changes(changes);
     }
@@ -124,7 +124,7 @@
     /// learned of it and received a delayed copy of a heartbeat, and tasks whose release was
     /// overtaken by another change. No worker will ever report that they ended.
     pub(super) fn release_tasks_on_deleted_machines(&mut self) {
-        let gone = &self.autoscaler.fleet.gone;
+        let gone = &self.autoscaler.fleet.deleted;
         let with_tasks = self.jobs.machine_ids();
         let changes: Vec<_> = with_tasks
             .filter(|machine_id| gone.contains(*machine_id))
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -20,7 +20,7 @@
         (spec.kind, spec.tasks) = (JobKind::Array, 1);
         let (mut controller, id) = controller(spec, vec![here.clone()]);
         if gone {
-            controller.autoscaler.fleet.gone.insert("vm-a".into());
+            controller.autoscaler.fleet.deleted.insert("vm-a".into());
         }
         controller.release_tasks_on_deleted_machines();
         let job = controller.jobs.get(&id).unwrap();
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -82,6 +82,6 @@
     fn is_fit(&self, machine: &Machine) -> bool {
         machine.is_schedulable(self.now, self.heartbeat_timeout())
             && !self.autoscaler.drains.contains(&machine.machine_id)
-            && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+            && !self.autoscaler.fleet.deleted.contains(&machine.machine_id)
     }
 }
--- a/src/controller/heartbeats/contact.rs
+++ b/src/controller/heartbeats/contact.rs
@@ -35,7 +35,7 @@
         let target = self
             .machines
             .values()
-            .filter(|machine| !self.autoscaler.fleet.gone.contains(&machine.machine_id))
+            .filter(|machine| !self.autoscaler.fleet.deleted.contains(&machine.machine_id))
             .max_by_key(|machine| machine.last_contact)
             .and_then(|machine| Some((machine.machine_id.clone(), machine.address?)));
         if let Some((machine_id, address)) = target {
@@ -67,7 +67,7 @@
     fn expects_heartbeat(&self, machine: &Machine, limit: Millis) -> bool {
         let moved_at = self.membership.shard_moved_at.get(&machine.shard);
         machine.last_answer.is_some()
-            && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+            && !self.autoscaler.fleet.deleted.contains(&machine.machine_id)
             && self.token_for(&machine.shard).is_some()
             && moved_at.is_none_or(|at| self.now.since(*at) > limit)
             && self.now.since(machine.last_contact).0 < EXPECTED_CONTACT_FACTOR * limit.0
--- a/src/controller/heartbeats/liveness.rs
+++ b/src/controller/heartbeats/liveness.rs
@@ -87,7 +87,7 @@
             .filter(|machine| {
                 machine.zone == *zone
                     && machine.machine_id != *machine_id
-                    && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
+                    && !self.autoscaler.fleet.deleted.contains(&machine.machine_id)
             })
             .map(|machine| self.now.since(machine.last_contact))
             .filter(|silent| silent.0 < RECENT_SILENCE_FACTOR * limit.0)
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -134,7 +134,7 @@
         let fleet = &self.autoscaler.fleet;
         // Tasks placed on a machine that is being deleted fail immediately, so its holder must not
         // place any there either.
-        let gone = fleet.gone.iter();
+        let gone = fleet.deleted.iter();
         let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
         let leaving = fleet.deleting.union(&self.autoscaler.drains).chain(gone);
         leaving.map(MachineId::to_string).collect()
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -111,7 +111,7 @@
         (
             "deleted",
             |c| {
-                c.autoscaler.fleet.gone.insert("vm-a".into());
+                c.autoscaler.fleet.deleted.insert("vm-a".into());
             },
             true,
             true,
@@ -119,7 +119,7 @@
         (
             "deleted",
             |c| {
-                c.autoscaler.fleet.gone.insert("vm-a".into());
+                c.autoscaler.fleet.deleted.insert("vm-a".into());
             },
             false,
             false,
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -74,7 +74,7 @@
         commands: Vec<WorkerCommand>,
     ) {
         let worker_token = self.worker_token(token);
-        let gone = self.autoscaler.fleet.gone.contains(machine_id);
+        let gone = self.autoscaler.fleet.deleted.contains(machine_id);
         let machine = self.machines.get_mut(machine_id);
         let Some(machine) = machine.filter(|machine| !machine.direct.in_flight && !gone) else {
             return;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -81,7 +81,7 @@
     /// Machines whose deletion was requested and not answered yet.
     pub deleting: HashSet<MachineId>,
     /// Machines whose deletion the cloud confirmed; lists may still show them.
-    pub gone: HashSet<MachineId>,
+    pub deleted: HashSet<MachineId>,
     /// Offers that the cloud had no capacity for, or failed to rent, and when to request them again.
     pub refused_until: HashMap<Offer, Millis>,
     /// Rental requests in flight, by the tag of the call.
