--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -61,7 +61,7 @@
     /// Machines that are being drained: no new tasks are placed there.
     pub(super) drains: HashSet<MachineId>,
     /// When the leader's list of drains was last received.
-    pub(super) drains_heard_at: Millis,
+    pub(super) drains_received_at: Millis,
 }
 
 impl Autoscaler {
--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -29,7 +29,7 @@
         }
         if self.leader() == Some(&from) {
             self.autoscaler.drains = status.draining.into_iter().map(MachineId::from).collect();
-            self.autoscaler.drains_heard_at = self.now;
+            self.autoscaler.drains_received_at = self.now;
         }
         for machine_id in schedulable {
             self.wake_parked_jobs(ClusterEvent::MachineSchedulable(machine_id));
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -55,7 +55,7 @@
     fn expire_drains(&mut self) {
         if self.leading().is_none()
             && !self.autoscaler.drains.is_empty()
-            && self.now.since(self.autoscaler.drains_heard_at) > DRAIN_TTL
+            && self.now.since(self.autoscaler.drains_received_at) > DRAIN_TTL
         {
             self.autoscaler.drains.clear();
         }
