--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -92,7 +92,7 @@
 
 impl Controller {
     /// Handles the cloud's response to the call with this tag.
-    pub(in crate::controller) fn on_cloud(&mut self, tag: u64, response: CloudResponse) {
+    pub(in crate::controller) fn on_cloud_response(&mut self, tag: u64, response: CloudResponse) {
         let Some(call) = self.calls.cloud.remove(&tag) else {
             return;
         };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -128,7 +128,7 @@
         match event {
             Event::Tick => self.on_tick(),
             Event::Store { tag, answer } => self.on_store(tag, answer),
-            Event::Cloud { tag, answer } => self.on_cloud(tag, answer),
+            Event::Cloud { tag, answer } => self.on_cloud_response(tag, answer),
             Event::Peer { from, message } => self.on_peer(from, message),
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
