--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -67,7 +67,11 @@
     /// Whether tasks of a gang may still be fetching its image, on whatever machines they were
     /// placed.
     fn may_be_fetching(&self, job: &Job) -> bool {
-        let rates = self.autoscaler.type_specs.iter().map(MachineTypeSpec::rate);
+        let rates = self
+            .autoscaler
+            .type_specs
+            .iter()
+            .map(MachineTypeSpec::fetch_rate);
         let slowest_rate = rates.fold(f64::MAX, f64::min);
         let fetch_s = job.spec.image_gb / slowest_rate;
         let gang_wait_s = self.settings.deployment.workers.gang_wait_s;
--- a/src/fleet/machine_types.rs
+++ b/src/fleet/machine_types.rs
@@ -27,7 +27,7 @@
     pub resources: Resources,
     /// Size of the image cache, in GB.
     pub cache_gb: f64,
-    /// Rate of image fetches, in GB per second; see [`MachineTypeSpec::rate`].
+    /// Rate of image fetches, in GB per second; see [`MachineTypeSpec::fetch_rate`].
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine, in the cloud's unit per unit of time.
     pub price: f64,
@@ -43,12 +43,12 @@
     /// Seconds that an image of `gb` gigabytes takes to fetch, beyond those of a quick fetch.
     #[must_use]
     pub fn slow_fetch_s(&self, gb: f64) -> f64 {
-        (gb / self.rate() - QUICK_FETCH_BOOT_FRACTION * self.boot_s).max(0.0)
+        (gb / self.fetch_rate() - QUICK_FETCH_BOOT_FRACTION * self.boot_s).max(0.0)
     }
 
     /// Rate at which images are fetched, in GB per second.
     #[must_use]
-    pub fn rate(&self) -> f64 {
+    pub fn fetch_rate(&self) -> f64 {
         self.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 }
@@ -65,5 +65,5 @@
 /// Rate at which a machine of a type fetches images, in GB per second.
 #[must_use]
 pub fn fetch_rate(type_specs: &[MachineTypeSpec], id: &MachineTypeId) -> f64 {
-    find_type(type_specs, id).map_or(UNKNOWN_TYPE_FETCH_GB_PER_S, MachineTypeSpec::rate)
+    find_type(type_specs, id).map_or(UNKNOWN_TYPE_FETCH_GB_PER_S, MachineTypeSpec::fetch_rate)
 }
