--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -66,8 +66,8 @@
             Some(StoreReply { tag, answer }) = inputs.store.recv() => {
                 daemon.handle(Event::Store { tag, answer });
             }
-            Some(CloudReply { tag, answer }) = inputs.cloud.recv() => {
-                daemon.handle(Event::Cloud { tag, answer });
+            Some(CloudReply { tag, response }) = inputs.cloud.recv() => {
+                daemon.handle(Event::Cloud { tag, answer: response });
             }
             Some(PeerMessage { from, message }) = inputs.peers.recv() => {
                 daemon.handle(Event::Peer { from, message });
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -35,7 +35,7 @@
     /// The tag that the call was sent with.
     pub tag: u64,
     /// The response, or that the call failed.
-    pub answer: CloudResponse,
+    pub response: CloudResponse,
 }
 
 /// Why a call has no usable response.
@@ -75,9 +75,9 @@
                 budget.take(1.0);
                 let (client, answers) = (client.clone(), answers.clone());
                 tokio::spawn(async move {
-                    let answer = perform(&client, &call).await;
+                    let response = perform(&client, &call).await;
                     // The receiver is dropped only when the process ends.
-                    let _ = answers.send(CloudReply { tag, answer });
+                    let _ = answers.send(CloudReply { tag, response });
                 });
             }
         });
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -117,7 +117,7 @@
         requests.writes(name, &asked.recv().await.unwrap());
         let answer = told.recv().await.unwrap();
         answers.check(name, "tag", answer.tag, tag);
-        let shown = show(&answer.answer);
+        let shown = show(&answer.response);
         answers.check(name, "is read differently", shown.as_str(), expected);
     }
     requests.finish();
