--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -14,9 +14,10 @@
 const NO_CAPACITY_BACKOFF: Millis = Millis(15_000);
 /// Time before an offer is requested again after a rental failed for another reason.
 const RENTAL_FAILURE_BACKOFF: Millis = Millis(3_000);
-/// The maximum age of a list is the lag that the deployment's settings state, times this factor ...
+/// The maximum age of a list is the lag that the deployment's settings state, times this factor, plus
+/// [`LIST_LAG_MARGIN_S`].
 const LIST_LAG_FACTOR: f64 = 2.0;
-/// ... plus this many seconds.
+/// Seconds that are added to the maximum age of a list.
 const LIST_LAG_MARGIN_S: f64 = 5.0;
 
 impl Autoscaler {
@@ -58,7 +59,7 @@
         let pending = self.fleet.pending_rentals.remove(&tag);
         let requested = pending.map_or(0, |rental| rental.count);
         if (machine_ids.len() as u32) < requested {
-            self.refuse(offer.clone(), now + NO_CAPACITY_BACKOFF);
+            self.back_off(offer.clone(), now + NO_CAPACITY_BACKOFF);
         }
         for machine_id in machine_ids {
             self.fleet.machines.entry(machine_id).or_insert_with(|| {
@@ -74,15 +75,15 @@
             CloudResponse::NoCapacity => NO_CAPACITY_BACKOFF,
             _ => RENTAL_FAILURE_BACKOFF,
         };
-        self.refuse(offer, now + backoff);
+        self.back_off(offer, now + backoff);
     }
 
-    /// Requests nothing more of an offer before `until`.
-    fn refuse(&mut self, offer: Offer, until: Millis) {
-        self.fleet.refused_until.insert(offer, until);
+    /// Prevents rentals of an offer until `until`.
+    fn back_off(&mut self, offer: Offer, until: Millis) {
+        self.fleet.backoff_until.insert(offer, until);
     }
 
-    /// Lets the deletion of machines be requested again.
+    /// Allows the deletion of machines to be requested again.
     fn on_deletion_failed(&mut self, machine_ids: &[MachineId]) {
         for machine_id in machine_ids {
             self.fleet.deleting.remove(machine_id);
@@ -103,16 +104,10 @@
             }
             // `request_machine_types` repeats the call after its interval.
             (CloudCall::MachineTypes, _) => {}
-            (
-                CloudCall::List { .. },
-                CloudResponse::Page {
-                    machines: machine_ids,
-                    more,
-                },
-            ) => {
-                self.on_list_page(machine_ids, more);
+            (CloudCall::List { .. }, CloudResponse::Page { machines, more }) => {
+                self.on_list_page(machines, more);
             }
-            (CloudCall::List { .. }, _) => self.autoscaler.fleet.listing = false,
+            (CloudCall::List { .. }, _) => self.autoscaler.fleet.list_in_progress = false,
             (CloudCall::Rent { offer, .. }, CloudResponse::Rented(machine_ids)) => {
                 self.autoscaler.on_rented(tag, &offer, machine_ids, now);
             }
@@ -167,14 +162,14 @@
     /// Requests the deletion of machines that vanished from the list. Lists lag and disagree, so
     /// that only the response to a deletion proves that a machine does not exist.
     fn on_list_end(&mut self) {
-        self.autoscaler.fleet.listing = false;
-        self.autoscaler.fleet.listed = self.now;
+        self.autoscaler.fleet.list_in_progress = false;
+        self.autoscaler.fleet.list_completed_at = self.now;
         let max_list_age = self.max_list_age();
         let vanished = self.autoscaler.vanished_machines(max_list_age, self.now);
         self.delete_machines(vanished);
     }
 
-    /// The maximum age of a list.
+    /// Upper bound of the age of what a list shows.
     pub(super) fn max_list_age(&self) -> Millis {
         let lag_s = self.settings.deployment.cloud.list_lag_s;
         Millis::from_secs(lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S)
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -17,22 +17,23 @@
 const MAX_TASKS_PER_NEED: u32 = 2_000;
 /// Approximate time, in seconds, that a fast image fetch and the first heartbeat take.
 const QUICK_FETCH_S: f64 = 8.0;
-/// The kind of objective that limits how long work waits for its start.
+/// The kind of objective that limits how long work waits before it starts.
 const START_OBJECTIVE: &str = "wait";
 /// The rate of arrivals is measured over this time.
 pub(super) const ARRIVAL_WINDOW: Millis = Millis(180_000);
 /// The rate of arrivals is measured over at least this time: a shorter sample is not
 /// representative.
 const MIN_ARRIVAL_WINDOW: Millis = Millis(30_000);
-/// Headroom covers this many standard deviations of what arrives and ends while a machine boots.
+/// Headroom covers this many standard deviations of the work that arrives and ends while a machine
+/// boots.
 const HEADROOM_DEVIATIONS: f64 = 2.0;
 
-/// Work that arrived and should be able to start without waiting for a machine to boot.
+/// A submitted job that should be able to start without waiting for a machine to boot.
 #[derive(Debug)]
 pub(in crate::controller) struct Arrival {
-    /// When its job was submitted.
+    /// When the job was submitted.
     at: Millis,
-    /// How many machines it fills, counted in machines of the type of which it needs the fewest.
+    /// How many machines its tasks fill, in machines of the type of which they need the fewest.
     machines: f64,
     /// Size of its image, in GB.
     image_gb: f64,
@@ -64,25 +65,25 @@
     spec.priority >= PriorityClass::Urgent
 }
 
-/// Sums over the arrivals of one kind, in machines.
+/// Sums over a set of arrivals: of their machines, and of the squares of these.
 #[derive(Default)]
 struct ArrivalSums {
     machines: f64,
-    squares: f64,
+    squared_machines: f64,
 }
 
 impl ArrivalSums {
     fn of<'a>(arrivals: impl Iterator<Item = &'a Arrival>) -> Self {
         arrivals.fold(Self::default(), |sums, arrival| Self {
             machines: sums.machines + arrival.machines,
-            squares: sums.squares + arrival.machines * arrival.machines,
+            squared_machines: sums.squared_machines + arrival.machines * arrival.machines,
         })
     }
 
     /// Machines to keep ready for the arrivals in `fraction` of the observed time. In a large fleet
     /// about as much work ends as arrives, so only the fluctuation of both has to be covered.
     fn headroom(&self, fraction: f64) -> u32 {
-        let deviation: f64 = (2.0 * self.squares * fraction).sqrt();
+        let deviation: f64 = (2.0 * self.squared_machines * fraction).sqrt();
         (self.machines * fraction)
             .min(HEADROOM_DEVIATIONS * deviation)
             .round() as u32
@@ -129,7 +130,7 @@
         ArrivalSums::of(self.arrivals.iter().filter(|arrival| arrival.spot == spot))
     }
 
-    /// The same without arrivals that may preempt other work.
+    /// Like [`Self::arrivals_on`], without arrivals that may preempt other work.
     fn arrivals_without_preemption_on(&self, spot: bool) -> ArrivalSums {
         ArrivalSums::of(
             self.arrivals
@@ -183,7 +184,7 @@
                 .machines_for(&job.id, self.now)
                 .is_some()
             {
-                // Preemption is freeing resources for it.
+                // Preemption is already freeing resources for this job.
                 continue;
             }
             needs.push(Need {
--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -45,13 +45,13 @@
     /// themselves.
     pub(super) fn consolidate(&mut self) {
         let machines = self.schedulable_machines();
-        let min_ready = self.ready_machines_wanted();
+        let min_ready = self.required_ready_machines();
         let candidates = machines.iter().take(MAX_DRAIN_CANDIDATES);
-        let drained = candidates
+        let to_drain = candidates
             .filter(|machine| machine.is_nearly_empty())
             .map(|machine| &machine.machine_id)
             .find(|machine_id| self.can_drain(machine_id, &machines, min_ready));
-        if let Some(machine_id) = drained {
+        if let Some(machine_id) = to_drain {
             tracing::info!(%machine_id, "drain started");
             self.autoscaler.drains.insert(machine_id.clone());
         }
@@ -79,8 +79,8 @@
         machines
     }
 
-    /// Whether all tasks of a machine fit on the others, and `min_ready` machines stay ready if the
-    /// machine itself is.
+    /// Whether all tasks of a machine fit on the others and, if the machine is ready itself, at least
+    /// `min_ready` others stay ready.
     fn can_drain(
         &self,
         machine_id: &MachineId,
@@ -124,7 +124,7 @@
             let fullest_first = targets.iter_mut().rev();
             let target = fullest_first
                 .filter(|target| job.spec.resources.fits_in(target.available))
-                .find(|target| self.accepts(&target.machine_id, job, from))?;
+                .find(|target| self.may_relocate_to(&target.machine_id, job, from))?;
             target.available = target.available.minus(job.spec.resources);
             if !job.spec.is_cheaply_preemptible() {
                 occupied.insert(target.machine_id.clone());
@@ -136,7 +136,7 @@
     /// Whether a task of a job may move to the machine `target` from the machine `from`. A task
     /// that preemption must not stop stays in its zone unless it is the only one of its job, moves
     /// only to a machine where its image is cached, and does not occupy a machine that is ready.
-    fn accepts(&self, target: &MachineId, job: &Job, from: &MachineId) -> bool {
+    fn may_relocate_to(&self, target: &MachineId, job: &Job, from: &MachineId) -> bool {
         let Some(machine) = self.machines.get(target) else {
             return false;
         };
@@ -161,7 +161,7 @@
     }
 
     /// How many ordinary machines the headroom requires.
-    fn ready_machines_wanted(&self) -> usize {
+    fn required_ready_machines(&self) -> usize {
         self.headroom()
             .iter()
             .filter(|kind| !kind.spot)
--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -16,9 +16,10 @@
 /// workers have found the holder: a worker gives up on a silent controller after 4 s, and needs at
 /// most two other controllers to find the holder.
 const HOLDER_DISCOVERY_TIME: Millis = Millis(10_000);
-/// A machine counts as never booting after its usual boot time times this factor ...
+/// A machine is considered unable to boot after its usual boot time times this factor, plus
+/// [`MAX_BOOT_MARGIN_S`].
 const MAX_BOOT_FACTOR: f64 = 3.0;
-/// ... plus this many seconds.
+/// Seconds that are added to the limit of the boot time.
 const MAX_BOOT_MARGIN_S: f64 = 10.0;
 /// Lower bound of the usual boot time, in seconds.
 const MIN_BOOT_S: f64 = 5.0;
@@ -26,15 +27,16 @@
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 /// Seconds that are added to a worker's lease before its tasks count as stopped.
 const LEASE_MARGIN_S: f64 = 4.0;
-/// A machine in a zone whose other machines report is lost after this many heartbeat intervals ...
+/// A machine in a zone where most others report is lost after a silence of this many heartbeat
+/// intervals, plus [`EARLY_MARGIN_S`].
 const EARLY_HEARTBEAT_INTERVALS: f64 = 3.2;
-/// ... plus this many seconds of silence.
+/// Seconds of silence that are added to the heartbeat intervals.
 const EARLY_MARGIN_S: f64 = 1.0;
 
 /// The result of one inspection of all machines.
 #[derive(Default)]
 struct FleetHealth {
-    /// Machines that are lost for certain, or empty and unfit.
+    /// Machines that failed or never booted, and drained machines that must not take new tasks.
     lost: Vec<MachineId>,
     /// Machines that are presumed lost because they are silent.
     suspected: Vec<SuspectedMachine>,
@@ -47,7 +49,7 @@
     /// How long it has been silent, by the holder of its shard; `None` if that holder cannot tell.
     silence: Option<Silence>,
     /// Whether it sends heartbeats while nothing confirms that it receives commands.
-    unproved: bool,
+    commands_unconfirmed: bool,
 }
 
 impl Autoscaler {
@@ -65,7 +67,7 @@
 }
 
 impl Controller {
-    /// Deletes lost machines, and updates the health of the zones by what machines are silent.
+    /// Deletes lost machines, and updates the health of the zones from the machines that are silent.
     pub(super) fn delete_lost_machines(&mut self) {
         let mut health = self.inspect_fleet();
         health.suspected.extend(self.suspected_unlisted_machines());
@@ -116,7 +118,7 @@
         let machine = self.machines.get(machine_id);
         MachineContact {
             silence: self.silence_of(machine_id, &shard),
-            unproved: machine
+            commands_unconfirmed: machine
                 .is_some_and(|machine| machine.reachability.is_doubtful(self.now, early)),
         }
     }
@@ -129,20 +131,20 @@
         zone: &mut ZoneObservation,
     ) {
         zone.machines += 1;
-        // A new holder that receives no heartbeats cannot tell; the machine's silence is then
-        // measured from the last heartbeat that any controller received.
-        let (held, since_heard) = match &contact.silence {
+        // A new holder that receives no heartbeats cannot tell whether the machine is silent. The
+        // silence is then measured from the last heartbeat that any controller received.
+        let (held, since_contact) = match &contact.silence {
             Some(silence) => (silence.held, silence.since_contact),
             None => {
-                let unheard = self.now.since(self.last_contact(machine_id));
-                (unheard.since(self.heartbeat_timeout()), unheard)
+                let since_contact = self.now.since(self.last_contact(machine_id));
+                (since_contact.since(self.heartbeat_timeout()), since_contact)
             }
         };
-        let silent = held > HOLDER_DISCOVERY_TIME && since_heard > self.heartbeat_timeout();
+        let silent = held > HOLDER_DISCOVERY_TIME && since_contact > self.heartbeat_timeout();
         zone.silent += u32::from(silent);
         let one_way = contact.silence.is_some()
-            && contact.unproved
-            && since_heard > self.early_loss_timeout();
+            && contact.commands_unconfirmed
+            && since_contact > self.early_loss_timeout();
         zone.one_way += u32::from(one_way);
     }
 
@@ -170,8 +172,8 @@
     }
 
     /// Whether a running machine has been silent for so long that its tasks must have stopped. If
-    /// the rest of its zone reports, a few seconds suffice, since a new holder asks each machine
-    /// for its state. A machine that sends heartbeats but receives nothing may receive again, so
+    /// most other machines of its zone report, a few seconds suffice, since a new holder asks each
+    /// machine for its state. A machine that sends heartbeats but receives nothing may receive again, so
     /// only the expiry of its lease counts.
     fn is_lost(
         &self,
@@ -182,15 +184,15 @@
         let Some(silence) = &contact.silence else {
             return false;
         };
-        let early = !contact.unproved
+        let early = !contact.commands_unconfirmed
             && silence.since_contact > self.early_loss_timeout()
             && silence.held > HOLDER_DISCOVERY_TIME;
         silence.outlasts(self.lease_timeout())
             || early && self.most_of_zone_reports(machine_id, &rented.zone)
     }
 
-    /// Silent machines that are no longer on any list, though the records have tasks there: an
-    /// earlier leader may have deleted them and failed to write that their tasks had ended.
+    /// Silent machines that are no longer on any list, though the records have tasks there: an earlier
+    /// leader may have deleted these machines and failed to write that their tasks had ended.
     fn suspected_unlisted_machines(&self) -> Vec<SuspectedMachine> {
         self.jobs
             .machine_ids()
@@ -214,9 +216,10 @@
     /// leadership began, and is on no list long after that, no longer exists.
     fn is_unlisted_and_lost(&self, machine_id: &MachineId, shard: &ShardId) -> bool {
         let lease = self.lease_timeout();
-        let listed_for = (self.autoscaler.fleet.listed).since(self.membership.leading_since);
-        let off_all_lists =
-            listed_for > self.max_list_age() && self.last_contact(machine_id) + lease < self.now;
+        let lists_read_for =
+            (self.autoscaler.fleet.list_completed_at).since(self.membership.leading_since);
+        let off_all_lists = lists_read_for > self.max_list_age()
+            && self.last_contact(machine_id) + lease < self.now;
         off_all_lists
             || self
                 .silence_of(machine_id, shard)
@@ -237,7 +240,7 @@
         Millis::from_secs(self.settings.deployment.workers.lease_s + LEASE_MARGIN_S)
     }
 
-    /// After this long without contact a single machine is lost, if the rest of its zone reports.
+    /// After this long without contact a single machine is lost, if most others of its zone report.
     fn early_loss_timeout(&self) -> Millis {
         let interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         Millis::from_secs(EARLY_HEARTBEAT_INTERVALS * interval_s + EARLY_MARGIN_S)
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -19,7 +19,7 @@
 use super::{Controller, Effect};
 use crate::fleet::plan::Headroom;
 use crate::fleet::{
-    CloudCall, Fleet, MachineStage, MachineTypeSpec, Offer, RentedMachine, find_type,
+    CloudCall, Fleet, MachineStage, MachineTypeSpec, Offer, RentedMachine, find_machine_type,
 };
 use crate::jobs::cache::JobCache;
 use crate::types::{MachineId, MachineTypeId, Millis};
@@ -29,7 +29,8 @@
 
 /// Time between reconciliations of the fleet: short compared with the boot time of a machine.
 const RECONCILE_INTERVAL: Millis = Millis(1_000);
-/// Time between the starts of two lists: each page uses a call of the cloud's budget.
+/// Time between the starts of two reads of the machine list: each page uses one request of the cloud's
+/// budget.
 const LIST_INTERVAL: Millis = Millis(2_500);
 /// Time between reads of the machine types, which rarely change.
 const MACHINE_TYPES_INTERVAL: Millis = Millis(60_000);
@@ -66,10 +67,9 @@
 
 impl Autoscaler {
     fn type_spec(&self, machine_type: &MachineTypeId) -> Option<&MachineTypeSpec> {
-        find_type(&self.type_specs, machine_type)
+        find_machine_type(&self.type_specs, machine_type)
     }
 
-    /// Whether it is time to request the machine types again.
     fn machine_types_due(&self, now: Millis) -> bool {
         let interval = if self.type_specs.is_empty() {
             FIRST_MACHINE_TYPES_INTERVAL
@@ -80,17 +80,16 @@
             || now.since(self.type_specs_requested_at) >= interval
     }
 
-    /// Whether it is time to start the next list of machines.
     fn list_due(&self, now: Millis) -> bool {
-        !self.fleet.listing && now.since(self.fleet.list_started) >= LIST_INTERVAL
+        !self.fleet.list_in_progress && now.since(self.fleet.list_started_at) >= LIST_INTERVAL
     }
 
     /// Adds machines that send heartbeats to the fleet, even if the cloud's list does not show
     /// them.
-    fn adopt_reporting(
+    fn adopt_reporting_machines(
         &mut self,
         machines: &HashMap<MachineId, Machine>,
-        silence: Millis,
+        heartbeat_timeout: Millis,
         now: Millis,
     ) {
         for machine in machines.values() {
@@ -109,7 +108,7 @@
                     };
                     RentedMachine::new(offer, MachineStage::Running, now, now)
                 });
-            if machine.last_contact + silence >= now {
+            if machine.last_contact + heartbeat_timeout >= now {
                 rented.stage = MachineStage::Running;
                 rented.last_seen = now;
             }
@@ -133,7 +132,7 @@
         self.autoscaler.type_specs_requested_at = Millis(0);
         self.autoscaler.drains.clear();
         self.partition.zone_health = ZoneHealthTracker::default();
-        // They belong to quota allocations of an earlier term.
+        // The unresolved quota allocations belong to an earlier term.
         self.quota.unresolved_allocations.clear();
     }
 
@@ -149,9 +148,9 @@
         }
         self.autoscaler.reconciled_at = self.now;
         self.request_machine_list();
-        let (silence, now) = (self.heartbeat_timeout(), self.now);
+        let (heartbeat_timeout, now) = (self.heartbeat_timeout(), self.now);
         self.autoscaler
-            .adopt_reporting(&self.machines, silence, now);
+            .adopt_reporting_machines(&self.machines, heartbeat_timeout, now);
         self.autoscaler.mark_idle(&self.jobs, now);
         self.log_usage();
         self.delete_lost_machines();
@@ -162,7 +161,7 @@
     }
 
     /// Whether this controller is to reconcile the fleet now. A leader whose lease may have expired
-    /// does not: another leader may exist already, and receive heartbeats of machines that are
+    /// must not: another leader may exist already, and receive heartbeats from machines that are
     /// silent here.
     fn reconciliation_due(&self) -> bool {
         self.leading().is_some()
@@ -171,7 +170,6 @@
             && !self.autoscaler.type_specs.is_empty()
     }
 
-    /// Requests the machine types from the cloud if it is time to.
     fn request_machine_types(&mut self) {
         if self.autoscaler.machine_types_due(self.now) {
             self.autoscaler.type_specs_requested_at = self.now;
@@ -179,11 +177,10 @@
         }
     }
 
-    /// Starts the next list of machines if it is time to.
     fn request_machine_list(&mut self) {
         if self.autoscaler.list_due(self.now) {
-            self.autoscaler.fleet.listing = true;
-            self.autoscaler.fleet.list_started = self.now;
+            self.autoscaler.fleet.list_in_progress = true;
+            self.autoscaler.fleet.list_started_at = self.now;
             self.call_cloud(CloudCall::List { after: None });
         }
     }
--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scaling in: drains machines, then deletes them, and releases the tasks that the records still
-//! have on a deleted machine.
+//! Scaling in: drains machines, deletes them, and releases the tasks that the records still have on a
+//! deleted machine.
 
 use rustc_hash::FxHashMap as HashMap;
 
@@ -24,19 +24,19 @@
         now.since(self.arrivals_since) >= FULL_RATE_RETURNS_AFTER
     }
 
-    /// Truncates `release` to the machines that may be returned now.
-    pub(super) fn limit_returns(&mut self, release: &mut Vec<MachineId>, now: Millis) {
+    /// Truncates `returns` to the machines that may be returned now.
+    pub(super) fn limit_returns(&mut self, returns: &mut Vec<MachineId>, now: Millis) {
         if !self.returns_at_full_rate(now) {
-            let due = now.since(self.fleet.last_scale_in) >= SINGLE_RETURN_INTERVAL;
-            release.truncate(usize::from(due));
+            let due = now.since(self.fleet.last_scale_in_at) >= SINGLE_RETURN_INTERVAL;
+            returns.truncate(usize::from(due));
         }
-        if !release.is_empty() {
-            self.fleet.last_scale_in = now;
+        if !returns.is_empty() {
+            self.fleet.last_scale_in_at = now;
         }
     }
 
-    /// Keeps healthy machines that were to be returned, since capacity is short. Returns whether
-    /// there were any.
+    /// Cancels the drains of healthy machines, for use when capacity is short. Returns whether there
+    /// were any.
     pub(super) fn cancel_drains(&mut self, machines: &HashMap<MachineId, Machine>) -> bool {
         let healthy = |machine_id: &MachineId| {
             machines
@@ -79,8 +79,8 @@
         self.delete_machines(drained);
     }
 
-    /// Whether a machine is empty and stays so: the holder of its shard places nothing on it, and
-    /// everything that the holder placed there before is in this controller's cache.
+    /// Whether a machine is empty and stays so: the holder of its shard places nothing on it, and all
+    /// tasks that the holder placed there before are in this controller's cache.
     pub(super) fn is_drained(&self, machine_id: &MachineId) -> bool {
         if !self.autoscaler.drains.contains(machine_id) || self.jobs.is_occupied(machine_id) {
             return false;
@@ -114,28 +114,28 @@
             self.autoscaler.fleet.machines.remove(&machine_id);
             self.autoscaler.drains.remove(&machine_id);
             self.machines.remove(&machine_id);
-            changes.extend(self.releases_on(&machine_id));
+            changes.extend(self.task_releases_on(&machine_id));
             self.autoscaler.fleet.deleted.insert(machine_id);
         }
         self.request_changes(changes);
     }
 
     /// Releases tasks that were placed on a machine after its deletion, by a holder that had not
-    /// learned of it and received a delayed copy of a heartbeat, and tasks whose release was
-    /// overtaken by another change. No worker will ever report that they ended.
+    /// learned of the deletion and received a delayed copy of a heartbeat, and tasks whose release was
+    /// overtaken by another change. No worker will ever report that these tasks ended.
     pub(super) fn release_tasks_on_deleted_machines(&mut self) {
         let gone = &self.autoscaler.fleet.deleted;
         let with_tasks = self.jobs.machine_ids();
         let changes: Vec<_> = with_tasks
             .filter(|machine_id| gone.contains(*machine_id))
-            .flat_map(|machine_id| self.releases_on(machine_id))
+            .flat_map(|machine_id| self.task_releases_on(machine_id))
             .collect();
         self.request_changes(changes);
     }
 
     /// Releases of the tasks that the records have on a deleted machine, except for tasks with a
     /// change that is not written yet.
-    fn releases_on(
+    fn task_releases_on(
         &self,
         machine_id: &MachineId,
     ) -> impl Iterator<Item = (JobId, u32, TaskChange)> {
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,5 +1,5 @@
-//! Scaling out: computes the capacity that work can rely on, derives a plan from it and the demand,
-//! and sends rental requests.
+//! Scaling out: determines the capacity that work can rely on, plans the fleet for the demand, and sends
+//! rental requests.
 
 use super::{Autoscaler, Controller};
 use crate::fleet::plan::{Bin, Plan, plan};
@@ -9,21 +9,23 @@
 
 /// The most machines that one rental request may contain.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// A machine is late, and no longer counted as capacity, after its usual boot time times this
-/// factor ...
+/// A booting machine no longer counts as capacity after its usual boot time times this factor, plus
+/// [`LATE_BOOT_MARGIN_S`].
 const LATE_BOOT_FACTOR: f64 = 1.8;
-/// ... plus this many seconds, which matter for types that boot fast.
+/// Seconds that are added to the time by which a machine counts as late; they matter for types that
+/// boot fast.
 const LATE_BOOT_MARGIN_S: f64 = 5.0;
-/// A running machine counts as capacity until it has been silent for this many times the silence
-/// after which it gets no new tasks.
-const MAX_SILENCES: u64 = 3;
-/// The same in a zone that is cut off: no controller could start a task there.
-const MAX_SILENCES_OUT_OF_REACH: u64 = 1;
+/// A running machine counts as capacity until it has been silent for this many heartbeat timeouts; it
+/// gets no new tasks after one.
+const MAX_HEARTBEAT_TIMEOUTS: u64 = 3;
+/// Like [`MAX_HEARTBEAT_TIMEOUTS`], in a zone that is out of reach: no controller could start a task
+/// there.
+const MAX_HEARTBEAT_TIMEOUTS_OUT_OF_REACH: u64 = 1;
 
 /// The machines that a plan starts from.
 #[derive(Default)]
 struct FleetCapacity {
-    /// Machines that work can rely on, rented or requested.
+    /// Rented or requested machines that work can rely on.
     bins: Vec<Bin>,
     /// Machines that are being drained.
     draining: Vec<MachineId>,
@@ -36,10 +38,10 @@
 }
 
 impl Autoscaler {
-    /// Whether the cloud refused the offer recently.
-    fn is_refused(&self, offer: &Offer, now: Millis) -> bool {
-        let refused_until = self.fleet.refused_until.get(offer);
-        refused_until.is_some_and(|until| *until > now)
+    /// Whether a rental of the offer failed so recently that it must not be requested again yet.
+    fn is_in_backoff(&self, offer: &Offer, now: Millis) -> bool {
+        let backoff_until = self.fleet.backoff_until.get(offer);
+        backoff_until.is_some_and(|until| *until > now)
     }
 
     /// Machines that have been requested but not rented yet.
@@ -60,20 +62,20 @@
     pub(super) fn scale(&mut self) {
         let FleetCapacity { bins, draining } = self.fleet_capacity();
         let mut plan = self.plan_fleet(bins);
-        if !plan.rent.is_empty() && self.autoscaler.cancel_drains(&self.machines) {
+        if !plan.rentals.is_empty() && self.autoscaler.cancel_drains(&self.machines) {
             // The next plan includes the machines that are kept.
             return;
         }
-        self.autoscaler.limit_returns(&mut plan.release, self.now);
+        self.autoscaler.limit_returns(&mut plan.returns, self.now);
         let settled = plan.is_empty() && !self.has_waiting_tasks();
-        for (offer, count) in plan.rent {
+        for (offer, count) in plan.rentals {
             self.rent(&offer, count);
         }
         let full_rate = self.autoscaler.returns_at_full_rate(self.now);
         if full_rate && settled && draining.is_empty() {
             self.consolidate();
         }
-        self.autoscaler.drains.extend(plan.release);
+        self.autoscaler.drains.extend(plan.returns);
         self.delete_drained(draining);
     }
 
@@ -85,7 +87,7 @@
             &self.headroom(),
             &self.autoscaler.type_specs,
             |offer| {
-                self.autoscaler.is_refused(offer, self.now)
+                self.autoscaler.is_in_backoff(offer, self.now)
                     || self.partition.zone_health.out_of_reach(&offer.zone)
             },
             self.settings.operator.idle_return,
@@ -105,7 +107,7 @@
             let Some(type_spec) = self.autoscaler.type_spec(&rented.machine_type) else {
                 continue;
             };
-            if !self.is_dependable(machine_id, rented, type_spec) {
+            if !self.counts_as_capacity(machine_id, rented, type_spec) {
                 continue;
             }
             if self.autoscaler.drains.contains(machine_id) {
@@ -119,7 +121,7 @@
     }
 
     /// Whether work can rely on the machine, now or once it has booted.
-    fn is_dependable(
+    fn counts_as_capacity(
         &self,
         machine_id: &MachineId,
         rented: &RentedMachine,
@@ -138,20 +140,20 @@
                 self.now.since(rented.rented_at).secs() <= late_s
             }
             MachineStage::Running => {
-                let max_silences = if self.partition.zone_health.out_of_reach(&rented.zone) {
-                    MAX_SILENCES_OUT_OF_REACH
+                let max_timeouts = if self.partition.zone_health.out_of_reach(&rented.zone) {
+                    MAX_HEARTBEAT_TIMEOUTS_OUT_OF_REACH
                 } else {
-                    MAX_SILENCES
+                    MAX_HEARTBEAT_TIMEOUTS
                 };
                 machine.is_some_and(|machine| {
                     self.now.since(machine.last_contact).0
-                        <= max_silences * self.heartbeat_timeout().0
+                        <= max_timeouts * self.heartbeat_timeout().0
                 })
             }
         }
     }
 
-    /// The machine with the resources that tasks and nominations leave available.
+    /// The bin of a machine, with the resources that tasks and nominations leave available.
     fn bin(
         &self,
         machine_id: &MachineId,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Requests `count` machines, in several requests if one may not contain so many.
+    /// Requests `count` machines, at most [`MAX_MACHINES_PER_RENTAL`] in each request.
     fn rent(&mut self, offer: &Offer, mut count: u32) {
         while count > 0 {
             let requested = count.min(MAX_MACHINES_PER_RENTAL);
@@ -194,7 +196,7 @@
     fn request_rental(&mut self, offer: Offer, count: u32) {
         let Some(term) = self.leading() else { return };
         self.autoscaler.fleet.rental_requests += 1;
-        // Unique across terms of leadership: no two begin at the same revision.
+        // Unique across terms of leadership, since no two terms begin at the same revision.
         let request_id = format!(
             "{}-{}-{}",
             self.me, term.0, self.autoscaler.fleet.rental_requests
--- a/src/controller/autoscaling/usage.rs
+++ b/src/controller/autoscaling/usage.rs
@@ -1,14 +1,12 @@
-//! A log line that shows how much of the fleet is in use.
+//! Periodic log line with the usage of the fleet.
 
 use super::{Autoscaler, Controller};
 use crate::fleet::MachineStage;
 use crate::jobs::cache::JobCache;
 use crate::types::{Millis, Resources};
 
-/// Time between log lines.
 const LOG_INTERVAL: Millis = Millis(10_000);
 
-/// How much of the fleet is in use.
 #[derive(Default)]
 struct FleetUsage {
     busy: u32,
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! The actor that sends calls to the cloud within the budget of requests per second, and returns
+//! The actor that sends calls to the cloud, limited to the budget of requests per second, and returns
 //! each response with the tag of its call.
 
 use std::time::Duration;
@@ -18,23 +18,23 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of machines on a page of the list.
 const LIST_PAGE_SIZE: u32 = 500;
-/// Fraction of the budget that this controller uses, since the other controllers read the machine
-/// types, too.
+/// Fraction of the request budget that this controller uses. The other controllers draw on the budget
+/// too, to read the machine types.
 const BUDGET_FRACTION: f64 = 0.8;
-/// What the body of a response with status 503 contains if an offer has no capacity.
-const NO_CAPACITY_MARK: &[u8] = b"capacity";
+/// Text in the body of a response with status 503 which means that the offer has no capacity.
+const NO_CAPACITY_MARKER: &[u8] = b"capacity";
 
-/// Handle to the cloud actor, by which calls are sent to it.
+/// Handle for sending calls to the cloud actor.
 #[derive(Clone)]
 pub struct Cloud {
     inbox: mpsc::UnboundedSender<(u64, CloudCall)>,
 }
 
-/// The response to a call.
+/// The response to a call, with the call's tag.
 pub struct CloudReply {
     /// The tag that the call was sent with.
     pub tag: u64,
-    /// The response, or that the call failed.
+    /// The response; [`CloudResponse::Failed`] if there is none or it is invalid.
     pub response: CloudResponse,
 }
 
@@ -49,7 +49,6 @@
     Invalid(#[from] serde_json::Error),
 }
 
-/// An HTTP request.
 struct Request {
     method: Method,
     path: String,
@@ -57,11 +56,12 @@
 }
 
 impl Cloud {
-    /// Starts the actor. It sends a reply to `answers` for each call.
+    /// Starts the actor, which sends one reply to `replies` for each call. Must be called within a
+    /// Tokio runtime.
     pub fn start(
         settings: &Settings,
         clock: Clock,
-        answers: mpsc::UnboundedSender<CloudReply>,
+        replies: mpsc::UnboundedSender<CloudReply>,
     ) -> Self {
         // Unbounded, since the leader makes only a few calls a second, and repeats none in flight.
         let (inbox, mut calls) = mpsc::unbounded_channel::<(u64, CloudCall)>();
@@ -73,18 +73,18 @@
                 let wait = budget.time_until_available(1.0, clock.now());
                 tokio::time::sleep(Duration::from_millis(wait.0)).await;
                 budget.take(1.0);
-                let (client, answers) = (client.clone(), answers.clone());
+                let (client, replies) = (client.clone(), replies.clone());
                 tokio::spawn(async move {
                     let response = perform(&client, &call).await;
                     // The receiver is dropped only when the process ends.
-                    let _ = answers.send(CloudReply { tag, response });
+                    let _ = replies.send(CloudReply { tag, response });
                 });
             }
         });
         Self { inbox }
     }
 
-    /// Sends a call; its reply carries `tag`.
+    /// Queues a call; its reply carries `tag`.
     pub fn send(&self, tag: u64, call: CloudCall) {
         // The actor ends only with the process.
         let _ = self.inbox.send((tag, call));
@@ -92,9 +92,9 @@
 }
 
 async fn perform(client: &HttpClient, call: &CloudCall) -> CloudResponse {
-    let Request { method, path, body } = request_of(call);
-    let exchange = client.call(method, &path, body, CALL_TIMEOUT).await;
-    let response = exchange
+    let Request { method, path, body } = build_request(call);
+    let result = client.call(method, &path, body, CALL_TIMEOUT).await;
+    let response = result
         .map_err(CloudError::NoResponse)
         .and_then(|(status, body)| parse_response(call, status, &body));
     response.unwrap_or_else(|error| {
@@ -102,17 +102,17 @@
             // Failed connections and timeouts are not logged.
             CloudError::NoResponse(_) => {}
             CloudError::Refused { status } => {
-                tracing::debug!(status, path, "cloud request refused");
+                tracing::debug!(status, path, "cloud request refused; call counts as failed");
             }
             CloudError::Invalid(error) => {
-                tracing::error!(%error, path, "cloud response is invalid");
+                tracing::error!(%error, path, "invalid cloud response; call counts as failed");
             }
         }
         CloudResponse::Failed
     })
 }
 
-fn request_of(call: &CloudCall) -> Request {
+fn build_request(call: &CloudCall) -> Request {
     match call {
         CloudCall::MachineTypes => get("/flavors".into()),
         CloudCall::List { after: None } => get(format!("/rentals?most={LIST_PAGE_SIZE}")),
@@ -152,7 +152,7 @@
     Request {
         method: Method::POST,
         path,
-        // Bodies consist of strings, numbers and bools, which are always valid JSON.
+        // Bodies consist of strings, integers and bools, whose serialization cannot fail.
         body: serde_json::to_vec(body).unwrap_or_default(),
     }
 }
@@ -186,8 +186,8 @@
 }
 
 fn mentions_capacity(body: &[u8]) -> bool {
-    body.windows(NO_CAPACITY_MARK.len())
-        .any(|window| window == NO_CAPACITY_MARK)
+    body.windows(NO_CAPACITY_MARKER.len())
+        .any(|window| window == NO_CAPACITY_MARKER)
 }
 
 #[cfg(test)]
--- a/src/fleet/client/tests.rs
+++ b/src/fleet/client/tests.rs
@@ -44,7 +44,7 @@
         ),
     ];
     for (call, method, path, body) in cases {
-        let request = request_of(&call);
+        let request = build_request(&call);
         assert_eq!((request.method.as_str(), &*request.path), (method, path));
         let sent = serde_json::from_slice::<Value>(&request.body).ok();
         assert_eq!(sent, body, "{path}");
--- a/src/fleet/cloud_api.rs
+++ b/src/fleet/cloud_api.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud and its responses, independent of their form on the wire.
+//! Calls to the cloud and its responses, independent of their wire format.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 /// The order of the fields decides the order in which a plan's rentals are requested.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
-    /// The machine type.
+    /// Type of the machines, described by a [`MachineTypeSpec`].
     pub machine_type: MachineTypeId,
     /// The zone of the machines.
     pub zone: Zone,
@@ -18,14 +18,14 @@
     pub spot: bool,
 }
 
-/// The form that log lines show: `(type, zone, spot)`.
+/// Formats the offer for log lines as `(type, zone, spot)`.
 impl fmt::Display for Offer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "({}, {}, {})", self.machine_type, self.zone, self.spot)
     }
 }
 
-/// Where a rented machine is in its life.
+/// Lifecycle stage of a rented machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineStage {
     /// Rented, and its worker has not started yet.
@@ -43,34 +43,34 @@
     MachineTypes,
     /// Reads one page of the list of rented machines.
     List {
-        /// The last machine of the page before; none: the first page.
+        /// The last machine of the previous page; `None` requests the first page.
         after: Option<MachineId>,
     },
     /// Rents machines.
     Rent {
-        /// Makes the request idempotent: the cloud answers a repetition with the same machines.
+        /// Idempotency key: the cloud answers a repeated request with the same machines.
         request_id: String,
         /// What to rent.
         offer: Offer,
         /// How many machines.
         count: u32,
     },
-    /// Returns machines for good.
+    /// Deletes machines permanently.
     Delete(Vec<MachineId>),
 }
 
 /// A machine on a page of the cloud's list.
 #[derive(Clone, Debug)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Unique id; the last one of a page is the cursor for the next page.
     pub machine_id: MachineId,
-    /// Its type.
+    /// Type that it was rented as.
     pub machine_type: MachineTypeId,
-    /// Its zone.
+    /// Zone that it was rented in.
     pub zone: Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Its stage when the list was made; lists lag behind.
+    /// Its stage when the list was made, which may be outdated.
     pub stage: MachineStage,
     /// Time since it was rented.
     pub age: Millis,
@@ -83,7 +83,7 @@
     MachineTypes(Vec<MachineTypeSpec>),
     /// A page of the list of machines.
     Page {
-        /// The machines, in order of their names.
+        /// The machines, in order of their ids.
         machines: Vec<ListedMachine>,
         /// Whether another page follows.
         more: bool,
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What to rent and what to return, as a pure function of the machines, the tasks that need
+//! Plans which machines to rent and return: a pure function of the machines, the tasks that need
 //! capacity, and the headroom that should be ready.
 
 mod bins;
@@ -15,11 +15,11 @@
 /// Tasks of one job that need capacity.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
-    /// The job.
+    /// What the job's tasks require.
     pub spec: &'a JobSpec,
     /// How many of its tasks need capacity.
     pub count: u32,
-    /// Only spot machines serve the need: the tasks run already, on more expensive machines.
+    /// Whether only spot machines count: the tasks already run, on more expensive machines.
     pub spot_only: bool,
 }
 
@@ -35,7 +35,7 @@
 /// Whole machines that should be ready for future work.
 #[derive(Clone, Debug)]
 pub struct Headroom {
-    /// Whether spot or ordinary machines.
+    /// Whether the machines are spot or ordinary.
     pub spot: bool,
     /// How many should be ready: empty, or with nothing on them but what urgent work may preempt.
     pub machines: u32,
@@ -45,20 +45,20 @@
     pub resources: Resources,
 }
 
-/// What should change in the fleet.
+/// Changes to make to the fleet.
 #[derive(Debug, Default, PartialEq)]
 pub struct Plan {
     /// How many machines of each offer to rent.
-    pub rent: BTreeMap<Offer, u32>,
+    pub rentals: BTreeMap<Offer, u32>,
     /// Idle machines to return.
-    pub release: Vec<MachineId>,
+    pub returns: Vec<MachineId>,
 }
 
 impl Plan {
     /// Whether the fleet should stay as it is.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rent.is_empty() && self.release.is_empty()
+        self.rentals.is_empty() && self.returns.is_empty()
     }
 }
 
@@ -80,8 +80,8 @@
         *machines_by_zone.entry(bin.offer.zone.clone()).or_default() += 1;
     }
     bins.sort_by(|a, b| {
-        let free_share = |bin: &Bin| bin.available.share_of(bin.capacity);
-        free_share(a).total_cmp(&free_share(b))
+        let available_share = |bin: &Bin| bin.available.share_of(bin.capacity);
+        available_share(a).total_cmp(&available_share(b))
     });
     let mut planner = Planner {
         plan: Plan::default(),
@@ -91,11 +91,11 @@
         unavailable,
     };
     for need in needs {
-        planner.serve(need);
+        planner.plan_need(need);
     }
     for wanted in headroom {
         planner.rent_headroom(wanted);
-        planner.release_idle(wanted, idle_return);
+        planner.return_idle(wanted, idle_return);
     }
     planner.plan
 }
@@ -110,92 +110,103 @@
 }
 
 impl<Unavailable: Fn(&Offer) -> bool> Planner<'_, Unavailable> {
-    /// Assigns the tasks of one job to machines, and plans to rent machines for those that fit nowhere.
-    fn serve(&mut self, need: &Need) {
+    /// Assigns the tasks of one job to machines, and plans to rent machines for tasks that fit on none.
+    fn plan_need(&mut self, need: &Need) {
         let spec = need.spec;
-        let together = spec.kind == JobKind::Gang && spec.one_zone && need.count > 1;
-        let mut zone = if together {
+        let single_zone = spec.kind == JobKind::Gang && spec.one_zone && need.count > 1;
+        let mut zone = if single_zone {
             self.bins.gang_zone(need)
         } else {
             None
         };
-        let mut left = need.count - self.bins.take(need, zone.as_ref(), need.count);
-        while left > 0 {
+        let mut remaining = need.count - self.bins.assign(need, zone.as_ref(), need.count);
+        while remaining > 0 {
             let allows = |offer: &Offer| {
                 need.allows(offer) && zone.as_ref().is_none_or(|zone| offer.zone == *zone)
             };
-            let Some(rented_in) = self.rent(allows, spec.resources) else {
+            let Some(rented_zone) = self.rent_cheapest(allows, spec.resources) else {
                 break;
             };
-            if together {
-                zone = Some(rented_in);
+            if single_zone {
+                zone = Some(rented_zone);
             }
-            let taken = self.bins.take_last(need, left);
-            if taken == 0 {
+            let assigned = self.bins.assign_to_last(need, remaining);
+            if assigned == 0 {
                 break;
             }
-            left -= taken;
+            remaining -= assigned;
         }
     }
 
-    /// Rents what is missing of the headroom.
+    /// Plans to rent the machines that are missing from the headroom.
     fn rent_headroom(&mut self, wanted: &Headroom) {
-        let ready = self.serving(wanted).filter(|bin| bin.is_ready()).count() as u32;
-        let empty = self.serving(wanted).filter(|bin| bin.is_empty()).count() as u32;
+        let ready = self
+            .matching_bins(wanted)
+            .filter(|bin| bin.is_ready())
+            .count() as u32;
+        let empty = self
+            .matching_bins(wanted)
+            .filter(|bin| bin.is_empty())
+            .count() as u32;
         let missing = wanted.machines.saturating_sub(ready);
         let missing_empty = wanted.empty.saturating_sub(empty);
         for _ in 0..missing.max(missing_empty) {
             let allows = |offer: &Offer| offer.spot == wanted.spot;
-            if self.rent(allows, wanted.resources).is_none() {
+            if self.rent_cheapest(allows, wanted.resources).is_none() {
                 break;
             }
         }
     }
 
-    /// Returns idle machines beyond the headroom. Machines that preemption can empty count as
+    /// Plans to return idle machines beyond the headroom. Machines that preemption can empty count as
     /// headroom first, then those that became idle last.
-    fn release_idle(&mut self, wanted: &Headroom, idle_return: Millis) {
+    fn return_idle(&mut self, wanted: &Headroom, idle_return: Millis) {
         let preemptible = self
-            .serving(wanted)
+            .matching_bins(wanted)
             .filter(|bin| bin.is_ready() && !bin.is_empty())
             .count();
         let spare = wanted.machines.saturating_sub(preemptible as u32);
         let spare = spare.max(wanted.empty) as usize;
         let mut idle: Vec<&Bin> = self
-            .serving(wanted)
+            .matching_bins(wanted)
             .filter(|bin| bin.machine_id.is_some() && bin.is_empty())
             .collect();
         idle.sort_by_key(|bin| bin.idle_for);
-        let released: Vec<MachineId> = idle
+        let returned: Vec<MachineId> = idle
             .into_iter()
             .skip(spare)
             .filter(|bin| bin.idle_for >= idle_return + Millis::from_secs(bin.cache_refetch_s))
             .filter_map(|bin| bin.machine_id.clone())
             .collect();
-        self.plan.release.extend(released);
+        self.plan.returns.extend(returned);
     }
 
     /// Machines of the kind and size that a headroom asks for.
-    fn serving(&self, wanted: &Headroom) -> impl Iterator<Item = &Bin> {
+    fn matching_bins(&self, wanted: &Headroom) -> impl Iterator<Item = &Bin> {
         self.bins
             .iter()
             .filter(|bin| bin.offer.spot == wanted.spot && wanted.resources.fits_in(bin.capacity))
     }
 
-    /// Plans to rent one machine by the cheapest offer, and returns its zone; none if no offer is suitable.
-    fn rent(&mut self, allows: impl Fn(&Offer) -> bool, resources: Resources) -> Option<Zone> {
+    /// Plans to rent one machine of the cheapest suitable offer and returns its zone, or `None` if no
+    /// offer is suitable.
+    fn rent_cheapest(
+        &mut self,
+        allows: impl Fn(&Offer) -> bool,
+        resources: Resources,
+    ) -> Option<Zone> {
         let PricedOffer {
             offer, capacity, ..
         } = self.cheapest(allows, resources)?;
         let zone = offer.zone.clone();
         *self.machines_by_zone.entry(zone.clone()).or_default() += 1;
-        *self.plan.rent.entry(offer.clone()).or_insert(0) += 1;
+        *self.plan.rentals.entry(offer.clone()).or_insert(0) += 1;
         self.bins.add(Bin::unrented(offer, capacity));
         Some(zone)
     }
 
-    /// The cheapest available offer of a machine on which `resources` fit; among equals, in the
-    /// zone with the fewest machines.
+    /// The cheapest available offer of a machine on which `resources` fit; among offers of equal price,
+    /// one in the zone with the fewest machines.
     fn cheapest(
         &self,
         allows: impl Fn(&Offer) -> bool,
@@ -219,7 +230,7 @@
         best
     }
 
-    /// All offers of a machine type.
+    /// A spot and an ordinary offer of a machine type for each of its zones.
     fn offers<'b>(
         &'b self,
         type_spec: &'b MachineTypeSpec,
@@ -243,7 +254,7 @@
     }
 }
 
-/// An offer with what decides between offers.
+/// An offer with the values by which offers are ranked.
 struct PricedOffer {
     price: f64,
     machines_in_zone: usize,
@@ -252,7 +263,7 @@
 }
 
 impl PricedOffer {
-    /// The lower, the better.
+    /// Sort key; the offer with the lowest one is preferred.
     fn rank(&self) -> (f64, usize) {
         (self.price, self.machines_in_zone)
     }
--- a/src/fleet/plan/bins.rs
+++ b/src/fleet/plan/bins.rs
@@ -10,17 +10,17 @@
 /// A machine that exists or is to be rented.
 #[derive(Clone, Debug)]
 pub struct Bin {
-    /// Its name; none: it is not rented yet.
+    /// `None` if it is not rented yet.
     pub machine_id: Option<MachineId>,
-    /// The offer by which it is rented.
+    /// The offer under which it is rented.
     pub offer: Offer,
     /// Its resources when it is empty.
     pub capacity: Resources,
-    /// Resources that no task uses yet.
+    /// Resources that are not assigned to any task yet.
     pub available: Resources,
-    /// Resources used by tasks that urgent work may preempt at little loss.
+    /// Resources of tasks that urgent work may preempt at little loss.
     pub preemptible: Resources,
-    /// For how long it has been idle.
+    /// For how long it has been idle; 0 if it is not.
     pub idle_for: Millis,
     /// Seconds that fetching its cached images again would take.
     pub cache_refetch_s: f64,
@@ -51,20 +51,20 @@
         self.capacity.fits_in(self.available.plus(self.preemptible))
     }
 
-    /// Assigns up to `count` tasks to the machine and returns how many fitted.
-    fn take(&mut self, need: &Need, count: u32) -> u32 {
+    /// Assigns up to `count` tasks to the machine and returns how many fit.
+    fn assign(&mut self, need: &Need, count: u32) -> u32 {
         let resources = need.spec.resources;
         if !resources.fits_in(self.available) || !need.allows(&self.offer) {
             return 0;
         }
-        let taken = self.available.holds(resources).min(count);
-        self.available = self.available.minus(resources.times(f64::from(taken)));
-        taken
+        let assigned = self.available.holds(resources).min(count);
+        self.available = self.available.minus(resources.times(f64::from(assigned)));
+        assigned
     }
 }
 
-/// All machines, the fullest first, and which of them have capacity for the smallest need, so that a
-/// full fleet is not visited for each waiting job.
+/// All machines, the fullest first, and which of them have capacity for the smallest need: full
+/// machines are skipped, so that the whole fleet is not scanned for each waiting job.
 pub(super) struct Bins {
     all: Vec<Bin>,
     /// Positions of the machines with capacity for the smallest need, in order.
@@ -76,7 +76,7 @@
 }
 
 impl Bins {
-    /// The bins of `all` machines, for tasks of these needs.
+    /// `all` must be sorted, the fullest machine first.
     pub(super) fn new(all: Vec<Bin>, needs: &[Need]) -> Self {
         let amounts = needs.iter().map(|need| need.spec.resources);
         let smallest = amounts.reduce(|a, b| Resources {
@@ -85,55 +85,53 @@
             memory_gb: a.memory_gb.min(b.memory_gb),
         });
         let smallest_need = smallest.unwrap_or_default();
-        let open = |index: &usize| smallest_need.fits_in(all[*index].available);
+        let has_capacity = |index: &usize| smallest_need.fits_in(all[*index].available);
         Self {
-            open: (0..all.len()).filter(open).collect(),
+            open: (0..all.len()).filter(has_capacity).collect(),
             filled: 0,
             all,
             smallest_need,
         }
     }
 
-    /// All machines, in their order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Bin> {
         self.all.iter()
     }
 
-    /// Adds a machine at the end.
+    /// Adds a machine, which is filled after all others of its kind.
     pub(super) fn add(&mut self, bin: Bin) {
         self.open.push(self.all.len());
         self.all.push(bin);
     }
 
-    /// Assigns up to `count` tasks, only in `zone` if one is given, and returns how many
-    /// fitted. Machines of the kind that the job asks for (spot or ordinary) are filled before the
-    /// others.
-    pub(super) fn take(&mut self, need: &Need, zone: Option<&Zone>, count: u32) -> u32 {
-        let mut left = count;
-        for preferred_kind in [true, false] {
+    /// Assigns up to `count` tasks, only in `zone` if one is given, and returns how many fit. Machines
+    /// of the kind that the job asks for (spot or ordinary) are filled before the others.
+    pub(super) fn assign(&mut self, need: &Need, zone: Option<&Zone>, count: u32) -> u32 {
+        let mut remaining = count;
+        for is_preferred in [true, false] {
             for index in &self.open {
-                if left == 0 {
+                if remaining == 0 {
                     break;
                 }
                 let bin = &mut self.all[*index];
-                if (bin.offer.spot == need.spec.spot) != preferred_kind
+                if (bin.offer.spot == need.spec.spot) != is_preferred
                     || zone.is_some_and(|zone| bin.offer.zone != *zone)
                 {
                     continue;
                 }
-                let taken = bin.take(need, left);
-                left -= taken;
-                let now_filled = taken > 0 && !self.smallest_need.fits_in(bin.available);
+                let assigned = bin.assign(need, remaining);
+                remaining -= assigned;
+                let now_filled = assigned > 0 && !self.smallest_need.fits_in(bin.available);
                 self.filled += usize::from(now_filled);
             }
         }
         self.prune_filled();
-        count - left
+        count - remaining
     }
 
     /// Assigns up to `count` tasks to the machine that was added last.
-    pub(super) fn take_last(&mut self, need: &Need, count: u32) -> u32 {
-        self.all.last_mut().map_or(0, |bin| bin.take(need, count))
+    pub(super) fn assign_to_last(&mut self, need: &Need, count: u32) -> u32 {
+        self.all.last_mut().map_or(0, |bin| bin.assign(need, count))
     }
 
     /// Drops filled machines from `open` once they are more than half of it, so that the cost is
--- a/src/fleet/plan/tests.rs
+++ b/src/fleet/plan/tests.rs
@@ -56,25 +56,25 @@
 #[test]
 fn machines_are_rented_for_unplaced_demand_and_returned_when_idle() {
     let small = spec(1.0, true);
-    let firm = spec(1.0, false);
-    let capacity = spec(8.0, false);
+    let ordinary_only = spec(1.0, false);
+    let whole_machine = spec(8.0, false);
     let need = |spec, count| Need {
         spec,
         count,
         spot_only: false,
     };
-    let dear = |spec, count| Need {
+    let spot_only = |spec, count| Need {
         spec,
         count,
         spot_only: true,
     };
     let cases = [
-        // bins, demand, spare, spot sold out, rented spot, rented on demand, released
+        // bins, needs, headroom, spot sold out; spot rented, ordinary rented, returned
         (vec![], vec![need(&small, 9)], 0, false, 2, 0, 0),
         (vec![], vec![need(&small, 9)], 0, true, 0, 2, 0),
         (
             vec![],
-            vec![need(&firm, 9), need(&small, 7)],
+            vec![need(&ordinary_only, 9), need(&small, 7)],
             0,
             false,
             0,
@@ -83,7 +83,7 @@
         ),
         (
             vec![bin("vm-1", false, 4.0, 0)],
-            vec![need(&firm, 4)],
+            vec![need(&ordinary_only, 4)],
             0,
             false,
             0,
@@ -92,7 +92,7 @@
         ),
         (
             vec![bin("vm-1", true, 8.0, 0)],
-            vec![need(&firm, 4)],
+            vec![need(&ordinary_only, 4)],
             0,
             false,
             0,
@@ -101,7 +101,7 @@
         ),
         (
             vec![bin("vm-1", false, 7.0, 0)],
-            vec![need(&capacity, 2)],
+            vec![need(&whole_machine, 2)],
             0,
             false,
             0,
@@ -113,7 +113,7 @@
         (vec![bin("vm-1", false, 8.0, 99)], vec![], 2, false, 0, 1, 0),
         (
             vec![bin("vm-1", false, 4.0, 0)],
-            vec![dear(&small, 3)],
+            vec![spot_only(&small, 3)],
             0,
             false,
             1,
@@ -122,7 +122,7 @@
         ),
         (vec![bin("vm-1", true, 8.0, 99)], vec![], 1, false, 0, 1, 1),
     ];
-    for (index, (bins, needs, spare, no_spot, spot, ordinary, released)) in
+    for (index, (bins, needs, spare, spot_sold_out, spot, ordinary, returned)) in
         cases.into_iter().enumerate()
     {
         let headroom = [(false, spare), (true, 0)].map(|(spot, machines)| Headroom {
@@ -131,7 +131,7 @@
             empty: 0,
             resources: resources(8.0),
         });
-        let sold_out = |o: &Offer| o.spot && no_spot;
+        let sold_out = |o: &Offer| o.spot && spot_sold_out;
         let plan = plan(
             bins,
             &needs,
@@ -141,23 +141,23 @@
             Millis(20_000),
         );
         let rented = |spot| -> u32 {
-            plan.rent
+            plan.rentals
                 .iter()
                 .filter(|(o, _)| o.spot == spot)
                 .map(|(_, n)| n)
                 .sum()
         };
-        let got = (rented(true), rented(false), plan.release.len());
-        assert_eq!(got, (spot, ordinary, released), "case {index}");
+        let got = (rented(true), rented(false), plan.returns.len());
+        assert_eq!(got, (spot, ordinary, returned), "case {index}");
     }
 }
 
-/// Idle machines were returned after 20 s together with images that took minutes to fetch again; and normal
-/// jobs, which cannot preempt, were expected to be placed on machines full of arrays.
+/// Guards against returning machines after 20 s of idleness although their cached images take minutes to fetch
+/// again, and against headroom for normal jobs, which cannot preempt, on machines full of arrays.
 #[test]
 fn machines_are_kept_for_cached_images_and_for_non_preempting_jobs() {
     let cases = [
-        // free, soft, idle for, worth, ready, empty; rented, released
+        // available, preemptible, idle s, cache refetch s, ready machines, empty machines; rented, returned
         ((8.0, 0.0, 30, 0.0, 0, 0), (0, 1)),
         ((8.0, 0.0, 30, 60.0, 0, 0), (0, 0)),
         ((8.0, 0.0, 90, 60.0, 0, 0), (0, 1)),
@@ -166,7 +166,7 @@
         ((8.0, 0.0, 30, 0.0, 1, 1), (0, 0)),
         ((8.0, 0.0, 30, 0.0, 0, 1), (0, 0)),
     ];
-    for ((available, preemptible, idle_s, cache_refetch_s, machines, empty), (rented, released)) in
+    for ((available, preemptible, idle_s, cache_refetch_s, machines, empty), (rented, returned)) in
         cases
     {
         let bin = Bin {
@@ -189,7 +189,7 @@
             |_| false,
             idle_return,
         );
-        let got = (plan.rent.values().sum::<u32>(), plan.release.len());
+        let got = (plan.rentals.values().sum::<u32>(), plan.returns.len());
         let case = (
             available,
             preemptible,
@@ -198,30 +198,34 @@
             machines,
             empty,
         );
-        assert_eq!(got, (rented, released), "{case:?}");
+        assert_eq!(got, (rented, returned), "{case:?}");
     }
 }
 
-/// Tasks of a gang that must be in one zone were counted as served by machines in several.
+/// Guards against assigning the tasks of a gang that must be in one zone to machines in several zones.
 #[test]
-fn a_gang_in_one_zone_gets_its_machines_there() {
+fn machines_for_a_single_zone_gang_are_rented_in_its_zone() {
     let mut gang = spec(8.0, false);
     (gang.kind, gang.one_zone) = (JobKind::Gang, true);
-    let there = |name: &str, zone: &str| Bin {
+    let bin_in = |name: &str, zone: &str| Bin {
         offer: offer(zone, false),
         ..bin(name, false, 8.0, 0)
     };
     let cases = [
         // machines, tasks, rented in a, rented in b
         (vec![], 4, 4, 0),
-        (vec![there("vm-1", "a"), there("vm-2", "b")], 2, 0, 1),
+        (vec![bin_in("vm-1", "a"), bin_in("vm-2", "b")], 2, 0, 1),
         (
-            vec![there("vm-1", "a"), there("vm-2", "a"), there("vm-3", "b")],
+            vec![
+                bin_in("vm-1", "a"),
+                bin_in("vm-2", "a"),
+                bin_in("vm-3", "b"),
+            ],
             3,
             1,
             0,
         ),
-        (vec![there("vm-1", "b"), there("vm-2", "b")], 2, 0, 0),
+        (vec![bin_in("vm-1", "b"), bin_in("vm-2", "b")], 2, 0, 0),
     ];
     for (bins, count, in_a, in_b) in cases {
         let needs = [Need {
@@ -231,8 +235,8 @@
         }];
         let plan = plan(bins, &needs, &[], &type_specs(), |_| false, Millis(20_000));
         let rented = |zone: &str| -> u32 {
-            let of = plan.rent.iter().filter(|(o, _)| o.zone.as_str() == zone);
-            of.map(|(_, n)| n).sum()
+            let in_zone = plan.rentals.iter().filter(|(o, _)| o.zone.as_str() == zone);
+            in_zone.map(|(_, n)| n).sum()
         };
         assert_eq!((rented("a"), rented("b")), (in_a, in_b), "{count} tasks");
     }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -58,7 +58,7 @@
 /// Request of `POST /rentals`.
 #[derive(Serialize)]
 pub struct RentBody<'a> {
-    /// Makes the request idempotent.
+    /// Idempotency key.
     #[serde(rename = "hire")]
     pub request_id: &'a str,
     /// The machine type to rent.
@@ -74,10 +74,10 @@
     pub count: u32,
 }
 
-/// Names of machines: the response to `POST /rentals`, and the request of `POST /rentals/delete`.
+/// Ids of machines: the response to `POST /rentals`, and the request of `POST /rentals/delete`.
 #[derive(Serialize, Deserialize)]
 pub struct MachineIdsBody {
-    /// The names.
+    /// Machines that were rented, or are to be deleted.
     #[serde(rename = "hosts")]
     pub machine_ids: Vec<MachineId>,
 }
@@ -108,7 +108,6 @@
     age_s: f64,
 }
 
-/// The stage of a machine in the list.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum StageBody {
