--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -58,7 +58,7 @@
     fn expire_drains(&mut self) {
         if self.leading().is_none()
             && !self.autoscaler.drains.is_empty()
-            && self.now.since(self.autoscaler.drains_heard_at) > DRAIN_TTL
+            && self.now.since(self.autoscaler.drains_received_at) > DRAIN_TTL
         {
             self.autoscaler.drains.clear();
         }
@@ -137,7 +137,7 @@
         let fleet = &self.autoscaler.fleet;
         // Tasks placed on a machine that is gone fail immediately, so the holder of its shard must
         // not place any there either.
-        let gone = fleet.gone.iter();
+        let gone = fleet.deleted.iter();
         let gone = gone.filter(|machine_id| self.machines.contains_key(*machine_id));
         let leaving = fleet.deleting.union(&self.autoscaler.drains).chain(gone);
         leaving.map(MachineId::to_string).collect()
