--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -63,7 +63,7 @@
         let mut machines: Vec<MachineResources> = rented
             .filter(|(machine_id, _)| {
                 self.machines.get(machine_id).is_some_and(|machine| {
-                    self.is_schedulable_by_us(machine) || self.is_schedulable_by_peer(machine)
+                    self.is_schedulable_locally(machine) || self.is_schedulable_by_peer(machine)
                 })
             })
             .filter_map(|(machine_id, rented)| {
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -56,12 +56,12 @@
 
     /// Whether any controller may place tasks on a machine.
     pub(in crate::controller) fn is_schedulable(&self, machine: &Machine) -> bool {
-        self.is_schedulable_by_us(machine) || self.is_schedulable_by_peer(machine)
+        self.is_schedulable_locally(machine) || self.is_schedulable_by_peer(machine)
     }
 
     /// Whether this controller may place tasks on a machine itself: it holds the machine's shard,
     /// the worker has accepted the shard's fencing token, and the machine is fit.
-    pub(in crate::controller) fn is_schedulable_by_us(&self, machine: &Machine) -> bool {
+    pub(in crate::controller) fn is_schedulable_locally(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_some_and(|token| {
             machine.worker_token.token() == token
                 && machine.last_answer.is_some_and(|(under, _)| under == token)
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -53,7 +53,7 @@
 
     /// A machine's entry in the index; `None` if it is not schedulable.
     fn index_entry(&self, machine: &Machine) -> Option<Entry> {
-        let own = self.is_schedulable_by_us(machine);
+        let own = self.is_schedulable_locally(machine);
         if !own && !self.is_schedulable_by_peer(machine) {
             return None;
         }
@@ -99,7 +99,7 @@
             stale: Vec::new(),
         };
         for (machine_id, machine) in &self.machines {
-            let own = self.is_schedulable_by_us(machine);
+            let own = self.is_schedulable_locally(machine);
             if !own && !self.is_schedulable_by_peer(machine) {
                 continue;
             }
--- a/src/controller/heartbeats/replica_migration.rs
+++ b/src/controller/heartbeats/replica_migration.rs
@@ -83,7 +83,7 @@
     fn can_take_replica(&self, target: &Machine, job: &Job, source: &Machine) -> bool {
         // A service with several replicas is spread over zones, so each stays in its own.
         let zone_kept = job.record.tasks == 1 || target.zone == source.zone;
-        (self.is_schedulable_by_us(target) || self.is_schedulable_by_peer(target))
+        (self.is_schedulable_locally(target) || self.is_schedulable_by_peer(target))
             && target.images.contains_key(&job.spec.image)
             && zone_kept
             && job
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -127,7 +127,7 @@
         serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
     };
     let machine_id = MachineId::from("vm-2");
-    let fit = |c: &Controller| c.is_schedulable_by_us(&c.machines[&machine_id]);
+    let fit = |c: &Controller| c.is_schedulable_locally(&c.machines[&machine_id]);
     for heartbeat_sequence in [4, 5] {
         controller.effects.clear();
         controller.answer_heartbeat(heartbeat(heartbeat_sequence));
--- a/src/controller/hierarchical_quota/demand.rs
+++ b/src/controller/hierarchical_quota/demand.rs
@@ -72,7 +72,7 @@
         let Some(machine) = self
             .machines
             .get(machine_id)
-            .filter(|m| self.is_schedulable_by_us(m))
+            .filter(|m| self.is_schedulable_locally(m))
         else {
             return;
         };
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -113,7 +113,7 @@
             .nominations
             .add(id, &machine_id, resources, until);
         match self.machines.get(&machine_id) {
-            Some(machine) if !self.is_schedulable_by_us(machine) => {
+            Some(machine) if !self.is_schedulable_locally(machine) => {
                 let to = machine.last_contact_by.clone();
                 let (job, machine_id) = (id.to_string(), machine_id.to_string());
                 let message = Message::Preempt { job, machine_id };
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -154,7 +154,7 @@
             .nominations
             .add(id, &machine_id, resources, until);
         match self.machines.get(&machine_id) {
-            Some(machine) if !self.is_schedulable_by_us(machine) => {
+            Some(machine) if !self.is_schedulable_locally(machine) => {
                 let to = machine.last_contact_by.clone();
                 let message = request.message(id, &machine_id);
                 self.effects.push(Effect::Peer { to, message });
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -48,7 +48,7 @@
         let spec = &preemptor.job.spec;
         let request = PlacementRequest::new(preemptor.job, Vec::new());
         let machine = self.machines.get(machine_id).filter(|machine| {
-            self.is_schedulable_by_us(machine)
+            self.is_schedulable_locally(machine)
                 && spec.allows(&machine.machine_type, &machine.zone, machine.spot)
                 && request.zone_allowed(&machine.zone)
         })?;
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -110,7 +110,7 @@
             heartbeat(&id, 2, &["running"]),
             REPORTED + after,
         );
-        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+        let fit = controller.is_schedulable_locally(&controller.machines[&MachineId::from(HOST)]);
         let case =
             format!("{after} ms after, the block taken at {shard_taken}, {known_unable_to_report}");
         assert_eq!(fit, resources, "{case}");
@@ -119,7 +119,7 @@
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
         answers(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
         assert!(
-            controller.is_schedulable_by_us(&controller.machines[&machine_id]),
+            controller.is_schedulable_locally(&controller.machines[&machine_id]),
             "{case}"
         );
     }
@@ -207,7 +207,7 @@
         controller.now = Millis(at);
         controller.update_quiet_machines();
         answers(&mut controller, heartbeat(&id, 2, &["running"]), at);
-        let fit = controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+        let fit = controller.is_schedulable_locally(&controller.machines[&MachineId::from(HOST)]);
         assert_eq!(fit, used, "{quiet_ones} of {machines}");
     }
 }
