--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -31,13 +31,13 @@
                 self.store_lanes[controller].push(class, writes, (tag, call), now);
                 self.send_store_calls(controller);
             }
-            Effect::Allow { writes } => {
-                self.store_lanes[controller].set_write_rate(writes, now);
+            Effect::SetWriteLimit { writes_per_s } => {
+                self.store_lanes[controller].set_write_rate(writes_per_s, now);
                 self.send_store_calls(controller);
             }
             Effect::Cloud { tag, call } => self.call_cloud(controller, tag, call),
             Effect::Peer { to, message } => self.send_to_peer(controller, &to, &message, delay),
-            Effect::Direct {
+            Effect::DirectCommands {
                 machine_id,
                 worker_token,
                 agent_epoch,
@@ -140,7 +140,7 @@
 
     fn time_out_direct_commands(&mut self, controller: usize, machine_id: MachineId) {
         let answer = None;
-        let event = Event::Direct { machine_id, answer };
+        let event = Event::DirectReply { machine_id, answer };
         self.send_to(controller, self.now + DIRECT_TIMEOUT, event);
     }
 
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -24,10 +24,10 @@
         Event::Heartbeat { heartbeat, .. } => ("report", heartbeat_bytes(heartbeat)),
         Event::Submit { .. } => ("submission", 0),
         Event::Poll { .. } => ("poll", 0),
-        Event::Abort { .. } => ("cancellation", 0),
+        Event::Cancel { .. } => ("cancellation", 0),
         Event::Ready { .. } => ("probe", 0),
         Event::Inspected { .. } => ("inspection", 0),
-        Event::Direct { answer, .. } => {
+        Event::DirectReply { answer, .. } => {
             let heartbeat = answer.as_ref().and_then(|answer| answer.heartbeat.as_ref());
             ("direct answer", heartbeat.map_or(0, heartbeat_bytes))
         }
@@ -40,7 +40,7 @@
         Effect::Store { call, .. } => (call_kind(call), call_bytes(call)),
         Effect::Cloud { call, .. } => (cloud_kind(call), 0),
         Effect::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
-        Effect::Direct { commands, .. } => ("direct orders", commands_bytes(commands)),
+        Effect::DirectCommands { commands, .. } => ("direct orders", commands_bytes(commands)),
         Effect::Worker { answer, .. } => match answer {
             HeartbeatResponse::Commands { commands, .. } => {
                 ("report answer", commands_bytes(commands))
@@ -48,7 +48,7 @@
             _ => ("report sent on", EMPTY_ANSWER),
         },
         Effect::User { .. } => ("user answer", 0),
-        Effect::Inspect { .. } | Effect::Allow { .. } | Effect::Ready { .. } => return,
+        Effect::Inspect { .. } | Effect::SetWriteLimit { .. } | Effect::Ready { .. } => return,
     };
     meter.message(Direction::Sent, kind, bytes);
     if let Effect::Store {
--- a/crates/simulator/src/sim/users.rs
+++ b/crates/simulator/src/sim/users.rs
@@ -130,7 +130,7 @@
         let reply = self.expect_reply(PendingReply::User(job.clone()));
         let at = self.now + ABORT_INTERVAL;
         self.post(at, ScheduledMessage::Abort(job.clone()));
-        self.send_request(&job.clone(), Event::Abort { reply, job });
+        self.send_request(&job.clone(), Event::Cancel { reply, job });
     }
 
     /// Sends a user's request to a random controller; it is lost if a partition separates the two.
--- a/crates/simulator/src/sim/workers.rs
+++ b/crates/simulator/src/sim/workers.rs
@@ -104,7 +104,7 @@
         if machine.is_some_and(|machine| machine.rebooted_at.0 > direct.sent_at) {
             if direct.reply.is_expected() {
                 let (machine_id, answer) = (direct.machine_id, None);
-                let event = Event::Direct { machine_id, answer };
+                let event = Event::DirectReply { machine_id, answer };
                 self.send_to(direct.sender.controller, self.now + 1, event);
             }
             return;
@@ -121,7 +121,7 @@
             let (machine_id, answer) = (direct.machine_id, None);
             let message = ScheduledMessage::ControllerEvent {
                 process: direct.sender,
-                event: Box::new(Event::Direct { machine_id, answer }),
+                event: Box::new(Event::DirectReply { machine_id, answer }),
             };
             self.post(self.now + DIRECT_TIMEOUT, message);
         }
@@ -153,7 +153,7 @@
         let held = self.network.held_commands.clone();
         let held = held.filter(|held| self.rng.random_bool(held.share));
         let held_ms = held.map_or(0, |_| self.rng.random_range(0..MAX_RESPONSE_DELAY));
-        let event = Box::new(Event::Direct { machine_id, answer });
+        let event = Box::new(Event::DirectReply { machine_id, answer });
         let at = self.now + WORKER_MESSAGE_DELAY + held_ms;
         self.post(at, ScheduledMessage::ControllerEvent { process, event });
     }
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -31,7 +31,9 @@
         let allowed = plan.allowance(self.me.as_str(), is_member, base);
         if allowed != self.commits.admission.allowed {
             self.commits.admission.allowed = allowed;
-            self.effects.push(Effect::Allow { writes: allowed });
+            self.effects.push(Effect::SetWriteLimit {
+                writes_per_s: allowed,
+            });
         }
     }
 
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -14,12 +14,12 @@
 #[derive(Debug)]
 pub(super) enum CallPurpose {
     /// Obtains a lease.
-    Grant {
+    GrantLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
     /// Renews our lease.
-    Renew {
+    RenewLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
@@ -28,7 +28,7 @@
     /// Writes our controller record.
     Register,
     /// Takes the leadership.
-    Lead,
+    ClaimLeadership,
     /// Assigns shards to controllers, as the leader.
     AssignShards,
     /// Reads a page of the snapshot of all records.
@@ -43,7 +43,7 @@
         job: JobId,
     },
     /// Writes the cancellation of a job.
-    Abort {
+    Cancel {
         /// The user's request.
         reply: ReplyId,
         /// The job to cancel.
@@ -67,7 +67,7 @@
     AllocateQuota {
         /// A shard and the version of its allocation record: the transaction is conditioned on
         /// these.
-        rests_on: (ShardId, Revision),
+        expected_version: (ShardId, Revision),
     },
     /// Writes a page of the quota tree.
     QuotaTree,
@@ -210,21 +210,23 @@
     /// Passes the answer to the step that waits for it.
     fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
         match purpose {
-            CallPurpose::Grant { sent } => self.on_lease_granted(sent, answer),
-            CallPurpose::Renew { sent } => self.on_lease_renewed(sent, answer),
+            CallPurpose::GrantLease { sent } => self.on_lease_granted(sent, answer),
+            CallPurpose::RenewLease { sent } => self.on_lease_renewed(sent, answer),
             CallPurpose::EndOldLease => self.on_old_lease_ended(&answer),
             CallPurpose::Register => self.on_registered(&answer),
-            CallPurpose::Lead => self.on_leadership_written(&answer),
+            CallPurpose::ClaimLeadership => self.on_leadership_written(&answer),
             CallPurpose::AssignShards => self.on_shards_assigned(),
             CallPurpose::Snapshot => self.on_snapshot(answer),
             CallPurpose::Watch => self.on_watch(answer),
             CallPurpose::ReadRevision => self.on_revision(answer),
             CallPurpose::Submit { job } => self.on_submitted(job, answer),
-            CallPurpose::Abort { reply, job } => self.on_cancel_committed(reply, job, answer),
+            CallPurpose::Cancel { reply, job } => self.on_cancel_committed(reply, job, answer),
             CallPurpose::TaskChanges { job, changes } => self.on_changes(job, changes, answer),
             CallPurpose::DeleteDescription { job } => self.on_finalized(job),
             CallPurpose::DeletePages => self.commits.deleting_pages = false,
-            CallPurpose::AllocateQuota { rests_on } => self.on_allocated(rests_on, answer),
+            CallPurpose::AllocateQuota { expected_version } => {
+                self.on_allocated(expected_version, answer)
+            }
             CallPurpose::QuotaTree => self.on_tree_written(&answer),
             CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
             CallPurpose::AdmissionPlan => self.commits.admission.plan_in_flight = false,
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -36,7 +36,7 @@
         let mut txn = Transaction::default();
         txn.require(job_key(&id), job.version);
         txn.put(job_key(&id), &record);
-        let purpose = CallPurpose::Abort { reply, job: id };
+        let purpose = CallPurpose::Cancel { reply, job: id };
         self.transact(CallClass::Cancellations, txn, purpose);
     }
 
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -67,7 +67,7 @@
         job: JobId,
     },
     /// A user cancels a job.
-    Abort {
+    Cancel {
         /// The user's request.
         reply: ReplyId,
         /// The job to cancel.
@@ -83,8 +83,8 @@
         /// Whether the worker answered.
         answered: bool,
     },
-    /// The outcome of [`Effect::Direct`].
-    Direct {
+    /// The outcome of [`Effect::DirectCommands`].
+    DirectReply {
         /// The machine that the commands were sent to.
         machine_id: MachineId,
         /// The worker's answer; none if there was no answer.
@@ -103,7 +103,7 @@
         address: SocketAddr,
     },
     /// Send a worker commands that should not wait for its next heartbeat.
-    Direct {
+    DirectCommands {
         /// The worker's machine.
         machine_id: MachineId,
         /// The worker's address.
@@ -125,9 +125,9 @@
         call: StoreCall,
     },
     /// Set the rate of changes that this controller may send to the key-value store.
-    Allow {
+    SetWriteLimit {
         /// Changes a second.
-        writes: f64,
+        writes_per_s: f64,
     },
     /// Call the cloud.
     Cloud {
--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -37,7 +37,7 @@
         machine.direct.set_validity(token, agent_epoch);
         machine.direct.begin(&commands);
         let (machine_id, worker_token) = (machine_id.clone(), self.worker_token(token));
-        self.effects.push(Effect::Direct {
+        self.effects.push(Effect::DirectCommands {
             machine_id,
             address,
             worker_token,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -111,7 +111,7 @@
     fn request_lease(&mut self) {
         self.membership.leases.own = OwnLease::Requested;
         let life_ms = self.settings.operator.lease.0;
-        let purpose = CallPurpose::Grant { sent: self.now };
+        let purpose = CallPurpose::GrantLease { sent: self.now };
         self.call_store(
             CallClass::Leases,
             StoreCall::Grant { ttl_ms: life_ms },
@@ -124,7 +124,7 @@
         let interval = Millis(self.settings.operator.lease.0 / RENEWALS_PER_LEASE);
         let due = self.membership.leases.renewal_base + interval;
         if self.now >= due && self.membership.begin(MembershipStep::Renew) {
-            let purpose = CallPurpose::Renew { sent: self.now };
+            let purpose = CallPurpose::RenewLease { sent: self.now };
             self.call_store(CallClass::Leases, StoreCall::Renew(lease_id), purpose);
         }
     }
@@ -171,7 +171,7 @@
             let mut txn = Transaction::default();
             txn.require(LEADER.into(), Revision(0));
             txn.put_leased(LEADER.into(), &record, lease_id);
-            self.transact(CallClass::Leases, txn, CallPurpose::Lead);
+            self.transact(CallClass::Leases, txn, CallPurpose::ClaimLeadership);
         }
         if let Some(version) = self.leading() {
             self.assign_shards(version);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -133,9 +133,9 @@
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
             Event::Poll { reply, job } => self.on_poll(reply, job),
-            Event::Abort { reply, job } => self.on_cancel(reply, job),
+            Event::Cancel { reply, job } => self.on_cancel(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
-            Event::Direct { machine_id, answer } => self.on_direct(&machine_id, answer),
+            Event::DirectReply { machine_id, answer } => self.on_direct(&machine_id, answer),
             Event::Ready { reply } => {
                 let ready = self.ready();
                 self.effects.push(Effect::Ready { reply, ready });
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -101,13 +101,13 @@
         true
     }
 
-    /// Handles the answer to a reallocation that was conditioned on `rests_on`.
+    /// Handles the answer to a reallocation that was conditioned on `expected_version`.
     pub(in crate::controller) fn on_allocated(
         &mut self,
-        rests_on: (ShardId, Revision),
+        expected_version: (ShardId, Revision),
         answer: StoreResponse,
     ) {
-        self.quota.on_allocated(rests_on, &answer);
+        self.quota.on_allocated(expected_version, &answer);
     }
 
     /// Fences off the transactions of unknown outcome.
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -27,13 +27,13 @@
         let Some(first) = records.keys().next().cloned() else {
             return;
         };
-        let rests_on = (first.clone(), self.quota.allocations.version(&first));
+        let expected_version = (first.clone(), self.quota.allocations.version(&first));
         self.quota.allocated_at = self.now;
         let txn = self.allocation_transaction(leader_version, records);
         self.transact(
             CallClass::Coordination,
             txn,
-            CallPurpose::AllocateQuota { rests_on },
+            CallPurpose::AllocateQuota { expected_version },
         );
     }
 
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -71,10 +71,10 @@
     ];
     for (answer, unsure) in cases {
         let (mut controller, _) = leading(vec![Task::NEVER_PLACED]);
-        let rests_on = (shard.clone(), controller.quota.allocations.version(&shard));
+        let expected_version = (shard.clone(), controller.quota.allocations.version(&shard));
         assert!(controller.may_raise_allocations());
         let name = format!("{answer:?}");
-        controller.on_allocated(rests_on, answer);
+        controller.on_allocated(expected_version, answer);
         assert_eq!(controller.may_raise_allocations(), !unsure, "{name}");
         controller.now = Millis(9_000);
         controller.resolve_unknown_transactions();
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -83,7 +83,7 @@
             return;
         };
         machine.direct.begin_without_starts(self.now);
-        self.effects.push(Effect::Direct {
+        self.effects.push(Effect::DirectCommands {
             machine_id: machine_id.clone(),
             address,
             worker_token,
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -73,7 +73,7 @@
 fn sent(controller: &mut Controller) -> Vec<WorkerCommand> {
     let effects = std::mem::take(&mut controller.effects).into_iter();
     let commands = effects.filter_map(|effect| match effect {
-        Effect::Direct { commands, .. } => Some(commands),
+        Effect::DirectCommands { commands, .. } => Some(commands),
         _ => None,
     });
     commands.flatten().collect()
@@ -174,7 +174,7 @@
         controller.now = Millis(REPORTED + controller.heartbeat_timeout().0 - 1 + after);
         controller.probe_silent_machines();
         let sent = controller.effects.iter();
-        let asks = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
+        let asks = |effect: &&Effect| matches!(effect, Effect::DirectCommands { .. });
         assert_eq!(sent.filter(asks).count(), usize::from(asked), "{after}");
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -144,7 +144,7 @@
 fn event_of_worker(response: DirectResponse) -> Event {
     match response {
         DirectResponse::Inspected(answered) => Event::Inspected { answered },
-        DirectResponse::Commands(machine_id, answer) => Event::Direct { machine_id, answer },
+        DirectResponse::Commands(machine_id, answer) => Event::DirectReply { machine_id, answer },
     }
 }
 
@@ -182,7 +182,7 @@
             }
             Request::Abort { job, reply } => {
                 let reply = self.replies.insert(PendingReply::User(reply));
-                Event::Abort { reply, job }
+                Event::Cancel { reply, job }
             }
             Request::Heartbeat { heartbeat, reply } => {
                 let reply = self.replies.insert(PendingReply::Worker(reply));
@@ -206,7 +206,7 @@
     fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Store { tag, class, call } => self.store.send(tag, class, call),
-            Effect::Allow { writes } => self.store.allow(writes),
+            Effect::SetWriteLimit { writes_per_s } => self.store.allow(writes_per_s),
             Effect::Cloud { tag, call } => self.cloud.send(tag, call),
             Effect::Peer { to, message } => self.peers.send(&to, message),
             Effect::Inspect {
@@ -217,7 +217,7 @@
                 address,
                 kind: DirectRequestKind::Inspect,
             }),
-            Effect::Direct {
+            Effect::DirectCommands {
                 machine_id,
                 address,
                 worker_token,
