--- a/crates/simulator/src/sim/queries.rs
+++ b/crates/simulator/src/sim/queries.rs
@@ -33,7 +33,7 @@
                 return Some(format!("{id} was never accepted"));
             }
             let mut controllers = self.controllers.iter().flatten();
-            let has_reason = controllers.any(|controller| controller.waits_for(&id).is_some());
+            let has_reason = controllers.any(|controller| controller.wait_reason(&id).is_some());
             (!has_reason).then(|| format!("{id} waits for nothing"))
         });
         unaccounted.collect()
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -233,7 +233,7 @@
         Some(Role {
             leads: controller.is_leading(),
             machines: controller.machines_held(),
-            work: controller.work().rows().to_vec(),
+            work: controller.work_counters().rows().to_vec(),
             core: meter.busy().as_secs_f64() / Duration::from_secs(size.seconds).as_secs_f64(),
             meter,
         })
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -176,7 +176,7 @@
 
     /// Counts of what this controller has examined since it started.
     #[must_use]
-    pub fn work(&self) -> &WorkCounters {
+    pub fn work_counters(&self) -> &WorkCounters {
         &self.work_counters
     }
 
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -8,7 +8,7 @@
 impl Controller {
     /// Why tasks of this job wait at this controller; `None` if no task waits or another controller
     /// queues the job.
-    pub fn waits_for(&self, id: &JobId) -> Option<WaitReason> {
+    pub fn wait_reason(&self, id: &JobId) -> Option<WaitReason> {
         let job = self.jobs.get(id)?;
         let has_changes = !job.changes.is_empty();
         if job.is_active() && job.waiting_tasks() == 0 && !has_changes {
