--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -16,17 +16,18 @@
 use crate::types::{JobId, MachineId, Zone};
 use crate::workers::Machine;
 
-/// Maximum number of feasible machines of a class that a cycle scores.
-const MAX_FEASIBLE_OF_CLASS: usize = 8;
-/// Maximum number of machines of a class that a cycle filters, feasible or not. A machine of a class
+/// Maximum number of feasible machines per class that a cycle scores.
+const MAX_FEASIBLE_PER_CLASS: usize = 8;
+/// Maximum number of machines per class that a cycle filters, feasible or not. A machine of a class
 /// with enough capacity may still be infeasible, for example because it is kept for other jobs.
-const MAX_VISITED_OF_CLASS: usize = 128;
-/// Maximum number of feasible machines of a cycle, first among those with the job's image and then
-/// again among all. It is divided evenly among the groups of machines.
+const MAX_VISITED_PER_CLASS: usize = 128;
+/// Maximum number of feasible machines that a cycle scores in each of its two passes: the first is
+/// over the machines with the job's image, the second over all. It is divided evenly among the open
+/// groups of machines.
 const MAX_FEASIBLE: usize = 256;
-/// Minimum number of feasible machines that a cycle may score of each group, however many groups
-/// there are.
-const MIN_FEASIBLE_OF_GROUP: usize = 16;
+/// Minimum number of feasible machines per group that a cycle may score, however many groups there
+/// are.
+const MIN_FEASIBLE_PER_GROUP: usize = 16;
 
 impl Controller {
     /// Filters and scores machines for the next task of a job, and returns the best one. Fails with
@@ -41,7 +42,7 @@
             let Some(job) = self.jobs.get(id) else {
                 return Err(BTreeSet::new());
             };
-            let full_shards = self.shards_without_quota(job, query.raise_for);
+            let full_shards = self.shards_without_quota(job, query.raise_quota_for);
             let mut request = PlacementRequest::new(job, full_shards);
             request.avoids_empty_machines = self.avoids_empty_machines(job);
             let machine_id = self.best_machine(&request, query)?;
@@ -49,7 +50,7 @@
             if machine.is_some_and(|machine| self.is_schedulable(machine)) {
                 return Ok(machine_id);
             }
-            // It stopped being schedulable since the last sweep.
+            // The machine became unschedulable after the last sweep, so its entry is outdated.
             self.scheduler.candidates.index.remove(&machine_id);
         }
     }
@@ -63,10 +64,10 @@
         let job = request.job;
         let mut choice = Choice::default();
         let open = self.open_groups(request, query, &mut choice);
-        let max_of_group = (MAX_FEASIBLE / open.len().max(1)).max(MIN_FEASIBLE_OF_GROUP);
+        let max_per_group = (MAX_FEASIBLE / open.len().max(1)).max(MIN_FEASIBLE_PER_GROUP);
         for image_filter in [ImageFilter::Image(&job.spec.image), ImageFilter::Any] {
             for group in &open {
-                self.visit(image_filter, group, job, max_of_group, |candidate| {
+                self.visit(image_filter, group, job, max_per_group, |candidate| {
                     choice.consider(request, &candidate)
                 });
             }
@@ -74,7 +75,7 @@
         choice.into_result()
     }
 
-    /// The groups whose shards are open to the job. Notes in `choice` which checks rejected
+    /// The groups whose shards are open to the job. Records in `choice` which checks rejected
     /// machines that are not visited: those of closed shards, and those without enough capacity.
     fn open_groups(
         &self,
@@ -102,9 +103,9 @@
         open
     }
 
-    /// Visits machines of a group that have enough capacity by the index: a few of each class, from
-    /// the fullest and the emptiest classes in turn, until `max_feasible` machines passed the
-    /// checks. Returns how many passed.
+    /// Visits machines of a group that have enough capacity according to the index: a few of each
+    /// class, alternating between the fullest and the emptiest classes, until `max_feasible`
+    /// machines passed the checks. Returns how many passed.
     fn visit<'a>(
         &'a self,
         image_filter: ImageFilter,
@@ -119,9 +120,9 @@
             .collect();
         let mut feasible = 0;
         for class in from_both_ends(&classes) {
-            let mut feasible_of_class = 0;
-            for machine_id in class.machine_ids.iter().take(MAX_VISITED_OF_CLASS) {
-                if feasible_of_class == MAX_FEASIBLE_OF_CLASS || feasible == max_feasible {
+            let mut feasible_in_class = 0;
+            for machine_id in class.machine_ids.iter().take(MAX_VISITED_PER_CLASS) {
+                if feasible_in_class == MAX_FEASIBLE_PER_CLASS || feasible == max_feasible {
                     break;
                 }
                 let Some(machine) = self.machines.get(machine_id) else {
@@ -129,7 +130,7 @@
                 };
                 self.work_counters.candidates.add(1);
                 if is_feasible(self.candidate(job, machine)) {
-                    feasible_of_class += 1;
+                    feasible_in_class += 1;
                     feasible += 1;
                 }
             }
@@ -137,7 +138,7 @@
         feasible
     }
 
-    /// A machine as the scheduling cycle of the job sees it.
+    /// The properties of a machine that a scheduling cycle of the job filters and scores by.
     pub(in crate::controller) fn candidate<'a>(
         &self,
         job: &Job,
@@ -182,19 +183,20 @@
             .any(|group| self.visit(image_filter, group, job, 1, is_feasible) > 0)
     }
 
-    /// The same for a gang, over the machines of `groups`.
+    /// Whether the machines of `groups` that have the image of a gang have enough resources for all
+    /// of its tasks.
     fn has_cached_gang_capacity(&self, request: &PlacementRequest, groups: &[&Group]) -> bool {
         let job = request.job;
         let image_filter = ImageFilter::Image(&job.spec.image);
         let index = &self.scheduler.candidates.index;
-        // How many tasks fit, by zone if the gang has to be in one.
-        let mut room: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
+        // How many tasks fit: by zone if the gang requires a single one, otherwise in total.
+        let mut fitting_tasks: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
         for group in groups {
             let zone = job.spec.one_zone.then_some(group.zone());
-            let tasks = room.entry(zone).or_default();
+            let zone_tasks = fitting_tasks.entry(zone).or_default();
             let classes = index.fitting(image_filter, group, job.spec.resources);
             for machine_id in classes.flat_map(|class| class.machine_ids) {
-                if *tasks >= job.record.tasks {
+                if *zone_tasks >= job.record.tasks {
                     return true;
                 }
                 let Some(machine) = self.machines.get(machine_id) else {
@@ -203,14 +205,17 @@
                 self.work_counters.candidates.add(1);
                 let candidate = self.candidate(job, machine);
                 if cycle::filter(request, &candidate).is_none() {
-                    *tasks += candidate.available.holds(job.spec.resources);
+                    *zone_tasks += candidate.available.holds(job.spec.resources);
                 }
             }
         }
-        room.values().any(|tasks| *tasks >= job.record.tasks)
+        fitting_tasks
+            .values()
+            .any(|tasks| *tasks >= job.record.tasks)
     }
 
-    /// Zones in which all tasks of a gang fit by the index, those with the most capacity first.
+    /// Zones in which all tasks of a gang fit according to the index, those with the most capacity
+    /// first.
     pub(in crate::controller) fn zones_by_capacity(
         &mut self,
         id: &JobId,
@@ -223,20 +228,20 @@
         let request = PlacementRequest::new(job, Vec::new());
         let candidates = &self.scheduler.candidates;
         let resources = job.spec.resources;
-        let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
+        let mut fitting_tasks: BTreeMap<&Zone, u32> = BTreeMap::new();
         for group in candidates.groups(&job.spec, scope, None) {
             if request.shard_rejection(&group.shard).is_some() {
                 continue;
             }
             for class in candidates.index.fitting(ImageFilter::Any, group, resources) {
-                let tasks_each = class.level.available().holds(resources);
-                let tasks = tasks_each.saturating_mul(class.machine_ids.len() as u32);
-                let zone_tasks = room.entry(group.zone()).or_default();
+                let tasks_per_machine = class.level.available().holds(resources);
+                let tasks = tasks_per_machine.saturating_mul(class.machine_ids.len() as u32);
+                let zone_tasks = fitting_tasks.entry(group.zone()).or_default();
                 *zone_tasks = zone_tasks.saturating_add(tasks);
             }
         }
-        room.retain(|_, tasks| *tasks >= job.record.tasks);
-        let mut zones: Vec<(u32, &Zone)> = room
+        fitting_tasks.retain(|_, tasks| *tasks >= job.record.tasks);
+        let mut zones: Vec<(u32, &Zone)> = fitting_tasks
             .into_iter()
             .map(|(zone, tasks)| (tasks, zone))
             .collect();
@@ -245,14 +250,15 @@
     }
 }
 
-/// The first, the last, the second, the last but one, and so on.
+/// Iterates over the classes from both ends in turn: the first, the last, the second, the last but
+/// one, and so on.
 fn from_both_ends<'a, 'b>(
     classes: &'b [MachineClass<'a>],
 ) -> impl Iterator<Item = &'b MachineClass<'a>> {
     let last = classes.len().saturating_sub(1);
-    (0..classes.len()).map(move |turn| {
-        let step = turn / 2;
-        let index = if turn % 2 == 0 { step } else { last - step };
+    (0..classes.len()).map(move |position| {
+        let step = position / 2;
+        let index = if position % 2 == 0 { step } else { last - step };
         &classes[index]
     })
 }
--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -17,7 +17,7 @@
             .find(|type_spec| type_spec.id == *machine_type)
     }
 
-    /// The resources of an empty machine of this type; none if the type is unknown.
+    /// The resources of an empty machine of this type; zero if the type is unknown.
     pub(super) fn capacity_of_type(&self, machine_type: &MachineTypeId) -> Resources {
         let type_spec = self.type_spec(machine_type);
         type_spec.map(|spec| spec.resources).unwrap_or_default()
@@ -38,14 +38,14 @@
     /// nominated jobs of the same or a higher priority.
     pub(in crate::controller) fn available_for(&self, machine: &Machine, id: &JobId) -> Resources {
         let mut available = self.available(machine);
-        let mut priority = None;
+        let mut cached_priority = None;
         for (other, resources) in self
             .scheduler
             .nominations
             .jobs_on(&machine.machine_id, self.now)
         {
-            let priority =
-                *priority.get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
+            let priority = *cached_priority
+                .get_or_insert_with(|| self.jobs.get(id).map(|job| job.spec.priority));
             let nominee = self.jobs.get(other).filter(|_| other != id);
             if nominee.is_some_and(|nominee| priority <= Some(nominee.spec.priority)) {
                 available = available.minus(resources);
@@ -60,26 +60,27 @@
     }
 
     /// Whether this controller may place tasks on a machine itself: it holds the machine's shard,
-    /// the worker has accepted the shard's fencing token, and the machine is fit.
+    /// the worker has accepted the shard's fencing token, and the machine is in service.
     pub(in crate::controller) fn is_schedulable_locally(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_some_and(|token| {
             machine.worker_token.token() == token
                 && machine.last_answer.is_some_and(|(under, _)| under == token)
-                && self.is_fit(machine)
+                && self.is_in_service(machine)
         })
     }
 
-    /// Whether another controller may place tasks on a machine, as far as its holder reports.
+    /// Whether another controller may place tasks on a machine, according to the reports of the
+    /// controller that holds the machine's shard.
     pub(in crate::controller) fn is_schedulable_by_peer(&self, machine: &Machine) -> bool {
         let leases = &self.membership.leases;
         let holder = leases.shards.get(&machine.shard).map(|(holder, _)| holder);
         self.token_for(&machine.shard).is_none()
             && holder == Some(&machine.last_contact_by)
-            && self.is_fit(machine)
+            && self.is_in_service(machine)
     }
 
     /// Whether a machine is healthy, and is neither drained nor deleted.
-    fn is_fit(&self, machine: &Machine) -> bool {
+    fn is_in_service(&self, machine: &Machine) -> bool {
         machine.is_schedulable(self.now, self.heartbeat_timeout())
             && !self.autoscaler.drains.contains(&machine.machine_id)
             && !self.autoscaler.fleet.gone.contains(&machine.machine_id)
--- a/src/controller/candidates/mod.rs
+++ b/src/controller/candidates/mod.rs
@@ -1,8 +1,8 @@
 //! The machines that cycles choose from.
 //!
 //! [`Candidates`] owns the index of available capacity. The controller keeps it up to date
-//! (`refresh`), judges which machines may be used and what they offer (`eligibility`), and chooses
-//! the machine for a task (`choose`).
+//! (`refresh`), determines which machines may be used and how much of each is available
+//! (`eligibility`), and chooses the machine for a task (`choose`).
 
 mod choose;
 mod eligibility;
@@ -30,9 +30,9 @@
     pub(super) scope: MachineScope,
     /// Only machines of this zone; `None` for any zone.
     pub(super) zone: Option<&'a Zone>,
-    /// The leader may raise shards' quota allocations as long as the team's limit allows this many
-    /// tasks; `None`: tasks have to fit the allocations as they are.
-    pub(super) raise_for: Option<u32>,
+    /// The number of tasks that the team's limit has to allow for the leader to raise shards' quota
+    /// allocations; `None`: allocations are not raised, and tasks have to fit them as they are.
+    pub(super) raise_quota_for: Option<u32>,
 }
 
 impl MachineQuery<'_> {
@@ -41,7 +41,7 @@
         Self {
             scope,
             zone: None,
-            raise_for: None,
+            raise_quota_for: None,
         }
     }
 }
@@ -51,7 +51,7 @@
 pub(super) struct Candidates {
     /// When all machines were last compared with the index.
     swept_at: Millis,
-    /// More machines are empty than the headroom for urgent work needs.
+    /// Whether more machines are empty than the headroom for urgent work needs.
     pub(super) spare_empty_machines: bool,
     /// The index of available capacity.
     pub(super) index: CapacityIndex,
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -1,6 +1,6 @@
 //! Keeps the index of available capacity up to date with the machines.
 //!
-//! Changes are entered when a cycle needs the index. A periodic sweep compares all machines with
+//! Changes are applied when a cycle needs the index. A periodic sweep compares all machines with
 //! it, since the passage of time alone changes which machines are schedulable.
 
 use crate::controller::Controller;
@@ -8,8 +8,8 @@
 use crate::types::{Image, MachineId, Millis};
 use crate::workers::Machine;
 
-/// Time between two sweeps. A sweep examines every machine, so it must not run with each cycle;
-/// what it detects (silent machines) changes within seconds.
+/// Time between two sweeps. A sweep examines every machine, so it must not run in each cycle. It
+/// detects silent machines, and silence develops over seconds.
 const SWEEP_INTERVAL: Millis = Millis(200);
 
 /// The result of a comparison of the machines with the index.
@@ -21,22 +21,22 @@
 }
 
 impl Controller {
-    /// Brings the index up to date: enters the machines that changed and, once per
-    /// [`SWEEP_INTERVAL`], compares all of them.
+    /// Brings the index up to date: updates the entries of machines that changed and, once per
+    /// [`SWEEP_INTERVAL`], compares all machines with the index.
     pub(in crate::controller) fn refresh_candidates(&mut self) {
         let mut changed = self.jobs.take_changed_machines();
         changed.extend(std::mem::take(
             &mut self.scheduler.candidates.changed_machines,
         ));
-        // A sweep compares only the number of images, so machines whose images changed are entered
-        // here.
+        // A sweep compares only the number of images, so machines whose images changed must be
+        // updated here.
         self.update_index(changed);
         if self.now.since(self.scheduler.candidates.swept_at) >= SWEEP_INTERVAL {
             self.sweep_index();
         }
     }
 
-    /// Enters these machines as they are now, and removes those that are not schedulable.
+    /// Updates the entries of these machines, and removes machines that are not schedulable.
     fn update_index(&mut self, machine_ids: impl IntoIterator<Item = MachineId>) {
         for machine_id in machine_ids {
             let entry = self
@@ -89,7 +89,7 @@
         }
         self.scheduler.candidates.spare_empty_machines = self.has_spare_empty_machines();
         self.scheduler.candidates.swept_at = self.now;
-        tracing::trace!(usable = schedulable, entered, "looked over the fleet");
+        tracing::trace!(usable = schedulable, entered, "capacity index swept");
     }
 
     /// Looks for schedulable machines whose entry in the index is missing or outdated.
@@ -138,9 +138,9 @@
         empty.count() > needed as usize
     }
 
-    /// Compares the index with a recount, for tests: returns a line for each difference. Between
-    /// two sweeps a machine's schedulability, or an image that it stopped fetching, may be
-    /// outdated; everything else must be correct at any moment.
+    /// Compares the index with entries computed anew from the machines, for tests: returns a line
+    /// for each difference. Between two sweeps a machine's schedulability, or an image that it
+    /// stopped fetching, may be outdated; everything else must be correct at any moment.
     pub fn index_differences(&mut self) -> Vec<String> {
         self.refresh_candidates();
         let candidates = &self.scheduler.candidates;
@@ -148,13 +148,15 @@
         let mut differences: Vec<String> = candidates
             .index
             .entries()
-            .filter_map(|(machine_id, entered)| self.entry_difference(machine_id, entered, swept))
+            .filter_map(|(machine_id, actual)| self.entry_difference(machine_id, actual, swept))
             .collect();
         let machines = self.machines.values();
         let schedulable = machines.filter(|machine| self.index_entry(machine).is_some());
-        let (schedulable, entered) = (schedulable.count(), candidates.index.len());
-        if swept && schedulable != entered {
-            differences.push(format!("{entered} machines entered, {schedulable} usable"));
+        let (schedulable, indexed) = (schedulable.count(), candidates.index.len());
+        if swept && schedulable != indexed {
+            differences.push(format!(
+                "{indexed} machines indexed, {schedulable} schedulable"
+            ));
         }
         differences
     }
@@ -163,19 +165,19 @@
     fn entry_difference(
         &self,
         machine_id: &MachineId,
-        entered: &Entry,
+        actual: &Entry,
         swept: bool,
     ) -> Option<String> {
         let machine = self.machines.get(machine_id);
         let expected = machine.and_then(|machine| self.index_entry(machine));
-        let right = match &expected {
-            Some(expected) if swept => expected == entered,
+        let matches = match &expected {
+            Some(expected) if swept => expected == actual,
             Some(expected) => {
-                expected.level.available() == entered.level.available()
-                    && expected.images == entered.images
+                expected.level.available() == actual.level.available()
+                    && expected.images == actual.images
             }
             None => !swept,
         };
-        (!right).then(|| format!("{machine_id}: {entered:?}, should be {expected:?}"))
+        (!matches).then(|| format!("{machine_id}: indexed as {actual:?}, expected {expected:?}"))
     }
 }
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -89,15 +89,15 @@
     controller.apply(&page_key(&id, 0), Some(&page), Revision(21));
 }
 
-/// The machines examined in a cycle grew with the fleet, several times for each job, so a leader's work
-/// was quadratic in the size of the cluster.
+/// Guards against cycles that examine more machines as the fleet grows. A leader ran several such
+/// cycles for each job, so its work was quadratic in the size of the cluster.
 #[test]
 fn the_work_of_a_cycle_does_not_grow_with_the_fleet() {
     struct Case {
         name: &'static str,
         allocated: fn(usize) -> bool,
         /// Maximum number of machines that a cycle, or a preemption, may examine.
-        most: u64,
+        max_examined: u64,
         step: fn(&mut Controller, &JobId),
     }
     let choose: fn(&mut Controller, &JobId) = |controller, id| {
@@ -110,13 +110,13 @@
         Case {
             name: "an empty fleet",
             allocated: |_| false,
-            most: 16,
+            max_examined: 16,
             step: choose,
         },
         Case {
             name: "a job that avoids empty machines",
             allocated: |_| false,
-            most: 128,
+            max_examined: 128,
             step: |controller, id| {
                 let job = controller.jobs.get_mut(id).unwrap();
                 (job.spec.priority, job.first_seen) = (PriorityClass::BestEffort, NOW);
@@ -127,39 +127,39 @@
         Case {
             name: "a full fleet",
             allocated: |_| true,
-            most: 0,
+            max_examined: 0,
             step: choose,
         },
         Case {
             name: "one machine free",
             allocated: |index| index != 50,
-            most: 2,
+            max_examined: 2,
             step: choose,
         },
         Case {
             name: "an image that no machine has",
             allocated: |_| false,
-            most: 0,
+            max_examined: 0,
             step: cached,
         },
         Case {
             name: "preemption in a full fleet",
             allocated: |_| true,
             // Each site is counted twice: when it is examined and when it is scored.
-            most: 2 * 64,
+            max_examined: 2 * 64,
             step: |controller, id| {
-                let place = super::super::preemption::PreemptionScope::Anywhere;
-                assert!(controller.preempt(id, place));
+                let scope = super::super::preemption::PreemptionScope::Anywhere;
+                assert!(controller.preempt(id, scope));
             },
         },
         Case {
             name: "nothing to preempt in a full fleet",
             allocated: |_| true,
-            most: 2_048,
+            max_examined: 2_048,
             step: |controller, id| {
                 controller.jobs.get_mut(id).unwrap().spec.priority = PriorityClass::BestEffort;
-                let place = super::super::preemption::PreemptionScope::Anywhere;
-                assert!(!controller.preempt(id, place));
+                let scope = super::super::preemption::PreemptionScope::Anywhere;
+                assert!(!controller.preempt(id, scope));
             },
         },
     ];
@@ -169,11 +169,14 @@
             let before =
                 controller.work_counters.candidates.get() + controller.work_counters.sites.get();
             (case.step)(&mut controller, &id);
-            let looked = controller.work_counters.candidates.get()
+            let examined = controller.work_counters.candidates.get()
                 + controller.work_counters.sites.get()
                 - before;
             let name = case.name;
-            assert!(looked <= case.most, "{name}, {machines}: {looked}");
+            assert!(
+                examined <= case.max_examined,
+                "{name}, {machines}: {examined}"
+            );
         }
     }
 }
@@ -194,7 +197,7 @@
             });
             occupy(controller, vec![placed]);
         }),
-        ("an image comes", |controller| {
+        ("an image is cached", |controller| {
             let machine = controller.machines.get_mut(&machine_id(4)).unwrap();
             machine.record_image_use(&"img-1".into(), 1.0, 100.0, NOW);
             controller
@@ -212,7 +215,7 @@
                 .last_contact = Millis(0);
             controller.now = NOW + controller.heartbeat_timeout();
         }),
-        ("a machine is gone", |controller| {
+        ("a machine is removed", |controller| {
             controller.machines.remove(&machine_id(6));
             controller.now = NOW + Millis(1_000);
         }),
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -88,7 +88,7 @@
 
     /// Holds a crash-looping job back: one task of it is tried at a time, and not before its
     /// backoff is over. Returns whether it was held back.
-    pub(super) fn hold_back_crash_looping(&mut self, id: &JobId, key: QueueKey) -> bool {
+    pub(super) fn defer_crash_looping(&mut self, id: &JobId, key: QueueKey) -> bool {
         let crash_loops = &self.scheduler.crash_loops;
         let Some(job) = self
             .jobs
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -24,7 +24,7 @@
         }
         let key = self.queue_key(job);
         self.work_counters.cycles.add(1);
-        if self.hold_back_crash_looping(id, key) {
+        if self.defer_crash_looping(id, key) {
             return false;
         }
         if popped.failures == 0 && self.try_faster_start(id, key) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes the placement for a commit, and queues the job again if more of its tasks wait.
+    /// Schedules the commit of the placement, and queues the job again if more of its tasks wait.
     fn after_placement(&mut self, id: &JobId, key: QueueKey) {
         self.end_used_nominations(id);
         if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
@@ -52,7 +52,7 @@
         }
         if let Some(job) = self.jobs.get(id)
             && job.waiting_tasks() > 0
-            && !self.hold_back_crash_looping(id, key)
+            && !self.defer_crash_looping(id, key)
         {
             self.scheduler.queue.push(id, key);
         } else {
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Tries to start the job faster than by fetching its image to our machines. A fetch takes far
-    /// longer than forwarding by way of the leader, or than preemption: where our shards lack the
-    /// image, the job is placed where the image is cached, and for an urgent job tasks are
-    /// preempted there.
+    /// Tries to start the job faster than by fetching its image to this controller's machines. A
+    /// fetch takes far longer than forwarding by way of the leader, or than preemption. Where this
+    /// controller's shards lack the image, the job is placed where the image is cached, and for an
+    /// urgent job tasks are preempted there.
     ///
     /// Returns whether that ends the cycle.
     fn try_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
@@ -99,8 +99,8 @@
         false
     }
 
-    /// As the leader, treats a job as one that does not fit our shards, since another controller's
-    /// machines have its image.
+    /// As the leader, treats a job as one that does not fit this controller's shards, since another
+    /// controller's machines have its image.
     fn forward_for_faster_start(&mut self, id: &JobId, key: QueueKey) {
         let checks = BTreeSet::from([Check::Resources]);
         let job = PoppedJob {
@@ -111,8 +111,8 @@
     }
 
     /// Returns the job to the leader, which considers the whole fleet, unless the leader has
-    /// forwarded the job to us. In the meantime the job backs off; if the leader does not place it,
-    /// it is tried here.
+    /// forwarded the job to this controller. In the meantime the job backs off; if the leader does
+    /// not place it, this controller tries it again.
     fn ask_leader_for_faster_start(&mut self, id: &JobId, key: QueueKey) -> bool {
         if self.scheduler.forwarded.contains(id) || !self.return_to_leader(id) {
             return false;
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Reserves machines for all tasks of a gang. The leader considers the whole fleet, so a gang
-    /// that fits into no single controller's shards spans several controllers' shards.
+    /// that fits into no single controller's shards can span the shards of several controllers.
     pub(super) fn place_gang(&mut self, id: &JobId) -> Result<(), BTreeSet<Check>> {
         let Some(job) = self.jobs.get(id) else {
             return Ok(());
@@ -30,7 +30,7 @@
             return Ok(());
         }
         let query = MachineQuery {
-            raise_for: Some(tasks),
+            raise_quota_for: Some(tasks),
             ..MachineQuery::within(MachineScope::All)
         };
         self.place_gang_task_by_task(id, attempt, query)
@@ -60,7 +60,7 @@
             return false;
         };
         if machine_ids.len() != job.record.tasks as usize
-            || !self.zones_suit_gang(job, machine_ids)
+            || !self.meets_zone_constraint(job, machine_ids)
             || !self.all_fit(job, machine_ids)
         {
             return false;
@@ -73,8 +73,9 @@
     }
 
     /// Whether the machines are in one zone, if the gang requires that.
-    fn zones_suit_gang(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
-        let zone = |machine_id: &MachineId| self.machines.get(machine_id).map(|m| &m.zone);
+    fn meets_zone_constraint(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
+        let zone =
+            |machine_id: &MachineId| self.machines.get(machine_id).map(|machine| &machine.zone);
         let first_zone = machine_ids.first().and_then(zone);
         !job.spec.one_zone || machine_ids.iter().all(|other| zone(other) == first_zone)
     }
@@ -82,8 +83,8 @@
     /// Whether each of the machines is allowed for the gang and has the resources for one of its
     /// tasks.
     fn all_fit(&self, job: &Job, machine_ids: &[MachineId]) -> bool {
-        let raise_for = Some(job.record.tasks);
-        let request = PlacementRequest::new(job, self.shards_without_quota(job, raise_for));
+        let raise_quota_for = Some(job.record.tasks);
+        let request = PlacementRequest::new(job, self.shards_without_quota(job, raise_quota_for));
         let fits = |machine_id: &MachineId| {
             self.machines.get(machine_id).is_some_and(|machine| {
                 self.is_schedulable(machine)
@@ -124,7 +125,7 @@
                 let query = MachineQuery {
                     zone: zone.as_ref(),
                     // The remaining tasks have to fit within the limit.
-                    raise_for: query.raise_for.map(|tasks| tasks - index),
+                    raise_quota_for: query.raise_quota_for.map(|tasks| tasks - index),
                     ..query
                 };
                 let task = TaskAttempt { index, attempt };
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -21,16 +21,16 @@
 use crate::types::{Attempt, JobId, Millis};
 
 /// Maximum number of cycles in one run of the loop. The queue may be long, and other events wait
-/// for the loop.
+/// until the run ends.
 const MAX_CYCLES_PER_RUN: usize = 64;
-/// Placements may wait for this many seconds of our part of the store's write limit. Decisions that
-/// cannot be written sooner are better made later: more is known by then, and more important work
-/// goes first.
+/// Maximum backlog of placements that wait for their write, in seconds of this controller's share
+/// of the store's write limit. Decisions that cannot be written sooner are better made later: more
+/// is known by then, and more important work goes first.
 const MAX_WRITE_QUEUE_S: f64 = 0.5;
 /// Number of placements that may always wait, so that a low write limit does not stop the loop.
 const MIN_PENDING_PLACEMENTS: f64 = 4.0;
-/// Writes count as short for this long after they stopped the loop, so that the mode does not
-/// change with each write.
+/// Writes are treated as scarce for this long after they stopped the loop, so that the mode does
+/// not change with each write.
 const WRITE_SHORTAGE_HOLD: Millis = Millis(1_000);
 /// Best-effort jobs avoid empty machines for this long after this controller first saw them; after
 /// that they must be able to start.
@@ -44,11 +44,11 @@
 }
 
 impl TaskAttempt {
-    /// The attempt that follows `tried` for the task.
-    fn after(index: u32, tried: Attempt) -> Self {
+    /// The attempt that follows `last_attempt` for the task.
+    fn after(index: u32, last_attempt: Attempt) -> Self {
         Self {
             index,
-            attempt: Attempt(tried.0 + 1),
+            attempt: Attempt(last_attempt.0 + 1),
         }
     }
 }
@@ -67,8 +67,9 @@
 
 impl Controller {
     /// Whether a job must not use empty machines for now. Best-effort work on them delays urgent
-    /// jobs, which have to wait until it has saved its checkpoint: it gets an empty machine only
-    /// while there are more than urgent work needs, or when it has waited too long to start.
+    /// jobs, which have to wait until it has saved its checkpoint. A best-effort job gets an empty
+    /// machine only while there are more than urgent work needs, or when the job has waited too
+    /// long to start.
     pub(super) fn avoids_empty_machines(&self, job: &Job) -> bool {
         job.spec.priority == PriorityClass::BestEffort
             && !self.scheduler.candidates.spare_empty_machines
--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -13,9 +13,9 @@
 use crate::settings::TeamSettings;
 use crate::types::{JobId, MachineId, Resources};
 
-/// Maximum number of tasks that are placed on the machine of another task in the same cycle, which
+/// Maximum number of further tasks that a cycle places on the machine of its first task, which
 /// limits the size of commits.
-const MAX_FILLING_TASKS: usize = 64;
+const MAX_FILL_TASKS: usize = 64;
 
 impl Controller {
     /// Reserves machines for the next task of a job, or for all tasks of a gang. On failure,
@@ -53,10 +53,10 @@
     /// Reserves a machine for the next task of a job.
     fn place_next_task(&mut self, id: &JobId) -> Result<(), BTreeSet<Check>> {
         let next = self.jobs.get(id).map(|job| job.next_waiting(1));
-        let Some((index, tried)) = next.unwrap_or_default().first().copied() else {
+        let Some((index, last_attempt)) = next.unwrap_or_default().first().copied() else {
             return Ok(());
         };
-        let task = TaskAttempt::after(index, tried);
+        let task = TaskAttempt::after(index, last_attempt);
         match self.reserve(id, task, MachineQuery::within(MachineScope::Own)) {
             Ok(machine_id) => {
                 self.fill_machine(id, &machine_id);
@@ -67,7 +67,7 @@
     }
 
     /// Where shards' quota allocations are used up, the leader places a task beyond them, within
-    /// the team's limit. `checks` rejected our own machines.
+    /// the team's limit. `checks` are those that rejected this controller's machines.
     fn place_beyond_allocation(
         &mut self,
         id: &JobId,
@@ -82,7 +82,7 @@
             return Err(checks);
         }
         match self.choose_machine(id, MachineQuery::within(MachineScope::Others)) {
-            Err(more) => checks.extend(more),
+            Err(other_checks) => checks.extend(other_checks),
             // A machine of another controller is suitable: the job is forwarded there.
             Ok(_) => return Err(checks),
         }
@@ -90,11 +90,11 @@
             return Err(checks);
         }
         let query = MachineQuery {
-            raise_for: Some(1),
+            raise_quota_for: Some(1),
             ..MachineQuery::within(MachineScope::All)
         };
-        let beyond = self.reserve(id, task, query);
-        beyond.map(|_| ()).map_err(|_| checks)
+        let reserved = self.reserve(id, task, query);
+        reserved.map(|_| ()).map_err(|_| checks)
     }
 
     /// Places further tasks of an array on the machine that was just chosen for one, as long as
@@ -104,12 +104,12 @@
         let waiting = self
             .jobs
             .get(id)
-            .map(|job| job.next_waiting(MAX_FILLING_TASKS));
-        for (index, tried) in waiting.unwrap_or_default() {
+            .map(|job| job.next_waiting(MAX_FILL_TASKS));
+        for (index, last_attempt) in waiting.unwrap_or_default() {
             if !self.would_choose_again(id, machine_id) {
                 return;
             }
-            let task = TaskAttempt::after(index, tried);
+            let task = TaskAttempt::after(index, last_attempt);
             self.reserve_on(id, task, machine_id.clone());
         }
     }
@@ -151,8 +151,8 @@
         Ok(machine_id)
     }
 
-    /// Notes the placement of a task on a machine. From now on the task counts towards the usage of
-    /// the machine and its team; a commit writes the placement.
+    /// Records the placement of a task on a machine. From now on the task counts towards the usage
+    /// of the machine and of its team; a commit writes the placement.
     pub(super) fn reserve_on(&mut self, id: &JobId, task: TaskAttempt, machine_id: MachineId) {
         let (Some(machine), Some(job)) = (self.machines.get(&machine_id), self.jobs.get(id)) else {
             return;
@@ -161,7 +161,10 @@
         let cached = machine.images.contains_key(&job.spec.image);
         let (class, age) = (&job.spec.class, self.now.since(job.first_seen).secs());
         let image = job.spec.image.as_str();
-        tracing::debug!(job = %id, class, index, %machine_id, image, cached, age, "task reserved");
+        tracing::debug!(
+            job = %id, class, index, %machine_id, image, cached, age,
+            "machine reserved for task"
+        );
         let placement = Placement {
             machine_id: machine_id.clone(),
             shard: machine.shard.clone(),
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -7,8 +7,8 @@
 use crate::peers::{MachineHeartbeat, Message, Status};
 use crate::types::{AgentEpoch, MachineId, Revision};
 
-/// A message between controllers takes a millisecond, the watch up to its poll interval: a job forwarded at
-/// once was unknown to the leader, and waited a second.
+/// A message between controllers takes a millisecond, and the watch takes up to its poll interval.
+/// A job that was forwarded at once was therefore unknown to the leader, and waited a second.
 #[test]
 fn a_job_that_is_forwarded_before_its_record_arrives_is_queued_on_arrival() {
     for (known_after, queued) in [(100, true), (60_000, false)] {
@@ -39,20 +39,20 @@
     }
 }
 
-/// We reacquired a shard with a machine that had begun a new agent epoch under another holder. Its heartbeat
-/// sequence was compared with that of the agent epoch we knew, so its heartbeats were discarded as old for
-/// minutes, and it was declared silent.
+/// A controller reacquired a shard with a machine that had begun a new agent epoch under another
+/// holder. The machine's heartbeat sequence was compared with that of the agent epoch known to the
+/// controller, so its heartbeats were discarded as old for minutes, and it was declared silent.
 #[test]
 fn heartbeat_sequences_count_within_an_agent_epoch() {
     let cases = [
-        // agent epoch reported by the other holder, agent epoch and sequence of the heartbeat, whether it is
-        // newer
+        // agent epoch reported by the other holder, agent epoch and sequence of the heartbeat,
+        // whether the heartbeat is newer
         (1, 1, 50, false),
         (1, 1, 51, true),
         (2, 2, 5, true),
         (3, 2, 900, false),
     ];
-    for (told, agent_epoch, heartbeat_sequence, newer) in cases {
+    for (reported_epoch, agent_epoch, heartbeat_sequence, newer) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut controller, _) = controller(spec, vec![Task::NEVER_PLACED; 8]);
         let machine_id = MachineId::from("vm-a");
@@ -63,7 +63,7 @@
         let heartbeat = MachineHeartbeat {
             machine_id: machine_id.to_string(),
             silent_ms: 0,
-            agent_epoch: told,
+            agent_epoch: reported_epoch,
             doubtful: false,
             warned: false,
             quarantined: false,
@@ -75,22 +75,22 @@
         };
         controller.on_peer("n1".into(), Message::Status(status));
         let machine = &controller.machines[&machine_id];
-        assert_eq!(machine.agent_epoch, AgentEpoch(told));
-        let taken = machine.is_newer(AgentEpoch(agent_epoch), heartbeat_sequence);
+        assert_eq!(machine.agent_epoch, AgentEpoch(reported_epoch));
+        let is_newer = machine.is_newer(AgentEpoch(agent_epoch), heartbeat_sequence);
         assert_eq!(
-            taken, newer,
-            "told of {told}, shows {agent_epoch} {heartbeat_sequence}"
+            is_newer, newer,
+            "reported epoch {reported_epoch}, heartbeat {agent_epoch} {heartbeat_sequence}"
         );
     }
 }
 
-/// A holder kept placing tasks on a machine that the leader had just deleted until the machine had missed
-/// several heartbeats.
+/// A holder kept placing tasks on a machine that the leader had just deleted, until the machine had
+/// missed several heartbeats.
 #[test]
 fn holders_learn_which_machines_are_being_deleted() {
     type Step = fn(&mut Controller);
     let cases: [(&str, Step, bool, bool); 5] = [
-        // machine, whether we are the leader, whether its holder is notified
+        // state of the machine, whether the sender is the leader, whether the holder is notified
         ("nothing", |_| {}, true, false),
         (
             "emptied",
@@ -101,7 +101,7 @@
             true,
         ),
         (
-            "on its way",
+            "being deleted",
             |c| {
                 c.autoscaler.fleet.deleting.insert("vm-a".into());
             },
@@ -125,10 +125,10 @@
             false,
         ),
     ];
-    for (name, step, leads, told) in cases {
+    for (name, step, is_leader, notified) in cases {
         let (_, spec) = parse(body().to_string().as_bytes()).unwrap();
         let (mut leader, _) = controller(spec.clone(), vec![Task::NEVER_PLACED; 8]);
-        if leads {
+        if is_leader {
             leader.apply(
                 "jt/lead",
                 Some(r#"{"leader":"n0","permit":1}"#),
@@ -153,13 +153,13 @@
             Some(r#"{"leader":"n1","permit":2}"#),
             Revision(8),
         );
-        let mut status = status.expect("a status");
+        let mut status = status.expect("a status message");
         status.shards.clear();
         holder.on_peer("n1".into(), Message::Status(status));
         assert_eq!(
             holder.autoscaler.drains.contains(&MachineId::from("vm-a")),
-            told,
-            "{name}, {leads}"
+            notified,
+            "{name}, {is_leader}"
         );
     }
 }
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -1,5 +1,5 @@
-//! Handles a job for which no machine of our shards was suitable: preemption, another controller's
-//! machines by way of the leader, or the queue.
+//! Handles a job for which no machine of this controller's shards was suitable: preemption, another
+//! controller's machines by way of the leader, or a return to the queue.
 
 use std::collections::BTreeSet;
 
@@ -11,21 +11,21 @@
 use crate::queue::{Check, PoppedJob, QueueKey};
 use crate::types::JobId;
 
-/// The action taken for a job that does not fit our shards.
-enum Remedy {
+/// The action taken for a job that does not fit this controller's shards.
+enum Fallback {
     /// Tasks are being preempted, and the job will take their place.
     Preempting,
     /// The job was forwarded to a controller that has the resources for it.
     Forwarded,
-    /// The job was returned to the leader, and is no longer ours to place.
+    /// The job was returned to the leader, and this controller no longer places it.
     Returned,
     /// No action: the job was rejected by these checks.
     None(BTreeSet<Check>),
 }
 
 impl Controller {
-    /// Decides how to proceed when no machine of ours is suitable for a job's next task, or for a
-    /// gang.
+    /// Decides how to proceed when no machine of this controller is suitable for a job's next task,
+    /// or for a gang.
     pub(super) fn handle_unplaced(
         &mut self,
         popped: &PoppedJob,
@@ -36,32 +36,36 @@
         let failures = *failures;
         // More resources do not help a job that has to wait for its team or for its own tasks.
         let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
-        tracing::debug!(job = %id, fails = failures, ?checks, "job does not fit own shards");
+        tracing::debug!(
+            job = %id, fails = failures, ?checks,
+            "no suitable machine for job in own shards"
+        );
         let nominated = self
             .scheduler
             .nominations
             .machines_for(id, self.now)
             .is_some();
-        let remedy = if blocked || nominated {
-            Remedy::None(checks)
+        let fallback = if blocked || nominated {
+            Fallback::None(checks)
         } else {
-            self.find_remedy(id, checks)
+            self.find_fallback(id, checks)
         };
-        let checks = match remedy {
-            Remedy::Preempting => {
+        let checks = match fallback {
+            Fallback::Preempting => {
                 let now = self.now;
                 return self.scheduler.queue.park_nominated(id, failures, key, now);
             }
-            Remedy::Returned => {
+            Fallback::Returned => {
                 self.scheduler.forwarded.remove(id);
                 return;
             }
-            // It only backs off, so that it is tried again soon in case the other controller fails.
-            Remedy::Forwarded => BTreeSet::new(),
-            Remedy::None(checks) => checks,
+            // The job only backs off, so that it is tried again soon in case the other controller
+            // fails.
+            Fallback::Forwarded => BTreeSet::new(),
+            Fallback::None(checks) => checks,
         };
         if nominated && self.reclaims_per_task(id) {
-            // Its resources are being released on some machine, so this is not a failure.
+            // Resources are being released for the job on some machine, so this is not a failure.
             let now = self.now;
             return self.scheduler.queue.park_nominated(id, failures, key, now);
         }
@@ -72,10 +76,11 @@
         self.requeue(id, failures, checks, key);
     }
 
-    /// Looks for a way to place a job that these checks rejected on our machines.
-    fn find_remedy(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Remedy {
+    /// Looks for another way to place a job that these checks rejected on this controller's
+    /// machines.
+    fn find_fallback(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Fallback {
         if self.serve_preemption_request(id) {
-            return Remedy::Preempting;
+            return Fallback::Preempting;
         }
         if self.leading().is_none() {
             return self.return_unless_owned(id, checks);
@@ -83,9 +88,9 @@
         if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
             // The cycle has already considered the whole fleet.
             return if self.preempt_for_gang(id) {
-                Remedy::Preempting
+                Fallback::Preempting
             } else {
-                Remedy::None(checks)
+                Fallback::None(checks)
             };
         }
         self.place_in_other_shards(id, checks)
@@ -97,29 +102,29 @@
         requested.is_some_and(|machine_id| self.preempt(id, PreemptionScope::On(machine_id)))
     }
 
-    /// Reports to the leader that a job does not fit our shards. The owner of a job also retries
-    /// it; another controller leaves it to the leader.
-    fn return_unless_owned(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Remedy {
+    /// Reports to the leader that a job does not fit this controller's shards. The owner of a job
+    /// also retries it; another controller leaves it to the leader.
+    fn return_unless_owned(&mut self, id: &JobId, checks: BTreeSet<Check>) -> Fallback {
         if !self.return_to_leader(id) {
-            return Remedy::None(checks);
+            return Fallback::None(checks);
         }
         let owner = self.jobs.get(id).map(|job| &job.record.owner);
         if owner == Some(&self.me) {
-            Remedy::None(checks)
+            Fallback::None(checks)
         } else {
-            Remedy::Returned
+            Fallback::Returned
         }
     }
 
     /// As the leader, forwards a job to a controller that has a machine for it, or preempts tasks
     /// anywhere in the fleet.
-    fn place_in_other_shards(&mut self, id: &JobId, mut checks: BTreeSet<Check>) -> Remedy {
+    fn place_in_other_shards(&mut self, id: &JobId, mut checks: BTreeSet<Check>) -> Fallback {
         match self.choose_machine(id, MachineQuery::within(MachineScope::Others)) {
             Ok(machine_id) => {
                 let holder = self
                     .machines
                     .get(&machine_id)
-                    .map(|m| m.last_contact_by.clone());
+                    .map(|machine| machine.last_contact_by.clone());
                 if let Some(to) = holder {
                     let message = Message::Place {
                         job: id.to_string(),
@@ -127,23 +132,23 @@
                     };
                     self.effects.push(Effect::Peer { to, message });
                 }
-                Remedy::Forwarded
+                Fallback::Forwarded
             }
-            Err(more) => {
-                checks.extend(more);
+            Err(other_checks) => {
+                checks.extend(other_checks);
                 // If only quota is missing, freeing resources does not help.
                 if !checks.contains(&Check::ShardQuota)
                     && self.preempt(id, PreemptionScope::Anywhere)
                 {
-                    return Remedy::Preempting;
+                    return Fallback::Preempting;
                 }
-                Remedy::None(checks)
+                Fallback::None(checks)
             }
         }
     }
 
-    /// Reports to the leader that a job does not fit our shards. Returns false if no leader is
-    /// known.
+    /// Reports to the leader that a job does not fit this controller's shards. Returns false if no
+    /// leader is known.
     pub(super) fn return_to_leader(&mut self, id: &JobId) -> bool {
         let Some(to) = self.leader().cloned() else {
             return false;
--- a/src/controller/preemption/cost.rs
+++ b/src/controller/preemption/cost.rs
@@ -1,4 +1,4 @@
-//! Which tasks may be stopped for a job, on what grounds, and how much work that wastes.
+//! Which tasks may be stopped for a job, by which rule, and how much work that wastes.
 
 use crate::controller::Controller;
 use crate::jobs::JobKind;
@@ -24,13 +24,12 @@
 /// The job for which resources are freed.
 #[derive(Clone, Copy)]
 pub(super) struct Preemptor<'a> {
-    /// The job.
     pub(super) job: &'a Job,
     /// Whether its next placement is within its team's guarantee.
     pub(super) within_guarantee: bool,
 }
 
-/// On what grounds a task may be stopped for a job.
+/// By which rules a task may be stopped for a job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Preemptibility {
     /// Whether it may be stopped by priority or by the teams' flat guarantees, regardless of the
@@ -49,13 +48,13 @@
         }
     }
 
-    /// On what grounds a task of `victim` may be stopped for a job.
+    /// By which rules a task of `victim` may be stopped for a job.
     pub(super) fn preemptibility(&self, preemptor: Preemptor, victim: &Job) -> Preemptibility {
         let job = preemptor.job;
         let lower_priority = victim.spec.priority < job.spec.priority;
-        let waited = self.now.since(job.last_placement_change) > REPLICA_PREEMPTION_DELAY;
+        let waited_long = self.now.since(job.last_placement_change) > REPLICA_PREEMPTION_DELAY;
         let by_guarantee = preemptor.within_guarantee
-            && (victim.spec.kind != JobKind::Service || waited)
+            && (victim.spec.kind != JobKind::Service || waited_long)
             && victim.spec.team != job.spec.team;
         let in_tree = self.in_tree(&job.spec.team) && self.in_tree(&victim.spec.team);
         Preemptibility {
@@ -68,8 +67,8 @@
     /// Whether a job's team still uses its whole flat guarantee after one task of the job has left.
     fn exceeds_flat_guarantee(&self, job: &Job) -> bool {
         self.settings.team(&job.spec.team).is_some_and(|team| {
-            let left = self.jobs.usage(&team.name).minus(job.spec.resources);
-            !quota::within_guarantee(left, team)
+            let remaining_usage = self.jobs.usage(&team.name).minus(job.spec.resources);
+            !quota::within_guarantee(remaining_usage, team)
         })
     }
 
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -22,14 +22,16 @@
 use crate::types::{JobId, MachineId, Millis, TaskId, Zone};
 use crate::workers::reconcile::Stop;
 
-/// How long freed resources are kept for a job: enough for most tasks to save and leave.
+/// How long freed resources are kept for a job: enough for most tasks to save their checkpoint and
+/// end.
 const NOMINATION_TIMEOUT: Millis = Millis(20_000);
 
 /// Where resources may be freed.
 pub(super) enum PreemptionScope {
-    /// On this machine of ours.
+    /// On this machine, which is in a shard of this controller.
     On(MachineId),
-    /// Where the job would start soonest, if that takes stopping work rather than an image fetch.
+    /// Where the job would start soonest, provided that tasks have to be stopped there and not only
+    /// an image fetched.
     Quickest,
     /// Anywhere in the fleet.
     Anywhere,
@@ -50,7 +52,7 @@
     /// Take the job over, and preempt on the machine if it does not fit otherwise.
     PlaceJob,
     /// Preempt on the machine for a job that the leader places, or for several tasks of it.
-    MakeRoom,
+    FreeResources,
 }
 
 impl Controller {
@@ -107,7 +109,7 @@
     /// Frees resources for one task of a job on each of these machines.
     fn preempt_on(&mut self, id: &JobId, offers: Vec<PreemptionOffer>) -> bool {
         let request = if offers.len() > 1 {
-            HolderRequest::MakeRoom
+            HolderRequest::FreeResources
         } else {
             HolderRequest::PlaceJob
         };
@@ -117,8 +119,8 @@
         let until = self.now + timeout;
         for offer in offers {
             let (machine_id, victims) = (&offer.machine_id, &offer.victims);
-            tracing::info!(job = %id, %machine_id, ?victims, "preempting");
-            self.make_room_on(id, offer, until, request);
+            tracing::info!(job = %id, %machine_id, ?victims, "preempting tasks");
+            self.free_resources_on(id, offer, until, request);
         }
         true
     }
@@ -128,18 +130,21 @@
         let Some(offers) = self.gang_offers(id) else {
             return false;
         };
-        tracing::info!(job = %id, machine_ids = ?offers.iter().map(|o| &o.machine_id).collect::<Vec<_>>(),
-            "preempting for gang");
+        tracing::info!(
+            job = %id,
+            machine_ids = ?offers.iter().map(|offer| &offer.machine_id).collect::<Vec<_>>(),
+            "preempting tasks for gang"
+        );
         let until = self.now + NOMINATION_TIMEOUT;
         for offer in offers {
-            self.make_room_on(id, offer, until, HolderRequest::MakeRoom);
+            self.free_resources_on(id, offer, until, HolderRequest::FreeResources);
         }
         true
     }
 
     /// Nominates a job for a machine until `until`, and has tasks stopped there, by the machine's
     /// holder if that is another controller.
-    fn make_room_on(
+    fn free_resources_on(
         &mut self,
         id: &JobId,
         offer: PreemptionOffer,
@@ -163,8 +168,8 @@
         }
     }
 
-    /// Stops these tasks, which are on a machine of ours. Those that lose little by it are not
-    /// given time to save.
+    /// Stops these tasks on a machine of this controller. Tasks that lose little by being stopped
+    /// are not given time to save a checkpoint.
     pub(super) fn stop_victims(&mut self, machine_id: &MachineId, victims: Vec<TaskId>) {
         for task in victims {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -231,7 +236,7 @@
                 job,
                 preempt: Some(machine_id),
             },
-            Self::MakeRoom => Message::Preempt { job, machine_id },
+            Self::FreeResources => Message::Preempt { job, machine_id },
         }
     }
 }
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -15,14 +15,14 @@
 use crate::types::{JobId, MachineId, TaskId};
 use crate::workers::Machine;
 
-/// Maximum number of machines of a group that are compared with each other, unless a gang has more
+/// Maximum number of machines per group that are compared with each other, unless a gang has more
 /// tasks.
-const MAX_SITES_OF_GROUP: usize = 64;
+const MAX_SITES_PER_GROUP: usize = 64;
 /// Maximum number of full machines, over all groups, whose tasks are examined.
 const MAX_FULL_MACHINES: usize = 2_048;
-/// Minimum number of full machines of each group whose tasks may be examined, however many groups
-/// there are.
-const MIN_FULL_MACHINES_OF_GROUP: usize = 64;
+/// Minimum number of full machines per group whose tasks may be examined, however many groups there
+/// are.
+const MIN_FULL_MACHINES_PER_GROUP: usize = 64;
 
 /// Sites by machine.
 type SitesByMachine<'a> = HashMap<&'a MachineId, PreemptionSite>;
@@ -33,13 +33,13 @@
     /// Whether work of any priority may be stopped, since teams use more than their guarantees.
     reclaims_borrowed: bool,
     /// Number of sites of a group after which the search ends.
-    max_sites_of_group: usize,
+    max_sites_per_group: usize,
     /// Maximum number of full machines of a group that are examined.
-    max_full_of_group: usize,
+    max_full_per_group: usize,
 }
 
 impl Controller {
-    /// A machine of ours as a site, if the job may run there.
+    /// The site for a machine of this controller; `None` if the job may not run there.
     pub(super) fn site_on(
         &self,
         preemptor: Preemptor,
@@ -70,7 +70,7 @@
     }
 
     /// The bounds of a search for this many tasks in this many groups of machines. With a quota
-    /// tree all machines count, since its ledger compares them with each other.
+    /// tree the search covers all machines, since the tree's ledger compares them with each other.
     pub(super) fn site_search<'a>(
         &self,
         preemptor: Preemptor<'a>,
@@ -81,16 +81,16 @@
             return SiteSearch {
                 preemptor,
                 reclaims_borrowed: true,
-                max_sites_of_group: usize::MAX,
-                max_full_of_group: usize::MAX,
+                max_sites_per_group: usize::MAX,
+                max_full_per_group: usize::MAX,
             };
         }
-        let full_of_group = MAX_FULL_MACHINES / groups.max(1);
+        let full_per_group = MAX_FULL_MACHINES / groups.max(1);
         SiteSearch {
             preemptor,
             reclaims_borrowed: preemptor.within_guarantee && self.any_team_borrows(),
-            max_sites_of_group: tasks.max(MAX_SITES_OF_GROUP),
-            max_full_of_group: full_of_group.max(MIN_FULL_MACHINES_OF_GROUP),
+            max_sites_per_group: tasks.max(MAX_SITES_PER_GROUP),
+            max_full_per_group: full_per_group.max(MIN_FULL_MACHINES_PER_GROUP),
         }
     }
 
@@ -98,13 +98,13 @@
     /// machines that have them, and full ones where enough tasks can be stopped.
     pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<PreemptionSite> {
         let mut found = SitesByMachine::default();
-        self.add_sites_with_room(search, group, &mut found);
+        self.add_sites_with_capacity(search, group, &mut found);
         self.add_full_sites(search, group, &mut found);
         found.into_values().collect()
     }
 
     /// Adds machines that have the resources available, those with the job's image first.
-    fn add_sites_with_room<'a>(
+    fn add_sites_with_capacity<'a>(
         &'a self,
         search: &SiteSearch,
         group: &'a Group,
@@ -116,7 +116,7 @@
             let machine_ids = index
                 .fitting(image_filter, group, spec.resources)
                 .flat_map(|class| class.machine_ids)
-                .take(search.max_sites_of_group);
+                .take(search.max_sites_per_group);
             for machine_id in machine_ids {
                 if let Some(machine) = self.machines.get(machine_id)
                     && !found.contains_key(machine_id)
@@ -139,10 +139,10 @@
         let machine_ids = index
             .too_full(group, spec.resources)
             .flat_map(|class| class.machine_ids)
-            .take(search.max_full_of_group);
-        let mut with_offer = 0;
+            .take(search.max_full_per_group);
+        let mut sites_with_offer = 0;
         for machine_id in machine_ids {
-            if with_offer >= search.max_sites_of_group {
+            if sites_with_offer >= search.max_sites_per_group {
                 break;
             }
             self.work_counters.candidates.add(1);
@@ -151,12 +151,13 @@
             };
             let usage = self.jobs.machine_usage(machine_id);
             let lower_priority = usage.below_priority(spec.priority);
-            let with_lower_stopped = self.available(machine).plus(lower_priority);
-            if !search.reclaims_borrowed && !spec.resources.fits_in(with_lower_stopped) {
+            let available_after_stops = self.available(machine).plus(lower_priority);
+            if !search.reclaims_borrowed && !spec.resources.fits_in(available_after_stops) {
                 continue;
             }
             let site = self.site(search.preemptor, machine);
-            with_offer += usize::from(preempt::offer_on_site(spec.resources, &site).is_some());
+            sites_with_offer +=
+                usize::from(preempt::offer_on_site(spec.resources, &site).is_some());
             found.insert(machine_id, site);
         }
     }
@@ -167,7 +168,8 @@
         self.work_counters.sites.add(1);
         let job = preemptor.job;
         let available = self.available_for(machine, &job.id);
-        // If the task fits already, no task has to be stopped, except by shares of a quota tree.
+        // If the job's task fits already, no other task has to be stopped, unless the job is
+        // subject to the shares of a quota tree.
         let fits = job.spec.resources.fits_in(available) && !self.in_tree(&job.spec.team);
         let victims = self
             .jobs
@@ -186,8 +188,8 @@
         }
     }
 
-    /// A task as one that may be stopped for a job; `None` if it must not be. Gangs are never
-    /// stopped in part.
+    /// A task as a preemption victim for a job; `None` if the task must not be stopped. Gangs are
+    /// never stopped in part.
     fn victim(&self, preemptor: Preemptor, id: &JobId, index: u32) -> Option<Victim> {
         let task = TaskId {
             job: id.clone(),
@@ -195,12 +197,12 @@
         };
         let victim: &Job = self.jobs.get(id)?;
         let leaving = self.scheduler.stops.contains_key(&task) || !victim.is_active();
-        let grounds = if leaving || victim.is_gang_of_several() {
+        let preemptibility = if leaving || victim.is_gang_of_several() {
             Preemptibility::default()
         } else {
             self.preemptibility(preemptor, victim)
         };
-        if !leaving && !grounds.unconditional && !grounds.by_quota_tree {
+        if !leaving && !preemptibility.unconditional && !preemptibility.by_quota_tree {
             return None;
         }
         Some(Victim {
@@ -209,8 +211,10 @@
             priority: victim.spec.priority,
             waste_s: self.wasted_machine_s(victim),
             leaving,
-            unconditional: grounds.unconditional,
-            borrowing_team: grounds.by_quota_tree.then(|| victim.spec.team.clone()),
+            unconditional: preemptibility.unconditional,
+            borrowing_team: preemptibility
+                .by_quota_tree
+                .then(|| victim.spec.team.clone()),
             overuse_steps: None,
         })
     }
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -63,7 +63,7 @@
     /// Queues a job under its key; one whose last task failed backs off first.
     fn enqueue(&mut self, id: &JobId, key: QueueKey) {
         let last_task_failed = self.scheduler.failed_jobs.remove(id);
-        if self.hold_back_crash_looping(id, key) {
+        if self.defer_crash_looping(id, key) {
             return;
         }
         if last_task_failed {
