--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -18,16 +18,16 @@
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
-    /// Renews our lease.
+    /// Renews this controller's lease.
     RenewLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
-    /// Ends the lease of the process that had our label before.
+    /// Ends the lease of the previous process with this controller's label.
     EndOldLease,
-    /// Writes our controller record.
+    /// Writes this controller's own record.
     Register,
-    /// Takes the leadership.
+    /// Claims the leadership.
     ClaimLeadership,
     /// Assigns shards to controllers, as the leader.
     AssignShards,
@@ -65,8 +65,8 @@
     DeletePages,
     /// Writes new allocations of the teams' quotas to shards.
     AllocateQuota {
-        /// A shard and the version of its allocation record: the transaction is conditioned on
-        /// these.
+        /// A shard and the version of its allocation record that the transaction is conditioned
+        /// on.
         expected_version: (ShardId, Revision),
     },
     /// Writes a page of the quota tree.
@@ -89,7 +89,7 @@
 pub(super) struct WrittenRecord {
     /// The record's key.
     pub(super) key: String,
-    /// Its new contents; none if the record is deleted.
+    /// Its new contents; `None` if the record is deleted.
     pub(super) data: Option<String>,
 }
 
@@ -118,9 +118,9 @@
 /// A call to the key-value store that is not answered yet.
 #[derive(Debug)]
 pub(super) struct StoreCallInFlight {
-    /// What it is for.
+    /// What the call is for.
     pub(super) purpose: CallPurpose,
-    /// The records that it writes; none if it only reads.
+    /// The records that the call writes; empty if it only reads.
     pub(super) written: Vec<WrittenRecord>,
 }
 
@@ -183,8 +183,8 @@
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    /// Handles an answer of the store: first what it shows about the store and the records,
-    /// whatever the call was for, then the step that waits for it.
+    /// Handles an answer of the store. Whatever the call was for, this first records whether the
+    /// store responded and applies committed records, then runs the step that waits for the answer.
     pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
         let Some(StoreCallInFlight { purpose, written }) = self.calls.store.remove(&tag) else {
             return;
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -16,7 +16,7 @@
 
 /// A worker's answer to commands that were sent to it directly.
 pub struct CommandReply {
-    /// The worker's heartbeat after the commands; none if it refused them.
+    /// The worker's heartbeat after the commands; `None` if it refused them.
     pub heartbeat: Option<Heartbeat>,
 }
 
@@ -87,7 +87,7 @@
     DirectReply {
         /// The machine that the commands were sent to.
         machine_id: MachineId,
-        /// The worker's answer; none if there was no answer.
+        /// The worker's answer; `None` if there was no answer.
         answer: Option<CommandReply>,
     },
 }
@@ -95,7 +95,8 @@
 /// An effect that a controller requests.
 #[derive(Debug)]
 pub enum Effect {
-    /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at all.
+    /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at
+    /// all.
     Inspect {
         /// The worker's machine.
         machine_id: MachineId,
@@ -110,7 +111,8 @@
         address: SocketAddr,
         /// The token under which the commands are sent.
         worker_token: WorkerToken,
-        /// The agent epoch that the commands are for; a worker that has restarted since refuses them.
+        /// The agent epoch that the commands are for; a worker that has restarted since refuses
+        /// them.
         agent_epoch: AgentEpoch,
         /// The commands, in order.
         commands: Vec<WorkerCommand>,
@@ -124,9 +126,9 @@
         /// The call.
         call: StoreCall,
     },
-    /// Set the rate of changes that this controller may send to the key-value store.
+    /// Limit the rate of changes that this controller may send to the key-value store.
     SetWriteLimit {
-        /// Changes a second.
+        /// Maximum number of changes per second.
         writes_per_s: f64,
     },
     /// Call the cloud.
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -14,8 +14,8 @@
 use crate::types::{JobId, MachineId};
 
 impl Controller {
-    /// Reports to all controllers that tasks of these jobs failed on a machine of ours, and records
-    /// the failures here.
+    /// Reports to all controllers that tasks of these jobs failed on a machine of this controller,
+    /// and records the failures here.
     pub(super) fn report_task_failures(&mut self, failed: BTreeSet<JobId>, machine_id: &MachineId) {
         for id in failed {
             self.scheduler.failed_jobs.insert(id.clone());
@@ -37,19 +37,19 @@
             return;
         };
         let crash_loops = &mut self.scheduler.crash_loops;
-        // A job of which a task has finished is not to blame.
+        // A job of which a task has finished is not crash-looping.
         let newly_crash_looping =
             job.done == 0 && crash_loops.record_failure(id, job.spec.kind, machine_id, self.now);
-        self.blame_machine(id, machine_id);
+        self.record_machine_failure(id, machine_id);
         if newly_crash_looping {
-            tracing::info!(job = %id, "job crash-looping");
-            self.clear_machines_blamed_for(id);
+            tracing::info!(job = %id, "job is crash-looping, backing off");
+            self.reevaluate_quarantines(id);
         }
     }
 
-    /// Counts a failure against a machine. Only the controller that holds it judges it, and reports
-    /// the result to the others in its status.
-    fn blame_machine(&mut self, id: &JobId, machine_id: &MachineId) {
+    /// Counts a failure against a machine. Only the controller that holds the machine decides on
+    /// its quarantine, and reports the result to the others in its status.
+    fn record_machine_failure(&mut self, id: &JobId, machine_id: &MachineId) {
         let (leases, me) = (&self.membership.leases, &self.me);
         let (jobs, crash_loops) = (&self.jobs, &mut self.scheduler.crash_loops);
         let Some(machine) = self
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Judges again our machines on which a job failed that proved to be crash-looping: its
-    /// failures were not their fault.
-    fn clear_machines_blamed_for(&mut self, id: &JobId) {
+    /// Decides again on the quarantine of this controller's machines on which a job failed that has
+    /// proved to be crash-looping: the machines did not cause its failures.
+    fn reevaluate_quarantines(&mut self, id: &JobId) {
         let (leases, me) = (&self.membership.leases, &self.me);
         let (jobs, crash_loops) = (&self.jobs, &self.scheduler.crash_loops);
         for (machine_id, machine) in &mut self.machines {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Holds a crash-looping job back: one task of it is tried at a time, and not before its
-    /// backoff is over. Returns whether it was held back.
+    /// Defers a crash-looping job: one task of it is tried at a time, and not before its backoff is
+    /// over. Returns whether the job was deferred.
     pub(super) fn defer_crash_looping(&mut self, id: &JobId, key: QueueKey) -> bool {
         let crash_loops = &self.scheduler.crash_loops;
         let Some(job) = self
@@ -97,7 +97,7 @@
         else {
             return false;
         };
-        if awaits_trial(job) {
+        if awaits_task_outcome(job) {
             // The end of that task queues the job again.
             self.scheduler.queue.remove(id);
             return true;
@@ -111,16 +111,16 @@
     }
 }
 
-/// Whether a job failed on every machine where it was tried. A task that finishes clears it.
+/// Whether a job failed on every machine where it was tried, and none of its tasks has finished.
 fn is_crash_looping(jobs: &JobCache, crash_loops: &CrashLoopTracker, id: &JobId) -> bool {
     let finished_any = jobs.get(id).is_some_and(|job| job.done > 0);
     !finished_any && crash_loops.is_crash_looping(id)
 }
 
 /// Whether a task of a crash-looping job runs, or is about to, whose end shows whether the job
-/// still fails. Each replica of a service is a trial by itself, so running replicas are not waited
-/// for.
-fn awaits_trial(job: &Job) -> bool {
+/// still fails. Each replica of a service is tried independently, so running replicas are not
+/// waited for.
+fn awaits_task_outcome(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
     job.spec.kind != JobKind::Service && (job.placed > 0 || job.changes.values().any(is_placement))
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -121,8 +121,9 @@
         }
     }
 
-    /// Handles one event at time `now`, and returns the effects to carry out, in order. A `now`
-    /// earlier than that of a previous event is replaced by the latter.
+    /// Handles one event at time `now`, and returns the effects to carry out, in order. Time does
+    /// not run backwards: a `now` earlier than the time of a previous event is replaced by that
+    /// time.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
--- a/src/controller/nominations.rs
+++ b/src/controller/nominations.rs
@@ -19,7 +19,7 @@
 /// The machines that are kept for one job.
 #[derive(Debug)]
 pub(super) struct Nomination {
-    /// Resources for one task are kept on each of these.
+    /// The machines; on each of them, resources for one task are kept.
     pub(super) machine_ids: Vec<MachineId>,
     /// The resources of one task.
     pub(super) resources: Resources,
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -67,7 +67,8 @@
             return;
         }
         if last_task_failed {
-            // It may fail on any machine: it backs off twice as long as after a failed cycle.
+            // The job may fail on any machine, so it backs off twice as long as after a failed
+            // cycle.
             self.requeue(id, 1, BTreeSet::new(), key);
         } else {
             self.scheduler.queue.push(id, key);
@@ -98,7 +99,7 @@
             .requeue_after_failure(id, failures, checks, key, now, rng);
     }
 
-    /// Wakes the parked jobs that a change in the cluster may help.
+    /// Wakes the parked jobs that may be placeable after a change in the cluster.
     pub(super) fn wake_parked_jobs(&mut self, event: ClusterEvent) {
         if let ClusterEvent::ResourcesReleased(machine_id) = &event {
             self.activate_head_of_line_jobs(machine_id);
@@ -109,14 +110,14 @@
                 .changed_machines
                 .push(machine_id.clone());
         }
-        // The queue is moved out while the controller evaluates its jobs.
+        // The queue is moved out, since evaluating its jobs borrows the whole controller.
         let mut queue = std::mem::take(&mut self.scheduler.queue);
         let event_machine = self.event_machine(&event);
         queue.wake(self.now, |id, check| {
             self.work_counters.parked.add(1);
             self.jobs.get(id).is_none_or(|job| {
                 !self.awaits_preemption(job, check)
-                    && self.event_helps(job, check, &event, event_machine)
+                    && self.event_may_unblock(job, check, &event, event_machine)
             })
         });
         self.scheduler.queue = queue;
@@ -153,7 +154,7 @@
     }
 
     /// Whether an event may change the outcome of a check that rejected a job.
-    fn event_helps(
+    fn event_may_unblock(
         &self,
         job: &Job,
         check: Check,
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -17,9 +17,10 @@
 pub(super) struct Scheduler {
     /// Jobs that have tasks which this controller has to place.
     pub(super) queue: Queue,
-    /// Jobs of other owners that were forwarded to us.
+    /// Jobs of other owners that were forwarded to this controller.
     pub(super) forwarded: HashSet<JobId>,
-    /// Jobs that were forwarded to us before the watch brought their record, and when.
+    /// Jobs that were forwarded to this controller before the watch delivered their record, and
+    /// when.
     pub(super) forwarded_early: HashMap<JobId, Millis>,
     /// Resources that are kept for jobs.
     pub(super) nominations: Nominations,
@@ -29,7 +30,7 @@
     pub(super) failed_jobs: HashSet<JobId>,
     /// Which jobs fail on every machine, and when they may be tried next.
     pub(super) crash_loops: CrashLoopTracker,
-    /// Jobs for which the leader wants tasks preempted on a machine of ours.
+    /// Jobs for which the leader requests preemption on a machine of this controller.
     pub(super) preemption_requests: HashMap<JobId, MachineId>,
     /// Tasks that are to be stopped.
     pub(super) stops: Stops,
