--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -14,21 +14,21 @@
 #[derive(Debug)]
 pub(super) enum CallPurpose {
     /// Obtains a lease.
-    Grant {
+    GrantLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
-    /// Renews our lease.
-    Renew {
+    /// Renews this controller's lease.
+    RenewLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
         sent: Millis,
     },
-    /// Ends the lease of the process that had our label before.
+    /// Ends the lease of the previous process with this controller's label.
     EndOldLease,
-    /// Writes our controller record.
+    /// Writes this controller's own record.
     Register,
-    /// Takes the leadership.
-    Lead,
+    /// Claims the leadership.
+    ClaimLeadership,
     /// Assigns shards to controllers, as the leader.
     AssignShards,
     /// Reads a page of the snapshot of all records.
@@ -43,7 +43,7 @@
         job: JobId,
     },
     /// Writes the cancellation of a job.
-    Abort {
+    Cancel {
         /// The user's request.
         reply: ReplyId,
         /// The job to cancel.
@@ -65,9 +65,9 @@
     DeletePages,
     /// Writes new allocations of the teams' quotas to shards.
     AllocateQuota {
-        /// A shard and the version of its allocation record: the transaction is conditioned on
-        /// these.
-        rests_on: (ShardId, Revision),
+        /// A shard and the version of its allocation record that the transaction is conditioned
+        /// on.
+        expected_version: (ShardId, Revision),
     },
     /// Writes a page of the quota tree.
     QuotaTree,
@@ -89,7 +89,7 @@
 pub(super) struct WrittenRecord {
     /// The record's key.
     pub(super) key: String,
-    /// Its new contents; none if the record is deleted.
+    /// Its new contents; `None` if the record is deleted.
     pub(super) data: Option<String>,
 }
 
@@ -118,9 +118,9 @@
 /// A call to the key-value store that is not answered yet.
 #[derive(Debug)]
 pub(super) struct StoreCallInFlight {
-    /// What it is for.
+    /// What the call is for.
     pub(super) purpose: CallPurpose,
-    /// The records that it writes; none if it only reads.
+    /// The records that the call writes; empty if it only reads.
     pub(super) written: Vec<WrittenRecord>,
 }
 
@@ -183,8 +183,8 @@
         self.effects.push(Effect::Store { tag, class, call });
     }
 
-    /// Handles an answer of the store: first what it shows about the store and the records,
-    /// whatever the call was for, then the step that waits for it.
+    /// Handles an answer of the store. Whatever the call was for, this first records whether the
+    /// store responded and applies committed records, then runs the step that waits for the answer.
     pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
         let Some(StoreCallInFlight { purpose, written }) = self.calls.store.remove(&tag) else {
             return;
@@ -210,23 +210,25 @@
     /// Passes the answer to the step that waits for it.
     fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
         match purpose {
-            CallPurpose::Grant { sent } => self.on_lease_granted(sent, answer),
-            CallPurpose::Renew { sent } => self.on_lease_renewed(sent, answer),
+            CallPurpose::GrantLease { sent } => self.on_lease_granted(sent, answer),
+            CallPurpose::RenewLease { sent } => self.on_lease_renewed(sent, answer),
             CallPurpose::EndOldLease => self.on_old_lease_ended(&answer),
             CallPurpose::Register => self.on_registered(&answer),
-            CallPurpose::Lead => self.on_leadership_written(&answer),
+            CallPurpose::ClaimLeadership => self.on_leadership_written(&answer),
             CallPurpose::AssignShards => self.on_shards_assigned(),
             CallPurpose::Snapshot => self.on_snapshot(answer),
             CallPurpose::Watch => self.on_watch(answer),
             CallPurpose::ReadRevision => self.on_revision(answer),
             CallPurpose::Submit { job } => self.on_submitted(job, answer),
-            CallPurpose::Abort { reply, job } => self.on_cancel_committed(reply, job, answer),
+            CallPurpose::Cancel { reply, job } => self.on_cancel_committed(reply, job, answer),
             CallPurpose::TaskChanges { job, changes } => {
                 self.on_task_changes_written(job, changes, answer)
             }
             CallPurpose::DeleteDescription { job } => self.on_finalized(job),
             CallPurpose::DeletePages => self.commits.deleting_pages = false,
-            CallPurpose::AllocateQuota { rests_on } => self.on_allocated(rests_on, answer),
+            CallPurpose::AllocateQuota { expected_version } => {
+                self.on_allocated(expected_version, answer)
+            }
             CallPurpose::QuotaTree => self.on_tree_written(&answer),
             CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
             CallPurpose::AdmissionPlan => self.commits.admission.plan_in_flight = false,
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -16,7 +16,7 @@
 
 /// A worker's answer to commands that were sent to it directly.
 pub struct CommandReply {
-    /// The worker's heartbeat after the commands; none if it refused them.
+    /// The worker's heartbeat after the commands; `None` if it refused them.
     pub heartbeat: Option<Heartbeat>,
 }
 
@@ -67,7 +67,7 @@
         job: JobId,
     },
     /// A user cancels a job.
-    Abort {
+    Cancel {
         /// The user's request.
         reply: ReplyId,
         /// The job to cancel.
@@ -83,11 +83,11 @@
         /// Whether the worker answered.
         answered: bool,
     },
-    /// The outcome of [`Effect::Direct`].
-    Direct {
+    /// The outcome of [`Effect::DirectCommands`].
+    DirectReply {
         /// The machine that the commands were sent to.
         machine_id: MachineId,
-        /// The worker's answer; none if there was no answer.
+        /// The worker's answer; `None` if there was no answer.
         answer: Option<CommandReply>,
     },
 }
@@ -95,7 +95,8 @@
 /// An effect that a controller requests.
 #[derive(Debug)]
 pub enum Effect {
-    /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at all.
+    /// Ask a worker for its heartbeat, to find out whether this controller can reach workers at
+    /// all.
     Inspect {
         /// The worker's machine.
         machine_id: MachineId,
@@ -103,14 +104,15 @@
         address: SocketAddr,
     },
     /// Send a worker commands that should not wait for its next heartbeat.
-    Direct {
+    DirectCommands {
         /// The worker's machine.
         machine_id: MachineId,
         /// The worker's address.
         address: SocketAddr,
         /// The token under which the commands are sent.
         worker_token: WorkerToken,
-        /// The agent epoch that the commands are for; a worker that has restarted since refuses them.
+        /// The agent epoch that the commands are for; a worker that has restarted since refuses
+        /// them.
         agent_epoch: AgentEpoch,
         /// The commands, in order.
         commands: Vec<WorkerCommand>,
@@ -124,10 +126,10 @@
         /// The call.
         call: StoreCall,
     },
-    /// Set the rate of changes that this controller may send to the key-value store.
-    Allow {
-        /// Changes a second.
-        writes: f64,
+    /// Limit the rate of changes that this controller may send to the key-value store.
+    SetWriteLimit {
+        /// Maximum number of changes per second.
+        writes_per_s: f64,
     },
     /// Call the cloud.
     Cloud {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -121,8 +121,9 @@
         }
     }
 
-    /// Handles one event at time `now`, and returns the effects to carry out, in order. A `now`
-    /// earlier than that of a previous event is replaced by the latter.
+    /// Handles one event at time `now`, and returns the effects to carry out, in order. Time does
+    /// not run backwards: a `now` earlier than the time of a previous event is replaced by that
+    /// time.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -133,9 +134,9 @@
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
             Event::Poll { reply, job } => self.on_poll(reply, job),
-            Event::Abort { reply, job } => self.on_cancel(reply, job),
+            Event::Cancel { reply, job } => self.on_cancel(reply, job),
             Event::Inspected { answered } => self.on_inspected(answered),
-            Event::Direct { machine_id, answer } => self.on_direct_reply(&machine_id, answer),
+            Event::DirectReply { machine_id, answer } => self.on_direct_reply(&machine_id, answer),
             Event::Ready { reply } => {
                 let ready = self.ready();
                 self.effects.push(Effect::Ready { reply, ready });
@@ -176,7 +177,7 @@
 
     /// Counts of what this controller has examined since it started.
     #[must_use]
-    pub fn work(&self) -> &WorkCounters {
+    pub fn work_counters(&self) -> &WorkCounters {
         &self.work_counters
     }
 
--- a/src/controller/quota_allocation/fencing.rs
+++ b/src/controller/quota_allocation/fencing.rs
@@ -103,13 +103,13 @@
     }
 
     /// Handles the response to a reallocation that was conditioned on the shard and the record
-    /// version in `rests_on`.
+    /// version in `expected_version`.
     pub(in crate::controller) fn on_allocated(
         &mut self,
-        rests_on: (ShardId, Revision),
+        expected_version: (ShardId, Revision),
         response: StoreResponse,
     ) {
-        self.quota.on_allocated(rests_on, &response);
+        self.quota.on_allocated(expected_version, &response);
     }
 
     /// Fences off the transactions of unknown outcome, at most once per [`FENCE_OFF_INTERVAL`].
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -72,10 +72,10 @@
     ];
     for (response, is_unresolved) in cases {
         let (mut controller, _) = leader(vec![Task::NEVER_PLACED]);
-        let rests_on = (shard.clone(), controller.quota.allocations.version(&shard));
+        let expected_version = (shard.clone(), controller.quota.allocations.version(&shard));
         assert!(controller.may_raise_allocations());
         let name = format!("{response:?}");
-        controller.on_allocated(rests_on, response);
+        controller.on_allocated(expected_version, response);
         assert_eq!(controller.may_raise_allocations(), !is_unresolved, "{name}");
         controller.now = Millis(9_000);
         controller.resolve_unknown_transactions();
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -73,7 +73,7 @@
 fn sent(controller: &mut Controller) -> Vec<WorkerCommand> {
     let effects = std::mem::take(&mut controller.effects).into_iter();
     let commands = effects.filter_map(|effect| match effect {
-        Effect::Direct { commands, .. } => Some(commands),
+        Effect::DirectCommands { commands, .. } => Some(commands),
         _ => None,
     });
     commands.flatten().collect()
@@ -111,7 +111,7 @@
             REPORTED + after,
         );
         let takes_tasks =
-            controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+            controller.is_schedulable_locally(&controller.machines[&MachineId::from(HOST)]);
         let case = format!(
             "{after} ms after, shard moved at {shard_moved_at}, known unable: {known_unable_to_report}"
         );
@@ -121,7 +121,7 @@
         controller.answer_heartbeat(heartbeat(&id, 3, &["running"]));
         reply_to_direct(&mut controller, heartbeat(&id, 4, &["running"]), now.0 + 10);
         assert!(
-            controller.is_schedulable_by_us(&controller.machines[&machine_id]),
+            controller.is_schedulable_locally(&controller.machines[&machine_id]),
             "{case}"
         );
     }
@@ -176,7 +176,7 @@
         controller.now = Millis(REPORTED + controller.heartbeat_timeout().0 - 1 + after);
         controller.probe_silent_machines();
         let sent = controller.effects.iter();
-        let probes = |effect: &&Effect| matches!(effect, Effect::Direct { .. });
+        let probes = |effect: &&Effect| matches!(effect, Effect::DirectCommands { .. });
         assert_eq!(sent.filter(probes).count(), usize::from(probed), "{after}");
     }
 }
@@ -210,7 +210,7 @@
         controller.update_overdue_heartbeats();
         reply_to_direct(&mut controller, heartbeat(&id, 2, &["running"]), at);
         let takes_tasks =
-            controller.is_schedulable_by_us(&controller.machines[&MachineId::from(HOST)]);
+            controller.is_schedulable_locally(&controller.machines[&MachineId::from(HOST)]);
         assert_eq!(takes_tasks, used, "{overdue} of {machines}");
     }
 }
