--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -64,12 +64,12 @@
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped => "stopped",
-        ExitCause::PeersGone => "mates_gone",
-        ExitCause::Alone => "alone",
+        ExitCause::GangMemberLost => "mates_gone",
+        ExitCause::GangTimeout => "alone",
         ExitCause::Error => "error",
-        ExitCause::NoRoom => "no_room",
-        ExitCause::Busy => "in_use",
-        ExitCause::Unknown => "no_such",
+        ExitCause::InsufficientResources => "no_room",
+        ExitCause::OtherAttemptPresent => "in_use",
+        ExitCause::UnknownTask => "no_such",
     }
 }
 
--- a/crates/simulator/src/machines/commands.rs
+++ b/crates/simulator/src/machines/commands.rs
@@ -134,14 +134,14 @@
         let job = self.jobs.get(&id.job);
         let spec = job.map(|job| &job.spec).filter(|s| id.index < s.tasks);
         match spec {
-            None => task.exit(ExitCause::Unknown),
+            None => task.exit(ExitCause::UnknownTask),
             Some(spec) => {
                 let allocated = self.allocated_on(machine).plus(spec.resources);
                 if allocated.fits_in(self.machine_type.resources) {
                     let (image, size_gb) = (spec.image.clone(), spec.image_gb);
                     task.stage_ends_at = self.image_ready_at(machine_id, &image, size_gb, now);
                 } else {
-                    task.exit(ExitCause::NoRoom);
+                    task.exit(ExitCause::InsufficientResources);
                 }
             }
         }
--- a/crates/simulator/src/machines/gangs.rs
+++ b/crates/simulator/src/machines/gangs.rs
@@ -87,7 +87,7 @@
             *self.lost_run_time = *self.lost_run_time + (ran - checkpoint);
             self.progress.insert(first, saved + checkpoint);
             let running = members.into_iter().filter(|(_, task)| task.on_machine());
-            running.for_each(|(_, task)| task.exit(ExitCause::PeersGone));
+            running.for_each(|(_, task)| task.exit(ExitCause::GangMemberLost));
         }
     }
 
--- a/crates/simulator/src/machines/step.rs
+++ b/crates/simulator/src/machines/step.rs
@@ -35,14 +35,14 @@
                 continue;
             }
             let Some(job) = self.jobs.get(&id.job) else {
-                task.exit(ExitCause::Unknown);
+                task.exit(ExitCause::UnknownTask);
                 continue;
             };
             changed = true;
             match task.stage {
                 TaskStage::Fetching if machine.faulty || job.broken => task.exit(ExitCause::Error),
                 TaskStage::Fetching => self.start(machine_id, id, task, job),
-                TaskStage::Waiting => task.exit(ExitCause::Alone),
+                TaskStage::Waiting => task.exit(ExitCause::GangTimeout),
                 TaskStage::Running => {
                     task.exit(ExitCause::Done);
                     self.completed.insert(id.clone());
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -83,7 +83,7 @@
         if outcome.successes > 0 {
             machine.record_success();
         }
-        let no_room = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::NoRoom;
+        let no_room = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::InsufficientResources;
         if outcome.failures.iter().any(no_room) {
             machine.starts_paused_until = self.now + REFUSED_START_PAUSE;
         }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -117,7 +117,9 @@
         let change_pending = job.changes.contains_key(&task.index);
         let cause = observation.cause.unwrap_or(ExitCause::Error);
         let start = (task.clone(), attempt);
-        if cause == ExitCause::Alone && self.machine.direct.piggybacked_starts.contains(&start) {
+        if cause == ExitCause::GangTimeout
+            && self.machine.direct.piggybacked_starts.contains(&start)
+        {
             // The worker may already have a command to start it once more. An answer to direct commands
             // that was written before says nothing of that.
             return;
@@ -125,7 +127,7 @@
         if change_pending {
             return;
         }
-        let starts_again = cause == ExitCause::Alone
+        let starts_again = cause == ExitCause::GangTimeout
             && is_wanted(job)
             && !self.is_stopped(task, attempt)
             && (self.may_be_fetching)(job);
@@ -319,7 +321,7 @@
 fn is_failure(cause: ExitCause) -> bool {
     matches!(
         cause,
-        ExitCause::Error | ExitCause::NoRoom | ExitCause::Unknown
+        ExitCause::Error | ExitCause::InsufficientResources | ExitCause::UnknownTask
     )
 }
 
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -35,19 +35,47 @@
     };
     let cases = [
         // cause, the other task, may fetch, a command is in flight, started again, released
-        (ExitCause::Alone, other.clone(), true, false, true, false),
-        (ExitCause::Alone, other.clone(), true, true, false, false),
-        (ExitCause::Alone, other.clone(), false, true, false, false),
-        (ExitCause::Alone, other.clone(), false, false, false, true),
         (
-            ExitCause::Alone,
+            ExitCause::GangTimeout,
+            other.clone(),
+            true,
+            false,
+            true,
+            false,
+        ),
+        (
+            ExitCause::GangTimeout,
+            other.clone(),
+            true,
+            true,
+            false,
+            false,
+        ),
+        (
+            ExitCause::GangTimeout,
+            other.clone(),
+            false,
+            true,
+            false,
+            false,
+        ),
+        (
+            ExitCause::GangTimeout,
+            other.clone(),
+            false,
+            false,
+            false,
+            true,
+        ),
+        (
+            ExitCause::GangTimeout,
             Task::Waiting { tried },
             true,
             false,
             false,
             true,
         ),
-        (ExitCause::PeersGone, other, true, true, false, true),
+        (ExitCause::GangMemberLost, other, true, true, false, true),
     ];
     for (index, (cause, mate, fetches, rides, again, released)) in cases.into_iter().enumerate() {
         let mut jobs = JobCache::default();
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -95,19 +95,21 @@
     Stopped,
     /// Another task of its gang was lost.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangMemberLost,
     /// The rest of its gang did not start in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangTimeout,
     /// It failed.
     Error,
     /// The start was refused: the machine lacks the resources.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientResources,
     /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
-    Busy,
+    OtherAttemptPresent,
     /// The start was refused: no such job or task, or the job was not submitted.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
 }
 
 /// A command to a worker. Each may be repeated, except that a start after a [`Forget`](Self::Forget)
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -27,12 +27,12 @@
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped => "stopped",
-        ExitCause::PeersGone => "the rest of its gang is gone",
-        ExitCause::Alone => "its gang did not come",
+        ExitCause::GangMemberLost => "the rest of its gang is gone",
+        ExitCause::GangTimeout => "its gang did not come",
         ExitCause::Error => "error",
-        ExitCause::NoRoom => "no room",
-        ExitCause::Busy => "another attempt is there",
-        ExitCause::Unknown => "unknown",
+        ExitCause::InsufficientResources => "no room",
+        ExitCause::OtherAttemptPresent => "another attempt is there",
+        ExitCause::UnknownTask => "unknown",
     }
 }
 
