--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -3,7 +3,7 @@
 use super::PeerStatus;
 use crate::admission::shared::AdmissionReport;
 use crate::controller::Controller;
-use crate::peers::{MachineHeartbeat, MachineView, Status};
+use crate::peers::{MachineCondition, MachineDescription, Status};
 use crate::queue::ClusterEvent;
 use crate::types::{
     AgentEpoch, ControllerId, FencingToken, LeaseId, MachineId, Millis, Revision, ShardId, Zone,
@@ -20,7 +20,7 @@
         }
         self.record_peer_status(&from, &status);
         self.apply_shard_tokens(&from, status.shards);
-        for view in status.views {
+        for view in status.descriptions {
             self.apply_machine_view(&from, view);
         }
         let mut schedulable = Vec::new();
@@ -56,10 +56,10 @@
         };
         self.peers.statuses.insert(from.clone(), peer);
         let report = AdmissionReport {
-            plan_version: Revision(status.plan),
+            plan_version: Revision(status.plan_revision),
             demand: Demand {
-                used: status.used_milli as f64 / 1e3,
-                waiting: status.waiting as f64,
+                used: status.change_rate_milli as f64 / 1e3,
+                waiting: status.pending_changes as f64,
             },
         };
         self.commits.admission.reports.insert(from.clone(), report);
@@ -81,7 +81,7 @@
     }
 
     /// Applies a peer's description of a machine, unless the machine's shard is ours.
-    fn apply_machine_view(&mut self, from: &ControllerId, view: MachineView) {
+    fn apply_machine_view(&mut self, from: &ControllerId, view: MachineDescription) {
         let now = self.now;
         let shards_per_zone = self.settings.operator.shards_per_zone;
         let machine_id = MachineId::from(view.machine_id);
@@ -119,11 +119,11 @@
     fn apply_machine_heartbeat(
         &mut self,
         from: &ControllerId,
-        heartbeat: &MachineHeartbeat,
+        heartbeat: &MachineCondition,
     ) -> Option<MachineId> {
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let machine_id = MachineId::from(heartbeat.machine_id.as_str());
-        let heard = now - Millis(heartbeat.silent_ms);
+        let heard = now - Millis(heartbeat.since_contact_ms);
         let Some(machine) = self.machines.get_mut(&machine_id) else {
             // A machine that is unknown here will be described soon. Until then it must not be
             // mistaken for one that has never sent a heartbeat to its holder.
@@ -143,8 +143,10 @@
             machine.agent_epoch = agent_epoch;
             machine.heartbeat_sequence = 0;
         }
-        machine.reachability.set_by_holder(!heartbeat.doubtful, now);
-        machine.termination_announced = heartbeat.warned;
+        machine
+            .reachability
+            .set_by_holder(!heartbeat.unconfirmed, now);
+        machine.termination_announced = heartbeat.termination_announced;
         if machine.quarantined && !heartbeat.quarantined {
             // The jobs were at fault, not the machine.
             self.autoscaler.drains.remove(&machine_id);
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -6,7 +6,7 @@
 
 use super::Peers;
 use crate::controller::Controller;
-use crate::peers::{MachineHeartbeat, MachineView, Message, Status};
+use crate::peers::{MachineCondition, MachineDescription, Message, Status};
 use crate::types::{MachineId, Millis};
 use crate::workers::Machine;
 
@@ -72,9 +72,9 @@
             .filter(|(_, (holder, _))| *holder == self.me);
         Status {
             lease_id: leases.lease_id().map(|lease_id| lease_id.0),
-            plan: report.plan_version.0,
-            used_milli: (report.demand.used * 1e3) as u64,
-            waiting: report.demand.waiting as u64,
+            plan_revision: report.plan_version.0,
+            change_rate_milli: (report.demand.used * 1e3) as u64,
+            pending_changes: report.demand.waiting as u64,
             revision: self.store_sync.applied.0,
             without_store_ms: self.without_store().0,
             receives_heartbeats: self.contact.is_current(self.now, self.heartbeat_timeout()),
@@ -85,7 +85,7 @@
                 .reporting_machines()
                 .map(|machine| self.machine_heartbeat(machine))
                 .collect(),
-            views: self.due_machine_views(),
+            descriptions: self.due_machine_views(),
             draining: self.machines_to_drain(),
         }
     }
@@ -98,20 +98,20 @@
     }
 
     /// The frequently changing part of a machine's state.
-    fn machine_heartbeat(&self, machine: &Machine) -> MachineHeartbeat {
-        MachineHeartbeat {
+    fn machine_heartbeat(&self, machine: &Machine) -> MachineCondition {
+        MachineCondition {
             machine_id: machine.machine_id.to_string(),
-            silent_ms: self.now.since(machine.last_contact).0,
+            since_contact_ms: self.now.since(machine.last_contact).0,
             agent_epoch: machine.agent_epoch.0,
-            doubtful: !machine.reachability.is_confirmed(),
-            warned: machine.termination_announced,
+            unconfirmed: !machine.reachability.is_confirmed(),
+            termination_announced: machine.termination_announced,
             quarantined: machine.quarantined,
             draining: self.autoscaler.drains.contains(&machine.machine_id),
         }
     }
 
     /// Descriptions of the machines that changed, and of those whose turn has come.
-    fn due_machine_views(&mut self) -> Vec<MachineView> {
+    fn due_machine_views(&mut self) -> Vec<MachineDescription> {
         let round = self.now.0 / STATUS_INTERVAL.0 % DESCRIPTION_ROUNDS;
         let leases = &self.membership.leases;
         let mut views = Vec::new();
@@ -154,8 +154,8 @@
 }
 
 /// The description of a machine that peers get.
-fn machine_view(machine: &Machine) -> MachineView {
-    MachineView {
+fn machine_view(machine: &Machine) -> MachineDescription {
+    MachineDescription {
         machine_id: machine.machine_id.to_string(),
         address: machine
             .address
--- a/src/controller/placement/tests.rs
+++ b/src/controller/placement/tests.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Task;
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::record::job_key;
-use crate::peers::{MachineHeartbeat, Message, Status};
+use crate::peers::{MachineCondition, Message, Status};
 use crate::types::{AgentEpoch, MachineId, Revision};
 
 /// A message between controllers takes a millisecond, the watch up to its poll interval: a job forwarded at
@@ -60,12 +60,12 @@
         (machine.agent_epoch, machine.heartbeat_sequence) = (AgentEpoch(1), 50);
         let held = r#"{"holder":"n1","permit":2}"#;
         controller.apply("jt/block/a.0", Some(held), Revision(20));
-        let heartbeat = MachineHeartbeat {
+        let heartbeat = MachineCondition {
             machine_id: machine_id.to_string(),
-            silent_ms: 0,
+            since_contact_ms: 0,
             agent_epoch: told,
-            doubtful: false,
-            warned: false,
+            unconfirmed: false,
+            termination_announced: false,
             quarantined: false,
             draining: false,
         };
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -83,36 +83,36 @@
     /// Whether workers reach the sender.
     pub receives_heartbeats: bool,
     /// The revision of the admission plan that the sender follows; 0 if none.
-    pub plan: u64,
+    pub plan_revision: u64,
     /// The sender's recent rate of changes, in thousandths of a change a second.
-    pub used_milli: u64,
+    pub change_rate_milli: u64,
     /// How many changes wait at the sender.
-    pub waiting: u64,
+    pub pending_changes: u64,
     /// The shards that the sender holds, with their tokens. A controller that lost the
     /// key-value store learns from it that another controller has taken one of its shards.
     pub shards: Vec<(String, u64)>,
     /// What changes all the time, of each machine of the sender's shards.
-    pub machines: Vec<MachineHeartbeat>,
+    pub machines: Vec<MachineCondition>,
     /// Descriptions of those that changed since their last description, and of some of the others,
     /// since a message may be lost.
-    pub views: Vec<MachineView>,
+    pub descriptions: Vec<MachineDescription>,
     /// From the leader: machines that are to be drained and scaled in.
     pub draining: Vec<String>,
 }
 
 /// The part of a machine's state that changes all the time, or must never be outdated.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct MachineHeartbeat {
+pub struct MachineCondition {
     /// The machine's name.
     pub machine_id: String,
     /// Milliseconds since the last sign of life of its worker.
-    pub silent_ms: u64,
+    pub since_contact_ms: u64,
     /// The worker's agent epoch.
     pub agent_epoch: u64,
     /// Nothing confirms that commands reach it.
-    pub doubtful: bool,
+    pub unconfirmed: bool,
     /// The cloud has announced that it will take the machine away.
-    pub warned: bool,
+    pub termination_announced: bool,
     /// Tasks fail there for reasons of the machine.
     pub quarantined: bool,
     /// The leader wants it scaled in.
@@ -121,7 +121,7 @@
 
 /// The part of a machine's state that rarely changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct MachineView {
+pub struct MachineDescription {
     /// The machine's name.
     pub machine_id: String,
     /// Where its worker takes commands directly.
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use jaspertiller::peers::link::Peers;
-use jaspertiller::peers::{MachineHeartbeat, MachineView, Message, Status, TaskDeparture, VERSION};
+use jaspertiller::peers::{
+    MachineCondition, MachineDescription, Message, Status, TaskDeparture, VERSION,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -31,14 +33,14 @@
     frame
 }
 
-fn machine_heartbeat(machine_id: &str, flags: [bool; 4]) -> MachineHeartbeat {
-    let [doubtful, warned, quarantined, draining] = flags;
-    MachineHeartbeat {
+fn machine_heartbeat(machine_id: &str, flags: [bool; 4]) -> MachineCondition {
+    let [unconfirmed, termination_announced, quarantined, draining] = flags;
+    MachineCondition {
         machine_id: machine_id.into(),
-        silent_ms: 250,
+        since_contact_ms: 250,
         agent_epoch: 21,
-        doubtful,
-        warned,
+        unconfirmed,
+        termination_announced,
         quarantined,
         draining,
     }
@@ -52,9 +54,9 @@
         revision: 81_234,
         without_store_ms: 1_250,
         receives_heartbeats: true,
-        plan: 80_001,
-        used_milli: 12_500,
-        waiting: 17,
+        plan_revision: 80_001,
+        change_rate_milli: 12_500,
+        pending_changes: 17,
         shards: vec![("a.0".into(), 501), ("b.1".into(), 502)],
         machines: vec![
             machine_heartbeat("vm-1", [true, false, false, false]),
@@ -62,8 +64,8 @@
             machine_heartbeat("vm-3", [false, false, true, false]),
             machine_heartbeat("vm-4", [false, false, false, true]),
         ],
-        views: vec![
-            MachineView {
+        descriptions: vec![
+            MachineDescription {
                 machine_id: "vm-1".into(),
                 address: "10.1.0.1:9000".into(),
                 machine_type: "g8".into(),
@@ -71,7 +73,7 @@
                 spot: true,
                 images: vec![("img-7".into(), 4_000), ("img-8".into(), 12)],
             },
-            MachineView {
+            MachineDescription {
                 machine_id: "vm-2".into(),
                 address: String::new(),
                 machine_type: "c16".into(),
