--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -136,7 +136,7 @@
         Message::Hello { .. } => "peer hello",
         Message::Status(_) => "peer status",
         Message::TasksDeparted(_) => "peer left",
-        Message::Failed { .. } => "peer failed",
+        Message::TaskFailed { .. } => "peer failed",
         Message::Unplaced { .. } => "peer unplaced",
         Message::Place { .. } => "peer place",
         Message::Preempt { .. } => "peer make room",
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -21,7 +21,7 @@
             self.scheduler.failed_jobs.insert(id.clone());
             for member in &self.settings.members {
                 let to = member.label.clone();
-                let message = Message::Failed {
+                let message = Message::TaskFailed {
                     job: id.to_string(),
                     machine_id: machine_id.to_string(),
                 };
--- a/src/controller/peer_messages/mod.rs
+++ b/src/controller/peer_messages/mod.rs
@@ -75,7 +75,7 @@
                 }
             }
             Message::TasksDeparted(departures) => self.on_tasks_departed(departures),
-            Message::Failed { job, machine_id } => {
+            Message::TaskFailed { job, machine_id } => {
                 self.record_task_failure(&job.into(), &machine_id.into());
             }
             Message::Status(status) => self.on_status(from, status),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -26,7 +26,7 @@
     /// To the owners of their jobs: these tasks have left machines of the sender's shards.
     TasksDeparted(Vec<TaskDeparture>),
     /// To all: a task of this job failed on that machine.
-    Failed {
+    TaskFailed {
         /// The job.
         job: String,
         /// The machine that it failed on.
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -71,7 +71,7 @@
             token: 5,
             done: true,
         }]),
-        Message::Failed {
+        Message::TaskFailed {
             job: job(),
             machine_id: machine_id(),
         },
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -113,7 +113,7 @@
         ),
         (
             "failed",
-            Message::Failed {
+            Message::TaskFailed {
                 job: job(),
                 machine_id: machine_id(),
             },
