--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -116,8 +116,11 @@
         let machine = self.machines.get(machine_id);
         MachineContact {
             silence: self.silence_of(machine_id, &shard),
-            unproved: machine
-                .is_some_and(|machine| machine.reachability.is_doubtful(self.now, early)),
+            unproved: machine.is_some_and(|machine| {
+                machine
+                    .reachability
+                    .is_live_but_unconfirmed(self.now, early)
+            }),
         }
     }
 
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -24,7 +24,7 @@
                 let silent_for = now.since(machine.last_contact);
                 ours && silent_for > silence
                     && silent_for < FORGET
-                    && !machine.reachability.is_doubtful(now, silence)
+                    && !machine.reachability.is_live_but_unconfirmed(now, silence)
                     && now.since(machine.direct.probed_at) >= PROBE_INTERVAL
             })
             .map(|machine| machine.machine_id.clone())
@@ -49,7 +49,8 @@
                 };
                 let token_unseen = machine.worker_token < self.worker_token(token);
                 let probe_due = now.since(machine.direct.probed_at) >= PROBE_INTERVAL;
-                token_unseen || probe_due && machine.reachability.is_doubtful(now, silence)
+                token_unseen
+                    || probe_due && machine.reachability.is_live_but_unconfirmed(now, silence)
             })
             .map(|machine| machine.machine_id.clone())
             .collect();
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -139,7 +139,7 @@
 
     /// Whether the machine sent something within `silence`, though nothing confirms the contact.
     #[must_use]
-    pub fn is_doubtful(&self, now: Millis, silence: Millis) -> bool {
+    pub fn is_live_but_unconfirmed(&self, now: Millis, silence: Millis) -> bool {
         !self.is_confirmed() && now.since(self.last_message) <= silence
     }
 }
