--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -78,7 +78,7 @@
 pub fn heartbeat_body(heartbeat: &Heartbeat) -> Value {
     let tasks = heartbeat.tasks.iter().map(|task| {
         json!({"pick": task.task, "try": task.attempt, "stage": stage_name(task.stage),
-            "cause": task.cause.map(cause_name), "kept": task.kept})
+            "cause": task.cause.map(cause_name), "kept": task.checkpoint_saved})
     });
     let tasks: Vec<Value> = tasks.collect();
     json!({"host": heartbeat.machine_id, "address": heartbeat.address, "rig": heartbeat.machine_type,
--- a/crates/simulator/src/machines/machine.rs
+++ b/crates/simulator/src/machines/machine.rs
@@ -59,7 +59,7 @@
             attempt: self.attempt,
             stage: self.stage,
             cause: self.cause,
-            kept: self.checkpointed.then_some(true),
+            checkpoint_saved: self.checkpointed.then_some(true),
         }
     }
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -62,8 +62,8 @@
     #[serde(default)]
     pub cause: Option<ExitCause>,
     /// Whether it saved a checkpoint before it exited.
-    #[serde(default)]
-    pub kept: Option<bool>,
+    #[serde(rename = "kept", default)]
+    pub checkpoint_saved: Option<bool>,
 }
 
 /// How far an attempt is.
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -53,7 +53,7 @@
     for status in &heartbeat.tasks {
         let ended = status.cause.map_or("-", cause);
         let (task, attempt) = (&status.task, status.attempt.0);
-        let (stage, kept) = (stage(status.stage), status.kept);
+        let (stage, kept) = (stage(status.stage), status.checkpoint_saved);
         shown += &format!("; {task} #{attempt} {stage}, {ended}, kept {kept:?}");
     }
     shown
