--- a/src/peers/link/frame.rs
+++ b/src/peers/link/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length of four bytes, big-endian, and a message encoded by `bitcode`.
+//! Framing: a four-byte big-endian length, followed by a message encoded with `bitcode`.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use tokio::net::TcpStream;
 
 use super::LinkError;
-use crate::peers::{LARGEST_FRAME, Message};
+use crate::peers::{MAX_FRAME_BYTES, Message};
 
-/// If the system accepts no data of a frame for this long, the connection counts as lost.
+/// If a frame is not written within this time, the connection is considered lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Each controller sends a status every second; silence for this long ends a connection.
+/// Each controller sends a status every second; a connection without a frame for this long is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Writes a message as one frame.
+/// Writes a message as one frame, within [`WRITE_TIMEOUT`].
 pub(super) async fn write_frame(
     stream: &mut (impl AsyncWrite + Unpin),
     message: &Message,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads one frame.
+/// Reads one frame, waiting for at most [`READ_TIMEOUT`].
 pub(super) async fn read_frame(stream: &mut TcpStream) -> Result<Message, LinkError> {
     match tokio::time::timeout(READ_TIMEOUT, receive(stream)).await {
         Ok(received) => received,
@@ -46,7 +46,7 @@
 async fn receive(stream: &mut TcpStream) -> Result<Message, LinkError> {
     let length = stream.read_u32().await;
     let bytes = length.map_err(LinkError::io("receiving a frame's length"))? as usize;
-    if bytes > LARGEST_FRAME {
+    if bytes > MAX_FRAME_BYTES {
         return Err(LinkError::FrameTooLarge { bytes });
     }
     let mut frame = vec![0; bytes];
--- a/src/peers/link/incoming.rs
+++ b/src/peers/link/incoming.rs
@@ -1,4 +1,4 @@
-//! The listener, and the connections in from other controllers.
+//! The listener, and the incoming connections from other controllers.
 
 use std::sync::Arc;
 
@@ -12,10 +12,11 @@
     VERSION,
 };
 
-/// A controller that connects sends its hello at once.
+/// Time limit for the hello of a new connection; a connecting controller sends it at once.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Accepts connections for as long as the process runs, at most `max_incoming` at a time.
+/// Accepts connections for as long as the process runs and serves at most `max_incoming` at a time; further
+/// ones are closed at once.
 pub(super) async fn listen(
     address: SocketAddr,
     max_incoming: usize,
@@ -36,27 +37,27 @@
                 });
             }
             Err(error) => {
-                tracing::error!(%error, "peer connection accept failed");
+                tracing::error!(%error, "accepting a peer connection failed; retrying");
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Tries until the address is free.
+/// Binds the listener, and retries until the address is available.
 async fn bind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
             Err(error) => {
-                tracing::error!(%address, %error, "peer listener failed");
+                tracing::error!(%address, %error, "binding the peer listener failed; retrying");
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Takes messages from one connection, and acknowledges each once it is in the inbox.
+/// Receives messages from one connection and acknowledges each once it is in the inbox.
 pub(super) async fn serve_incoming(mut stream: TcpStream, inbox: mpsc::Sender<PeerMessage>) {
     let Some(from) = receive_hello(&mut stream).await else {
         return;
@@ -81,7 +82,8 @@
     }
 }
 
-/// Which controller connected; `None` if it is not to be served.
+/// Receives the hello and returns the ID of the connected controller; `None` if the connection must not be
+/// served.
 async fn receive_hello(stream: &mut TcpStream) -> Option<ControllerId> {
     let received = tokio::time::timeout(HELLO_TIMEOUT, read_frame(stream)).await;
     let timed_out = |_| {
@@ -95,15 +97,19 @@
             Some(ControllerId::from(label))
         }
         Ok(Message::Hello { version, label }) => {
-            tracing::error!(version, label, "peer protocol version mismatch");
+            tracing::error!(
+                version,
+                label,
+                "peer protocol version mismatch; connection closed"
+            );
             None
         }
         Ok(_) => {
-            tracing::error!("peer sent no hello");
+            tracing::error!("first frame from peer is not a hello; connection closed");
             None
         }
         Err(error) => {
-            tracing::debug!(%error, "peer hello failed");
+            tracing::debug!(%error, "receiving the hello of a peer failed");
             None
         }
     }
--- a/src/peers/link/outgoing.rs
+++ b/src/peers/link/outgoing.rs
@@ -1,4 +1,4 @@
-//! The connection out to another controller, made again whenever it is lost.
+//! The outgoing connection to another controller, re-established whenever it is lost.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -8,22 +8,22 @@
 use super::frame::write_frame;
 use super::{ControllerId, Duration, Message, RETRY_INTERVAL, SocketAddr, VERSION};
 
-/// Time limit for making a connection; afterwards it is retried.
+/// Time limit for establishing a connection; afterwards it is retried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection without a due acknowledgement for this long is closed.
+/// A connection with outstanding acknowledgements that receives none for this long is closed.
 const ACK_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most acknowledgements that are read at a time, in bytes.
+/// The most acknowledgements that are read at a time; each is one byte.
 const ACK_BUFFER_BYTES: usize = 64;
 
-/// Keeps a connection to another controller and sends it messages, until the queue is closed.
+/// Maintains a connection to another controller and sends it messages, until the queue is closed.
 pub(super) async fn run_outgoing(
-    me: ControllerId,
+    local_id: ControllerId,
     address: SocketAddr,
     mut messages: mpsc::Receiver<Message>,
 ) {
     let hello = Message::Hello {
         version: VERSION,
-        label: me.to_string(),
+        label: local_id.to_string(),
     };
     loop {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -35,13 +35,13 @@
             return;
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
-        // Messages that were queued without a connection are outdated by now.
+        // Messages that were queued while there was no connection are outdated by now.
         while messages.try_recv().is_ok() {}
     }
 }
 
-/// Sends messages over one connection until it fails. Each frame is acknowledged with a byte: a
-/// connection whose other end has failed may accept frames for minutes without an error.
+/// Sends messages over one connection until it fails. Frames are acknowledged because a connection
+/// whose peer has failed may accept them for minutes without an error.
 async fn run_connection(
     stream: TcpStream,
     hello: &Message,
--- a/src/peers/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -4,8 +4,8 @@
 use super::outgoing::run_outgoing;
 use super::*;
 
-/// After a partition the peer may be gone while the socket still accepts frames: after a controller restarted
-/// during a zone partition, the leader received nothing for minutes.
+/// Guards against a connection whose peer is gone while the socket still accepts frames: after a controller
+/// restarted during a zone partition, the leader received nothing for minutes.
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_acknowledgements_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -17,7 +17,7 @@
         let job = job.to_string();
         sender.send(Message::Unplaced { job }).await.unwrap();
     }
-    let (inbox, mut heard) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let (inbox, mut received) = mpsc::channel(MAX_QUEUED_MESSAGES);
     tokio::spawn(async move {
         // The first connection stays open and is never read.
         let _unresponsive = unresponsive;
@@ -26,7 +26,7 @@
         }
     });
     let job = "job-3".to_string();
-    while heard.try_recv().is_err() {
+    while received.try_recv().is_err() {
         let _ = sender.try_send(Message::Unplaced { job: job.clone() });
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -17,16 +17,16 @@
     });
     let frame = bitcode::encode(&message);
     assert_eq!(bitcode::decode::<Message>(&frame).unwrap(), message);
-    for bad in [
+    for malformed in [
         &frame[..frame.len() - 1],
         b"".as_slice(),
         b"\xff\xff\xff\xff".as_slice(),
     ] {
-        assert!(bitcode::decode::<Message>(bad).is_err());
+        assert!(bitcode::decode::<Message>(malformed).is_err());
     }
 }
 
-/// One message of each kind.
+/// One message of each variant, in the order of the variants.
 fn messages() -> Vec<Message> {
     let status = Status {
         lease_id: Some(4),
@@ -87,8 +87,8 @@
     ]
 }
 
-/// Frames that the version in production wrote (92be731). Controllers of both versions serve side by side during
-/// an upgrade, so each reads the other's.
+/// Frames encoded by the version in production (92be731). Controllers of both versions run side by side
+/// during an upgrade, so each must be able to decode the other's frames.
 const PRODUCTION: [&str; 7] = [
     "000406026e30",
     "010106040607060c01060304dc0506020103612e3006050104766d2d3106fa0602000100010104766d2d310d31302e312e302e313a393030300267380161010105696d672d3704a00f0104766d2d31",
@@ -100,10 +100,10 @@
 ];
 
 #[test]
-fn messages_are_those_of_the_version_in_production() {
-    for (message, written) in messages().iter().zip(PRODUCTION) {
-        let byte = |at| u8::from_str_radix(&written[at..at + 2], 16).unwrap();
-        let frame: Vec<u8> = (0..written.len()).step_by(2).map(byte).collect();
+fn frames_match_those_of_the_version_in_production() {
+    for (message, encoded) in messages().iter().zip(PRODUCTION) {
+        let byte = |at| u8::from_str_radix(&encoded[at..at + 2], 16).unwrap();
+        let frame: Vec<u8> = (0..encoded.len()).step_by(2).map(byte).collect();
         assert_eq!(bitcode::decode::<Message>(&frame).unwrap(), *message);
         assert_eq!(bitcode::encode(message), frame, "{message:?}");
     }
