--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -1,4 +1,4 @@
-//! The requests of the protocol between a controller and a worker: commands, and an inspection.
+//! The HTTP requests of a controller to a worker: direct commands, and an inspection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, WorkerToken};
 
-/// Time limit of a request: workers answer at once, and a later answer would be outdated.
+/// Time limit of a request: workers respond at once, and a later response would be outdated.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Commands as they are written on the wire.
+/// The body of a request that carries commands.
 #[derive(Serialize)]
 struct CommandsBody<'a> {
     #[serde(rename = "baton")]
@@ -25,7 +25,8 @@
     commands: &'a [WorkerCommand],
 }
 
-/// Sends commands; `None` if it is unknown whether they were, or will be, executed.
+/// Sends commands to the worker at `address`. Returns `None` if it is unknown whether they were, or will
+/// be, executed.
 pub async fn send(
     client: HttpClient,
     address: SocketAddr,
@@ -44,13 +45,13 @@
         .call(Method::POST, "/do", body, RESPONSE_TIMEOUT)
         .await
         .ok()?;
-    // 409 and 400 mean that nothing was executed, which is as definite as 200.
+    // Status 409 or 400 means that nothing was executed, which is as definite as 200.
     matches!(status, 200 | 400 | 409).then(|| CommandReply {
         heartbeat: serde_json::from_slice::<Heartbeat>(&body).ok(),
     })
 }
 
-/// Whether a worker answers.
+/// Whether the worker at `address` responds with its state within the time limit.
 pub async fn inspect(client: HttpClient, address: SocketAddr) -> bool {
     let response = client
         .at(address)
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -1,8 +1,8 @@
-//! The actor that sends workers their commands directly, a bounded number at a time.
+//! The actor that sends direct commands to workers, with a bounded number of concurrent requests.
 //!
-//! Commands go before probes, which only show our token. There is a probe for each machine of a
-//! shard that changes hands, and many of these machines may be unreachable. There is never more than
-//! one exchange for a machine, so no more requests wait here than there are machines.
+//! Commands take precedence over probes, which only show the controller's token. When a shard changes
+//! holders, each of its machines is probed, and many of them may be unreachable. There is never more than
+//! one exchange per machine, so no more requests are queued here than there are machines.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,51 +16,51 @@
 use crate::http_client::HttpClient;
 use crate::types::{AgentEpoch, MachineId, Millis, WorkerToken};
 
-/// Commands that waited for longer were decided on an outdated heartbeat: they are sent with the
-/// next answer instead.
-const COMMANDS_TIMEOUT: Millis = Millis(2_000);
-/// The fraction of the concurrent exchanges that probes may take, so that commands start at once.
-const MAX_PROBE_SHARE: f64 = 0.5;
+/// Commands that were queued for longer are based on an outdated heartbeat: they are sent with the
+/// answer to the next heartbeat instead.
+const MAX_COMMAND_QUEUE_TIME: Millis = Millis(2_000);
+/// The fraction of the concurrent exchanges that probes may occupy, so that commands are sent at once.
+const MAX_PROBE_FRACTION: f64 = 0.5;
 
-/// What is to be sent to a worker.
+/// A request to a worker.
 pub struct DirectRequest {
     /// The machine whose worker gets the request.
     pub machine_id: MachineId,
-    /// Where the worker takes commands directly.
+    /// Where the worker takes direct commands.
     pub address: SocketAddr,
-    /// What to send.
+    /// What the request asks of the worker.
     pub kind: DirectRequestKind,
 }
 
 /// The kinds of requests to a worker.
 pub enum DirectRequestKind {
-    /// Commands; without any, the request is a probe that only shows the token.
+    /// Sends commands; a request without any is a probe that only shows the token.
     Commands {
         /// The token that fences the commands.
         worker_token: WorkerToken,
-        /// The agent epoch to which they apply; the worker refuses them in any other.
+        /// The agent epoch for which the commands are valid; the worker refuses them in any other.
         agent_epoch: AgentEpoch,
         /// The commands, in the order of their execution.
         commands: Vec<WorkerCommand>,
     },
-    /// Asks for its heartbeat.
+    /// Requests the worker's state, without any command or token, to see whether it responds.
     Inspect,
 }
 
 /// The outcome of a request.
 pub enum DirectResponse {
-    /// The answer to commands; `None` if it is unknown whether they were, or will be, executed.
+    /// The worker's reply to commands; `None` if it is unknown whether they were, or will be, executed.
     Commands(MachineId, Option<CommandReply>),
-    /// Whether a worker answered an inspection.
+    /// Whether a worker responded to an inspection.
     Inspected(bool),
 }
 
-/// Which limits a request counts against.
+/// Which concurrency limits apply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestClass {
-    /// It carries commands, or inspects a worker.
+    /// A request that carries commands, or inspects a worker.
     Command,
-    /// It only shows a token.
+    /// A request that only shows a token.
     Probe,
 }
 
@@ -76,8 +76,9 @@
         }
     }
 
-    /// The response for a request that was not sent, so that nothing of it can arrive late.
-    fn unsent(self) -> DirectResponse {
+    /// The response to a request that expired in the queue. Its commands are reported as definitely
+    /// not executed, since nothing was sent that could arrive late.
+    fn expired_response(self) -> DirectResponse {
         match self.kind {
             DirectRequestKind::Commands { .. } => {
                 DirectResponse::Commands(self.machine_id, Some(CommandReply { heartbeat: None }))
@@ -103,15 +104,15 @@
     }
 }
 
-/// A request that leaves the queue.
+/// A request that was taken from the queue.
 enum Dequeued {
-    /// It is to be sent.
+    /// The request is due to be sent.
     Send(DirectRequest),
-    /// It waited for too long, and is not to be sent.
+    /// The request was queued for too long and must not be sent.
     Expired(DirectRequest),
 }
 
-/// Requests that wait, each with the time since when, and the count of those under way.
+/// Queued requests, each with the time at which it was queued, and the numbers of requests in flight.
 struct RequestQueue {
     commands: VecDeque<(Millis, DirectRequest)>,
     probes: VecDeque<(Millis, DirectRequest)>,
@@ -139,14 +140,14 @@
         queue.push_back((now, request));
     }
 
-    /// The next request that expired or may leave, commands first.
+    /// Takes the next request that has expired or may be sent, commands before probes.
     fn next(&mut self, now: Millis) -> Option<Dequeued> {
         self.next_command(now).or_else(|| self.next_probe())
     }
 
     fn next_command(&mut self, now: Millis) -> Option<Dequeued> {
-        let (since, _) = self.commands.front()?;
-        if now.since(*since) > COMMANDS_TIMEOUT {
+        let (queued_at, _) = self.commands.front()?;
+        if now.since(*queued_at) > MAX_COMMAND_QUEUE_TIME {
             let (_, request) = self.commands.pop_front()?;
             return Some(Dequeued::Expired(request));
         }
@@ -159,7 +160,7 @@
     }
 
     fn next_probe(&mut self) -> Option<Dequeued> {
-        let max_probes = ((self.max_in_flight as f64 * MAX_PROBE_SHARE) as usize).max(1);
+        let max_probes = ((self.max_in_flight as f64 * MAX_PROBE_FRACTION) as usize).max(1);
         if self.in_flight >= self.max_in_flight || self.probes_in_flight >= max_probes {
             return None;
         }
@@ -175,15 +176,15 @@
     }
 }
 
-/// Handle to the actor, by which requests are sent to it.
+/// A handle for sending requests to the actor.
 #[derive(Clone)]
 pub struct DirectClient {
     requests: mpsc::UnboundedSender<DirectRequest>,
 }
 
 impl DirectClient {
-    /// Starts the actor, which has at most `max_in_flight` exchanges under way. The actor
-    /// sends each response to `responses`: at most one at a time for each machine.
+    /// Starts the actor, which has at most `max_in_flight` exchanges in flight and sends each response
+    /// to `responses`: at most one at a time for each machine.
     pub fn start(
         client: HttpClient,
         max_in_flight: usize,
@@ -196,7 +197,7 @@
         Self { requests }
     }
 
-    /// Queues a request; its response comes on the channel given at the start.
+    /// Queues a request; its response arrives on the channel passed to [`start`](Self::start).
     pub fn send(&self, request: DirectRequest) {
         // The actor ends only with the process.
         let _ = self.requests.send(request);
@@ -210,7 +211,7 @@
     mut inbox: mpsc::UnboundedReceiver<DirectRequest>,
     responses: mpsc::UnboundedSender<DirectResponse>,
 ) {
-    // Holds at most one entry for each exchange under way.
+    // Unbounded, but holds at most one entry for each exchange in flight.
     let (finished, mut finished_inbox) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
@@ -224,7 +225,7 @@
             let request = match dequeued {
                 Dequeued::Send(request) => request,
                 Dequeued::Expired(request) => {
-                    let _ = responses.send(request.unsent());
+                    let _ = responses.send(request.expired_response());
                     continue;
                 }
             };
--- a/src/workers/direct/tests.rs
+++ b/src/workers/direct/tests.rs
@@ -16,15 +16,15 @@
     }
 }
 
-/// When a shard changed holders, its token was announced to hundreds of machines at once, most of them behind
-/// a partition: each occupied a socket for seconds, and starts waited for them.
+/// Guards against probes that delay starts: when a shard changed holders, its token was announced to hundreds
+/// of machines at once, most of them behind a partition. Each probe occupied a socket for seconds.
 #[test]
-fn token_announcements_take_half_of_the_slots_and_expired_commands_none() {
+fn probes_take_half_of_the_slots_and_expired_commands_none() {
     let mut queue = RequestQueue::new(4);
     for index in 0..5 {
-        queue.push(request(&format!("s{index}"), false), Millis(0));
+        queue.push(request(&format!("probe-{index}"), false), Millis(0));
     }
-    let leave = |queue: &mut RequestQueue, at: u64| -> Vec<(String, bool)> {
+    let dequeue = |queue: &mut RequestQueue, at: u64| -> Vec<(String, bool)> {
         let next = std::iter::from_fn(|| queue.next(Millis(at)));
         next.map(|dequeued| match dequeued {
             Dequeued::Send(request) => (request.machine_id.to_string(), false),
@@ -32,25 +32,28 @@
         })
         .collect()
     };
-    let named = |names: &[(&str, bool)]| -> Vec<(String, bool)> {
+    let expected = |names: &[(&str, bool)]| -> Vec<(String, bool)> {
         names
             .iter()
-            .map(|(name, late)| (name.to_string(), *late))
+            .map(|(name, expired)| (name.to_string(), *expired))
             .collect()
     };
-    assert_eq!(leave(&mut queue, 0), named(&[("s0", false), ("s1", false)]));
+    assert_eq!(
+        dequeue(&mut queue, 0),
+        expected(&[("probe-0", false), ("probe-1", false)])
+    );
     for index in 0..3 {
-        queue.push(request(&format!("o{index}"), true), Millis(10));
+        queue.push(request(&format!("command-{index}"), true), Millis(10));
     }
     assert_eq!(
-        leave(&mut queue, 10),
-        named(&[("o0", false), ("o1", false)])
+        dequeue(&mut queue, 10),
+        expected(&[("command-0", false), ("command-1", false)])
     );
     queue.finish(RequestClass::Probe);
-    assert_eq!(leave(&mut queue, 20), named(&[("o2", false)]));
-    queue.push(request("o3", true), Millis(30));
-    assert_eq!(leave(&mut queue, 2_030), named(&[]));
-    assert_eq!(leave(&mut queue, 2_031), named(&[("o3", true)]));
+    assert_eq!(dequeue(&mut queue, 20), expected(&[("command-2", false)]));
+    queue.push(request("command-3", true), Millis(30));
+    assert_eq!(dequeue(&mut queue, 2_030), expected(&[]));
+    assert_eq!(dequeue(&mut queue, 2_031), expected(&[("command-3", true)]));
     queue.finish(RequestClass::Command);
-    assert_eq!(leave(&mut queue, 2_032), named(&[("s2", false)]));
+    assert_eq!(dequeue(&mut queue, 2_032), expected(&[("probe-2", false)]));
 }
--- a/src/workers/failures.rs
+++ b/src/workers/failures.rs
@@ -1,14 +1,13 @@
-//! Failures of tasks on a machine, and when they put it in quarantine.
+//! Task failures on a machine, and when they quarantine it.
 
 use super::machine::Machine;
 use crate::types::{JobId, Millis};
 
-/// A machine is quarantined once tasks of this many jobs failed on it in a row: one job may be
-/// faulty itself.
+/// A machine is quarantined once tasks of this many jobs failed on it in a row; with one job, the job
+/// itself may be faulty.
 const QUARANTINE_FAILED_JOBS: usize = 2;
-/// A machine is also quarantined after this many tries that failed in a row, though the jobs are
-/// crash-looping themselves: a job that fits no other machine is tried on faulty machines
-/// repeatedly.
+/// A machine is also quarantined after this many tries that failed in a row, even if the jobs are
+/// crash-looping: a job that fits no other machine is tried on faulty machines repeatedly.
 const QUARANTINE_FAILED_TRIES: u32 = 4;
 /// Tasks that fail closer together than this were started together, and count as one try.
 const SAME_TRY_WINDOW: Millis = Millis(5_000);
@@ -38,11 +37,11 @@
             .record(now);
     }
 
-    /// Decides again whether the machine or the jobs are the cause of the failures. `crash_looping` tells which
-    /// jobs fail elsewhere, too: two faulty jobs would otherwise quarantine any healthy machine that
-    /// they are tried on.
+    /// Updates whether the machine, rather than the jobs, is the likely cause of its failures.
+    /// `crash_looping` tells which jobs fail on other machines, too: otherwise two faulty jobs would
+    /// quarantine any healthy machine that they are tried on.
     pub fn update_quarantine(&mut self, crash_looping: impl Fn(&JobId) -> bool) {
-        let sound_jobs = self
+        let healthy_jobs = self
             .failure_streaks
             .keys()
             .filter(|job| !crash_looping(job))
@@ -52,7 +51,8 @@
             .values()
             .map(|streak| streak.tries)
             .sum();
-        self.quarantined = sound_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
+        self.quarantined =
+            healthy_jobs >= QUARANTINE_FAILED_JOBS || tries >= QUARANTINE_FAILED_TRIES;
     }
 
     /// Records that a task succeeded here, which shows that the machine is healthy.
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,4 @@
-//! This controller's view of a machine: identity, contact, condition, tasks and image cache.
+//! This controller's view of a machine: identity, liveness, health, tasks and image cache.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,68 +20,70 @@
 pub struct TaskObservation {
     /// The attempt that the machine runs, or ran.
     pub attempt: Attempt,
-    /// How far the attempt is.
+    /// The attempt's stage of execution.
     pub stage: TaskStage,
-    /// Why it exited, if it did.
+    /// Why it exited; `None` if it has not, or if the worker gave no cause.
     pub cause: Option<ExitCause>,
 }
 
-/// This controller's view of a machine, from its worker's heartbeats or from another controller.
+/// This controller's view of a machine, from its worker's heartbeats or from the status of another
+/// controller.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// The machine's name.
+    /// The machine's name, unique in the cluster.
     pub machine_id: MachineId,
-    /// The type it was scaled out as.
+    /// The machine type that it was rented as.
     pub machine_type: MachineTypeId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Zone,
-    /// The cloud may take it away at short notice.
+    /// A spot instance: the cloud may reclaim it at short notice.
     pub spot: bool,
-    /// The shard it belongs to, by [`shard_of`](super::shard_of).
+    /// The shard that it belongs to, computed by [`shard_of`](super::shard_of).
     pub shard: ShardId,
     /// The worker's newest known agent epoch; a new one begins whenever its lease expires.
     pub agent_epoch: AgentEpoch,
-    /// The number of the newest known heartbeat within that epoch.
+    /// The sequence number of the newest known heartbeat within that epoch.
     pub heartbeat_sequence: u64,
-    /// The token that the worker had seen when it last reported to us.
+    /// The highest token that the worker had seen when it last reported to this controller.
     pub worker_token: WorkerToken,
-    /// The token of ours under which we answered a heartbeat last, and when that was received.
+    /// This controller's token under which it last answered a heartbeat, and when it received that
+    /// heartbeat.
     pub last_answer: Option<(FencingToken, Millis)>,
-    /// The token of ours that the worker was first known to have seen, and since when. Until then
-    /// an earlier holder's answers may have renewed its lease.
+    /// This controller's token that the worker has seen, and when that was first known. Until then
+    /// responses of an earlier holder may have renewed the worker's lease.
     pub token_confirmed: Option<(FencingToken, Millis)>,
-    /// When any controller last received a heartbeat that counts as a sign of life.
+    /// When any controller last received a heartbeat that is evidence of liveness.
     pub last_contact: Millis,
-    /// When we last received a heartbeat, rather than only an answer to direct commands.
+    /// When this controller last received a heartbeat; a response to direct commands doesn't count.
     pub last_heartbeat: Millis,
     /// In which directions messages arrive.
     pub reachability: Reachability,
-    /// The controller that received the last sign of life.
+    /// The controller that last received evidence of liveness.
     pub last_contact_by: ControllerId,
     /// The tasks in the newest heartbeat.
     pub tasks: BTreeMap<TaskId, TaskObservation>,
-    /// The cloud has announced that it will take the machine away.
+    /// The cloud has announced that it will reclaim the machine.
     pub termination_announced: bool,
     /// Jobs whose tasks failed here since the last success.
     pub failure_streaks: BTreeMap<JobId, FailureStreak>,
-    /// Tasks fail here because of the machine, so it gets none.
+    /// Tasks fail here because of the machine, so no tasks are placed on it.
     pub quarantined: bool,
     /// The leader wants to scale it in.
     pub draining: bool,
     /// No task is placed here before this time, since a start was refused for lack of resources.
     pub starts_paused_until: Millis,
-    /// Where the worker takes commands directly.
+    /// Where the worker takes direct commands; `None` if it takes none.
     pub address: Option<SocketAddr>,
     /// The exchange of direct commands with the worker.
     pub direct: DirectChannel,
-    /// Images in the cache.
+    /// Images in the machine's cache, as far as this controller knows.
     pub images: HashMap<Image, CachedImage>,
-    /// Images that tasks which this controller placed here wait for.
+    /// Images that tasks placed here by this controller wait for.
     pub pending_fetches: HashMap<Image, CachedImage>,
 }
 
 impl Machine {
-    /// A machine of which only the identity is known, and the controller that reported it.
+    /// A machine of which only the identity and the controller that reported it are known.
     #[must_use]
     pub fn new(
         machine_id: MachineId,
@@ -119,14 +121,16 @@
         }
     }
 
-    /// Whether a heartbeat is newer than what is known. The list of tasks in a late one is outdated.
+    /// Whether a heartbeat is newer than the newest known one. The task list of a late heartbeat is
+    /// outdated.
     #[must_use]
     pub fn is_newer(&self, agent_epoch: AgentEpoch, heartbeat_sequence: u64) -> bool {
         (agent_epoch, heartbeat_sequence) > (self.agent_epoch, self.heartbeat_sequence)
     }
 
-    /// Applies a heartbeat that is known to be newer. It is a sign of life only if commands are
-    /// known to arrive: a delayed copy may come long after the machine was deleted.
+    /// Applies a heartbeat that [`is_newer`](Self::is_newer). It is evidence of liveness only for a
+    /// machine that had no contact yet or is known to receive commands: a delayed copy may arrive
+    /// long after the machine was deleted.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis, by: &ControllerId) {
         self.agent_epoch = heartbeat.agent_epoch;
         self.heartbeat_sequence = heartbeat.heartbeat_sequence;
@@ -135,14 +139,15 @@
             self.last_contact = now;
         }
         self.last_contact_by = by.clone();
-        // An earlier holder of the shard reported this. Kept, it would exclude the machine permanently.
+        // Reported by an earlier holder of the shard; if it were kept, the machine would be excluded
+        // permanently.
         self.draining = false;
         self.address = heartbeat.address.parse().ok();
         self.termination_announced = heartbeat.warning_s.is_some();
         self.tasks = heartbeat.tasks.iter().filter_map(observation).collect();
     }
 
-    /// Notes that the worker has seen our token, if its last heartbeat shows that.
+    /// Records that the worker has seen this controller's token, if its last heartbeat shows that.
     pub fn confirm_token(&mut self, token: FencingToken, now: Millis) {
         let confirmed = self.token_confirmed.is_some_and(|(seen, _)| seen == token);
         if self.worker_token.token() >= token && !confirmed {
@@ -150,9 +155,9 @@
         }
     }
 
-    /// Whether the worker's lease has expired by our clock: no controller's answer has renewed it
-    /// for so long. From when it saw our token it dropped the answers of all others, and before
-    /// that it is unknown when it was answered last.
+    /// Whether the worker's lease has expired by this controller's clock: no answer has renewed it for
+    /// longer than `lease`. Once the worker has seen this controller's token it drops the answers of
+    /// all others; when it was last answered before that is unknown.
     #[must_use]
     pub fn lease_expired(&self, token: FencingToken, lease: Millis, now: Millis) -> bool {
         let under_token =
@@ -165,8 +170,8 @@
         now.since(renewed) > lease
     }
 
-    /// Whether a heartbeat shows any of the starts that the answer to the last one carried; `None`
-    /// if there were none, or the worker began a new agent epoch since.
+    /// Whether a heartbeat shows any of the starts in the answer to the previous heartbeat; `None`
+    /// if there were none, or the worker has begun a new agent epoch since.
     #[must_use]
     pub fn shows_piggybacked_start(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let piggybacked_starts = &self.direct.piggybacked_starts;
@@ -180,8 +185,8 @@
         Some(heartbeat.tasks.iter().any(shown))
     }
 
-    /// Whether the machine's own condition lets it take new tasks. It must have sent something within
-    /// `silence`.
+    /// Whether the machine's own condition lets it take new tasks, resources aside. Its last contact
+    /// must be within `silence`.
     #[must_use]
     pub fn is_schedulable(&self, now: Millis, silence: Millis) -> bool {
         self.reachability.is_confirmed()
@@ -192,7 +197,7 @@
             && now.since(self.last_contact) <= silence
     }
 
-    /// Whether the machine can take new tasks, and its worker has seen the token.
+    /// Whether the machine [is schedulable](Self::is_schedulable) and its worker has seen the token.
     #[must_use]
     pub fn is_schedulable_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
         self.is_schedulable(now, silence) && self.worker_token.token() >= token
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,8 +1,8 @@
-//! Workers as a controller sees them: their reports, the commands to them, and the evidence of where a
-//! task is.
+//! A controller's view of the workers: their heartbeats, the commands sent to them, and the evidence of
+//! which machine a task is on.
 //!
-//! [`Machine`] owns all that is known of one worker. It is filled by heartbeats, by answers to direct
-//! commands and by other controllers' statuses; [`reconcile`] compares it with the job records.
+//! [`Machine`] holds the known state of one worker. It is updated by heartbeats, by responses to direct
+//! commands and by the statuses of other controllers; [`reconcile`] compares it with the job records.
 
 pub mod client;
 pub mod direct;
@@ -21,7 +21,8 @@
 
 use crate::types::{MachineId, ShardId, Zone};
 
-/// Which shard of its zone a machine belongs to: fixed by its name, so that all controllers agree.
+/// The shard that a machine belongs to. It depends only on the arguments, so that all controllers with the
+/// same `shards_per_zone` agree; 0 counts as 1.
 #[must_use]
 pub fn shard_of(machine_id: &MachineId, zone: &Zone, shards_per_zone: u32) -> ShardId {
     let name = machine_id.as_str();
@@ -33,7 +34,7 @@
     }
 }
 
-/// A polynomial hash of a name that has no number, or one that is too large.
+/// A polynomial hash, for names without a number or with one that doesn't fit into 64 bits.
 fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0u64, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(u64::from(byte))
--- a/src/workers/reachability.rs
+++ b/src/workers/reachability.rs
@@ -1,15 +1,15 @@
 //! In which directions messages between a worker and its controller arrive.
 //!
-//! Outbound are our commands and answers, inbound the worker's heartbeats. Heartbeats prove nothing
-//! of the outbound direction: they may arrive from a machine that no answer and no command reaches,
-//! and a delayed copy of one may arrive long after the machine was deleted. So the outbound direction is
-//! confirmed by effect: an answer to what we sent, a start that a later heartbeat shows, or an agent
-//! epoch that outlives a lease. Until then a machine gets no new tasks, does not count as capacity,
-//! and its heartbeats are no sign of life.
+//! Outbound are the controller's commands and answers, inbound are the worker's heartbeats. Heartbeats
+//! prove nothing of the outbound direction: they may arrive from a machine that no answer and no command
+//! reaches, and a delayed copy may arrive long after the machine was deleted. Therefore the outbound
+//! direction is confirmed by its effects: a response to a direct request, a start that a later heartbeat
+//! shows, or an agent epoch that outlives a lease. Until then the machine gets no new tasks, does not count as
+//! capacity, and its heartbeats are no evidence of liveness.
 
 use crate::types::{AgentEpoch, Millis};
 
-/// Answers in a row that must have been lost before the machine is in doubt: a single one is
+/// Consecutive lost answers after which the outbound direction is unconfirmed; a single lost answer is
 /// common.
 const MAX_LOST_ANSWERS: u8 = 2;
 
@@ -19,38 +19,39 @@
     /// Heartbeats may arrive, but nothing proves that commands do.
     #[default]
     Unconfirmed,
-    /// Commands arrive and are answered, but heartbeats don't arrive: the lease expires.
+    /// Commands arrive and are answered, but heartbeats don't arrive, so the worker's lease expires.
     HeartbeatsLost,
     /// Commands arrive, and there is no evidence that heartbeats are lost.
     Confirmed,
 }
 
-/// What is known of the contact with a worker, and what decides when that changes.
+/// The directions in which messages to and from a worker are known to arrive, and the evidence for that.
+/// The default is unconfirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
     contact: Contact,
-    /// When the contact was last in doubt first.
+    /// When the last unconfirmed period began.
     unconfirmed_since: Millis,
-    /// The agent epoch in which it was.
+    /// The agent epoch in which that period began.
     unconfirmed_epoch: AgentEpoch,
-    /// Answers in a row that carried starts of which the next heartbeat showed none.
+    /// Consecutive answers that carried starts of which the next heartbeat showed none.
     lost_answers: u8,
-    /// When the worker, or its holder, last sent what was newer than all before.
+    /// When the worker, or the holder of its shard, last sent a message newer than all before.
     last_message: Millis,
 }
 
-/// What a heartbeat that is newer than all before says of the outbound direction.
+/// What a heartbeat that is newer than all before tells about the outbound direction.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatObservation {
-    /// The agent epoch that the heartbeat is of.
+    /// The agent epoch in which the heartbeat was sent.
     pub agent_epoch: AgentEpoch,
-    /// Nothing was known of the machine, or it had been silent for longer than a lost heartbeat or
-    /// two explain: this may be a copy of what it sent before it failed.
+    /// The machine was unknown, or silent for longer than one or two lost heartbeats explain: the
+    /// heartbeat may be a delayed copy from before the machine failed.
     pub after_silence: bool,
-    /// Its agent epoch ended although we answered it just before.
+    /// The worker's agent epoch ended although this controller had answered it just before.
     pub epoch_ended_early: bool,
-    /// Whether any of the starts in the answer to its last heartbeat is shown; `None` if there were
-    /// none.
+    /// Whether the heartbeat shows any of the starts in the answer to the previous one; `None` if that
+    /// carried none.
     pub starts_shown: Option<bool>,
 }
 
@@ -61,20 +62,20 @@
         self.contact == Contact::Confirmed
     }
 
-    /// The worker answered what we sent it.
+    /// Records that the worker responded to a request of this controller.
     pub fn confirm(&mut self) {
         self.contact = Contact::Confirmed;
         self.lost_answers = 0;
     }
 
-    /// The worker answers what we send, and its heartbeats are lost: its lease expires, as if no
-    /// command arrived.
+    /// Records that the worker responds to requests while its heartbeats are lost: its lease expires, as
+    /// if no command arrived.
     pub fn mark_heartbeats_lost(&mut self, now: Millis) {
         self.contact = Contact::HeartbeatsLost;
         self.last_message = now;
     }
 
-    /// Applies what the holder of the machine's shard reports.
+    /// Applies the state that the holder of the machine's shard reports.
     pub fn set_by_holder(&mut self, confirmed: bool, now: Millis) {
         self.contact = if confirmed {
             Contact::Confirmed
@@ -89,18 +90,19 @@
             || self.unconfirmed_since == Millis(0)
             || agent_epoch != self.unconfirmed_epoch
         {
-            self.begin_doubt(agent_epoch, now);
+            self.begin_unconfirmed_period(agent_epoch, now);
         }
         self.contact = Contact::Unconfirmed;
         self.lost_answers = 0;
     }
 
-    fn begin_doubt(&mut self, agent_epoch: AgentEpoch, now: Millis) {
+    fn begin_unconfirmed_period(&mut self, agent_epoch: AgentEpoch, now: Millis) {
         self.unconfirmed_since = now;
         self.unconfirmed_epoch = agent_epoch;
     }
 
-    /// Applies a heartbeat. `lease` is longer than any worker's agent epoch lasts without an answer.
+    /// Applies a heartbeat. `lease` must be longer than an agent epoch of any worker lasts without an
+    /// answer.
     pub fn observe_heartbeat(
         &mut self,
         observation: HeartbeatObservation,
@@ -127,17 +129,18 @@
         }
     }
 
-    /// An agent epoch that outlives a lease was renewed by answers, so some arrive.
+    /// Confirms a contact whose agent epoch has outlived a lease: answers renewed it, so some arrive.
     fn confirm_by_epoch_length(&mut self, agent_epoch: AgentEpoch, lease: Millis, now: Millis) {
         self.contact = Contact::Unconfirmed;
         if agent_epoch != self.unconfirmed_epoch {
-            self.begin_doubt(agent_epoch, now);
+            self.begin_unconfirmed_period(agent_epoch, now);
         } else if now.since(self.unconfirmed_since) > lease {
             self.confirm();
         }
     }
 
-    /// Whether the machine sent something within `silence`, though nothing confirms the contact.
+    /// Whether a message from the machine or the holder of its shard arrived within `silence`, while
+    /// nothing confirms that commands reach the machine and heartbeats arrive.
     #[must_use]
     pub fn is_live_but_unconfirmed(&self, now: Millis, silence: Millis) -> bool {
         !self.is_confirmed() && now.since(self.last_message) <= silence
--- a/src/workers/reachability/tests.rs
+++ b/src/workers/reachability/tests.rs
@@ -3,85 +3,97 @@
 const LEASE: Millis = Millis(26_000);
 
 #[test]
-fn reachability_is_proved_by_effect_only() {
+fn contact_is_confirmed_by_effects_only() {
     let plain = HeartbeatObservation {
         agent_epoch: AgentEpoch(1),
         after_silence: false,
         epoch_ended_early: false,
         starts_shown: None,
     };
-    let unexpected = HeartbeatObservation {
+    let after_silence = HeartbeatObservation {
         after_silence: true,
         ..plain
     };
-    let obeyed = |yes| HeartbeatObservation {
-        starts_shown: Some(yes),
+    let starts_shown = |shown| HeartbeatObservation {
+        starts_shown: Some(shown),
         ..plain
     };
-    let broken = HeartbeatObservation {
+    let ended_early = HeartbeatObservation {
         agent_epoch: AgentEpoch(2),
         epoch_ended_early: true,
         ..plain
     };
-    let again = |agent_epoch| HeartbeatObservation {
+    let in_epoch = |agent_epoch| HeartbeatObservation {
         agent_epoch: AgentEpoch(agent_epoch),
         ..plain
     };
-    // Seconds at which a heartbeat reports an effect, `None` for a direct response; proved after each.
+    // Second; observation of a heartbeat, or `None` for a direct response; whether the contact is then
+    // confirmed.
     type Step = (u64, Option<HeartbeatObservation>, bool);
     let cases: [(&str, Vec<Step>); 7] = [
         (
-            "one that is new is asked first",
-            vec![(1, Some(unexpected), false), (1, None, true)],
+            "a new machine is unconfirmed until it responds to a direct request",
+            vec![(1, Some(after_silence), false), (1, None, true)],
         ),
         (
-            "reports alone prove nothing",
+            "heartbeats alone prove nothing",
             vec![
-                (1, Some(unexpected), false),
+                (1, Some(after_silence), false),
                 (5, Some(plain), false),
                 (9, Some(plain), false),
             ],
         ),
         (
-            "a session that outlives a lease does",
-            vec![(1, Some(unexpected), false), (28, Some(plain), true)],
+            "an agent epoch that outlives a lease confirms",
+            vec![(1, Some(after_silence), false), (28, Some(plain), true)],
         ),
         (
-            "one that is over in between does not",
+            "a new agent epoch restarts the unconfirmed period",
             vec![
-                (1, Some(unexpected), false),
-                (26, Some(again(2)), false),
-                (29, Some(again(2)), false),
+                (1, Some(after_silence), false),
+                (26, Some(in_epoch(2)), false),
+                (29, Some(in_epoch(2)), false),
             ],
         ),
         (
-            "a start that is shown does",
-            vec![(1, Some(unexpected), false), (3, Some(obeyed(true)), true)],
+            "a start that a heartbeat shows confirms",
+            vec![
+                (1, Some(after_silence), false),
+                (3, Some(starts_shown(true)), true),
+            ],
         ),
         (
-            "one lost answer is no doubt, two in a row are",
+            "a single lost answer is tolerated, two in a row are not",
             vec![
                 (1, None, true),
-                (2, Some(obeyed(false)), true),
-                (3, Some(obeyed(true)), true),
-                (4, Some(obeyed(false)), true),
-                (5, Some(obeyed(false)), false),
+                (2, Some(starts_shown(false)), true),
+                (3, Some(starts_shown(true)), true),
+                (4, Some(starts_shown(false)), true),
+                (5, Some(starts_shown(false)), false),
             ],
         ),
         (
-            "a session that ends though it was answered is",
-            vec![(1, None, true), (20, Some(broken), false), (21, None, true)],
+            "an agent epoch that ends although it was answered is not confirmed",
+            vec![
+                (1, None, true),
+                (20, Some(ended_early), false),
+                (21, None, true),
+            ],
         ),
     ];
     for (name, steps) in cases {
         let mut reachability = Reachability::default();
-        for (index, (at, said, proved)) in steps.into_iter().enumerate() {
+        for (index, (at, observation, confirmed)) in steps.into_iter().enumerate() {
             let now = Millis(at * 1_000);
-            match said {
-                Some(said) => reachability.observe_heartbeat(said, LEASE, now),
+            match observation {
+                Some(observation) => reachability.observe_heartbeat(observation, LEASE, now),
                 None => reachability.confirm(),
             }
-            assert_eq!(reachability.is_confirmed(), proved, "{name}, step {index}");
+            assert_eq!(
+                reachability.is_confirmed(),
+                confirmed,
+                "{name}, step {index}"
+            );
         }
     }
 }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,5 +1,5 @@
-//! Compares a machine's newest heartbeat with the job records: which commands the worker gets, and what
-//! the records should say next. It only decides; the caller commits the changes and sends the commands.
+//! Compares a machine's newest heartbeat with the job records and decides which commands the worker gets
+//! and how the records change. The caller commits the changes and sends the commands.
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
@@ -9,39 +9,42 @@
 use crate::jobs::{Phase, Placement, Task};
 use crate::types::{Attempt, FencingToken, JobId, TaskId};
 
-/// Tasks that their holder is stopping, to preempt them or to drain a machine.
+/// Tasks that the holder of their machine's shard is stopping, to preempt them or to drain the machine.
 pub type Stops = HashMap<TaskId, Stop>;
 
-/// A stop of one attempt of a task.
+/// A request to stop one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// The attempt to stop; later attempts are not stopped.
+    /// The attempt to stop; later attempts are not affected.
     pub attempt: Attempt,
-    /// The task gets the time to save a checkpoint.
+    /// Whether the task gets time to save a checkpoint before it is killed.
     pub save: bool,
 }
 
-/// What follows from a heartbeat.
+/// The commands and record changes that follow from a heartbeat.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reconciliation {
-    /// Commands for the worker: stops and forgets before starts.
+    /// Commands for the worker, in the order of their execution: stops and forgets before starts, then those
+    /// that cancel late starts.
     pub commands: Vec<WorkerCommand>,
     /// Changes of the records, by job and index of the task.
     pub changes: Vec<(JobId, u32, TaskChange)>,
-    /// Exits with an error, and starts that were refused.
+    /// Exits with an error, and starts that the worker refused.
     pub failures: Vec<(JobId, ExitCause)>,
-    /// How many tasks are done.
+    /// The number of tasks that completed successfully.
     pub successes: u32,
 }
 
-/// An answer stays well below 64 KiB with this many commands; the rest follow with the next.
+/// With this many commands an answer stays well below 64 KiB; the remaining commands follow with the next
+/// answer.
 const MAX_COMMANDS: usize = 300;
-/// Seconds beyond a checkpoint's own duration that a task gets before it is killed.
+/// Seconds that a task gets beyond the duration of its checkpoint before it is killed.
 const SAVE_GRACE_MARGIN_S: f64 = 1.0;
 
-/// `machine` holds the newest heartbeat. `token` is what we hold its shard under; a heartbeat whose
-/// worker had not seen it yet proves nothing, since an earlier holder's start may follow it.
-/// `may_be_fetching` tells of a gang whether the rest of it may still be fetching its image.
+/// Reconciles the newest heartbeat in `machine` with the job records. `token` is the token under which this
+/// controller holds the machine's shard: a heartbeat whose worker had not seen it yet proves nothing, since
+/// an earlier holder's start may follow, and has no effect. `may_be_fetching` tells whether other tasks of a
+/// gang may still be fetching its image.
 #[must_use]
 pub fn reconcile(
     machine: &Machine,
@@ -67,7 +70,7 @@
     pass.finish()
 }
 
-/// One comparison of a heartbeat with the records.
+/// One reconciliation of a heartbeat with the records.
 struct Pass<'a, MayBeFetching> {
     machine: &'a Machine,
     token: FencingToken,
@@ -75,13 +78,13 @@
     stops: &'a Stops,
     may_be_fetching: MayBeFetching,
     outcome: Reconciliation,
-    /// Starts and stops of unwanted attempts that may still start late. They keep
-    /// their order, each start before its stop.
+    /// Starts and stops of unwanted attempts whose start may still arrive. They keep their order, each
+    /// start before its stop.
     late_start_commands: Vec<WorkerCommand>,
 }
 
 impl<'a, MayBeFetching: Fn(&Job) -> bool> Pass<'a, MayBeFetching> {
-    /// Compares each task in the heartbeat with its record. Returns those that are current: placed
+    /// Compares each task in the heartbeat with its record. Returns the current ones: those placed
     /// here in the reported attempt and agent epoch.
     fn reconcile_reported_tasks(&mut self) -> HashSet<&'a TaskId> {
         let machine = self.machine;
@@ -120,27 +123,28 @@
         if cause == ExitCause::GangTimeout
             && self.machine.direct.piggybacked_starts.contains(&start)
         {
-            // The worker may already have a command to start it once more. An answer to direct commands
-            // that was written before says nothing of that.
+            // The worker may already have a command to start this attempt again. A response to direct
+            // commands may have been written before that command arrived, so it is no evidence.
             return;
         }
         if change_pending {
             return;
         }
-        let starts_again = cause == ExitCause::GangTimeout
+        let restart = cause == ExitCause::GangTimeout
             && is_wanted(job)
             && !self.is_stopped(task, attempt)
             && (self.may_be_fetching)(job);
-        if starts_again {
-            self.start_again(task, attempt);
+        if restart {
+            self.restart_at_barrier(task, attempt);
         } else {
             self.record_exit(task, attempt, cause);
         }
     }
 
-    /// Starts a task again that stopped waiting for its gang while others still fetch the image. The image
-    /// is already here, so the task waits again in place. Releasing it would discard the others' fetches.
-    fn start_again(&mut self, task: &TaskId, attempt: Attempt) {
+    /// Restarts a task that timed out at the start barrier while other tasks of its gang still fetch the
+    /// image. The image is already cached here, so the task waits again in place. Releasing the task would
+    /// discard the fetches of the others.
+    fn restart_at_barrier(&mut self, task: &TaskId, attempt: Attempt) {
         self.forget(task, attempt);
         self.outcome.commands.push(WorkerCommand::Start {
             task: task.clone(),
@@ -148,7 +152,7 @@
         });
     }
 
-    /// Records that a task exited: it is done, or leaves the machine.
+    /// Records that a task exited: it is finished, or released from the machine.
     fn record_exit(&mut self, task: &TaskId, attempt: Attempt, cause: ExitCause) {
         let change = if cause == ExitCause::Done {
             self.outcome.successes += 1;
@@ -162,7 +166,8 @@
         self.push_change(task, change);
     }
 
-    /// Stops a task that runs, if its job is over or its holder is stopping it.
+    /// Stops a task that has not exited, if it should not run: its job is over or lost a gang member, or
+    /// the holder is stopping the task.
     fn stop_if_unwanted(&mut self, job: &Job, task: &TaskId, observation: &TaskObservation) {
         let attempt = observation.attempt;
         if !is_wanted(job) {
@@ -180,19 +185,19 @@
         }
     }
 
-    /// Handles a task whose attempt the committed records no longer place here: an exited one may be
-    /// forgotten, any other must not run here.
+    /// Handles an attempt that the committed records do not place here: it is forgotten if it has exited,
+    /// otherwise it must not run here and is killed.
     fn discard_outdated_task(&mut self, task: &TaskId, observation: &TaskObservation) {
         let attempt = observation.attempt;
         if observation.stage != TaskStage::Exited {
             self.kill(task, attempt);
         } else if !self.machine.direct.may_still_start(task, attempt) {
-            // A start that is still under way would start a forgotten attempt again.
+            // A start that is still in flight would run a forgotten attempt again.
             self.forget(task, attempt);
         }
     }
 
-    /// Compares the tasks that the records place here and the heartbeat does not show as current.
+    /// Handles the tasks that the records place here and the heartbeat does not show as current.
     fn reconcile_unreported_tasks(&mut self, current: &HashSet<&TaskId>) {
         let jobs = self.jobs;
         for (id, index) in jobs.tasks_on(&self.machine.machine_id) {
@@ -226,28 +231,28 @@
                 attempt,
             });
         } else if !self.machine.direct.may_still_start(task, attempt) {
-            // Starts are sent with answers, and a worker has one heartbeat in flight: its next heartbeat
-            // proves whether a start was executed; one sent directly may still come until it is
-            // answered. Without either, none follows.
+            // No start is in flight, so the task is absent. A worker has one heartbeat in flight, so its
+            // next heartbeat proves whether a start in the last answer was executed; a start sent
+            // directly may still arrive until the worker responds to it.
             self.push_change(task, self.release(attempt));
         } else if self.machine.direct.is_unacknowledged(task, attempt) {
             self.cancel_late_start(task, attempt);
         }
     }
 
-    /// Whether the worker began a new agent epoch since a task was placed, so that it killed all
-    /// it had.
+    /// Whether the worker has begun a new agent epoch since a task was placed, and so has killed all tasks
+    /// that it had.
     fn epoch_has_ended(&self, placement: &Placement) -> bool {
-        // A machine that restarted its counters reports a lower agent epoch than an earlier holder saw.
-        // This counts only for a machine that answered a probe: the agent epochs that this controller
-        // sees of it only rise.
+        // A machine whose counters were reset reports a lower agent epoch than an earlier holder saw.
+        // This counts only for a machine that has responded to a probe: the agent epochs that this
+        // controller sees of such a machine only rise.
         let counters_reset = placement.agent_epoch > self.machine.agent_epoch
             && self.machine.reachability.is_confirmed();
         placement.agent_epoch < self.machine.agent_epoch || counters_reset
     }
 
-    /// Handles an unwanted attempt whose start may still arrive. Started and stopped now, the attempt
-    /// is known to the worker, so the late start does nothing, and it is seen to have ended.
+    /// Cancels an unwanted attempt whose start may still arrive, by starting and stopping it now. The worker
+    /// then knows the attempt, so that the late start has no effect, and reports that it has exited.
     fn cancel_late_start(&mut self, task: &TaskId, attempt: Attempt) {
         self.late_start_commands.push(WorkerCommand::Start {
             task: task.clone(),
@@ -260,9 +265,9 @@
         });
     }
 
-    /// Whether this attempt is being stopped. If a stop applied to the next attempt too, that would be
-    /// released before it was started, and started once the stop was forgotten, while the release may
-    /// still be in flight.
+    /// Whether this attempt is being stopped. If a stop applied to the next attempt too, that attempt would
+    /// be released before its start, and started once the stop was dropped, while the release may still be
+    /// in flight.
     fn is_stopped(&self, task: &TaskId, attempt: Attempt) -> bool {
         let stop = self.stops.get(task);
         stop.is_some_and(|stop| stop.attempt == attempt)
@@ -300,7 +305,7 @@
         });
     }
 
-    /// Puts stops first, since they free the resources that starts need.
+    /// Orders the commands with stops first, since they free the resources that starts need.
     fn finish(self) -> Reconciliation {
         let mut outcome = self.outcome;
         outcome
@@ -317,7 +322,7 @@
     job.record.phase == Phase::Active && !job.is_broken_gang()
 }
 
-/// Whether an exit counts against the job or the machine.
+/// Whether an exit counts as a failure of the job or the machine.
 fn is_failure(cause: ExitCause) -> bool {
     matches!(
         cause,
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -4,11 +4,12 @@
 use crate::jobs::{JobKind, JobSpec};
 use crate::types::{AgentEpoch, MachineId, Millis, Revision, ShardId, WorkerToken};
 
-/// A gang was placed on one machine with its image and fifteen without. The first task waited for the others
-/// for 30 s while they fetched for a minute; its timeout ended the whole gang, and the next attempt began from
-/// scratch. After a restart, a response sent before it does not prove the task gone.
+/// Guards against a gang that never starts: it was placed on one machine with its image cached and fifteen
+/// without. The first task timed out at the start barrier after 30 s while the others fetched for a minute;
+/// its timeout released the whole gang, and the next attempt began from scratch. A response written before
+/// the restart must not count as proof that the task is gone.
 #[test]
-fn a_start_barrier_wait_restarts_while_other_tasks_fetch() {
+fn a_gang_timeout_restarts_while_other_tasks_fetch() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
     (spec.tasks, spec.kind) = (2, JobKind::Gang);
     let placed = |machine_id: &str, part| {
@@ -34,7 +35,7 @@
         index: 0,
     };
     let cases = [
-        // cause, the other task, may fetch, a command is in flight, started again, released
+        // cause, the other task, may be fetching, a start is in flight, restarted, released
         (
             ExitCause::GangTimeout,
             other.clone(),
@@ -77,30 +78,32 @@
         ),
         (ExitCause::GangMemberLost, other, true, true, false, true),
     ];
-    for (index, (cause, mate, fetches, rides, again, released)) in cases.into_iter().enumerate() {
+    for (index, (cause, other_task, may_be_fetching, start_in_flight, restarted, released)) in
+        cases.into_iter().enumerate()
+    {
         let mut jobs = JobCache::default();
         jobs.apply(&job_key(&id), Some(&record), Revision(5), Millis(1));
-        let page = encode_page(&[here.clone(), mate]);
+        let page = encode_page(&[here.clone(), other_task]);
         jobs.apply(&page_key(&id, 0), Some(&page), Revision(6), Millis(1));
         let (machine_id, shard) = (MachineId::from("vm-1"), ShardId::parse("a.0").unwrap());
         let (machine_type, zone) = ("g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
             (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
-        let seen = TaskObservation {
+        let observation = TaskObservation {
             attempt: tried,
             stage: TaskStage::Exited,
             cause: Some(cause),
         };
-        machine.tasks.insert(task.clone(), seen);
-        if rides {
+        machine.tasks.insert(task.clone(), observation);
+        if start_in_flight {
             machine
                 .direct
                 .piggybacked_starts
                 .insert((task.clone(), tried));
         }
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
-            fetches
+            may_be_fetching
         });
         let attempt = tried;
         let forget = WorkerCommand::Forget {
@@ -108,7 +111,7 @@
             attempt,
         };
         let task = task.clone();
-        let expected = if again {
+        let expected = if restarted {
             vec![forget, WorkerCommand::Start { task, attempt }]
         } else {
             vec![]
@@ -118,8 +121,8 @@
     }
 }
 
-/// The records of a job with one placed task.
-fn one_placed(id: &JobId, spec: JobSpec, placement: Placement) -> JobCache {
+/// The records of a job whose only task has this placement.
+fn jobs_with_one_placement(id: &JobId, spec: JobSpec, placement: Placement) -> JobCache {
     let record = JobRecord {
         phase: Phase::Active,
         owner: "n0".into(),
@@ -135,10 +138,10 @@
     jobs
 }
 
-/// A machine restarted at once with its counters reset, and its shard changed holders: the new holder found
-/// tasks of an agent epoch that the machine had not reached yet, and waited for ever.
+/// Guards against tasks that are never released: a machine restarted at once with its counters reset, and its
+/// shard changed holders. The new holder found placements in an agent epoch that the machine had not reached.
 #[test]
-fn tasks_of_another_agent_epoch_are_gone() {
+fn tasks_of_another_agent_epoch_are_released() {
     let cases = [
         // agent epoch of the placement, of the machine, whether it has answered a probe, released
         (1, 2, false, true),
@@ -146,38 +149,41 @@
         (2, 1, false, false),
         (2, 2, true, false),
     ];
-    for (placed, now, proved, released) in cases {
+    for (placed_epoch, current_epoch, confirmed, released) in cases {
         let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         spec.tasks = 1;
         let shard = ShardId::parse("a.0").unwrap();
         let placement = Placement {
             machine_id: "vm-1".into(),
             shard: shard.clone(),
-            agent_epoch: AgentEpoch(placed),
+            agent_epoch: AgentEpoch(placed_epoch),
             attempt: Attempt(1),
         };
-        let jobs = one_placed(&id, spec, placement);
+        let jobs = jobs_with_one_placement(&id, spec, placement);
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(now), WorkerToken::of(FencingToken(4)));
-        if proved {
+            (AgentEpoch(current_epoch), WorkerToken::of(FencingToken(4)));
+        if confirmed {
             machine.reachability.confirm();
         }
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
             false
         });
-        let release = |(_, _, change): &(JobId, u32, TaskChange)| {
+        let is_release = |(_, _, change): &(JobId, u32, TaskChange)| {
             matches!(change, TaskChange::Release { .. })
         };
-        let found = outcome.changes.iter().any(release);
-        assert_eq!(found, released, "placed in {placed}, now {now}, {proved}");
+        let found = outcome.changes.iter().any(is_release);
+        assert_eq!(
+            found, released,
+            "placed in epoch {placed_epoch}, now in {current_epoch}, confirmed: {confirmed}"
+        );
     }
 }
 
-/// A task was preempted just after its start had been sent with the response to a heartbeat. A response to
-/// direct commands, written before the start arrived, did not show the task; it was released, placed
-/// elsewhere, and ran twice.
+/// Guards against a task that runs twice: it was preempted just after its start had been sent with the answer
+/// to a heartbeat. A response to direct commands, written before the start arrived, did not show the task, so
+/// it was released and placed elsewhere.
 #[test]
 fn a_start_in_flight_is_not_proved_absent() {
     let (id, mut spec) = parse(body().to_string().as_bytes()).unwrap();
@@ -189,7 +195,7 @@
         agent_epoch: AgentEpoch(1),
         attempt: Attempt(1),
     };
-    let jobs = one_placed(&id, spec, placement);
+    let jobs = jobs_with_one_placement(&id, spec, placement);
     let task = TaskId { job: id, index: 0 };
     let attempt = Attempt(1);
     let stops = Stops::from_iter([(
@@ -199,22 +205,22 @@
             save: false,
         },
     )]);
-    type Way = fn(&mut Machine, (TaskId, Attempt));
-    let cases: [(&str, Way, bool); 4] = [
-        // channel of its start, released
+    type SendStart = fn(&mut Machine, (TaskId, Attempt));
+    let cases: [(&str, SendStart, bool); 4] = [
+        // how the start was sent, released
         ("no start was sent", |_, _| {}, true),
         (
-            "it left with the answer to the last report",
+            "the start was sent with the answer to the last heartbeat",
             |m, start| m.direct.piggybacked_starts.extend([start]),
             false,
         ),
         (
-            "it was sent directly, without an answer",
+            "the start was sent directly, without a response",
             |m, start| m.direct.unacknowledged_starts.extend([start]),
             false,
         ),
         (
-            "it was sent in an earlier session",
+            "the start was sent in an earlier agent epoch",
             |m, start| {
                 m.direct.piggybacked_starts.extend([start]);
                 m.direct.set_validity(FencingToken(4), AgentEpoch(2));
@@ -222,7 +228,7 @@
             true,
         ),
     ];
-    for (name, way, gone) in cases {
+    for (name, send_start, released) in cases {
         let machine_id = MachineId::from("vm-1");
         let (machine_type, zone) = ("g8".into(), "a".into());
         let mut machine = Machine::new(
@@ -235,18 +241,18 @@
         );
         (machine.agent_epoch, machine.worker_token) =
             (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
-        way(&mut machine, (task.clone(), attempt));
+        send_start(&mut machine, (task.clone(), attempt));
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
-        assert_eq!(!outcome.changes.is_empty(), gone, "{name}");
-        // A gang waited for ever for a task whose start had been sent to a machine that received no
-        // commands: the attempt is made known to the worker, and ended.
-        let unacknowledged_starts = machine.direct.is_unacknowledged(&task, attempt);
-        let verbs = outcome.commands.iter().map(|order| match order {
+        assert_eq!(!outcome.changes.is_empty(), released, "{name}");
+        // Guards against a gang that waits forever for a task whose start was sent to a machine that
+        // received no commands: the attempt is made known to the worker, and stopped.
+        let unacknowledged = machine.direct.is_unacknowledged(&task, attempt);
+        let verbs = outcome.commands.iter().map(|command| match command {
             WorkerCommand::Start { .. } => "start",
             WorkerCommand::Stop { .. } => "stop",
             WorkerCommand::Forget { .. } => "forget",
         });
-        let expected: &[&str] = if unacknowledged_starts {
+        let expected: &[&str] = if unacknowledged {
             &["start", "stop"]
         } else {
             &[]
@@ -255,9 +261,9 @@
     }
 }
 
-/// A task was preempted and placed again. The stop of its first attempt was applied to the second, which was
-/// released before its start; it was started after the stop had been dropped, the release was applied after
-/// that, and the task ran twice.
+/// Guards against a task that runs twice: it was preempted and placed again, and the stop of its first attempt
+/// was applied to the second, which was released before its start. The second attempt was started once the
+/// stop had been dropped, and the release was applied after that.
 #[test]
 fn a_stop_applies_to_one_attempt_only() {
     for (stopped, released) in [(1, false), (2, true)] {
@@ -270,7 +276,7 @@
             agent_epoch: AgentEpoch(1),
             attempt: Attempt(2),
         };
-        let jobs = one_placed(&id, spec, placement);
+        let jobs = jobs_with_one_placement(&id, spec, placement);
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,5 +1,5 @@
-//! The messages to and from workers. The names on the wire are the protocol's own and are given by `serde`
-//! attributes; nothing else in the program uses them.
+//! The messages to and from workers. Where a name on the wire differs from the name in the program, a
+//! `serde` attribute gives it; nothing else in the program uses the names on the wire.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,10 +7,10 @@
     AgentEpoch, Attempt, ControllerId, MachineId, MachineTypeId, TaskId, WorkerToken, Zone,
 };
 
-/// The largest body of a heartbeat that is read, in bytes.
+/// The largest accepted body of a heartbeat, in bytes.
 pub const MAX_HEARTBEAT_BYTES: usize = 1 << 20;
 
-/// What a worker reports at each interval, and in answer to direct commands.
+/// A worker's report, sent at each interval and in response to direct commands.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Heartbeat {
     /// The machine that the worker runs on.
@@ -19,29 +19,29 @@
     /// Where the worker takes commands directly; empty if it takes none.
     #[serde(default)]
     pub address: String,
-    /// The machine's type.
+    /// The machine type that it was rented as.
     #[serde(rename = "rig")]
     pub machine_type: MachineTypeId,
-    /// The machine's zone.
+    /// The zone that the machine runs in.
     #[serde(rename = "yard")]
     pub zone: Zone,
-    /// The cloud may take the machine away at short notice.
+    /// The machine is a spot instance: the cloud may reclaim it at short notice.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Starts at 1, and increases whenever the worker's lease expires and it kills all its tasks.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Increases with every heartbeat and every answer to direct commands: of two heartbeats, the one
-    /// with the larger agent epoch and sequence is the newer.
+    /// Increases with every heartbeat and every response to direct commands. Of two heartbeats, the one
+    /// with the larger pair of agent epoch and sequence is the newer.
     #[serde(rename = "tally")]
     pub heartbeat_sequence: u64,
     /// The highest token that the worker has seen.
     #[serde(rename = "baton")]
     pub worker_token: WorkerToken,
-    /// Seconds until the cloud takes the machine away, if it announced that.
+    /// Seconds until the cloud reclaims the machine; `None` if it has announced nothing.
     #[serde(rename = "warningS", default)]
     pub warning_s: Option<f64>,
-    /// All tasks that the worker has, until a command removes them.
+    /// All tasks of the worker; exited ones are listed until a command removes them.
     #[serde(default)]
     #[serde(rename = "picks")]
     pub tasks: Vec<TaskStatus>,
@@ -53,34 +53,34 @@
     /// The task's name; parsed by [`TaskId::parse`].
     #[serde(rename = "pick")]
     pub task: String,
-    /// The attempt of the task.
+    /// The attempt that the worker has, or had.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// How far the attempt is.
+    /// The attempt's stage of execution.
     pub stage: TaskStage,
-    /// Why the attempt exited, if it did.
+    /// Why the attempt exited; `None` if it has not.
     #[serde(default)]
     pub cause: Option<ExitCause>,
-    /// Whether it saved a checkpoint before it exited.
+    /// Whether it saved a checkpoint before it exited; `None` if the worker does not tell.
     #[serde(rename = "kept", default)]
     pub checkpoint_saved: Option<bool>,
 }
 
-/// How far an attempt is.
+/// The stage of execution of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStage {
     /// Its image is being fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It waits for the other tasks of its gang.
+    /// It waits at the start barrier for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// It runs.
+    /// The task's process runs.
     Running,
     /// It got a command to stop, and saves a checkpoint.
     Saving,
-    /// It is over; [`ExitCause`] tells why.
+    /// It has exited; [`ExitCause`] tells why.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -89,17 +89,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It succeeded.
+    /// The task completed successfully.
     Done,
-    /// It got a command to stop.
+    /// It was stopped by a command.
     Stopped,
     /// Another task of its gang was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
-    /// The rest of its gang did not start in time.
+    /// The other tasks of its gang did not reach the start barrier in time.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// It failed.
+    /// The task exited with an error.
     Error,
     /// The start was refused: the machine lacks the resources.
     #[serde(rename = "no_room")]
@@ -107,13 +107,13 @@
     /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// The start was refused: no such job or task, or the job was not submitted.
+    /// The start was refused: the job or task does not exist, or the job was not submitted.
     #[serde(rename = "no_such")]
     UnknownTask,
 }
 
-/// A command to a worker. Each may be repeated, except that a start after a [`Forget`](Self::Forget)
-/// starts the attempt once more.
+/// A command to a worker. Commands are idempotent, except that a start after a
+/// [`Forget`](Self::Forget) runs the attempt again.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCommand {
     /// Start an attempt of a task.
@@ -129,10 +129,10 @@
         task: TaskId,
         /// The attempt to stop.
         attempt: Attempt,
-        /// Seconds that it gets to save a checkpoint.
+        /// Seconds until it is killed, in which it can save a checkpoint; 0 kills it at once.
         grace_s: f64,
     },
-    /// Remove an attempt that has exited from the heartbeats.
+    /// Remove an exited attempt from the worker's heartbeats.
     Forget {
         /// The task to forget.
         task: TaskId,
@@ -141,7 +141,7 @@
     },
 }
 
-/// A command as it is written on the wire.
+/// The encoded form of a [`WorkerCommand`].
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommandBody {
@@ -155,19 +155,21 @@
         attempt: Attempt,
     },
     /// [`WorkerCommand::Stop`].
-    Kill {
+    #[serde(rename = "kill")]
+    Stop {
         /// The task's name.
         #[serde(rename = "pick")]
         task: String,
         /// Its attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Seconds that it gets to save a checkpoint.
+        /// Seconds until it is killed, in which it can save a checkpoint; 0 if absent.
         #[serde(rename = "windDownS", default)]
         grace_s: f64,
     },
     /// [`WorkerCommand::Forget`].
-    Reap {
+    #[serde(rename = "reap")]
+    Forget {
         /// The task's name.
         #[serde(rename = "pick")]
         task: String,
@@ -188,12 +190,12 @@
                 task,
                 attempt,
                 grace_s,
-            } => Self::Kill {
+            } => Self::Stop {
                 task: task.to_string(),
                 attempt: *attempt,
                 grace_s: *grace_s,
             },
-            WorkerCommand::Forget { task, attempt } => Self::Reap {
+            WorkerCommand::Forget { task, attempt } => Self::Forget {
                 task: task.to_string(),
                 attempt: *attempt,
             },
@@ -208,21 +210,21 @@
 }
 
 impl WorkerCommandBody {
-    /// The command in this form; `None` if the task's name is malformed.
+    /// The decoded command; `None` if the task's name is malformed.
     #[must_use]
     pub fn command(&self) -> Option<WorkerCommand> {
         let (WorkerCommandBody::Start { task, attempt }
-        | WorkerCommandBody::Kill { task, attempt, .. }
-        | WorkerCommandBody::Reap { task, attempt }) = self;
+        | WorkerCommandBody::Stop { task, attempt, .. }
+        | WorkerCommandBody::Forget { task, attempt }) = self;
         let (task, attempt) = (TaskId::parse(task)?, *attempt);
         Some(match *self {
             WorkerCommandBody::Start { .. } => WorkerCommand::Start { task, attempt },
-            WorkerCommandBody::Kill { grace_s, .. } => WorkerCommand::Stop {
+            WorkerCommandBody::Stop { grace_s, .. } => WorkerCommand::Stop {
                 task,
                 attempt,
                 grace_s,
             },
-            WorkerCommandBody::Reap { .. } => WorkerCommand::Forget { task, attempt },
+            WorkerCommandBody::Forget { .. } => WorkerCommand::Forget { task, attempt },
         })
     }
 }
@@ -230,16 +232,16 @@
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatResponse {
-    /// From the shard's holder: the lease is renewed.
+    /// From the holder of the shard: the worker's lease is renewed.
     Commands {
         /// The holder's token; the worker refuses lower ones from now on.
         worker_token: WorkerToken,
-        /// What the worker is to do, in this order.
+        /// The commands, in the order of their execution.
         commands: Vec<WorkerCommand>,
     },
-    /// 421: report to that controller, or to the next if none is named.
+    /// Status 421: the worker must report to that controller, or to the next one if none is named.
     Redirect(Option<ControllerId>),
-    /// 503: no holder of the shard is known, so report again later.
+    /// Status 503: no holder of the shard is known, so the worker must report again later.
     RetryLater,
 }
 
