--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -64,12 +64,12 @@
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped => "stopped",
-        ExitCause::PeersGone => "mates_gone",
-        ExitCause::Alone => "alone",
+        ExitCause::GangMemberLost => "mates_gone",
+        ExitCause::GangTimeout => "alone",
         ExitCause::Error => "error",
-        ExitCause::NoRoom => "no_room",
-        ExitCause::Busy => "in_use",
-        ExitCause::Unknown => "no_such",
+        ExitCause::InsufficientResources => "no_room",
+        ExitCause::OtherAttemptPresent => "in_use",
+        ExitCause::UnknownTask => "no_such",
     }
 }
 
@@ -78,7 +78,7 @@
 pub fn heartbeat_body(heartbeat: &Heartbeat) -> Value {
     let tasks = heartbeat.tasks.iter().map(|task| {
         json!({"pick": task.task, "try": task.attempt, "stage": stage_name(task.stage),
-            "cause": task.cause.map(cause_name), "kept": task.kept})
+            "cause": task.cause.map(cause_name), "kept": task.checkpoint_saved})
     });
     let tasks: Vec<Value> = tasks.collect();
     json!({"host": heartbeat.machine_id, "address": heartbeat.address, "rig": heartbeat.machine_type,
--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -118,8 +118,11 @@
         let machine = self.machines.get(machine_id);
         MachineContact {
             silence: self.silence_of(machine_id, &shard),
-            commands_unconfirmed: machine
-                .is_some_and(|machine| machine.reachability.is_doubtful(self.now, early)),
+            commands_unconfirmed: machine.is_some_and(|machine| {
+                machine
+                    .reachability
+                    .is_live_but_unconfirmed(self.now, early)
+            }),
         }
     }
 
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -93,7 +93,7 @@
         if outcome.successes > 0 {
             machine.record_success();
         }
-        let refused = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::NoRoom;
+        let refused = |(_, cause): &(JobId, ExitCause)| *cause == ExitCause::InsufficientResources;
         if outcome.failures.iter().any(refused) {
             machine.starts_paused_until = self.now + REFUSED_START_PAUSE;
         }
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -26,7 +26,7 @@
                 token_seen
                     && silent_for > silence
                     && silent_for < SILENT_MACHINE_TTL
-                    && !machine.reachability.is_doubtful(now, silence)
+                    && !machine.reachability.is_live_but_unconfirmed(now, silence)
                     && now.since(machine.direct.probed_at) >= PROBE_INTERVAL
             })
             .map(|machine| machine.machine_id.clone())
@@ -51,7 +51,8 @@
                 };
                 let token_unseen = machine.worker_token < self.worker_token(token);
                 let probe_due = now.since(machine.direct.probed_at) >= PROBE_INTERVAL;
-                token_unseen || probe_due && machine.reachability.is_doubtful(now, silence)
+                token_unseen
+                    || probe_due && machine.reachability.is_live_but_unconfirmed(now, silence)
             })
             .map(|machine| machine.machine_id.clone())
             .collect();
