--- a/src/http_server/mod.rs
+++ b/src/http_server/mod.rs
@@ -1,6 +1,6 @@
 //! The HTTP server for users, workers and health checks: routes, and what each asks of the controller.
 //!
-//! It owns no state: a request goes to the daemon through the [`Inbox`], and the response comes back on a channel of
+//! It owns no state: a request goes to the daemon through the [`RequestSender`], and the response comes back on a channel of
 //! its own. Connections are owned by [`connection_acceptor`].
 
 mod body;
@@ -21,7 +21,7 @@
 
 use crate::clock::Clock;
 use crate::jobs::api::{self, Response};
-use crate::requests::{Inbox, Request};
+use crate::requests::{Request, RequestSender};
 use crate::sockets::{IdleTimeouts, connection_acceptor};
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES};
 use body::bounded;
@@ -44,7 +44,7 @@
 /// The address can't be listened on.
 pub async fn serve(
     address: SocketAddr,
-    inbox: Inbox,
+    inbox: RequestSender,
     max_connections: usize,
     idle_timeouts: IdleTimeouts,
     clock: Clock,
@@ -68,10 +68,10 @@
 /// A route, which rejects requests that it does not match.
 type Route = BoxedFilter<(HttpResponse,)>;
 /// Passes the channel to the controller to a route.
-type WithInbox = BoxedFilter<(Arc<Inbox>,)>;
+type WithInbox = BoxedFilter<(Arc<RequestSender>,)>;
 
 /// All routes; the frequent ones first, since they are tried in turn.
-fn routes(inbox: Inbox) -> Route {
+fn routes(inbox: RequestSender) -> Route {
     let inbox = Arc::new(inbox);
     let inbox = warp::any().map(move || Arc::clone(&inbox)).boxed();
     poll_route(&inbox)
@@ -91,7 +91,7 @@
         .and(warp::post())
         .and(inbox.clone())
         .and(bounded(api::LARGEST_BODY))
-        .and_then(|inbox: Arc<Inbox>, body: Bytes| {
+        .and_then(|inbox: Arc<RequestSender>, body: Bytes| {
             let submission = api::parse(&body);
             ask_for_user(inbox, |reply| Request::Submit { submission, reply })
         })
@@ -102,7 +102,7 @@
     warp::path!("api" / "jobs" / String)
         .and(warp::get())
         .and(inbox.clone())
-        .and_then(|job: String, inbox: Arc<Inbox>| {
+        .and_then(|job: String, inbox: Arc<RequestSender>| {
             let job = job.as_str().into();
             ask_for_user(inbox, |reply| Request::Poll { job, reply })
         })
@@ -113,7 +113,7 @@
     warp::path!("api" / "jobs" / String / "abort")
         .and(warp::post())
         .and(inbox.clone())
-        .and_then(|job: String, inbox: Arc<Inbox>| {
+        .and_then(|job: String, inbox: Arc<RequestSender>| {
             let job = job.as_str().into();
             ask_for_user(inbox, |reply| Request::Abort { job, reply })
         })
@@ -133,14 +133,14 @@
     warp::path!("ready")
         .and(warp::get())
         .and(inbox.clone())
-        .and_then(|inbox: Arc<Inbox>| async move {
+        .and_then(|inbox: Arc<RequestSender>| async move {
             let ready = ask(&inbox, |reply| Request::Ready { reply }).await;
             Ok::<_, Infallible>(responses::to_probe(ready.unwrap_or(false)))
         })
         .boxed()
 }
 
-async fn heartbeat(inbox: Arc<Inbox>, body: Bytes) -> Result<HttpResponse, Infallible> {
+async fn heartbeat(inbox: Arc<RequestSender>, body: Bytes) -> Result<HttpResponse, Infallible> {
     let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
@@ -155,7 +155,7 @@
 }
 
 async fn ask_for_user(
-    inbox: Arc<Inbox>,
+    inbox: Arc<RequestSender>,
     request: impl FnOnce(oneshot::Sender<Response>) -> Request,
 ) -> Result<HttpResponse, Infallible> {
     let response = ask(&inbox, request).await;
@@ -164,7 +164,10 @@
 
 /// Asks the controller and waits for its reply; none if too many requests are queued or the reply is not there in
 /// time.
-async fn ask<T>(inbox: &Inbox, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Option<T> {
+async fn ask<T>(
+    inbox: &RequestSender,
+    request: impl FnOnce(oneshot::Sender<T>) -> Request,
+) -> Option<T> {
     let (sender, receiver) = oneshot::channel();
     inbox.try_send(request(sender)).ok()?;
     let reply = tokio::time::timeout(REPLY_TIMEOUT, receiver).await;
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -72,4 +72,4 @@
 }
 
 /// Where the HTTP server sends requests.
-pub type Inbox = mpsc::Sender<Request>;
+pub type RequestSender = mpsc::Sender<Request>;
