--- a/src/controller/candidates/eligibility.rs
+++ b/src/controller/candidates/eligibility.rs
@@ -63,7 +63,7 @@
     /// the worker has accepted the shard's fencing token, and the machine is fit.
     pub(in crate::controller) fn is_schedulable_by_us(&self, machine: &Machine) -> bool {
         self.token_for(&machine.shard).is_some_and(|token| {
-            machine.worker_token.token() == token
+            machine.worker_token.fencing_token() == token
                 && machine.last_answer.is_some_and(|(under, _)| under == token)
                 && self.is_fit(machine)
         })
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -48,7 +48,7 @@
         );
         machine.reachability.confirm();
         (machine.last_contact, machine.last_heartbeat) = (NOW, NOW);
-        machine.worker_token = WorkerToken::of(FencingToken(5));
+        machine.worker_token = WorkerToken::connected(FencingToken(5));
         machine.last_answer = Some((FencingToken(5), NOW));
         controller
             .machines
--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -139,7 +139,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return Vec::new();
         };
-        if machine.worker_token.token() < token {
+        if machine.worker_token.fencing_token() < token {
             // The worker's first heartbeat to us: it reads our token from the answer and
             // immediately reports again.
             return Vec::new();
--- a/src/controller/heartbeats/direct_commands.rs
+++ b/src/controller/heartbeats/direct_commands.rs
@@ -52,7 +52,7 @@
         let token = self.token_for(&machine.shard)?;
         let address = machine.address?;
         let answered = machine.last_answer.is_some_and(|(under, _)| under == token);
-        let allowed = machine.worker_token.token() == token
+        let allowed = machine.worker_token.fencing_token() == token
             && self.knows_all_placements(&machine.shard)
             && answered
             && machine.reachability.is_confirmed()
@@ -97,7 +97,7 @@
             return;
         };
         if heartbeat.machine_id != *machine_id
-            || heartbeat.worker_token.token() > token
+            || heartbeat.worker_token.fencing_token() > token
             || !machine.is_newer(heartbeat.agent_epoch, heartbeat.heartbeat_sequence)
         {
             return;
@@ -115,7 +115,7 @@
         }
         machine.apply_heartbeat(heartbeat, now, &self.me);
         machine.confirm_token(token, now);
-        if machine.worker_token.token() != token {
+        if machine.worker_token.fencing_token() != token {
             return;
         }
         machine.direct.set_validity(token, heartbeat.agent_epoch);
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -26,10 +26,10 @@
     let lease = Millis::from_secs(controller.settings.deployment.workers.lease_s);
     let machine_id = MachineId::from("vm-a");
     let machine = controller.machines.get_mut(&machine_id).unwrap();
-    machine.worker_token = WorkerToken::of(FencingToken(5));
+    machine.worker_token = WorkerToken::connected(FencingToken(5));
     machine.last_answer = Some((FencingToken(5), Millis(1_000)));
     let heartbeat = json!({"host": "vm-a", "address": "", "rig": "g8", "yard": "a",
-        "loaners": false, "shift": 2, "tally": 9, "baton": WorkerToken::of(FencingToken(5)),
+        "loaners": false, "shift": 2, "tally": 9, "baton": WorkerToken::connected(FencingToken(5)),
         "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
     controller.now = lease;
     let heartbeat = Some(serde_json::from_value(heartbeat).unwrap());
@@ -85,7 +85,7 @@
         controller.machines.insert(machine_id.clone(), machine);
         let heartbeat = |heartbeat_sequence: u64, seen: FencingToken| {
             let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-                "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(seen),
+                "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::connected(seen),
                 "picks": [{"pick": format!("{id}/0"), "try": 1, "stage": "running"}]});
             serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
         };
@@ -122,7 +122,7 @@
     controller.now = Millis(20_000);
     let heartbeat = |heartbeat_sequence| {
         let heartbeat = json!({"host": "vm-2", "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-            "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(FencingToken(5)),
+            "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::connected(FencingToken(5)),
             "picks": []});
         serde_json::from_value::<Heartbeat>(heartbeat).unwrap()
     };
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -92,9 +92,9 @@
 
     /// Machines of our shards whose worker has seen our token.
     fn reporting_machines(&self) -> impl Iterator<Item = &Machine> {
-        self.machines
-            .values()
-            .filter(|machine| self.token_for(&machine.shard) == Some(machine.worker_token.token()))
+        self.machines.values().filter(|machine| {
+            self.token_for(&machine.shard) == Some(machine.worker_token.fencing_token())
+        })
     }
 
     /// The frequently changing part of a machine's state.
@@ -117,7 +117,7 @@
         let mut views = Vec::new();
         for machine in self.machines.values() {
             let token = leases.holds(&machine.shard, &self.me);
-            if token == Some(machine.worker_token.token())
+            if token == Some(machine.worker_token.fencing_token())
                 && self.peers.is_description_due(machine, round)
             {
                 views.push(machine_view(machine));
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -20,7 +20,8 @@
             .machines
             .values()
             .filter(|machine| {
-                let ours = self.token_for(&machine.shard) == Some(machine.worker_token.token());
+                let ours =
+                    self.token_for(&machine.shard) == Some(machine.worker_token.fencing_token());
                 let silent_for = now.since(machine.last_contact);
                 ours && silent_for > silence
                     && silent_for < FORGET
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -21,7 +21,7 @@
         .enumerate()
         .map(|(index, stage)| json!({"pick": format!("{id}/{index}"), "try": 1, "stage": stage}));
     let heartbeat = json!({"host": HOST, "address": "10.0.0.9:1", "rig": "g8", "yard": "a",
-        "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::of(FencingToken(5)),
+        "loaners": false, "shift": 1, "tally": heartbeat_sequence, "baton": WorkerToken::connected(FencingToken(5)),
         "picks": tasks.collect::<Vec<_>>()});
     serde_json::from_value(heartbeat).unwrap()
 }
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -30,7 +30,7 @@
         if self.partition.mode.is_on() {
             WorkerToken::partitioned(token)
         } else {
-            WorkerToken::of(token)
+            WorkerToken::connected(token)
         }
     }
 
--- a/src/controller/zones/tests.rs
+++ b/src/controller/zones/tests.rs
@@ -34,7 +34,8 @@
         let holder = r#"{"holder":"n0","permit":1}"#;
         controller.apply(&crate::lease::shard_key(&shard), Some(holder), Revision(30));
         controller.store_sync.applied = Revision(applied);
-        let answer = controller.answer_heartbeat(heartbeat(WorkerToken::of(FencingToken(30))));
+        let answer =
+            controller.answer_heartbeat(heartbeat(WorkerToken::connected(FencingToken(30))));
         let HeartbeatResponse::Commands {
             worker_token,
             commands,
@@ -42,7 +43,7 @@
         else {
             panic!("{answer:?}");
         };
-        assert_eq!(worker_token, WorkerToken::of(FencingToken(30)));
+        assert_eq!(worker_token, WorkerToken::connected(FencingToken(30)));
         assert_eq!(commands.len(), starts, "known up to {applied}");
     }
 }
@@ -63,7 +64,7 @@
     };
     assert_eq!(
         controller.worker_token(FencingToken(5)),
-        WorkerToken::of(FencingToken(5))
+        WorkerToken::connected(FencingToken(5))
     );
     for (at, entered) in [(59_000, false), (60_100, false), (61_700, true)] {
         controller.now = Millis(at);
--- a/src/types.rs
+++ b/src/types.rs
@@ -146,11 +146,11 @@
 impl WorkerToken {
     /// The token of a holder in contact with the store.
     #[must_use]
-    pub fn of(token: FencingToken) -> Self {
+    pub fn connected(token: FencingToken) -> Self {
         Self(token.0 * 2)
     }
 
-    /// The token of a holder in partition mode: higher than [`WorkerToken::of`] the same fencing token, and
+    /// The token of a holder in partition mode: higher than [`WorkerToken::connected`] the same fencing token, and
     /// lower than any form of a later one.
     #[must_use]
     pub fn partitioned(token: FencingToken) -> Self {
@@ -159,7 +159,7 @@
 
     /// The fencing token that this one was made of.
     #[must_use]
-    pub fn token(self) -> FencingToken {
+    pub fn fencing_token(self) -> FencingToken {
         FencingToken(self.0 / 2)
     }
 
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -145,7 +145,7 @@
     /// Notes that the worker has seen our token, if its last heartbeat shows that.
     pub fn confirm_token(&mut self, token: FencingToken, now: Millis) {
         let confirmed = self.token_confirmed.is_some_and(|(seen, _)| seen == token);
-        if self.worker_token.token() >= token && !confirmed {
+        if self.worker_token.fencing_token() >= token && !confirmed {
             self.token_confirmed = Some((token, now));
         }
     }
@@ -195,7 +195,7 @@
     /// Whether the machine can take new tasks, and its worker has seen the token.
     #[must_use]
     pub fn is_schedulable_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
-        self.is_schedulable(now, silence) && self.worker_token.token() >= token
+        self.is_schedulable(now, silence) && self.worker_token.fencing_token() >= token
     }
 }
 
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -50,7 +50,7 @@
     stops: &Stops,
     may_be_fetching: impl Fn(&Job) -> bool,
 ) -> Reconciliation {
-    if machine.worker_token.token() < token {
+    if machine.worker_token.fencing_token() < token {
         return Reconciliation::default();
     }
     let mut pass = Pass {
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -58,7 +58,7 @@
         let (machine_type, zone) = ("g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         let seen = TaskObservation {
             attempt: tried,
             stage: TaskStage::Exited,
@@ -132,7 +132,7 @@
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(now), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(now), WorkerToken::connected(FencingToken(4)));
         if proved {
             machine.reachability.confirm();
         }
@@ -206,7 +206,7 @@
             "n0".into(),
         );
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         way(&mut machine, (task.clone(), attempt));
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), gone, "{name}");
@@ -246,7 +246,7 @@
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         let stop = Stop {
             attempt: Attempt(stopped),
             save: false,
--- a/src/zones/partition_mode/tests.rs
+++ b/src/zones/partition_mode/tests.rs
@@ -71,13 +71,13 @@
     let token = FencingToken(7);
     for (worker_token, cut_off, holder_in_contact, renews) in [
         (WorkerToken::partitioned(token), true, false, true),
-        (WorkerToken::of(token), true, false, false),
+        (WorkerToken::connected(token), true, false, false),
         (WorkerToken::partitioned(token), false, false, false),
         (WorkerToken::partitioned(token), true, true, false),
     ] {
         assert_eq!(may_renew(worker_token, cut_off, holder_in_contact), renews);
     }
-    assert!(WorkerToken::of(token) < WorkerToken::partitioned(token));
-    assert!(WorkerToken::partitioned(token) < WorkerToken::of(FencingToken(8)));
-    assert_eq!(WorkerToken::partitioned(token).token(), token);
+    assert!(WorkerToken::connected(token) < WorkerToken::partitioned(token));
+    assert!(WorkerToken::partitioned(token) < WorkerToken::connected(FencingToken(8)));
+    assert_eq!(WorkerToken::partitioned(token).fencing_token(), token);
 }
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -112,7 +112,7 @@
             cancelled: false,
             confirmed: None,
             runs_elsewhere: false,
-            worker_token: WorkerToken::of(FIRST),
+            worker_token: WorkerToken::connected(FIRST),
             agent_epoch: 1,
             lease: LEASE_TICKS,
             lag: MAX_DRIFT_TICKS,
@@ -260,7 +260,7 @@
             let worker_token = if s.partition_mode {
                 WorkerToken::partitioned(FIRST)
             } else {
-                WorkerToken::of(FIRST)
+                WorkerToken::connected(FIRST)
             };
             if s.worker_token > worker_token {
                 return false;
@@ -294,14 +294,14 @@
                     return false;
                 }
                 let own = conditions.require_own_token_for_evidence;
-                let knew = s.worker_token >= WorkerToken::of(SECOND) || !own;
+                let knew = s.worker_token >= WorkerToken::connected(SECOND) || !own;
                 let present = s.task;
                 if knew || !conditions.count_silence_from_acknowledgement {
                     s.second_silence_ticks = Some(0);
                 }
                 s.second_token_acknowledged |= knew;
                 if answer_comes {
-                    s.accept_worker_token(WorkerToken::of(SECOND));
+                    s.accept_worker_token(WorkerToken::connected(SECOND));
                 }
                 if !knew {
                     return answer_comes || !conditions.count_silence_from_acknowledgement;
@@ -326,7 +326,7 @@
             let enabled = s.first == Holder::Runs
                 && !s.second_holds_shard
                 && s.first_reaches_store()
-                && s.worker_token.token() == FIRST
+                && s.worker_token.fencing_token() == FIRST
                 && over
                 && allowed;
             s.record_task_left();
@@ -342,7 +342,7 @@
                 s.second_silence_ticks = Some(0);
             }
             (s.second_token_acknowledged, s.worker_token) =
-                (true, s.worker_token.max(WorkerToken::of(SECOND)));
+                (true, s.worker_token.max(WorkerToken::connected(SECOND)));
             enabled
         });
         then(&|s| {
@@ -371,7 +371,7 @@
                 return false;
             }
             s.late_start = false;
-            if !s.deleted && s.agent_epoch == 1 && s.worker_token <= WorkerToken::of(FIRST) {
+            if !s.deleted && s.agent_epoch == 1 && s.worker_token <= WorkerToken::connected(FIRST) {
                 s.task = true;
             }
             true
