--- a/crates/simulator/src/waits.rs
+++ b/crates/simulator/src/waits.rs
@@ -100,7 +100,7 @@
             && placed.get(machine.zone).copied().unwrap_or(0) >= spec.max_tasks_per_zone();
         let machine_type = machines.machine_type();
         if spec.allows(machine_type, machine.zone, machine.spot) && !elsewhere && !crowded {
-            *room.entry(machine.zone).or_default() += machine.resources.holds(spec.resources);
+            *room.entry(machine.zone).or_default() += machine.resources.fit_count(spec.resources);
         }
     }
     if spec.one_zone {
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -47,7 +47,7 @@
         let machines_per_task = type_specs
             .iter()
             .filter(|type_spec| job.spec.resources.fits_in(type_spec.resources))
-            .map(|type_spec| job.spec.resources.share_of(type_spec.resources))
+            .map(|type_spec| job.spec.resources.dominant_share(type_spec.resources))
             .fold(1.0, f64::min);
         Self {
             at: job.first_seen,
@@ -209,7 +209,7 @@
             let used = planned_usage
                 .entry(&team.name)
                 .or_insert_with(|| self.jobs.usage(&team.name));
-            count = count.min(crate::quota::headroom(*used, team).holds(resources));
+            count = count.min(crate::quota::headroom(*used, team).fit_count(resources));
         }
         for team in self.limits(job) {
             if let Some(used) = planned_usage.get_mut(&team.name) {
--- a/src/controller/autoscaling/drain.rs
+++ b/src/controller/autoscaling/drain.rs
@@ -26,7 +26,7 @@
 impl MachineResources {
     /// The fraction of the machine's resources that is available.
     fn available_share(&self) -> f64 {
-        self.available.share_of(self.capacity)
+        self.available.dominant_share(self.capacity)
     }
 
     fn emptiest_first(&self, other: &Self) -> Ordering {
--- a/src/controller/autoscaling/usage.rs
+++ b/src/controller/autoscaling/usage.rs
@@ -59,7 +59,7 @@
             draining = self.autoscaler.drains.len(),
             waiting,
             headroom = ?headroom.iter().map(|kind| kind.machines).collect::<Vec<_>>(),
-            used = format!("{:.2}", usage.allocated.share_of(usage.capacity)),
+            used = format!("{:.2}", usage.allocated.dominant_share(usage.capacity)),
             "fleet usage"
         );
     }
--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -154,7 +154,10 @@
             only_preemptible: usage.is_preemptible(),
             image_s: machine.image_wait_s(image, image_gb, rate_gb_per_s, self.now),
             fetch_s: image_gb / rate_gb_per_s,
-            non_preemptible_share: usage.allocated.minus(usage.preemptible).share_of(capacity),
+            non_preemptible_share: usage
+                .allocated
+                .minus(usage.preemptible)
+                .dominant_share(capacity),
         }
     }
 
@@ -203,7 +206,7 @@
                 self.work_counters.candidates.add(1);
                 let candidate = self.candidate(job, machine);
                 if cycle::filter(request, &candidate).is_none() {
-                    *tasks += candidate.available.holds(job.spec.resources);
+                    *tasks += candidate.available.fit_count(job.spec.resources);
                 }
             }
         }
@@ -229,7 +232,7 @@
                 continue;
             }
             for class in candidates.index.fitting(ImageFilter::Any, group, resources) {
-                let tasks_each = class.level.available().holds(resources);
+                let tasks_each = class.level.available().fit_count(resources);
                 let tasks = tasks_each.saturating_mul(class.machine_ids.len() as u32);
                 let zone_tasks = room.entry(group.zone()).or_default();
                 *zone_tasks = zone_tasks.saturating_add(tasks);
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -52,7 +52,7 @@
     /// Whether a task of the job needs at least [`MIN_PART_OF_MACHINE`] of a machine of some type.
     fn needs_most_of_a_machine(&self, job: &Job) -> bool {
         self.autoscaler.type_specs.iter().any(|type_spec| {
-            let part = job.spec.resources.share_of(type_spec.resources);
+            let part = job.spec.resources.dominant_share(type_spec.resources);
             (MIN_PART_OF_MACHINE..=1.0).contains(&part)
         })
     }
--- a/src/controller/preemption/cost.rs
+++ b/src/controller/preemption/cost.rs
@@ -89,7 +89,9 @@
             .type_specs
             .first()
             .map(|spec| spec.resources);
-        let machine_share = spec.resources.share_of(capacity.unwrap_or(spec.resources));
+        let machine_share = spec
+            .resources
+            .dominant_share(capacity.unwrap_or(spec.resources));
         let lost_s = if spec.is_cheap_to_kill() {
             spec.checkpoint_s / 2.0 + RESTART_S
         } else if spec.checkpoint_s > 0.0 {
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -144,8 +144,8 @@
         .capacity
         .minus(candidate.available)
         .plus(spec.resources)
-        .share_of(candidate.capacity);
-    let small = spec.resources.share_of(candidate.capacity) < SMALL_TASK_SHARE;
+        .dominant_share(candidate.capacity);
+    let small = spec.resources.dominant_share(candidate.capacity) < SMALL_TASK_SHARE;
     let small_long_running = !spec.is_cheaply_preemptible() && small;
     let breaks_up = candidate.only_preemptible && small_long_running;
     let cold_crowding =
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -80,7 +80,7 @@
         *machines_by_zone.entry(bin.offer.zone.clone()).or_default() += 1;
     }
     bins.sort_by(|a, b| {
-        let free_share = |bin: &Bin| bin.available.share_of(bin.capacity);
+        let free_share = |bin: &Bin| bin.available.dominant_share(bin.capacity);
         free_share(a).total_cmp(&free_share(b))
     });
     let mut planner = Planner {
--- a/src/fleet/plan/bins.rs
+++ b/src/fleet/plan/bins.rs
@@ -57,7 +57,7 @@
         if !resources.fits_in(self.available) || !need.allows(&self.offer) {
             return 0;
         }
-        let taken = self.available.holds(resources).min(count);
+        let taken = self.available.fit_count(resources).min(count);
         self.available = self.available.minus(resources.times(f64::from(taken)));
         taken
     }
@@ -152,7 +152,7 @@
         let mut tasks_by_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
         let open = self.open.iter().map(|index| &self.all[*index]);
         for bin in open.filter(|bin| need.allows(&bin.offer)) {
-            let fits = bin.available.holds(need.spec.resources);
+            let fits = bin.available.fit_count(need.spec.resources);
             let tasks = tasks_by_zone.entry(&bin.offer.zone).or_default();
             *tasks = (*tasks + fits).min(need.count);
         }
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -283,7 +283,7 @@
         let available = freed
             .clone()
             .fold(site.available, |sum, victim| sum.plus(victim.resources));
-        let available_part = available.share_of(resources).min(1.0);
+        let available_part = available.dominant_share(resources).min(1.0);
         let victims: Vec<TaskId> = freed
             .filter(|victim| !victim.leaving)
             .map(|victim| victim.task.clone())
--- a/src/types.rs
+++ b/src/types.rs
@@ -328,11 +328,11 @@
 
     /// How many tasks that request `part` each fit; very many if they request nothing.
     #[must_use]
-    pub fn holds(self, part: Resources) -> u32 {
+    pub fn fit_count(self, request: Resources) -> u32 {
         [
-            (self.cpus, part.cpus),
-            (self.gpus, part.gpus),
-            (self.memory_gb, part.memory_gb),
+            (self.cpus, request.cpus),
+            (self.gpus, request.gpus),
+            (self.memory_gb, request.memory_gb),
         ]
         .into_iter()
         .filter(|(_, requested)| *requested > 0.0)
@@ -343,7 +343,7 @@
 
     /// The dominant share: the largest fraction that these resources are of any resource of `capacity`.
     #[must_use]
-    pub fn share_of(self, capacity: Resources) -> f64 {
+    pub fn dominant_share(self, capacity: Resources) -> f64 {
         [
             (self.cpus, capacity.cpus),
             (self.gpus, capacity.gpus),
