--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -49,7 +49,7 @@
     for (machine_id, zone) in [("vm-a", "a"), ("vm-b", "b")] {
         let shard = ShardId {
             zone: zone.into(),
-            part: 0,
+            index: 0,
         };
         let (id, by) = (MachineId::from(machine_id), "n0".into());
         let mut machine = Machine::new(id.clone(), "g8".into(), zone.into(), false, shard, by);
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -20,7 +20,7 @@
             own: rng.random_bool(0.5),
             shard: ShardId {
                 zone,
-                part: rng.random_range(0..2),
+                index: rng.random_range(0..2),
             },
             machine_type: "g8".into(),
             spot: rng.random_bool(0.5),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -308,7 +308,7 @@
             .collect();
         for part in 0..shards_per_zone {
             let zone = zone.clone();
-            let shard = ShardId { zone, part };
+            let shard = ShardId { zone, index: part };
             match local.get(part as usize % local.len().max(1)) {
                 Some(controller) => {
                     *shard_counts.entry(controller).or_default() += 1;
--- a/src/types.rs
+++ b/src/types.rs
@@ -246,24 +246,24 @@
     /// The zone of the shard's machines.
     pub zone: Zone,
     /// The index of the shard within the zone, from zero.
-    pub part: u32,
+    pub index: u32,
 }
 
 impl ShardId {
     /// Parses the form in which shards are written in keys and messages.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let (zone, part) = text.rsplit_once('.')?;
+        let (zone, index) = text.rsplit_once('.')?;
         Some(Self {
             zone: zone.into(),
-            part: part.parse().ok()?,
+            index: index.parse().ok()?,
         })
     }
 }
 
 impl fmt::Display for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.zone, self.part)
+        write!(f, "{}.{}", self.zone, self.index)
     }
 }
 
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -29,7 +29,7 @@
     let number: u64 = digits.parse().unwrap_or_else(|_| name_hash(name));
     ShardId {
         zone: zone.clone(),
-        part: (number % u64::from(shards_per_zone.max(1))) as u32,
+        index: (number % u64::from(shards_per_zone.max(1))) as u32,
     }
 }
 
