--- a/crates/simulator/src/live/control.rs
+++ b/crates/simulator/src/live/control.rs
@@ -86,7 +86,7 @@
     };
     let (id, spec) = match api::parse(body) {
         Ok(parsed) => parsed,
-        Err(error) => return Response::error(400, format!("{:?}", error.why)),
+        Err(error) => return Response::error(400, format!("{:?}", error.reason)),
     };
     let run = Millis::from_secs(run_time.run_s.unwrap_or(spec.estimate_s));
     let region = &mut *shared.lock();
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::{CloudCall, CloudResponse};
 use crate::jobs::JobSpec;
-use crate::jobs::api::{Refused, Response};
+use crate::jobs::api::{RejectedSubmission, Response};
 use crate::peers::Message;
 use crate::store::{CallClass, StoreCall, StoreResponse};
 use crate::types::{AgentEpoch, ControllerId, JobId, MachineId, ReplyId, WorkerToken};
@@ -57,7 +57,7 @@
         /// The user's request.
         reply: ReplyId,
         /// The job, or why the submission is invalid.
-        submission: Result<(JobId, JobSpec), Refused>,
+        submission: Result<(JobId, JobSpec), RejectedSubmission>,
     },
     /// A user asks for the state of a job.
     Poll {
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -6,7 +6,7 @@
 //! states.
 
 use super::super::{CallPurpose, Controller};
-use crate::jobs::api::Refusal;
+use crate::jobs::api::RejectionReason;
 use crate::store::{CallClass, StoreCall, StoreResponse};
 use crate::types::{JobId, Millis, ReplyId, Revision};
 
@@ -34,7 +34,7 @@
         /// The job that was submitted.
         job: JobId,
         /// Why it is refused.
-        why: Refusal,
+        why: RejectionReason,
     },
     /// Cancel a job that the cache did not show when the request came.
     Abort {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -9,7 +9,7 @@
 
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller, Effect};
-use crate::jobs::api::{self, Refusal, Refused, Response};
+use crate::jobs::api::{self, RejectedSubmission, RejectionReason, Response};
 use crate::jobs::cancel::PendingCancellations;
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
@@ -41,12 +41,17 @@
     pub(super) fn on_submit(
         &mut self,
         reply: ReplyId,
-        submission: Result<(JobId, JobSpec), Refused>,
+        submission: Result<(JobId, JobSpec), RejectedSubmission>,
     ) {
         let (id, spec) = match submission {
             Ok(submission) => submission,
-            Err(Refused { id: Some(id), why }) => return self.refuse(reply, id, why),
-            Err(Refused { id: None, why }) => return self.respond(reply, why.into()),
+            Err(RejectedSubmission {
+                id: Some(id),
+                reason,
+            }) => return self.refuse(reply, id, reason),
+            Err(RejectedSubmission { id: None, reason }) => {
+                return self.respond(reply, reason.into());
+            }
         };
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
@@ -119,7 +124,7 @@
     /// Refuses a submission, unless its job is known after a read barrier. A job that was accepted
     /// once is never refused, even if its body or the settings have changed since, and the cache
     /// may be outdated.
-    fn refuse(&mut self, reply: ReplyId, job: JobId, why: Refusal) {
+    fn refuse(&mut self, reply: ReplyId, job: JobId, why: RejectionReason) {
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
         }
--- a/src/jobs/api/feasibility.rs
+++ b/src/jobs/api/feasibility.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::Refusal;
+use super::RejectionReason;
 use crate::fleet::MachineTypeSpec;
 use crate::jobs::{JobKind, JobSpec};
 use crate::settings::Settings;
@@ -17,8 +17,8 @@
     mut spec: JobSpec,
     settings: &Settings,
     type_specs: &[MachineTypeSpec],
-) -> Result<JobSpec, Refusal> {
-    let never_runs = |reason: String| Err(Refusal::NeverRuns(reason));
+) -> Result<JobSpec, RejectionReason> {
+    let never_runs = |reason: String| Err(RejectionReason::NeverRuns(reason));
     let Some(team) = settings.team(&spec.team) else {
         return never_runs(format!("crew: no team is called {}", spec.team));
     };
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -15,7 +15,7 @@
 
 /// Why a submission is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// The body is not a job; HTTP status 400.
     #[error("{0}")]
     Malformed(String),
@@ -24,7 +24,7 @@
     NeverRuns(String),
 }
 
-impl Refusal {
+impl RejectionReason {
     fn malformed(reason: &str) -> Self {
         Self::Malformed(reason.to_string())
     }
@@ -33,13 +33,13 @@
 /// A submission that is not accepted, and the job that it is about if that could be read: a known job
 /// is answered with its state, whatever else its user sends.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("submission refused: {why}")]
-pub struct Refused {
+#[error("submission refused: {reason}")]
+pub struct RejectedSubmission {
     /// The job, if the body has a well-formed id.
     pub id: Option<JobId>,
     /// Why it is refused.
     #[source]
-    pub why: Refusal,
+    pub reason: RejectionReason,
 }
 
 /// What users see of a job's progress.
@@ -101,11 +101,11 @@
     }
 }
 
-impl From<Refusal> for Response {
-    fn from(refusal: Refusal) -> Self {
-        match refusal {
-            Refusal::Malformed(reason) => Response::Malformed(reason),
-            Refusal::NeverRuns(reason) => Response::NeverRuns(reason),
+impl From<RejectionReason> for Response {
+    fn from(reason: RejectionReason) -> Self {
+        match reason {
+            RejectionReason::Malformed(reason) => Response::Malformed(reason),
+            RejectionReason::NeverRuns(reason) => Response::NeverRuns(reason),
         }
     }
 }
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use super::{Refusal, Refused};
+use super::{RejectedSubmission, RejectionReason};
 use crate::jobs::{JobKind, JobSpec, PriorityClass};
 use crate::types::{Image, JobId, MachineTypeId, Resources, Team, Zone};
 
@@ -66,10 +66,10 @@
 ///
 /// # Errors
 /// A refusal that names the first field that is wrong, with the job's id if that is well formed.
-pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), Refused> {
+pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), RejectedSubmission> {
     if body.len() > LARGEST_BODY {
-        let why = Refusal::malformed("the body is larger than 64 KiB");
-        return Err(Refused { id: None, why });
+        let reason = RejectionReason::malformed("the body is larger than 64 KiB");
+        return Err(RejectedSubmission { id: None, reason });
     }
     let checked = deserialize(body).and_then(|submission| {
         submission.check()?;
@@ -77,9 +77,9 @@
     });
     match checked {
         Ok(submission) => Ok(submission.into()),
-        Err(why) => Err(Refused {
+        Err(reason) => Err(RejectedSubmission {
             id: parse_id(body),
-            why,
+            reason,
         }),
     }
 }
@@ -89,35 +89,37 @@
     JobId::well_formed(&id).then(|| id.as_str().into())
 }
 
-fn deserialize(body: &[u8]) -> Result<SubmitBody, Refusal> {
+fn deserialize(body: &[u8]) -> Result<SubmitBody, RejectionReason> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let submission = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let field = error.path().to_string();
         let reason = error.into_inner().to_string();
         // A field that is missing or doubled is named by the reason.
-        Refusal::Malformed(match field.as_str() {
+        RejectionReason::Malformed(match field.as_str() {
             "." => reason,
             field => format!("{field}: {reason}"),
         })
     })?;
     json.end()
-        .map_err(|error| Refusal::Malformed(error.to_string()))?;
+        .map_err(|error| RejectionReason::Malformed(error.to_string()))?;
     Ok(submission)
 }
 
 impl SubmitBody {
-    fn check(&self) -> Result<(), Refusal> {
+    fn check(&self) -> Result<(), RejectionReason> {
         if !JobId::well_formed(&self.id) {
-            return Err(Refusal::malformed("id: must be job- and digits"));
+            return Err(RejectionReason::malformed("id: must be job- and digits"));
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(Refusal::malformed("picks: must lie between 1 and 100000"));
+            return Err(RejectionReason::malformed(
+                "picks: must lie between 1 and 100000",
+            ));
         }
         self.check_amounts()?;
         self.check_names()
     }
 
-    fn check_amounts(&self) -> Result<(), Refusal> {
+    fn check_amounts(&self) -> Result<(), RejectionReason> {
         let amounts = [
             ("vcpus", self.vcpus),
             ("accelerators", self.accelerators),
@@ -130,13 +132,13 @@
         ];
         for (field, amount) in amounts {
             if !(0.0..=MAX_AMOUNT).contains(&amount) {
-                return Err(Refusal::Malformed(format!("{field}: out of range")));
+                return Err(RejectionReason::Malformed(format!("{field}: out of range")));
             }
         }
         Ok(())
     }
 
-    fn check_names(&self) -> Result<(), Refusal> {
+    fn check_names(&self) -> Result<(), RejectionReason> {
         let names = [
             ("lot", self.class.as_str()),
             ("kit", self.image.as_str()),
@@ -145,7 +147,7 @@
         for (field, name) in names {
             if name.is_empty() || name.len() > MAX_NAME_BYTES {
                 let reason = format!("{field}: must have 1 to 256 bytes");
-                return Err(Refusal::Malformed(reason));
+                return Err(RejectionReason::Malformed(reason));
             }
         }
         Ok(())
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -12,8 +12,8 @@
         "expectS":240.0,"markS":30.0,"stashS":4.0,"dueS":900.0,"later":"ignored"})
 }
 
-fn malformed(refused: &Refused) -> bool {
-    matches!(refused.why, Refusal::Malformed(_))
+fn malformed(refused: &RejectedSubmission) -> bool {
+    matches!(refused.reason, RejectionReason::Malformed(_))
 }
 
 #[test]
@@ -114,7 +114,7 @@
         let mut job = body();
         job[field] = value.clone();
         let refused = parse(job.to_string().as_bytes()).expect_err(field);
-        let Refusal::Malformed(reason) = &refused.why else {
+        let RejectionReason::Malformed(reason) = &refused.reason else {
             panic!("{field} = {value}: {refused:?}");
         };
         assert!(reason.contains(field), "{field} = {value}: {reason}");
@@ -127,7 +127,7 @@
         let mut job = body();
         let value = job.as_object_mut().unwrap().remove(field).unwrap();
         let without = parse(job.to_string().as_bytes());
-        let named = |refused: &Refused| matches!(&refused.why, Refusal::Malformed(reason) if reason.contains(field));
+        let named = |refused: &RejectedSubmission| matches!(&refused.reason, RejectionReason::Malformed(reason) if reason.contains(field));
         if may_be_null.contains(&field) {
             assert!(without.is_ok(), "without {field}: {without:?}");
         } else {
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -3,7 +3,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::jobs::JobSpec;
-use crate::jobs::api::{Refused, Response};
+use crate::jobs::api::{RejectedSubmission, Response};
 use crate::request_queue::RequestKind;
 use crate::types::JobId;
 use crate::workers::wire::{Heartbeat, HeartbeatResponse};
@@ -13,7 +13,7 @@
     /// A user submits a job.
     Submit {
         /// The job, or why the body is refused.
-        submission: Result<(JobId, JobSpec), Refused>,
+        submission: Result<(JobId, JobSpec), RejectedSubmission>,
         /// Where the response goes.
         reply: oneshot::Sender<Response>,
     },
--- a/tests/wire_format/users.rs
+++ b/tests/wire_format/users.rs
@@ -1,7 +1,7 @@
 //! User API: submissions as decoded, rejections, and responses as encoded.
 
 use jaspertiller::fleet::MachineTypeSpec;
-use jaspertiller::jobs::api::{self, JobStage, JobState, Refusal, Response};
+use jaspertiller::jobs::api::{self, JobStage, JobState, RejectionReason, Response};
 use jaspertiller::jobs::{JobKind, JobSpec, PriorityClass};
 use jaspertiller::types::Resources;
 
@@ -11,11 +11,11 @@
 use crate::settings::settings;
 
 /// `job status reason` of a response.
-fn show(job: Option<&str>, why: &Refusal) -> String {
+fn show(job: Option<&str>, why: &RejectionReason) -> String {
     let job = job.unwrap_or("unknown job");
     match why {
-        Refusal::Malformed(reason) => format!("{job} 400 {reason}"),
-        Refusal::NeverRuns(reason) => format!("{job} 422 {reason}"),
+        RejectionReason::Malformed(reason) => format!("{job} 400 {reason}"),
+        RejectionReason::NeverRuns(reason) => format!("{job} 422 {reason}"),
     }
 }
 
@@ -43,7 +43,7 @@
                 fixtures.check(name, "job", job.as_str(), "job-000412");
                 fixtures.check(name, "is read differently", read, spec);
             }
-            Err(refused) => fixtures.fail(name, format!("is refused: {:?}", refused.why)),
+            Err(refused) => fixtures.fail(name, format!("is refused: {:?}", refused.reason)),
         }
     }
     fixtures.finish();
@@ -62,13 +62,13 @@
             Ok(_) => bodies.fail(name, "is accepted".into()),
             Err(refused) => {
                 let job = refused.id.as_ref().map(|id| id.as_str());
-                answers.writes(name, &show(job, &refused.why));
+                answers.writes(name, &show(job, &refused.reason));
             }
         }
     }
     let large = " ".repeat(api::LARGEST_BODY + 1);
     let refused = api::parse(large.as_bytes()).unwrap_err();
-    answers.writes("too-large", &show(None, &refused.why));
+    answers.writes("too-large", &show(None, &refused.reason));
     bodies.finish();
     answers.finish();
 }
