--- a/crates/simulator/src/sim/users.rs
+++ b/crates/simulator/src/sim/users.rs
@@ -148,10 +148,10 @@
         let told = match response {
             Response::Accepted(_) => JobResponse::State(JobStage::Queued),
             Response::State(state) => state.into(),
-            Response::Unknown => JobResponse::NotFound,
+            Response::UnknownJob => JobResponse::NotFound,
             Response::Malformed(_) => JobResponse::Refused(400),
-            Response::NeverRuns(_) => JobResponse::Refused(422),
-            Response::Later(_) => JobResponse::Later,
+            Response::Infeasible(_) => JobResponse::Refused(422),
+            Response::RetryAfter(_) => JobResponse::Later,
         };
         if matches!(response, Response::Accepted(_)) {
             let at = self.now + FIRST_POLL_DELAY;
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -23,7 +23,7 @@
     /// Cancels a job that is in the cache.
     pub(super) fn cancel_known(&mut self, reply: ReplyId, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
-            return self.respond(reply, Response::later());
+            return self.respond(reply, Response::retry_soon());
         };
         if !job.is_active() {
             self.requests.cancellations.add(&id, reply, self.now);
@@ -56,7 +56,7 @@
                 self.resume_at_revision(revision, self.now, PendingRead::Abort { reply, job });
                 self.resume_ready_reads();
             }
-            _ => self.respond(reply, Response::later()),
+            _ => self.respond(reply, Response::retry_soon()),
         }
     }
 
@@ -79,7 +79,7 @@
     /// take long to be proven gone.
     pub(super) fn expire_cancellations(&mut self) {
         for reply in self.requests.cancellations.take_expired(self.now) {
-            self.respond(reply, Response::later());
+            self.respond(reply, Response::retry_soon());
         }
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -57,18 +57,18 @@
             return self.on_poll(reply, id);
         }
         if !self.store_is_ready() || self.autoscaler.type_specs.is_empty() {
-            return self.respond(reply, Response::Later(NOT_READY_RETRY_S));
+            return self.respond(reply, Response::RetryAfter(NOT_READY_RETRY_S));
         }
         if let Some(waiting) = self.requests.submitting.get_mut(&id) {
             waiting.push(reply);
             return;
         }
-        let spec = match api::admit(spec, &self.settings, &self.autoscaler.type_specs) {
+        let spec = match api::check_feasibility(spec, &self.settings, &self.autoscaler.type_specs) {
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
         if let Err(retry_s) = self.admit_now(&id, &spec) {
-            return self.respond(reply, Response::Later(retry_s));
+            return self.respond(reply, Response::RetryAfter(retry_s));
         }
         self.requests.submitting.insert(id.clone(), vec![reply]);
         self.commit_submission(id, spec);
@@ -146,7 +146,7 @@
                 }
                 _ => {
                     tracing::debug!(job = %id, ?answer, "submission not accepted");
-                    self.respond(reply, Response::later());
+                    self.respond(reply, Response::retry_soon());
                 }
             }
         }
@@ -177,7 +177,7 @@
                 let response = self
                     .jobs
                     .state(&job)
-                    .map_or(Response::Unknown, Response::State);
+                    .map_or(Response::UnknownJob, Response::State);
                 self.respond(reply, response);
             }
             PendingRead::Refuse { reply, job, why } => {
@@ -185,7 +185,7 @@
                 self.respond(reply, state.unwrap_or(why.into()));
             }
             PendingRead::Abort { reply, job } => match self.jobs.state(&job) {
-                None => self.respond(reply, Response::Unknown),
+                None => self.respond(reply, Response::UnknownJob),
                 Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
                 Some(_) => self.cancel_known(reply, job),
             },
@@ -201,7 +201,7 @@
             | PendingRead::Refuse { reply, job, .. }
             | PendingRead::Abort { reply, job } => {
                 tracing::debug!(%job, "read barrier expired");
-                self.respond(reply, Response::later());
+                self.respond(reply, Response::retry_soon());
             }
             PendingRead::DeleteDescription { job } => self.finalize_cancelled(&job),
             // The outcome of a transaction must become known, however long it takes.
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -119,10 +119,10 @@
             let case = format!("{status}, accepted {accepted}, away {away}");
             assert_eq!(at_once.is_some(), away, "{case}: {at_once:?}");
             match at_once.or(later).expect("an answer") {
-                Response::Later(_) => assert!(away, "{case}"),
+                Response::RetryAfter(_) => assert!(away, "{case}"),
                 Response::State(_) => assert!(accepted, "{case}"),
                 Response::Malformed(_) => assert!(status == 400 && !accepted, "{case}"),
-                Response::NeverRuns(_) => assert!(status == 422 && !accepted, "{case}"),
+                Response::Infeasible(_) => assert!(status == 422 && !accepted, "{case}"),
                 other => panic!("{case}: {other:?}"),
             }
         }
@@ -143,7 +143,7 @@
         prove(&mut controller);
         match told(&mut controller) {
             Some(Response::State(state)) => assert_eq!(Some(state.stage), expected, "{id}"),
-            Some(Response::Unknown) => assert_eq!(expected, None, "{phase:?} {id}"),
+            Some(Response::UnknownJob) => assert_eq!(expected, None, "{phase:?} {id}"),
             other => panic!("{phase:?} {id}: {other:?}"),
         }
     }
--- a/src/http_server/mod.rs
+++ b/src/http_server/mod.rs
@@ -159,7 +159,9 @@
     request: impl FnOnce(oneshot::Sender<Response>) -> Request,
 ) -> Result<HttpResponse, Infallible> {
     let response = ask(&inbox, request).await;
-    Ok(responses::to_user(response.unwrap_or_else(Response::later)))
+    Ok(responses::to_user(
+        response.unwrap_or_else(Response::retry_soon),
+    ))
 }
 
 /// Asks the controller and waits for its reply; none if too many requests are queued or the reply is not there in
--- a/src/http_server/responses.rs
+++ b/src/http_server/responses.rs
@@ -70,9 +70,9 @@
         }
         Response::State(state) => json(StatusCode::OK, &state),
         Response::Malformed(why) => error(StatusCode::BAD_REQUEST, &why),
-        Response::NeverRuns(why) => error(StatusCode::UNPROCESSABLE_ENTITY, &why),
-        Response::Unknown => error(StatusCode::NOT_FOUND, "no such job"),
-        Response::Later(seconds) => retry_after(seconds),
+        Response::Infeasible(why) => error(StatusCode::UNPROCESSABLE_ENTITY, &why),
+        Response::UnknownJob => error(StatusCode::NOT_FOUND, "no such job"),
+        Response::RetryAfter(seconds) => retry_after(seconds),
     }
 }
 
--- a/src/jobs/api/feasibility.rs
+++ b/src/jobs/api/feasibility.rs
@@ -13,14 +13,14 @@
 ///
 /// # Errors
 /// Why the job can never run.
-pub fn admit(
+pub fn check_feasibility(
     mut spec: JobSpec,
     settings: &Settings,
     type_specs: &[MachineTypeSpec],
 ) -> Result<JobSpec, RejectionReason> {
-    let never_runs = |reason: String| Err(RejectionReason::NeverRuns(reason));
+    let infeasible = |reason: String| Err(RejectionReason::Infeasible(reason));
     let Some(team) = settings.team(&spec.team) else {
-        return never_runs(format!("crew: no team is called {}", spec.team));
+        return infeasible(format!("crew: no team is called {}", spec.team));
     };
     if let Some(machine_types) = &mut spec.machine_types {
         machine_types
@@ -29,7 +29,7 @@
     }
     let zones = feasible_zones(&spec, type_specs);
     if zones.is_empty() {
-        return never_runs("a task fits no allowed machine type".into());
+        return infeasible("a task fits no allowed machine type".into());
     }
     let confined = spec.one_zone || zones.len() == 1;
     if spec.kind != JobKind::Array
@@ -37,14 +37,14 @@
         && confined
         && spec.max_tasks_per_zone() < spec.tasks
     {
-        return never_runs("spread: all tasks would have to be in one zone".into());
+        return infeasible("spread: all tasks would have to be in one zone".into());
     }
     let concurrent_tasks = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks,
     };
     if !crate::quota::within_limit(spec.resources.times(f64::from(concurrent_tasks)), team) {
-        return never_runs(format!(
+        return infeasible(format!(
             "the job needs more than the limit of {}",
             spec.team
         ));
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use crate::types::JobId;
-pub use feasibility::admit;
+pub use feasibility::check_feasibility;
 pub use submission::{LARGEST_BODY, parse};
 
 /// Why a submission is not accepted.
@@ -21,7 +21,7 @@
     Malformed(String),
     /// The job can't ever run; HTTP status 422.
     #[error("{0}")]
-    NeverRuns(String),
+    Infeasible(String),
 }
 
 impl RejectionReason {
@@ -86,18 +86,18 @@
     /// The body is not a job, and why.
     Malformed(String),
     /// The job can't ever run, and why.
-    NeverRuns(String),
+    Infeasible(String),
     /// There is no such job.
-    Unknown,
+    UnknownJob,
     /// Not accepted now: the user should retry after this many seconds.
-    Later(u32),
+    RetryAfter(u32),
 }
 
 impl Response {
     /// Asks the user to retry soon.
     #[must_use]
-    pub fn later() -> Self {
-        Response::Later(1)
+    pub fn retry_soon() -> Self {
+        Response::RetryAfter(1)
     }
 }
 
@@ -105,7 +105,7 @@
     fn from(reason: RejectionReason) -> Self {
         match reason {
             RejectionReason::Malformed(reason) => Response::Malformed(reason),
-            RejectionReason::NeverRuns(reason) => Response::NeverRuns(reason),
+            RejectionReason::Infeasible(reason) => Response::Infeasible(reason),
         }
     }
 }
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -230,7 +230,7 @@
             job[*field] = value.clone();
         }
         let (_, spec) = parse(job.to_string().as_bytes()).unwrap();
-        let verdict = admit(spec, &settings, &type_specs);
+        let verdict = check_feasibility(spec, &settings, &type_specs);
         assert_eq!(verdict.is_ok(), runs, "{changes:?}: {verdict:?}");
     }
 }
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -36,7 +36,7 @@
             Request::Ready { reply } => reply.send(true).is_ok(),
             Request::Poll { reply, .. }
             | Request::Submit { reply, .. }
-            | Request::Abort { reply, .. } => reply.send(Response::Unknown).is_ok(),
+            | Request::Abort { reply, .. } => reply.send(Response::UnknownJob).is_ok(),
         };
     }
 }
--- a/tests/wire_format/users.rs
+++ b/tests/wire_format/users.rs
@@ -15,7 +15,7 @@
     let job = job.unwrap_or("unknown job");
     match why {
         RejectionReason::Malformed(reason) => format!("{job} 400 {reason}"),
-        RejectionReason::NeverRuns(reason) => format!("{job} 422 {reason}"),
+        RejectionReason::Infeasible(reason) => format!("{job} 422 {reason}"),
     }
 }
 
@@ -124,7 +124,7 @@
         ("over-the-limit", gang(21)),
     ];
     for (name, spec) in cases {
-        match api::admit(spec, &settings(), &[type_spec()]) {
+        match api::check_feasibility(spec, &settings(), &[type_spec()]) {
             Ok(_) => fixtures.fail(name, "is admitted".into()),
             Err(why) => fixtures.writes(name, &show(Some("job-1"), &why)),
         }
@@ -134,7 +134,8 @@
         machine_types: Some(vec!["g8".into(), "g8".into(), "x1".into()]),
         ..bare_spec()
     };
-    let admitted = api::admit(listed, &settings(), &[type_spec()]).map(|spec| spec.machine_types);
+    let admitted =
+        api::check_feasibility(listed, &settings(), &[type_spec()]).map(|spec| spec.machine_types);
     assert_eq!(admitted, Ok(Some(vec!["g8".into()])));
     fixtures.finish();
 }
@@ -155,21 +156,21 @@
     let (submit, poll) = ("POST /api/jobs", "GET /api/jobs/job-000412");
     let abort = "POST /api/jobs/job-000412/abort";
     let malformed = || Response::Malformed("picks: a \"quoted\" reason".into());
-    let never = || Response::NeverRuns("crew: no team is called x".into());
+    let never = || Response::Infeasible("crew: no team is called x".into());
     let cases = [
         ("accepted", submit, Response::Accepted("job-000412".into())),
         ("known", submit, state(JobStage::Running)),
         ("malformed", submit, malformed()),
         ("never-runs", submit, never()),
-        ("not-now", submit, Response::later()),
+        ("not-now", submit, Response::retry_soon()),
         ("queued", poll, state(JobStage::Queued)),
         ("running", poll, state(JobStage::Running)),
         ("done", poll, state(JobStage::Done)),
         ("aborted", poll, state(JobStage::Aborted)),
-        ("unknown", poll, Response::Unknown),
-        ("poll-not-now", poll, Response::Later(7)),
+        ("unknown", poll, Response::UnknownJob),
+        ("poll-not-now", poll, Response::RetryAfter(7)),
         ("abort-done", abort, state(JobStage::Aborted)),
-        ("abort-unknown", abort, Response::Unknown),
+        ("abort-unknown", abort, Response::UnknownJob),
     ];
     let replies = cases.iter().map(|(_, _, r)| Reply::User(r.clone()));
     let (address, mut told) = server(replies.collect()).await;
