--- a/src/http_server/mod.rs
+++ b/src/http_server/mod.rs
@@ -90,7 +90,7 @@
     warp::path!("api" / "jobs")
         .and(warp::post())
         .and(inbox.clone())
-        .and(bounded(api::LARGEST_BODY))
+        .and(bounded(api::MAX_BODY_BYTES))
         .and_then(|inbox: Arc<RequestSender>, body: Bytes| {
             let submission = api::parse(&body);
             ask_for_user(inbox, |reply| Request::Submit { submission, reply })
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::types::JobId;
 pub use feasibility::check_feasibility;
-pub use submission::{LARGEST_BODY, parse};
+pub use submission::{MAX_BODY_BYTES, parse};
 
 /// Why a submission is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -7,7 +7,7 @@
 use crate::types::{Image, JobId, MachineTypeId, Resources, Team, Zone};
 
 /// The largest request body, in bytes.
-pub const LARGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Maximum number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
 /// Maximum length of a name, in bytes.
@@ -67,7 +67,7 @@
 /// # Errors
 /// A refusal that names the first field that is wrong, with the job's id if that is well formed.
 pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), RejectedSubmission> {
-    if body.len() > LARGEST_BODY {
+    if body.len() > MAX_BODY_BYTES {
         let reason = RejectionReason::malformed("the body is larger than 64 KiB");
         return Err(RejectedSubmission { id: None, reason });
     }
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -63,7 +63,7 @@
             "{text}"
         );
     }
-    let huge = format!("{{\"x\":\"{}\"}}", "y".repeat(LARGEST_BODY));
+    let huge = format!("{{\"x\":\"{}\"}}", "y".repeat(MAX_BODY_BYTES));
     assert!(matches!(parse(huge.as_bytes()), Err(refused) if malformed(&refused)));
 }
 
--- a/tests/wire_format/users.rs
+++ b/tests/wire_format/users.rs
@@ -66,7 +66,7 @@
             }
         }
     }
-    let large = " ".repeat(api::LARGEST_BODY + 1);
+    let large = " ".repeat(api::MAX_BODY_BYTES + 1);
     let refused = api::parse(large.as_bytes()).unwrap_err();
     answers.writes("too-large", &show(None, &refused.reason));
     bodies.finish();
@@ -194,7 +194,7 @@
     ] {
         fixtures.writes(name, &ask(address, asked, "").await);
     }
-    let large = " ".repeat(api::LARGEST_BODY + 1);
+    let large = " ".repeat(api::MAX_BODY_BYTES + 1);
     let answer = ask(address, submit, &large).await;
     fixtures.writes("too-large", &answer);
     fixtures.finish();
