--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -92,7 +92,7 @@
             for (index, task) in (page * job.record.page..).zip(tasks) {
                 let attempt = match task {
                     Task::Placed(placement) => placement.attempt,
-                    Task::Waiting { tried } => *tried,
+                    Task::Waiting { last_attempt } => *last_attempt,
                     Task::Done => continue,
                 };
                 if attempt == finished {
@@ -177,8 +177,8 @@
     /// Checks one change against the records; `None` if it is stale.
     fn check_change(&self, job: &Job, index: u32, change: &TaskChange) -> Option<AllowedChange> {
         match (change, job.task(index)) {
-            (TaskChange::Place(placement), Task::Waiting { tried })
-                if job.is_active() && *tried < placement.attempt =>
+            (TaskChange::Place(placement), Task::Waiting { last_attempt })
+                if job.is_active() && *last_attempt < placement.attempt =>
             {
                 self.check_placement(placement)
             }
@@ -231,9 +231,9 @@
             }
             Evidence::Holder(_) => return None,
         };
-        let tried = placement.attempt;
+        let last_attempt = placement.attempt;
         Some(AllowedChange {
-            next: Task::Waiting { tried },
+            next: Task::Waiting { last_attempt },
             shard_token,
         })
     }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -92,8 +92,8 @@
         attempt: Attempt(attempt),
     };
     let on_a = || placed("vm-a", "a.0", 2);
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let cases: Vec<(&str, f64, [Task; 2], TaskChange, bool)> = vec![
         (
@@ -187,8 +187,8 @@
 /// others were recorded as done, and the gang waited for a task that could not be placed.
 #[test]
 fn one_done_task_of_a_gang_completes_all_tasks_of_its_attempt() {
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let finish = TaskChange::Finish {
         attempt: Attempt(2),
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -136,10 +136,10 @@
                     return found;
                 }
                 let task = content.and_then(|content| content.tasks.get(offset as usize));
-                if let Task::Waiting { tried } = task.unwrap_or(&Task::NEVER_PLACED)
+                if let Task::Waiting { last_attempt } = task.unwrap_or(&Task::NEVER_PLACED)
                     && !self.changes.contains_key(&(first + offset))
                 {
-                    found.push((first + offset, *tried));
+                    found.push((first + offset, *last_attempt));
                 }
             }
         }
@@ -152,7 +152,7 @@
             .values()
             .flat_map(|page| &page.tasks)
             .map(|task| match task {
-                Task::Waiting { tried } => *tried,
+                Task::Waiting { last_attempt } => *last_attempt,
                 Task::Placed(placement) => placement.attempt,
                 Task::Done => Attempt(0),
             })
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -63,8 +63,8 @@
 
 #[test]
 fn the_next_tasks_to_place_are_found_across_pages() {
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let full = || vec![placed("vm-1"), Task::Done, placed("vm-2"), Task::Done];
     let part = || vec![Task::Done, waits(3), placed("vm-1"), waits(0)];
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -149,7 +149,7 @@
     /// On no machine.
     Waiting {
         /// The highest attempt so far.
-        tried: Attempt,
+        last_attempt: Attempt,
     },
     /// On this machine, or being started there, or not yet proven to have left it.
     Placed(Placement),
@@ -159,7 +159,9 @@
 
 impl Task {
     /// A task that was never placed.
-    pub const NEVER_PLACED: Task = Task::Waiting { tried: Attempt(0) };
+    pub const NEVER_PLACED: Task = Task::Waiting {
+        last_attempt: Attempt(0),
+    };
 
     /// Where the task is placed, if it is.
     pub fn placement(&self) -> Option<&Placement> {
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -88,7 +88,7 @@
 }
 
 /// Neighbouring tasks in the same state, as written in a page. The stored form is
-/// `[{"w":[count, tried]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`.
+/// `[{"w":[count, last_attempt]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`.
 
 #[derive(Serialize, Deserialize)]
 enum Run {
@@ -105,11 +105,13 @@
     let mut runs: Vec<Run> = Vec::new();
     for task in tasks {
         match (task, runs.last_mut()) {
-            (Task::Waiting { tried }, Some(Run::Waiting(count, last))) if *last == tried.0 => {
+            (Task::Waiting { last_attempt }, Some(Run::Waiting(count, last)))
+                if *last == last_attempt.0 =>
+            {
                 *count += 1;
             }
             (Task::Done, Some(Run::Done(count))) => *count += 1,
-            (Task::Waiting { tried }, _) => runs.push(Run::Waiting(1, tried.0)),
+            (Task::Waiting { last_attempt }, _) => runs.push(Run::Waiting(1, last_attempt.0)),
             (Task::Done, _) => runs.push(Run::Done(1)),
             (Task::Placed(placement), _) => runs.push(Run::Placed(
                 placement.machine_id.clone(),
@@ -131,10 +133,10 @@
         // A count in a record is not trusted to allocate more than a page.
         let remaining = len.checked_sub(tasks.len())?;
         match run {
-            Run::Waiting(count, tried) => {
-                let tried = Attempt(tried);
+            Run::Waiting(count, last_attempt) => {
+                let last_attempt = Attempt(last_attempt);
                 let count = remaining.min(count as usize);
-                tasks.extend(std::iter::repeat_n(Task::Waiting { tried }, count));
+                tasks.extend(std::iter::repeat_n(Task::Waiting { last_attempt }, count));
             }
             Run::Done(count) => {
                 let count = remaining.min(count as usize);
--- a/src/jobs/record/tests.rs
+++ b/src/jobs/record/tests.rs
@@ -21,7 +21,12 @@
             Task::Done,
             Task::Done,
         ],
-        vec![Task::Waiting { tried: Attempt(3) }, Task::NEVER_PLACED],
+        vec![
+            Task::Waiting {
+                last_attempt: Attempt(3),
+            },
+            Task::NEVER_PLACED,
+        ],
     ];
     for tasks in cases {
         let text = encode_page(&tasks);
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -28,7 +28,7 @@
     };
     let record = serde_json::to_string(&record).unwrap();
     let (here, other) = (placed("vm-1", "a.0"), placed("vm-2", "a.1"));
-    let tried = Attempt(3);
+    let last_attempt = Attempt(3);
     let task = TaskId {
         job: id.clone(),
         index: 0,
@@ -41,7 +41,7 @@
         (ExitCause::Alone, other.clone(), false, false, false, true),
         (
             ExitCause::Alone,
-            Task::Waiting { tried },
+            Task::Waiting { last_attempt },
             true,
             false,
             false,
@@ -60,7 +60,7 @@
         (machine.agent_epoch, machine.worker_token) =
             (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         let seen = TaskObservation {
-            attempt: tried,
+            attempt: last_attempt,
             stage: TaskStage::Exited,
             cause: Some(cause),
         };
@@ -69,12 +69,12 @@
             machine
                 .direct
                 .piggybacked_starts
-                .insert((task.clone(), tried));
+                .insert((task.clone(), last_attempt));
         }
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
             fetches
         });
-        let attempt = tried;
+        let attempt = last_attempt;
         let forget = WorkerCommand::Forget {
             task: task.clone(),
             attempt,
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -98,9 +98,9 @@
     })
 }
 
-fn waiting(tried: u64) -> Task {
+fn waiting(last_attempt: u64) -> Task {
     Task::Waiting {
-        tried: Attempt(tried),
+        last_attempt: Attempt(last_attempt),
     }
 }
 
