--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -80,7 +80,7 @@
         phase: Phase::Active,
         owner: "n1".into(),
         tasks: spec.tasks,
-        page: spec.tasks,
+        page_size: spec.tasks,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -62,12 +62,12 @@
     /// Adds an allowed change of the task at `index` to the transaction.
     fn add(&mut self, job: &Job, index: u32, change: &TaskChange, allowed: AllowedChange) {
         self.shard_tokens.extend(allowed.shard_token);
-        let page = index / job.record.page;
+        let page = index / job.record.page_size;
         let tasks = self
             .pages
             .entry(page)
             .or_insert_with(|| job.page_tasks(page));
-        if let Some(slot) = tasks.get_mut((index % job.record.page) as usize) {
+        if let Some(slot) = tasks.get_mut((index % job.record.page_size) as usize) {
             *slot = allowed.next;
         }
         self.changes.push((index, change.clone()));
@@ -77,19 +77,19 @@
     /// complete together: one completion proves that all tasks of its attempt are done, including
     /// those whose departure from their machine was not observed.
     pub(super) fn complete_gang(&mut self, job: &Job) {
-        let small = job.record.pages() as usize <= MAX_PAGES;
+        let small = job.record.page_count() as usize <= MAX_PAGES;
         if !job.is_gang_of_several() || !job.is_active() || !small {
             return;
         }
         let Some(finished) = self.finished_attempt() else {
             return;
         };
-        for page in 0..job.record.pages() {
+        for page in 0..job.record.page_count() {
             let tasks = self
                 .pages
                 .entry(page)
                 .or_insert_with(|| job.page_tasks(page));
-            for (index, task) in (page * job.record.page..).zip(tasks) {
+            for (index, task) in (page * job.record.page_size..).zip(tasks) {
                 let attempt = match task {
                     Task::Placed(placement) => placement.attempt,
                     Task::Waiting { last_attempt } => *last_attempt,
@@ -115,7 +115,7 @@
     /// Makes placements of a job that is bound to zones rewrite its first page: when the job has
     /// many pages, that is the record on which controllers agree about the zones.
     pub(super) fn require_zone_page(&mut self, job: &Job) {
-        let bound = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
+        let bound = (job.spec.one_zone || job.spec.spread) && job.record.page_count() > 1;
         if self.placements.planned > 0 && bound && !self.pages.contains_key(&0) {
             self.pages.insert(0, job.page_tasks(0));
         }
@@ -155,7 +155,7 @@
         let max_ops = self.settings.deployment.state.txn_ops;
         let mut planned = PlannedWrite::default();
         for (index, change) in &job.changes {
-            if !planned.has_room_for(index / job.record.page, max_ops) {
+            if !planned.has_room_for(index / job.record.page_size, max_ops) {
                 break;
             }
             let is_placement = matches!(change, TaskChange::Place(_));
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -61,7 +61,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: spec.tasks,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -112,7 +112,7 @@
             phase: Phase::Active,
             owner: self.me.clone(),
             tasks: spec.tasks,
-            page: page_size(deployment.state.value_kb, longest_zone),
+            page_size: page_size(deployment.state.value_kb, longest_zone),
             spec: Some(spec),
         };
         let mut txn = Transaction::default();
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -179,7 +179,7 @@
         let old = old.map(|page| page.tasks).unwrap_or_default();
         let new = job.pages.get(&page);
         let new = new.map(|page| page.tasks.as_slice()).unwrap_or_default();
-        let first = page * job.record.page;
+        let first = page * job.record.page_size;
         let mut update = PageUpdate {
             id,
             spec: &job.spec,
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -95,8 +95,8 @@
     /// What the records say of a task.
     pub fn task(&self, index: u32) -> &Task {
         self.pages
-            .get(&(index / self.record.page))
-            .and_then(|page| page.tasks.get((index % self.record.page) as usize))
+            .get(&(index / self.record.page_size))
+            .and_then(|page| page.tasks.get((index % self.record.page_size) as usize))
             .unwrap_or(&Task::NEVER_PLACED)
     }
 
@@ -125,8 +125,8 @@
     /// are passed over as a whole: a job may have 100,000 tasks, and each cycle asks for the next one.
     pub fn next_waiting(&self, max: usize) -> Vec<(u32, Attempt)> {
         let mut found = Vec::new();
-        for page in 0..self.record.pages() {
-            let first = page * self.record.page;
+        for page in 0..self.record.page_count() {
+            let first = page * self.record.page_size;
             let content = self.pages.get(&page);
             if content.is_some_and(|content| content.waiting == 0) {
                 continue;
@@ -163,7 +163,7 @@
     /// Where the records place tasks of the job, by task.
     pub fn placements(&self) -> impl Iterator<Item = (u32, &Placement)> {
         self.pages.iter().flat_map(move |(page, content)| {
-            let first = page * self.record.page;
+            let first = page * self.record.page_size;
             content
                 .tasks
                 .iter()
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -20,7 +20,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks,
-        page: 4,
+        page_size: 4,
         spec: Some(spec),
     };
     let mut jobs = JobCache::default();
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -42,7 +42,8 @@
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per page.
-    pub page: u32,
+    #[serde(rename = "page")]
+    pub page_size: u32,
     /// What the user asked for; `None` once the job is finished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
@@ -50,13 +51,15 @@
 
 impl JobRecord {
     /// Number of pages, whether they exist or not.
-    pub fn pages(&self) -> u32 {
-        self.tasks.div_ceil(self.page.max(1))
+    pub fn page_count(&self) -> u32 {
+        self.tasks.div_ceil(self.page_size.max(1))
     }
 
     /// How many tasks a page holds.
     pub fn page_len(&self, page: u32) -> u32 {
-        self.tasks.saturating_sub(page * self.page).min(self.page)
+        self.tasks
+            .saturating_sub(page * self.page_size)
+            .min(self.page_size)
     }
 
     /// The final record of a job that ends in `phase`. It needs no spec.
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -23,7 +23,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: 2,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
@@ -96,7 +96,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: 1,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let mut jobs = JobCache::default();
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -84,7 +84,7 @@
         phase,
         owner: controller_id("n2"),
         tasks: 300,
-        page: 64,
+        page_size: 64,
         spec,
     }
 }
