--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -9,7 +9,7 @@
 use super::job::{FinishedJob, Job, Page};
 use super::machine_usage::Allocation;
 use super::usage_index::UsageIndex;
-use crate::jobs::record::{JOBS, JobRecord, decode_page, parse_page_key};
+use crate::jobs::record::{JOB_KEY_PREFIX, JobRecord, decode_page, parse_page_key};
 use crate::jobs::{JobSpec, Placement, Task};
 use crate::types::{JobId, MachineId, Millis, Resources, Revision, Team};
 
@@ -44,7 +44,7 @@
         version: Revision,
         now: Millis,
     ) -> RecordChange {
-        if let Some(id) = key.strip_prefix(JOBS) {
+        if let Some(id) = key.strip_prefix(JOB_KEY_PREFIX) {
             // Job records are never deleted: how a job ended is remembered.
             return match data {
                 Some(text) => self.apply_job(&id.into(), text, version, now),
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -10,23 +10,23 @@
 use crate::types::{AgentEpoch, Attempt, ControllerId, JobId, MachineId, ShardId};
 
 /// Prefix of the keys of job records.
-pub const JOBS: &str = "jt/job/";
+pub const JOB_KEY_PREFIX: &str = "jt/job/";
 /// Prefix of the keys of task pages.
-pub const PAGES: &str = "jt/task/";
+pub const PAGE_KEY_PREFIX: &str = "jt/task/";
 
 /// The key of a job's record.
 pub fn job_key(job: &JobId) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOB_KEY_PREFIX}{job}")
 }
 
 /// The key of a page of a job's tasks.
 pub fn page_key(job: &JobId, page: u32) -> String {
-    format!("{PAGES}{job}/{page}")
+    format!("{PAGE_KEY_PREFIX}{job}/{page}")
 }
 
 /// The job and the page that a key names; `None` if it is not the key of a page.
 pub fn parse_page_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, page) = key.strip_prefix(PAGES)?.rsplit_once('/')?;
+    let (job, page) = key.strip_prefix(PAGE_KEY_PREFIX)?.rsplit_once('/')?;
     Some((job.into(), page.parse().ok()?))
 }
 
