--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -175,7 +175,7 @@
         let request = PlacementRequest::new(job, self.shards_without_quota(job, None));
         let mut groups = self.scheduler.candidates.groups(&job.spec, scope, None);
         groups.retain(|group| request.shard_rejection(&group.shard).is_none());
-        if job.is_gang_of_several() {
+        if job.is_multi_task_gang() {
             return self.has_cached_gang_capacity(&request, &groups);
         }
         let image_filter = ImageFilter::Image(&job.spec.image);
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -177,8 +177,8 @@
         }
         let placements = &planned.placements;
         // A gang is placed as a whole or not at all.
-        if placements.stale > 0 && job.is_gang_of_several()
-            || placements.planned > 0 && !job.zones_allowed()
+        if placements.stale > 0 && job.is_multi_task_gang()
+            || placements.planned > 0 && !job.satisfies_zone_constraints()
             || !self.require_allocations(job, &mut txn, &planned.placements_by_shard())
         {
             return None;
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -78,7 +78,7 @@
     /// those whose departure from their machine was not observed.
     pub(super) fn complete_gang(&mut self, job: &Job) {
         let small = job.record.page_count() as usize <= MAX_PAGES;
-        if !job.is_gang_of_several() || !job.is_active() || !small {
+        if !job.is_multi_task_gang() || !job.is_active() || !small {
             return;
         }
         let Some(finished) = self.finished_attempt() else {
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -97,13 +97,13 @@
     let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
     if !job.is_active() {
         ChangeKind::Stop
-    } else if completions && (complete || job.is_gang_of_several()) {
+    } else if completions && (complete || job.is_multi_task_gang()) {
         ChangeKind::FinalCompletions
     } else if completions {
         ChangeKind::PartialCompletions
-    } else if more_will_leave(job) && job.is_broken_gang() {
+    } else if more_will_leave(job) && job.is_partially_placed_gang() {
         ChangeKind::BrokenGang
-    } else if job.is_gang_of_several() && job.placed == 0 {
+    } else if job.is_multi_task_gang() && job.placed == 0 {
         ChangeKind::GangPlacement
     } else if job.spec.kind == JobKind::Array && job.waiting_tasks() > 0 && only_placements(job) {
         ChangeKind::ArrayPlacements
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -72,7 +72,7 @@
         let fetch_s = job.spec.image_gb / slowest_rate;
         let gang_wait_s = self.settings.deployment.workers.gang_wait_s;
         let limit = Millis::from_secs(gang_wait_s + FETCH_TIMEOUT_FACTOR * fetch_s);
-        job.is_gang_of_several() && self.now.since(job.last_placement_change) < limit
+        job.is_multi_task_gang() && self.now.since(job.last_placement_change) < limit
     }
 
     /// Updates the machine's own state by how its tasks ended.
--- a/src/controller/hierarchical_quota/demand.rs
+++ b/src/controller/hierarchical_quota/demand.rs
@@ -51,7 +51,7 @@
     fn find_head_of_line_jobs(&self) -> Vec<JobId> {
         let mut first: BTreeMap<&Team, (QueueKey, &JobId)> = BTreeMap::new();
         for job in self.jobs.iter() {
-            let waits = job.is_active() && job.waiting_tasks() > 0 && !job.is_gang_of_several();
+            let waits = job.is_active() && job.waiting_tasks() > 0 && !job.is_multi_task_gang();
             if !waits || !self.in_tree(&job.spec.team) {
                 continue;
             }
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -33,7 +33,7 @@
     /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
     /// no gang.
     fn reclaims_per_task(&self, job: Option<&Job>) -> bool {
-        let gang = job.is_none_or(Job::is_gang_of_several);
+        let gang = job.is_none_or(Job::is_multi_task_gang);
         self.hierarchy.active_tree().is_some() && !gang
     }
 }
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -136,6 +136,6 @@
 
 /// Whether a job's running tasks end on their own within about the time of a reservation.
 fn ends_soon(job: &Job) -> bool {
-    let finite = job.spec.kind != JobKind::Service && !job.is_gang_of_several();
+    let finite = job.spec.kind != JobKind::Service && !job.is_multi_task_gang();
     finite && job.spec.estimate_s <= RESERVATION_TIMEOUT.secs() * MAX_RESERVATIONS_PER_TASK
 }
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -45,7 +45,7 @@
     /// Notes the placement for a commit, and queues the job again if more of its tasks wait.
     fn after_placement(&mut self, id: &JobId, key: QueueKey) {
         self.end_used_nominations(id);
-        if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
+        if self.jobs.get(id).is_some_and(Job::is_multi_task_gang) {
             self.commit(id);
         } else if self.commits.noted_jobs.last() != Some(id) {
             self.commits.noted_jobs.push(id.clone());
@@ -71,7 +71,7 @@
             return false;
         };
         let urgent = job.spec.priority >= PriorityClass::Urgent;
-        let gang = job.is_gang_of_several();
+        let gang = job.is_multi_task_gang();
         let leading = self.leading().is_some();
         if gang && leading {
             // The ordinary cycle considers the whole fleet already.
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -80,7 +80,7 @@
         if self.leading().is_none() {
             return self.return_unless_owned(id, checks);
         }
-        if self.jobs.get(id).is_some_and(Job::is_gang_of_several) {
+        if self.jobs.get(id).is_some_and(Job::is_multi_task_gang) {
             // The cycle has already considered the whole fleet.
             return if self.preempt_for_gang(id) {
                 Remedy::Preempting
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -195,7 +195,7 @@
         };
         let victim: &Job = self.jobs.get(id)?;
         let leaving = self.scheduler.stops.contains_key(&task) || !victim.is_active();
-        let grounds = if leaving || victim.is_gang_of_several() {
+        let grounds = if leaving || victim.is_multi_task_gang() {
             Preemptibility::default()
         } else {
             self.preemptibility(preemptor, victim)
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -138,7 +138,7 @@
     /// nominated for. A gang does; of other jobs any task may start, unless their resources were
     /// freed without a quota tree.
     fn awaits_preemption(&self, job: &Job, check: Check) -> bool {
-        let needs_all = job.is_gang_of_several() || self.quota.hierarchy.active_tree().is_none();
+        let needs_all = job.is_multi_task_gang() || self.quota.hierarchy.active_tree().is_none();
         if check != Check::Resources || !needs_all {
             return false;
         }
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -191,7 +191,7 @@
     }
 
     /// Whether the job's tasks, those about to be placed included, are in zones that it allows.
-    pub fn zones_allowed(&self) -> bool {
+    pub fn satisfies_zone_constraints(&self) -> bool {
         let spec = &self.spec;
         if !spec.one_zone && !spec.spread {
             return true;
@@ -205,13 +205,13 @@
     }
 
     /// Whether this is a gang of several tasks, which are placed and complete together.
-    pub fn is_gang_of_several(&self) -> bool {
+    pub fn is_multi_task_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang && self.record.tasks > 1
     }
 
     /// Whether this is a gang of which some tasks are placed and others are not. It can't go on: what is
     /// left of the attempt has to be released first.
-    pub fn is_broken_gang(&self) -> bool {
+    pub fn is_partially_placed_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
             && self.placed > 0
             && self.placed + self.done < self.record.tasks
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -312,7 +312,7 @@
 
 /// Whether a job's tasks should run.
 fn is_wanted(job: &Job) -> bool {
-    job.record.phase == Phase::Active && !job.is_broken_gang()
+    job.record.phase == Phase::Active && !job.is_partially_placed_gang()
 }
 
 /// Whether an exit counts against the job or the machine.
