--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -71,7 +71,7 @@
         };
         let mut txn = Transaction::default();
         txn.require(LEADER.into(), leader_revision);
-        for (id, page) in self.jobs.leftovers().take(max_ops) {
+        for (id, page) in self.jobs.obsolete_pages().take(max_ops) {
             txn.delete(page_key(id, *page));
         }
         if txn.changes.is_empty() {
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -126,7 +126,7 @@
             let removed = self.set_page(id, page, None);
             changed.freed.extend(removed.freed);
             changed.team = changed.team.or(removed.team);
-            self.leftovers.insert((id.clone(), page));
+            self.obsolete_pages.insert((id.clone(), page));
         }
         self.discard_changes(id);
         self.jobs.remove(id);
@@ -137,7 +137,7 @@
     fn apply_page(&mut self, id: &JobId, page: u32, text: &str, version: Revision) -> RecordChange {
         let Some(job) = self.jobs.get(id) else {
             if self.finished.contains_key(id) {
-                self.leftovers.insert((id.clone(), page));
+                self.obsolete_pages.insert((id.clone(), page));
             } else {
                 let pages = self.early_pages.entry(id.clone()).or_default();
                 pages.insert(page, (version, text.to_string()));
@@ -160,7 +160,7 @@
         if let Some(pages) = self.early_pages.get_mut(id) {
             pages.remove(&page);
         }
-        self.leftovers.remove(&(id.clone(), page));
+        self.obsolete_pages.remove(&(id.clone(), page));
         match self.jobs.get(id) {
             Some(job) if job.page_version(page) < version => self.set_page(id, page, None),
             _ => RecordChange::default(),
--- a/src/jobs/cache/mod.rs
+++ b/src/jobs/cache/mod.rs
@@ -37,7 +37,7 @@
     /// Pages that came before their job's record, as they were read.
     early_pages: HashMap<JobId, BTreeMap<u32, (Revision, String)>>,
     /// Pages of finished jobs that the store still has.
-    leftovers: HashSet<(JobId, u32)>,
+    obsolete_pages: HashSet<(JobId, u32)>,
 }
 
 impl JobCache {
@@ -65,8 +65,8 @@
     }
 
     /// Pages of finished jobs that the store still has.
-    pub fn leftovers(&self) -> impl Iterator<Item = &(JobId, u32)> {
-        self.leftovers.iter()
+    pub fn obsolete_pages(&self) -> impl Iterator<Item = &(JobId, u32)> {
+        self.obsolete_pages.iter()
     }
 
     /// The tasks that the records place on a machine.
