--- a/src/jobs/cache/mod.rs
+++ b/src/jobs/cache/mod.rs
@@ -23,7 +23,7 @@
 use job::FinishedJob;
 pub use job::Job;
 pub use machine_usage::MachineUsage;
-pub use team_usage::Groups;
+pub use team_usage::TeamGroups;
 use usage_index::UsageIndex;
 
 /// All jobs, and what they use.
@@ -131,7 +131,7 @@
     }
 
     /// Counts usage by other groups of teams from now on.
-    pub fn set_groups(&mut self, groups: Groups) {
+    pub fn set_groups(&mut self, groups: TeamGroups) {
         self.usage.teams.reset(groups);
         for job in self.jobs.values() {
             self.usage.teams.count(job);
--- a/src/jobs/cache/team_usage.rs
+++ b/src/jobs/cache/team_usage.rs
@@ -7,15 +7,20 @@
 use crate::types::{Resources, ShardId, Team};
 
 /// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
-pub type Groups = HashMap<Team, Vec<Team>>;
+pub type TeamGroups = HashMap<Team, Vec<Team>>;
 
 /// A team and its groups.
-fn with_groups<'a>(groups: &'a Groups, team: &'a Team) -> impl Iterator<Item = &'a Team> {
+fn with_groups<'a>(groups: &'a TeamGroups, team: &'a Team) -> impl Iterator<Item = &'a Team> {
     std::iter::once(team).chain(groups.get(team).into_iter().flatten())
 }
 
 /// Adds to the sums of a team and its groups.
-fn add_to(sums: &mut HashMap<Team, Resources>, groups: &Groups, team: &Team, resources: Resources) {
+fn add_to(
+    sums: &mut HashMap<Team, Resources>,
+    groups: &TeamGroups,
+    team: &Team,
+    resources: Resources,
+) {
     for team in with_groups(groups, team) {
         let sum = sums.entry(team.clone()).or_default();
         *sum = sum.plus(resources);
@@ -27,7 +32,7 @@
 struct UsageByShard(HashMap<Team, HashMap<ShardId, (Resources, u32)>>);
 
 impl UsageByShard {
-    fn add(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+    fn add(&mut self, groups: &TeamGroups, shard: &ShardId, spec: &JobSpec) {
         for team in with_groups(groups, &spec.team) {
             let shards = self.0.entry(team.clone()).or_default();
             let (resources, tasks) = shards.entry(shard.clone()).or_default();
@@ -37,7 +42,7 @@
     }
 
     /// Removes a task. A shard without tasks is forgotten, and with it the rounding error of its sum.
-    fn remove(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+    fn remove(&mut self, groups: &TeamGroups, shard: &ShardId, spec: &JobSpec) {
         for team in with_groups(groups, &spec.team) {
             let Some(shards) = self.0.get_mut(team) else {
                 continue;
@@ -68,10 +73,10 @@
     }
 }
 
-/// The usage of all teams. Groups are counted as teams are, under names of their own.
+/// The usage of all teams. TeamGroups are counted as teams are, under names of their own.
 #[derive(Default)]
 pub(super) struct TeamUsage {
-    groups: Groups,
+    groups: TeamGroups,
     /// What placed tasks use, by the records.
     committed: HashMap<Team, Resources>,
     /// Of that, what tasks use that are known to have left, though that is not written yet.
@@ -86,7 +91,7 @@
 
 impl TeamUsage {
     /// Replaces the groups and resets all sums.
-    pub(super) fn reset(&mut self, groups: Groups) {
+    pub(super) fn reset(&mut self, groups: TeamGroups) {
         self.groups = groups;
         self.committed.clear();
         self.departed.clear();
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -9,7 +9,7 @@
 
 use super::pages::{Head, hash_of};
 use super::{TREE_HEAD_KEY, flat_limits, group_name, platform_teams};
-use crate::jobs::cache::Groups;
+use crate::jobs::cache::TeamGroups;
 use crate::settings::TeamSettings;
 use crate::types::{Millis, Resources, Team};
 
@@ -20,7 +20,7 @@
     /// By team: the limits that apply to it, its own first.
     limits: HashMap<Team, Vec<TeamSettings>>,
     /// By team: the nodes above it, under their groups' names.
-    groups: Groups,
+    groups: TeamGroups,
     /// By node: the name under which its usage is counted.
     names: Vec<Team>,
 }
@@ -66,7 +66,7 @@
     fn new(tree: Arc<Tree>, teams: &[TeamSettings]) -> Self {
         let names = node_names(&tree);
         let mut limits: HashMap<Team, Vec<TeamSettings>> = HashMap::default();
-        let mut groups = Groups::default();
+        let mut groups = TeamGroups::default();
         for team in teams {
             let Some(leaf) = tree.leaf(team.name.as_str()) else {
                 limits.insert(team.name.clone(), flat_limits(team));
@@ -91,7 +91,7 @@
     }
 
     /// The groups that each team is counted in.
-    pub(super) fn groups(&self) -> &Groups {
+    pub(super) fn groups(&self) -> &TeamGroups {
         &self.groups
     }
 
--- a/src/quota/hierarchical/mod.rs
+++ b/src/quota/hierarchical/mod.rs
@@ -13,7 +13,7 @@
 
 pub use self::active::ActiveTree;
 use self::pages::{Head, PagedTree, StoredPages};
-use crate::jobs::cache::Groups;
+use crate::jobs::cache::TeamGroups;
 use crate::settings::TeamSettings;
 use crate::types::{Millis, Resources, Revision, Team};
 
@@ -271,7 +271,7 @@
     }
 
     /// The groups that each team is counted in.
-    pub fn groups(&self) -> Groups {
+    pub fn groups(&self) -> TeamGroups {
         let tree = self.active.as_ref();
         tree.map(|tree| tree.groups().clone()).unwrap_or_default()
     }
