--- a/src/controller/autoscaling/scale_in.rs
+++ b/src/controller/autoscaling/scale_in.rs
@@ -144,7 +144,7 @@
             .filter_map(|(job_id, index)| {
                 let job = self.jobs.get(job_id)?;
                 let placement = job.task(*index).placement()?;
-                if job.changes.contains_key(index) {
+                if job.pending_changes.contains_key(index) {
                     return None;
                 }
                 let release = TaskChange::Release {
--- a/src/controller/autoscaling/tests.rs
+++ b/src/controller/autoscaling/tests.rs
@@ -24,7 +24,7 @@
         }
         controller.release_tasks_on_deleted_machines();
         let job = controller.jobs.get(&id).unwrap();
-        assert_eq!(!job.changes.is_empty(), released, "deleted: {gone}");
+        assert_eq!(!job.pending_changes.is_empty(), released, "deleted: {gone}");
     }
 }
 
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -37,8 +37,9 @@
     pub(in crate::controller) fn forward_completions(&mut self) {
         let jobs = &self.jobs;
         let unwritten = |id: &JobId| {
-            jobs.get(id)
-                .is_some_and(|job| job.commit_state == CommitState::Idle && !job.changes.is_empty())
+            jobs.get(id).is_some_and(|job| {
+                job.commit_state == CommitState::Idle && !job.pending_changes.is_empty()
+            })
         };
         let mut due = self.commits.completions.retain_unwritten(unwritten);
         due.extend(self.commits.completions.due_scans(self.now));
@@ -70,7 +71,8 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        if departure.index >= job.record.tasks || job.changes.contains_key(&departure.index) {
+        if departure.index >= job.record.tasks || job.pending_changes.contains_key(&departure.index)
+        {
             return false;
         }
         let Task::Placed(placement) = job.task(departure.index) else {
@@ -91,7 +93,7 @@
             placement.is_none_or(|placement| placement.attempt != attempt)
         };
         let stale: Vec<u32> = job
-            .changes
+            .pending_changes
             .iter()
             .filter(|(index, change)| match change {
                 TaskChange::Place(_) => false,
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -98,7 +98,7 @@
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle
-            || job.changes.is_empty()
+            || job.pending_changes.is_empty()
             || self.commits.completions.defers_scan(job, self.now)
         {
             return;
@@ -139,7 +139,7 @@
     /// Writes a job's noted changes, unless a transaction of the job is in flight.
     fn write(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.commit_state != CommitState::Idle || job.changes.is_empty() {
+        if job.commit_state != CommitState::Idle || job.pending_changes.is_empty() {
             return;
         }
         let mut planned = self.plan_write(job);
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -85,8 +85,8 @@
         }
         for (index, change) in completions {
             let job = self.jobs.get(id);
-            if job.is_some_and(|job| !job.changes.contains_key(&index)) {
-                self.jobs.note_change(id, index, change);
+            if job.is_some_and(|job| !job.pending_changes.contains_key(&index)) {
+                self.jobs.add_pending_change(id, index, change);
             }
         }
         self.drop_overtaken(id);
@@ -98,7 +98,7 @@
         let Some(job) = self.jobs.get(id) else {
             return BTreeSet::new();
         };
-        job.changes
+        job.pending_changes
             .iter()
             .filter(|(_, change)| !matches!(change, TaskChange::Place(_)))
             .filter_map(|(index, _)| Some(job.task(*index).placement()?.machine_id.clone()))
@@ -110,7 +110,7 @@
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        job.changes
+        job.pending_changes
             .iter()
             .filter(|(_, change)| change.finishes())
             .map(|(index, change)| (*index, change.clone()))
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -154,7 +154,7 @@
     pub(super) fn plan_write(&self, job: &Job) -> PlannedWrite {
         let max_ops = self.settings.deployment.state.txn_ops;
         let mut planned = PlannedWrite::default();
-        for (index, change) in &job.changes {
+        for (index, change) in &job.pending_changes {
             if !planned.has_room_for(index / job.record.page_size, max_ops) {
                 break;
             }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -171,7 +171,7 @@
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
         // The change was valid when it was noted; the records are newer now.
-        controller.jobs.note_change(&id, 0, change);
+        controller.jobs.add_pending_change(&id, 0, change);
         controller.write(&id);
         let wrote = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
@@ -209,9 +209,9 @@
         (spec.kind, spec.tasks) = (JobKind::Gang, 2);
         let tasks = vec![placed("vm-a", "a.0", 2), mate.clone()];
         let (mut controller, id) = controller(spec, tasks);
-        controller.jobs.note_change(&id, 0, finish.clone());
+        controller.jobs.add_pending_change(&id, 0, finish.clone());
         if let Some(noted) = noted {
-            controller.jobs.note_change(&id, 1, noted);
+            controller.jobs.add_pending_change(&id, 1, noted);
         }
         controller.write(&id);
         let completions = controller.effects.iter().any(|effect| {
@@ -260,7 +260,9 @@
         if short {
             controller.commits.writes_short_until = Millis(11_000);
         }
-        controller.jobs.note_change(&id, index, change.clone());
+        controller
+            .jobs
+            .add_pending_change(&id, index, change.clone());
         controller.commit(&id);
         let written = controller.jobs.get(&id).unwrap().commit_state == CommitState::InFlight;
         assert_eq!(written, at_once, "{change:?}, short: {short}");
--- a/src/controller/commits/turn.rs
+++ b/src/controller/commits/turn.rs
@@ -93,8 +93,8 @@
 
 /// Classifies a job's noted changes.
 fn kind_of(job: &Job) -> ChangeKind {
-    let completions = job.changes.values().all(TaskChange::finishes);
-    let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
+    let completions = job.pending_changes.values().all(TaskChange::finishes);
+    let complete = job.done as usize + job.pending_changes.len() >= job.record.tasks as usize;
     if !job.is_active() {
         ChangeKind::Stop
     } else if completions && (complete || job.is_multi_task_gang()) {
@@ -114,14 +114,14 @@
 
 /// Whether tasks of the job are placed for which no change is noted yet.
 fn more_will_leave(job: &Job) -> bool {
-    job.placed as usize > job.changes.len()
+    job.placed as usize > job.pending_changes.len()
 }
 
 /// Whether all noted changes are placements. Other changes free resources that a gang may be
 /// waiting for on another controller.
 fn only_placements(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
-    job.changes.values().all(is_placement)
+    job.pending_changes.values().all(is_placement)
 }
 
 /// How long completions of some of a job's tasks are gathered. Near its team's limit the next tasks
--- a/src/controller/commits/turn/tests.rs
+++ b/src/controller/commits/turn/tests.rs
@@ -50,7 +50,7 @@
     let job = jobs.get_mut(&id).unwrap();
     (job.spec.kind, job.spec.priority) = (kind, priority);
     for (index, change) in changes.iter().enumerate() {
-        jobs.note_change(&id, index as u32, change.clone());
+        jobs.add_pending_change(&id, index as u32, change.clone());
     }
     (jobs, id)
 }
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -122,5 +122,6 @@
 /// for.
 fn awaits_trial(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
-    job.spec.kind != JobKind::Service && (job.placed > 0 || job.changes.values().any(is_placement))
+    job.spec.kind != JobKind::Service
+        && (job.placed > 0 || job.pending_changes.values().any(is_placement))
 }
--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -111,7 +111,7 @@
     ) {
         let mut jobs: Vec<JobId> = Vec::new();
         for (job, index, change) in changes {
-            self.jobs.note_change(&job, index, change);
+            self.jobs.add_pending_change(&job, index, change);
             if jobs.last() != Some(&job) {
                 jobs.push(job);
             }
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -72,8 +72,8 @@
                 attempt: placement.attempt,
                 evidence: Evidence::Holder(token),
             };
-            let due =
-                placement.agent_epoch <= machine.agent_epoch && !job.changes.contains_key(index);
+            let due = placement.agent_epoch <= machine.agent_epoch
+                && !job.pending_changes.contains_key(index);
             due.then(|| (id.clone(), *index, release))
         })
     }
--- a/src/controller/heartbeats/tests.rs
+++ b/src/controller/heartbeats/tests.rs
@@ -34,7 +34,7 @@
     controller.now = lease;
     let heartbeat = Some(serde_json::from_value(heartbeat).unwrap());
     controller.on_direct(&machine_id, Some(CommandReply { heartbeat }));
-    let released = |c: &Controller| !c.jobs.get(&id).unwrap().changes.is_empty();
+    let released = |c: &Controller| !c.jobs.get(&id).unwrap().pending_changes.is_empty();
     for (after_s, gone) in [(5.0, false), (40.0, true)] {
         controller.now = lease + Millis::from_secs(after_s);
         controller.detect_silent_machines();
@@ -105,7 +105,7 @@
         }
         controller.now = Millis(shown * 1_000) + Millis::from_secs(then_s);
         controller.detect_silent_machines();
-        let released = !controller.jobs.get(&id).unwrap().changes.is_empty();
+        let released = !controller.jobs.get(&id).unwrap().pending_changes.is_empty();
         assert_eq!(
             released, gone,
             "{before:?}, {shown}, {after:?}, {then_s} s later"
--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -128,7 +128,7 @@
                 };
                 if self.scheduler.stops.contains_key(&task) {
                     remaining = remaining.minus(job.spec.resources);
-                } else if !job.is_multi_task_gang() && !job.changes.contains_key(&index) {
+                } else if !job.is_multi_task_gang() && !job.pending_changes.contains_key(&index) {
                     tasks.push(self.excess_task(job, task));
                 }
             }
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -132,7 +132,7 @@
             return self.scheduler.nominations.remove(id);
         };
         let machine_ids: Vec<MachineId> = job
-            .changes
+            .pending_changes
             .values()
             .filter_map(|change| match change {
                 TaskChange::Place(placement) => Some(placement.machine_id.clone()),
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -60,7 +60,7 @@
     };
     controller
         .jobs
-        .note_change(id, task, TaskChange::Place(placement));
+        .add_pending_change(id, task, TaskChange::Place(placement));
     controller.commit(id);
     written(controller)
 }
@@ -132,7 +132,7 @@
         };
         controller
             .jobs
-            .note_change(&id, task, TaskChange::Place(placement));
+            .add_pending_change(&id, task, TaskChange::Place(placement));
     }
     assert!(place(&mut controller, &id, 5).is_none());
     controller.jobs.discard(&id, &[5]);
--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -25,7 +25,7 @@
             return Ok(());
         };
         let gang = job.spec.kind == JobKind::Gang;
-        if gang && (job.placed > 0 || !job.changes.is_empty()) {
+        if gang && (job.placed > 0 || !job.pending_changes.is_empty()) {
             return Err(BTreeSet::from([Check::Attempt]));
         }
         let tasks = if gang { job.record.tasks } else { 1 };
@@ -170,7 +170,7 @@
         };
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
         self.jobs
-            .note_change(id, index, TaskChange::Place(placement));
+            .add_pending_change(id, index, TaskChange::Place(placement));
         if let Some(machine) = self.machines.get_mut(&machine_id) {
             machine.add_pending_fetch(&image, image_gb, self.now);
         }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -99,9 +99,9 @@
         .is_empty();
     assert!(limited, "the job's team has a limit");
     let sent = TaskChange::Place(placement("vm-b", "b.0"));
-    controller.jobs.note_change(&id, 1, sent.clone());
+    controller.jobs.add_pending_change(&id, 1, sent.clone());
     let later = TaskChange::Place(placement("vm-a", "a.0"));
-    controller.jobs.note_change(&id, 0, later);
+    controller.jobs.add_pending_change(&id, 0, later);
     controller.commits.backlog.in_flight = 1;
     controller.on_changes(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
@@ -126,7 +126,7 @@
         );
         controller.effects.clear();
         let change = TaskChange::Place(placement("vm-b", "b.0"));
-        controller.jobs.note_change(&id, 0, change);
+        controller.jobs.add_pending_change(&id, 0, change);
         controller.now = Millis(9_000);
         controller.commit(&id);
         let conditions = controller.effects.iter().find_map(|effect| match effect {
@@ -169,7 +169,7 @@
         }
         for index in 0..tasks {
             let change = TaskChange::Place(placement("vm-b", "b.0"));
-            controller.jobs.note_change(&id, index, change);
+            controller.jobs.add_pending_change(&id, index, change);
         }
         let mut txn = Transaction::default();
         let job = controller.jobs.get(&id).unwrap();
--- a/src/controller/reachability/tests.rs
+++ b/src/controller/reachability/tests.rs
@@ -160,7 +160,7 @@
         assert_eq!(sent.iter().filter(stop).count(), stops, "{case}");
         let starts = |order: &WorkerCommand| matches!(order, WorkerCommand::Start { .. });
         assert!(!sent.iter().any(starts), "{case}");
-        let changes = &controller.jobs.get(&id).unwrap().changes;
+        let changes = &controller.jobs.get(&id).unwrap().pending_changes;
         assert_eq!(changes.contains_key(&1), given_up, "{case}");
         assert!(!changes.contains_key(&0), "{case}");
     }
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -10,7 +10,7 @@
     /// queues the job.
     pub fn waits_for(&self, id: &JobId) -> Option<WaitReason> {
         let job = self.jobs.get(id)?;
-        let has_changes = !job.changes.is_empty();
+        let has_changes = !job.pending_changes.is_empty();
         if job.is_active() && job.waiting_tasks() == 0 && !has_changes {
             return None;
         }
--- a/src/jobs/cache/changes.rs
+++ b/src/jobs/cache/changes.rs
@@ -8,7 +8,7 @@
 impl JobCache {
     /// Notes a change to be committed. A placement reserves its resources at once; those of a task
     /// that has left are available at once.
-    pub fn note_change(&mut self, id: &JobId, index: u32, change: TaskChange) {
+    pub fn add_pending_change(&mut self, id: &JobId, index: u32, change: TaskChange) {
         self.discard(id, &[index]);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -22,7 +22,7 @@
             self.usage.teams.add_departed(&job.spec, job.spec.resources);
             job.departed.insert(index, machine_id);
         }
-        job.changes.insert(index, change);
+        job.pending_changes.insert(index, change);
     }
 
     /// Forgets noted changes, whether committed by now or not.
@@ -31,7 +31,7 @@
             return;
         };
         for index in indices {
-            let change = job.changes.remove(index);
+            let change = job.pending_changes.remove(index);
             // Still placed by the records.
             if let Some(machine_id) = job.departed.remove(index) {
                 self.usage
@@ -50,7 +50,7 @@
     pub fn discard_changes(&mut self, id: &JobId) {
         let indices: Vec<u32> = self
             .get(id)
-            .map(|job| job.changes.keys().copied().collect())
+            .map(|job| job.pending_changes.keys().copied().collect())
             .unwrap_or_default();
         self.discard(id, &indices);
     }
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -54,7 +54,7 @@
     /// How many tasks its records say are done.
     pub done: u32,
     /// Changes of tasks that are not in the records yet, by task.
-    pub changes: BTreeMap<u32, TaskChange>,
+    pub pending_changes: BTreeMap<u32, TaskChange>,
     /// Tasks that are known to have left their machines, though that is not written yet, with the
     /// machine. Its resources are available, but the tasks count for the team and for zones.
     pub(super) departed: BTreeMap<u32, MachineId>,
@@ -81,7 +81,7 @@
             pages: BTreeMap::new(),
             placed: 0,
             done: 0,
-            changes: BTreeMap::new(),
+            pending_changes: BTreeMap::new(),
             departed: BTreeMap::new(),
             commit_state: CommitState::Idle,
         }
@@ -115,7 +115,7 @@
 
     /// Tasks that are on no machine, not done, and not about to be placed.
     pub fn waiting_tasks(&self) -> u32 {
-        let placing = self.noted_placements().count() as u32;
+        let placing = self.pending_placements().count() as u32;
         self.record
             .tasks
             .saturating_sub(self.placed + self.done + placing)
@@ -137,7 +137,7 @@
                 }
                 let task = content.and_then(|content| content.tasks.get(offset as usize));
                 if let Task::Waiting { last_attempt } = task.unwrap_or(&Task::NEVER_PLACED)
-                    && !self.changes.contains_key(&(first + offset))
+                    && !self.pending_changes.contains_key(&(first + offset))
                 {
                     found.push((first + offset, *last_attempt));
                 }
@@ -173,18 +173,20 @@
     }
 
     /// Placements that are not in the records yet.
-    pub(super) fn noted_placements(&self) -> impl Iterator<Item = &Placement> {
-        self.changes.values().filter_map(|change| match change {
-            TaskChange::Place(placement) => Some(placement),
-            _ => None,
-        })
+    pub(super) fn pending_placements(&self) -> impl Iterator<Item = &Placement> {
+        self.pending_changes
+            .values()
+            .filter_map(|change| match change {
+                TaskChange::Place(placement) => Some(placement),
+                _ => None,
+            })
     }
 
     /// Tasks per zone, those about to be placed included.
     pub fn tasks_per_zone(&self) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
         let written = self.placements().map(|(_, placement)| placement);
-        for placement in written.chain(self.noted_placements()) {
+        for placement in written.chain(self.pending_placements()) {
             *zones.entry(placement.shard.zone.clone()).or_insert(0) += 1;
         }
         zones
--- a/src/jobs/cache/team_usage.rs
+++ b/src/jobs/cache/team_usage.rs
@@ -110,7 +110,7 @@
             let (groups, spec) = (&self.groups, &job.spec);
             add_to(&mut self.departed, groups, &spec.team, spec.resources);
         }
-        for placement in job.noted_placements() {
+        for placement in job.pending_placements() {
             self.reserve(&job.spec, placement);
         }
     }
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -88,7 +88,7 @@
             let Task::Placed(placement) = placed("vm-3") else {
                 unreachable!()
             };
-            jobs.note_change(&id, index, TaskChange::Place(placement));
+            jobs.add_pending_change(&id, index, TaskChange::Place(placement));
         }
         let found = jobs.get(&id).unwrap().next_waiting(3);
         let found: Vec<(u32, u64)> = found.into_iter().map(|(i, a)| (i, a.0)).collect();
@@ -118,7 +118,7 @@
     let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
     assert_eq!(gpus(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
-    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
+    jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
     assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
     let used = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
@@ -129,7 +129,7 @@
     assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
     jobs.discard(&id, &[0]);
     assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
-    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
+    jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
     let second = [
         Task::Done,
         placed("vm-1"),
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -50,7 +50,7 @@
 impl CompletionForwarder {
     /// Whether a scan of the job's changes is put off; `due_scans` returns the job later.
     pub fn defers_scan(&mut self, job: &Job, now: Millis) -> bool {
-        if job.changes.len() <= MAX_UNTHROTTLED_CHANGES {
+        if job.pending_changes.len() <= MAX_UNTHROTTLED_CHANGES {
             return false;
         }
         let scan = self.scans.entry(job.id.clone()).or_default();
@@ -86,7 +86,7 @@
         now: Millis,
     ) -> bool {
         let departures: Option<Vec<TaskDeparture>> = job
-            .changes
+            .pending_changes
             .iter()
             .map(|(index, change)| departure(&job.id, *index, change, &held_token))
             .collect();
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -12,7 +12,7 @@
         let (mut jobs, id) = jobs(4 * count, &[]);
         for index in 0..count {
             let attempt = Attempt(1);
-            jobs.note_change(&id, index, TaskChange::Finish { attempt });
+            jobs.add_pending_change(&id, index, TaskChange::Finish { attempt });
         }
         let job = jobs.get(&id).unwrap();
         let mut forwarder = CompletionForwarder::default();
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -114,7 +114,7 @@
             self.stop_if_unwanted(job, task, observation);
             return;
         }
-        let change_pending = job.changes.contains_key(&task.index);
+        let change_pending = job.pending_changes.contains_key(&task.index);
         let cause = observation.cause.unwrap_or(ExitCause::Error);
         let start = (task.clone(), attempt);
         if cause == ExitCause::Alone && self.machine.direct.piggybacked_starts.contains(&start) {
@@ -199,7 +199,7 @@
                 index: *index,
             };
             let Some(job) = jobs.get(id) else { continue };
-            if current.contains(&task) || job.changes.contains_key(index) {
+            if current.contains(&task) || job.pending_changes.contains_key(index) {
                 continue;
             }
             let Task::Placed(placement) = job.task(*index) else {
