--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -103,6 +103,6 @@
             })
             .map(|(index, _)| *index)
             .collect();
-        self.jobs.discard(id, &stale);
+        self.jobs.discard_changes(id, &stale);
     }
 }
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -150,7 +150,7 @@
         };
         self.add_records(job, &planned, &mut txn);
         let PlannedWrite { changes, stale, .. } = planned;
-        self.jobs.discard(id, &stale);
+        self.jobs.discard_changes(id, &stale);
         if changes.is_empty() {
             return;
         }
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -48,7 +48,7 @@
             tracing::debug!(job = %id, index, ?change, "transaction committed");
         }
         let indices: Vec<u32> = changes.iter().map(|(index, _)| *index).collect();
-        self.jobs.discard(id, &indices);
+        self.jobs.discard_changes(id, &indices);
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::Idle;
         }
@@ -72,7 +72,7 @@
     pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
         let completions = self.noted_completions(id);
-        self.jobs.discard_changes(id);
+        self.jobs.discard_all_changes(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::Idle;
             self.back_off(id);
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -135,6 +135,6 @@
             .add_pending_change(&id, task, TaskChange::Place(placement));
     }
     assert!(place(&mut controller, &id, 5).is_none());
-    controller.jobs.discard(&id, &[5]);
+    controller.jobs.discard_changes(&id, &[5]);
     assert!(place(&mut controller, &id, 4).is_some());
 }
--- a/src/controller/placement/gang.rs
+++ b/src/controller/placement/gang.rs
@@ -134,7 +134,7 @@
                 Ok(()) => return Ok(()),
                 Err(checks) => {
                     rejected_by.extend(checks);
-                    self.jobs.discard_changes(id);
+                    self.jobs.discard_all_changes(id);
                 }
             }
         }
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -128,7 +128,7 @@
             changed.team = changed.team.or(removed.team);
             self.obsolete_pages.insert((id.clone(), page));
         }
-        self.discard_changes(id);
+        self.discard_all_changes(id);
         self.jobs.remove(id);
         self.early_pages.remove(id);
         changed
--- a/src/jobs/cache/changes.rs
+++ b/src/jobs/cache/changes.rs
@@ -9,7 +9,7 @@
     /// Notes a change to be committed. A placement reserves its resources at once; those of a task
     /// that has left are available at once.
     pub fn add_pending_change(&mut self, id: &JobId, index: u32, change: TaskChange) {
-        self.discard(id, &[index]);
+        self.discard_changes(id, &[index]);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -26,7 +26,7 @@
     }
 
     /// Forgets noted changes, whether committed by now or not.
-    pub fn discard(&mut self, id: &JobId, indices: &[u32]) {
+    pub fn discard_changes(&mut self, id: &JobId, indices: &[u32]) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -47,11 +47,11 @@
     }
 
     /// Forgets all noted changes of a job.
-    pub fn discard_changes(&mut self, id: &JobId) {
+    pub fn discard_all_changes(&mut self, id: &JobId) {
         let indices: Vec<u32> = self
             .get(id)
             .map(|job| job.pending_changes.keys().copied().collect())
             .unwrap_or_default();
-        self.discard(id, &indices);
+        self.discard_changes(id, &indices);
     }
 }
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -127,7 +127,7 @@
             / each
     };
     assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
-    jobs.discard(&id, &[0]);
+    jobs.discard_changes(&id, &[0]);
     assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
     jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
     let second = [
@@ -137,7 +137,7 @@
         Task::NEVER_PLACED,
     ];
     jobs.apply(&key, Some(&page(&second)), Revision(4), Millis(2));
-    jobs.discard(&id, &[0]);
+    jobs.discard_changes(&id, &[0]);
     assert_eq!((gpus(&jobs, "vm-1"), gpus(&jobs, "vm-2")), (1.0, 1.0));
     assert_eq!(used(&jobs), 2.0);
     jobs.apply(&key, None, Revision(5), Millis(3));
