--- a/src/request_queue/mod.rs
+++ b/src/request_queue/mod.rs
@@ -1,14 +1,14 @@
 //! Requests that wait for the controller, by kind and age. A pure data structure: the daemon pushes what it receives
 //! and pops when it has nothing more urgent to do.
 //!
-//! Heartbeats go before users, since leases depend on them, but users still get a share; a request whose requester
-//! has timed out is not handled.
+//! Heartbeats are served before user requests, since leases depend on them, but user requests still get a share. A
+//! request whose client has timed out is not handled.
 
 use std::collections::VecDeque;
 
 use crate::types::Millis;
 
-/// What a request is, the most important first.
+/// The kinds of requests, the most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// A health check.
@@ -20,11 +20,10 @@
 }
 
 impl RequestKind {
-    /// Number of kinds.
     const COUNT: usize = 3;
 
-    /// After this time in the queue a response would come too late. Health checks wait 1 s, workers 4 s, and users
-    /// 5 s (2 s at a poll).
+    /// The longest time in the queue after which a response is still useful. Clients time out after 1 s for health
+    /// checks, 4 s for heartbeats and 5 s for user requests (2 s for a poll).
     fn max_wait(self) -> Millis {
         match self {
             RequestKind::Probe => Millis(900),
@@ -40,30 +39,30 @@
     RequestKind::Heartbeat,
     RequestKind::User,
 ];
-/// The order after `HEARTBEATS_PER_USER` heartbeats.
+/// The order after `HEARTBEATS_PER_USER_REQUEST` heartbeats without a user request.
 const USERS_FIRST: [RequestKind; RequestKind::COUNT] = [
     RequestKind::Probe,
     RequestKind::User,
     RequestKind::Heartbeat,
 ];
 
-/// Once the oldest request of a kind has waited this long, there are more than can be handled: the newest goes first
-/// then, since it has the most time left.
+/// Once the oldest request of a kind has waited this long, more arrive than can be handled. The newest is then served
+/// first, since it has the most time left until its client's timeout.
 const OVERLOAD_WAIT: Millis = Millis(1_000);
-/// A user's request goes first after this many heartbeats.
-const HEARTBEATS_PER_USER: u32 = 4;
+/// A user request is served after this many heartbeats.
+const HEARTBEATS_PER_USER_REQUEST: u32 = 4;
 
-/// A request, and when it was queued.
-struct Queued<T> {
-    since: Millis,
+/// A request and the time at which it was queued.
+struct QueuedRequest<T> {
+    queued_at: Millis,
     request: T,
 }
 
-/// Requests by kind.
+/// The waiting requests, in one queue for each kind.
 pub struct RequestQueue<T> {
-    queues: [VecDeque<Queued<T>>; RequestKind::COUNT],
+    queues: [VecDeque<QueuedRequest<T>>; RequestKind::COUNT],
     max_per_kind: usize,
-    heartbeats_since_user: u32,
+    heartbeats_since_user_request: u32,
 }
 
 impl<T> RequestQueue<T> {
@@ -73,15 +72,15 @@
         Self {
             queues: std::array::from_fn(|_| VecDeque::new()),
             max_per_kind,
-            heartbeats_since_user: 0,
+            heartbeats_since_user_request: 0,
         }
     }
 
-    /// Adds a request; if there are too many of its kind, returns the oldest.
+    /// Adds a request. If there are then too many of its kind, removes and returns the oldest.
     pub fn push(&mut self, kind: RequestKind, request: T, now: Millis) -> Option<T> {
         let queue = &mut self.queues[kind as usize];
-        queue.push_back(Queued {
-            since: now,
+        queue.push_back(QueuedRequest {
+            queued_at: now,
             request,
         });
         if queue.len() > self.max_per_kind {
@@ -97,10 +96,10 @@
         self.queues.iter().all(VecDeque::is_empty)
     }
 
-    /// The request whose turn it is. Those that waited too long are moved to `expired`.
+    /// Takes the request to be served next. Requests that have waited too long are moved to `expired`.
     pub fn pop(&mut self, now: Millis, expired: &mut Vec<T>) -> Option<T> {
         self.expire(now, expired);
-        let order = if self.heartbeats_since_user >= HEARTBEATS_PER_USER {
+        let order = if self.heartbeats_since_user_request >= HEARTBEATS_PER_USER_REQUEST {
             USERS_FIRST
         } else {
             HEARTBEATS_FIRST
@@ -109,8 +108,8 @@
             .into_iter()
             .find_map(|kind| self.pop_kind(kind, now).map(|request| (kind, request)))?;
         match kind {
-            RequestKind::Heartbeat => self.heartbeats_since_user += 1,
-            RequestKind::User => self.heartbeats_since_user = 0,
+            RequestKind::Heartbeat => self.heartbeats_since_user_request += 1,
+            RequestKind::User => self.heartbeats_since_user_request = 0,
             RequestKind::Probe => {}
         }
         Some(request)
@@ -120,7 +119,7 @@
         for kind in HEARTBEATS_FIRST {
             let queue = &mut self.queues[kind as usize];
             while let Some(oldest) = queue.front()
-                && now.since(oldest.since) > kind.max_wait()
+                && now.since(oldest.queued_at) > kind.max_wait()
             {
                 expired.extend(queue.pop_front().map(|oldest| oldest.request));
             }
@@ -131,7 +130,7 @@
         let queue = &mut self.queues[kind as usize];
         let overloaded = queue
             .front()
-            .is_some_and(|oldest| now.since(oldest.since) > OVERLOAD_WAIT);
+            .is_some_and(|oldest| now.since(oldest.queued_at) > OVERLOAD_WAIT);
         let next = if overloaded {
             queue.pop_back()
         } else {
--- a/src/request_queue/tests.rs
+++ b/src/request_queue/tests.rs
@@ -15,25 +15,25 @@
     assert!(expired.is_empty() && queue.is_empty());
 }
 
-/// A slow controller processed requests whose clients had already timed out, and so was too late for all of
-/// them.
+/// A slow controller handled requests whose clients had already timed out, so that every response came too
+/// late.
 #[test]
-fn abandoned_requests_are_dropped_and_overload_serves_the_newest_first() {
+fn expired_requests_are_dropped_and_overload_serves_the_newest_first() {
     let cases = [
-        // time, order, abandoned
+        // time, order, expired
         (900, vec!["a", "b", "c"], vec![]),
         (1_001, vec!["c", "b", "a"], vec![]),
         (3_501, vec!["c", "b"], vec!["a"]),
         (4_600, vec![], vec!["a", "b", "c"]),
     ];
-    for (at, order, late) in cases {
+    for (at, order, too_old) in cases {
         let mut queue = RequestQueue::new(100);
         for (index, name) in ["a", "b", "c"].into_iter().enumerate() {
             queue.push(RequestKind::Heartbeat, name, Millis(500 * index as u64));
         }
         let mut expired = Vec::new();
         let got: Vec<_> = std::iter::from_fn(|| queue.pop(Millis(at), &mut expired)).collect();
-        assert_eq!((got, expired), (order, late), "at {at}");
+        assert_eq!((got, expired), (order, too_old), "at {at}");
     }
 }
 
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -1,4 +1,4 @@
-//! What the HTTP server asks of the controller: the messages between the two actors.
+//! Requests that the HTTP server sends to the controller.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -8,34 +8,34 @@
 use crate::types::JobId;
 use crate::workers::wire::{Heartbeat, HeartbeatResponse};
 
-/// A request, with the channel on which its response is awaited.
+/// A request, with the channel that its response is sent on.
 pub enum Request {
     /// A user submits a job.
     Submit {
-        /// The job, or why the body is refused.
+        /// The job, or why the body is rejected.
         submission: Result<(JobId, JobSpec), RejectedSubmission>,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<Response>,
     },
     /// A user asks for a job's state.
     Poll {
         /// The job.
         job: JobId,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<Response>,
     },
     /// A user cancels a job.
     Abort {
         /// The job.
         job: JobId,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<Response>,
     },
     /// A worker's heartbeat.
     Heartbeat {
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<HeartbeatResponse>,
     },
     /// A health check.
@@ -46,7 +46,7 @@
 }
 
 impl Request {
-    /// The queue in which it waits.
+    /// The kind of the request, which decides how it is queued.
     #[must_use]
     pub fn kind(&self) -> RequestKind {
         match self {
@@ -71,5 +71,5 @@
     }
 }
 
-/// Where the HTTP server sends requests.
+/// The sending half of the channel from the HTTP server to the controller.
 pub type RequestSender = mpsc::Sender<Request>;
--- a/src/types.rs
+++ b/src/types.rs
@@ -17,7 +17,7 @@
     };
 }
 
-/// Defines a cheaply cloned name, written as a string on the wire and in records.
+/// Defines a string type that is cheap to clone, written as a string on the wire and in records.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -26,7 +26,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// The text as it is written on the wire and in records.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -57,7 +57,8 @@
 }
 
 name_type!(
-    /// A job's id as its user chose it, such as `job-000412`.
+    /// A job's id, chosen by the user who submits it, such as `job-000412`. Conversions from text don't check the
+    /// format: [`JobId::well_formed`] does.
     JobId
 );
 name_type!(
@@ -113,8 +114,8 @@
     Revision
 );
 number_type!(
-    /// A shard's fencing token, the revision at which its holder was written. Workers obey no commands under
-    /// a token lower than the highest that they have seen.
+    /// A shard's fencing token, the revision at which its holder was written. Workers reject commands
+    /// under a token lower than the highest that they have seen.
     FencingToken
 );
 number_type!(
@@ -123,11 +124,12 @@
     WorkerToken
 );
 number_type!(
-    /// A lease in the key-value store.
+    /// Identifies a lease in the key-value store.
     LeaseId
 );
 number_type!(
-    /// One attempt to run a task; all tasks of a gang that start together share it.
+    /// The number of an attempt to run a task, from one; zero: none yet. All tasks of a gang that start together
+    /// share it.
     Attempt
 );
 number_type!(
@@ -135,11 +137,11 @@
     AgentEpoch
 );
 number_type!(
-    /// A request that waits for its response.
+    /// Identifies a request that waits for its response.
     ReplyId
 );
 number_type!(
-    /// A transaction in flight.
+    /// Identifies a transaction in flight.
     TxnId
 );
 
@@ -157,7 +159,7 @@
         Self(token.0 * 2 + 1)
     }
 
-    /// The fencing token that this one was made of.
+    /// The fencing token that this token was derived from.
     #[must_use]
     pub fn fencing_token(self) -> FencingToken {
         FencingToken(self.0 / 2)
@@ -175,19 +177,19 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The time in seconds; negative values count as zero.
+    /// Converts seconds, rounded down to whole milliseconds; negative values become zero.
     #[must_use]
     pub fn from_secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// The time since `earlier`; zero if that is later.
+    /// The time since `earlier`; zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// As seconds.
+    /// The value in seconds.
     #[must_use]
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
@@ -219,7 +221,7 @@
 }
 
 impl TaskId {
-    /// Parses the form on the wire.
+    /// Parses the form on the wire; `None` if the job id is not well formed or the index is not a number.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
@@ -239,8 +241,8 @@
 
 debug_as_display!(TaskId);
 
-/// A shard of machines, written `a.0`: the part of a zone's machines that one controller at a time holds and
-/// places tasks on.
+/// A shard, written `a.0`: a part of a zone's machines. One controller at a time holds it and places tasks on its
+/// machines.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ShardId {
     /// The zone of the shard's machines.
@@ -250,7 +252,8 @@
 }
 
 impl ShardId {
-    /// Parses the form in which shards are written in keys and messages.
+    /// Parses the form in which shards are written in keys and messages; `None` if there is no dot or no index
+    /// after it.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (zone, index) = text.rsplit_once('.')?;
@@ -280,15 +283,15 @@
     pub memory_gb: f64,
 }
 
-/// The tolerance when amounts are compared, since sums of decimal fractions are not exact.
+/// Tolerance in comparisons of amounts, since sums of decimal fractions are not exact.
 const TOLERANCE: f64 = 1e-6;
 
-/// The count for tasks that request nothing. Half of the largest number, so that the sum of two
-/// does not overflow.
+/// The result of [`Resources::fit_count`] for a request of nothing. Half of the largest number, so that the sum of two
+/// counts does not overflow.
 const UNLIMITED_COUNT: u32 = u32::MAX / 2;
 
 impl Resources {
-    /// Whether these resources are available.
+    /// Whether a request for these resources can be met by `available`.
     #[must_use]
     pub fn fits_in(self, available: Resources) -> bool {
         self.cpus <= available.cpus + TOLERANCE
@@ -296,7 +299,7 @@
             && self.memory_gb <= available.memory_gb + TOLERANCE
     }
 
-    /// The sum of both.
+    /// The sum of the two amounts of each resource.
     #[must_use]
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
@@ -306,7 +309,7 @@
         }
     }
 
-    /// The difference of both, which may be negative.
+    /// The difference of the two amounts of each resource, which may be negative.
     #[must_use]
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
@@ -326,7 +329,7 @@
         }
     }
 
-    /// How many tasks that request `part` each fit; very many if they request nothing.
+    /// How many tasks fit that request `request` each; a very large number if they request nothing.
     #[must_use]
     pub fn fit_count(self, request: Resources) -> u32 {
         [
@@ -341,7 +344,8 @@
         .unwrap_or(UNLIMITED_COUNT)
     }
 
-    /// The dominant share: the largest fraction that these resources are of any resource of `capacity`.
+    /// The dominant share in `capacity`: the largest of the fractions of CPUs, GPUs and memory. A resource of which
+    /// `capacity` has none is ignored.
     #[must_use]
     pub fn dominant_share(self, capacity: Resources) -> f64 {
         [
