--- a/src/jobs/api/feasibility.rs
+++ b/src/jobs/api/feasibility.rs
@@ -1,4 +1,4 @@
-//! Checks that a job can ever run on the machine types, zones and quotas that there are.
+//! Checks that a job can ever run on the existing machine types and zones and within its team's quota.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 use crate::settings::Settings;
 use crate::types::Zone;
 
-/// Accepts a job that can run at some time. Drops the allowed machine types that don't exist, so that
-/// the record stays small whatever the user listed.
+/// Accepts a job that can run at some time, whether or not it can run now. Drops the allowed machine
+/// types that don't exist, so that the record stays small whatever the user listed.
 ///
 /// # Errors
-/// Why the job can never run.
+/// The reason why the job can never run.
 pub fn check_feasibility(
     mut spec: JobSpec,
     settings: &Settings,
@@ -31,10 +31,10 @@
     if zones.is_empty() {
         return infeasible("a task fits no allowed machine type".into());
     }
-    let confined = spec.one_zone || zones.len() == 1;
+    let confined_to_one_zone = spec.one_zone || zones.len() == 1;
     if spec.kind != JobKind::Array
         && spec.spread
-        && confined
+        && confined_to_one_zone
         && spec.max_tasks_per_zone() < spec.tasks
     {
         return infeasible("spread: all tasks would have to be in one zone".into());
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -1,7 +1,7 @@
-//! The users' interface: what submissions must look like, and the answers.
+//! The user API: validation of submissions, and the responses.
 //!
 //! [`submission`] parses a request body into a [`JobSpec`](super::JobSpec), [`feasibility`] checks
-//! that the job can ever run, and this module has the answers. HTTP itself is in `http_server`.
+//! that the job can ever run, and this module defines the responses. HTTP itself is in `http_server`.
 
 mod feasibility;
 mod submission;
@@ -13,10 +13,10 @@
 pub use feasibility::check_feasibility;
 pub use submission::{MAX_BODY_BYTES, parse};
 
-/// Why a submission is not accepted.
+/// Why a submission is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RejectionReason {
-    /// The body is not a job; HTTP status 400.
+    /// The body is not a valid job; HTTP status 400.
     #[error("{0}")]
     Malformed(String),
     /// The job can't ever run; HTTP status 422.
@@ -30,19 +30,19 @@
     }
 }
 
-/// A submission that is not accepted, and the job that it is about if that could be read: a known job
-/// is answered with its state, whatever else its user sends.
+/// A rejected submission, with the id of its job if that could be read: for a known job the response
+/// is its state, whatever else the body contains.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("submission refused: {reason}")]
 pub struct RejectedSubmission {
     /// The job, if the body has a well-formed id.
     pub id: Option<JobId>,
-    /// Why it is refused.
+    /// Why the submission is rejected.
     #[source]
     pub reason: RejectionReason,
 }
 
-/// What users see of a job's progress.
+/// The progress of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStage {
@@ -56,12 +56,12 @@
     Aborted,
 }
 
-/// The state of a job in answers to users.
+/// The state of a job in responses to users.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobState {
     /// The job's id.
     pub id: JobId,
-    /// Its progress.
+    /// The job's progress.
     pub stage: JobStage,
     /// How many tasks are done.
     pub done: u32,
@@ -76,16 +76,16 @@
     }
 }
 
-/// The answer to a user's request.
+/// The response to a user's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// The job was submitted by this request.
     Accepted(JobId),
     /// The state of a job that was known before.
     State(JobState),
-    /// The body is not a job, and why.
+    /// The body is not a valid job; the text gives the reason.
     Malformed(String),
-    /// The job can't ever run, and why.
+    /// The job can't ever run; the text gives the reason.
     Infeasible(String),
     /// There is no such job.
     UnknownJob,
@@ -94,7 +94,7 @@
 }
 
 impl Response {
-    /// Asks the user to retry soon.
+    /// Asks the user to retry after one second.
     #[must_use]
     pub fn retry_soon() -> Self {
         Response::RetryAfter(1)
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -1,4 +1,4 @@
-//! Parses submissions, and names the first field that is wrong.
+//! Parses submissions, and names the first invalid field.
 
 use serde::Deserialize;
 
@@ -12,10 +12,10 @@
 const MAX_TASKS: u64 = 100_000;
 /// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Largest accepted amount: larger ones can only be mistakes.
+/// Largest accepted amount of a resource, size or time; larger ones can only be mistakes.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// A submission's body. Fields that are not listed are ignored.
+/// The body of a submission. Unknown fields are ignored.
 #[derive(Deserialize)]
 struct SubmitBody {
     id: String,
@@ -65,7 +65,7 @@
 /// Parses a submission.
 ///
 /// # Errors
-/// A refusal that names the first field that is wrong, with the job's id if that is well formed.
+/// The reason names the first invalid field; the job's id is included if it is well formed.
 pub fn parse(body: &[u8]) -> Result<(JobId, JobSpec), RejectedSubmission> {
     if body.len() > MAX_BODY_BYTES {
         let reason = RejectionReason::malformed("the body is larger than 64 KiB");
@@ -94,7 +94,7 @@
     let submission = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let field = error.path().to_string();
         let reason = error.into_inner().to_string();
-        // A field that is missing or doubled is named by the reason.
+        // If a field is missing or duplicated, the reason names it instead of the path.
         RejectionReason::Malformed(match field.as_str() {
             "." => reason,
             field => format!("{field}: {reason}"),
@@ -154,7 +154,7 @@
     }
 }
 
-/// The job that a checked body describes.
+/// Converts a body that has passed [`SubmitBody::check`].
 impl From<SubmitBody> for (JobId, JobSpec) {
     fn from(body: SubmitBody) -> Self {
         let spec = JobSpec {
--- a/src/jobs/api/tests.rs
+++ b/src/jobs/api/tests.rs
@@ -12,8 +12,8 @@
         "expectS":240.0,"markS":30.0,"stashS":4.0,"dueS":900.0,"later":"ignored"})
 }
 
-fn malformed(refused: &RejectedSubmission) -> bool {
-    matches!(refused.reason, RejectionReason::Malformed(_))
+fn malformed(rejected: &RejectedSubmission) -> bool {
+    matches!(rejected.reason, RejectionReason::Malformed(_))
 }
 
 #[test]
@@ -42,29 +42,29 @@
         ("kit", json!(""), false),
         ("crew", json!("x".repeat(300)), false),
     ];
-    for (field, value, good) in cases {
+    for (field, value, valid) in cases {
         let mut job = body();
         job[*field] = value.clone();
         let parsed = parse(job.to_string().as_bytes());
-        assert_eq!(parsed.is_ok(), *good, "{field} = {value}: {parsed:?}");
+        assert_eq!(parsed.is_ok(), *valid, "{field} = {value}: {parsed:?}");
     }
     for field in ["id", "lot", "crew", "picks", "kit", "spread", "markS"] {
         let mut job = body();
         job.as_object_mut().unwrap().remove(field);
         let parsed = parse(job.to_string().as_bytes());
         assert!(
-            matches!(&parsed, Err(refused) if malformed(refused)),
+            matches!(&parsed, Err(rejected) if malformed(rejected)),
             "without {field}"
         );
     }
     for text in ["", "[]", "7", "{", "null", "{\"id\":\"job-1\"}"] {
         assert!(
-            matches!(parse(text.as_bytes()), Err(refused) if malformed(&refused)),
+            matches!(parse(text.as_bytes()), Err(rejected) if malformed(&rejected)),
             "{text}"
         );
     }
-    let huge = format!("{{\"x\":\"{}\"}}", "y".repeat(MAX_BODY_BYTES));
-    assert!(matches!(parse(huge.as_bytes()), Err(refused) if malformed(&refused)));
+    let oversized = format!("{{\"x\":\"{}\"}}", "y".repeat(MAX_BODY_BYTES));
+    assert!(matches!(parse(oversized.as_bytes()), Err(rejected) if malformed(&rejected)));
 }
 
 /// An invalid field gives 400 with its name; nullable fields may be omitted.
@@ -80,25 +80,25 @@
         "stashS",
     ];
     let names = ["id", "lot", "crew", "shape", "rank", "kit"];
-    let yes_or_no = ["oneZone", "spread", "loaners"];
-    let may_be_null = ["rigs", "yard", "dueS"];
-    let wrong = |fields: &[&'static str], values: &[Value]| {
+    let booleans = ["oneZone", "spread", "loaners"];
+    let nullable = ["rigs", "yard", "dueS"];
+    let pairs_of = |fields: &[&'static str], values: &[Value]| {
         let pairs = fields
             .iter()
             .flat_map(|f| values.iter().map(move |v| (*f, v.clone())));
         pairs.collect::<Vec<_>>()
     };
-    let nothing = [json!(null), json!([]), json!({})];
-    let mut odd = wrong(&numbers, &nothing);
-    odd.extend(wrong(
+    let not_scalar = [json!(null), json!([]), json!({})];
+    let mut invalid = pairs_of(&numbers, &not_scalar);
+    invalid.extend(pairs_of(
         &numbers,
         &[json!("8"), json!(-0.5), json!(1e13), json!(true)],
     ));
-    odd.extend(wrong(&names, &nothing));
-    odd.extend(wrong(&names, &[json!(""), json!(3), json!(true)]));
-    odd.extend(wrong(&yes_or_no, &nothing));
-    odd.extend(wrong(&yes_or_no, &[json!("true"), json!(0)]));
-    odd.extend(wrong(&["picks"], &nothing));
+    invalid.extend(pairs_of(&names, &not_scalar));
+    invalid.extend(pairs_of(&names, &[json!(""), json!(3), json!(true)]));
+    invalid.extend(pairs_of(&booleans, &not_scalar));
+    invalid.extend(pairs_of(&booleans, &[json!("true"), json!(0)]));
+    invalid.extend(pairs_of(&["picks"], &not_scalar));
     let counts = [
         json!(-1),
         json!(0),
@@ -106,29 +106,29 @@
         json!("2"),
         json!(1u64 << 40),
     ];
-    odd.extend(wrong(&["picks"], &counts));
-    odd.extend(wrong(&["rigs"], &[json!("g8"), json!([7]), json!({})]));
-    odd.extend(wrong(&["yard"], &[json!(7), json!([])]));
-    odd.extend(wrong(&["dueS"], &[json!("9"), json!(-1.0)]));
-    for (field, value) in odd {
+    invalid.extend(pairs_of(&["picks"], &counts));
+    invalid.extend(pairs_of(&["rigs"], &[json!("g8"), json!([7]), json!({})]));
+    invalid.extend(pairs_of(&["yard"], &[json!(7), json!([])]));
+    invalid.extend(pairs_of(&["dueS"], &[json!("9"), json!(-1.0)]));
+    for (field, value) in invalid {
         let mut job = body();
         job[field] = value.clone();
-        let refused = parse(job.to_string().as_bytes()).expect_err(field);
-        let RejectionReason::Malformed(reason) = &refused.reason else {
-            panic!("{field} = {value}: {refused:?}");
+        let rejected = parse(job.to_string().as_bytes()).expect_err(field);
+        let RejectionReason::Malformed(reason) = &rejected.reason else {
+            panic!("{field} = {value}: {rejected:?}");
         };
         assert!(reason.contains(field), "{field} = {value}: {reason}");
-        let read = (field != "id").then(|| "job-000412".into());
-        assert_eq!(refused.id, read, "{field} = {value}");
+        let expected_id = (field != "id").then(|| "job-000412".into());
+        assert_eq!(rejected.id, expected_id, "{field} = {value}");
     }
-    let all = [&numbers[..], &names, &yes_or_no, &["picks"], &may_be_null].concat();
-    assert_eq!(all.len(), 20, "as many as the protocol has");
+    let all = [&numbers[..], &names, &booleans, &["picks"], &nullable].concat();
+    assert_eq!(all.len(), 20, "the number of fields in the protocol");
     for field in all {
         let mut job = body();
         let value = job.as_object_mut().unwrap().remove(field).unwrap();
         let without = parse(job.to_string().as_bytes());
-        let named = |refused: &RejectedSubmission| matches!(&refused.reason, RejectionReason::Malformed(reason) if reason.contains(field));
-        if may_be_null.contains(&field) {
+        let named = |rejected: &RejectedSubmission| matches!(&rejected.reason, RejectionReason::Malformed(reason) if reason.contains(field));
+        if nullable.contains(&field) {
             assert!(without.is_ok(), "without {field}: {without:?}");
         } else {
             assert!(
@@ -137,19 +137,19 @@
             );
         }
         let text = body().to_string();
-        let doubled = format!("{},\"{field}\":{value}}}", text.strip_suffix('}').unwrap());
-        let doubled = parse(doubled.as_bytes());
+        let duplicated = format!("{},\"{field}\":{value}}}", text.strip_suffix('}').unwrap());
+        let duplicated = parse(duplicated.as_bytes());
         assert!(
-            doubled.as_ref().is_err_and(named),
-            "two of {field}: {doubled:?}"
+            duplicated.as_ref().is_err_and(named),
+            "two of {field}: {duplicated:?}"
         );
     }
     let trailing = format!("{} 7", body());
-    assert!(parse(trailing.as_bytes()).is_err_and(|refused| malformed(&refused)));
+    assert!(parse(trailing.as_bytes()).is_err_and(|rejected| malformed(&rejected)));
 }
 
 #[test]
-fn jobs_that_can_never_run_are_told_from_jobs_that_can_wait() {
+fn jobs_that_can_never_run_are_distinguished_from_jobs_that_can_wait() {
     let mut settings = crate::settings::tests::settings();
     settings["deployment"]["teams"] = json!([{"name": "vision", "cpus": 0.0, "cpus_max": 0.0,
         "gpus": 0.0, "gpus_max": 16.0}]);
@@ -224,13 +224,13 @@
             true,
         ),
     ];
-    for (changes, runs) in cases {
+    for (changes, feasible) in cases {
         let mut job = body();
         for (field, value) in &changes {
             job[*field] = value.clone();
         }
         let (_, spec) = parse(job.to_string().as_bytes()).unwrap();
         let verdict = check_feasibility(spec, &settings, &type_specs);
-        assert_eq!(verdict.is_ok(), runs, "{changes:?}: {verdict:?}");
+        assert_eq!(verdict.is_ok(), feasible, "{changes:?}: {verdict:?}");
     }
 }
--- a/src/jobs/cache/apply.rs
+++ b/src/jobs/cache/apply.rs
@@ -1,7 +1,7 @@
 //! Applies records of the store to the cache.
 //!
 //! Records come from the watch, from snapshot reads and from this controller's own commits, so the
-//! same version may come twice, and an older one after a newer one. A page may come before its job.
+//! same version may arrive twice, an older one after a newer one, and a page before its job.
 
 use std::collections::BTreeMap;
 
@@ -13,16 +13,16 @@
 use crate::jobs::{JobSpec, Placement, Task};
 use crate::types::{JobId, MachineId, Millis, Resources, Revision, Team};
 
-/// What an applied record changed.
+/// The effects of an applied record.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecordChange {
     /// The job, unless the record had no effect.
     pub job: Option<JobId>,
-    /// Machines that lost a task, once for each.
+    /// Machines that lost a task, once for each task.
     pub freed: Vec<MachineId>,
-    /// The team whose usage fell.
+    /// The team whose usage fell, if any.
     pub team: Option<Team>,
-    /// Machines that gained a task, once for each.
+    /// Machines that gained a task, once for each task.
     pub allocated: Vec<MachineId>,
 }
 
@@ -45,7 +45,7 @@
         now: Millis,
     ) -> RecordChange {
         if let Some(id) = key.strip_prefix(JOB_KEY_PREFIX) {
-            // Job records are never deleted: how a job ended is remembered.
+            // Job records are never deleted, so that the outcome of a job stays known.
             return match data {
                 Some(text) => self.apply_job(&id.into(), text, version, now),
                 None => RecordChange::default(),
@@ -75,17 +75,17 @@
         let record: JobRecord = match serde_json::from_str(text) {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(job = %id, %error, "job record is invalid");
+                tracing::error!(job = %id, %error, "ignoring invalid job record");
                 return RecordChange::default();
             }
         };
-        // The answer to a transaction of this controller may come after the watch has brought what
-        // followed.
+        // The response to a transaction of this controller may arrive after the watch has delivered a
+        // newer version.
         if self.known_version(id).is_some_and(|known| known >= version) {
             return RecordChange::default();
         }
         let Some(spec) = record.spec.clone() else {
-            let changed = self.forget(id);
+            let changed = self.remove_job(id);
             let finished = FinishedJob {
                 phase: record.phase,
                 tasks: record.tasks,
@@ -115,8 +115,8 @@
         unfinished.or(self.finished.get(id).map(|finished| finished.version))
     }
 
-    /// Removes a job that is over, and frees what it still held.
-    fn forget(&mut self, id: &JobId) -> RecordChange {
+    /// Removes a job that is over, and frees the resources that it still held.
+    fn remove_job(&mut self, id: &JobId) -> RecordChange {
         let mut changed = RecordChange::of(id);
         let pages: Vec<u32> = self
             .get(id)
@@ -150,7 +150,7 @@
         match decode_page(text, job.record.page_len(page)) {
             Some(tasks) => self.set_page(id, page, Some(Page::new(version, tasks))),
             None => {
-                tracing::error!(job = %id, page, "task page is invalid");
+                tracing::error!(job = %id, page, "ignoring invalid task page");
                 RecordChange::default()
             }
         }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Replaces a page, or removes it, and keeps the index of usage in step.
+    /// Replaces or removes a page, and updates the usage index.
     fn set_page(&mut self, id: &JobId, page: u32, content: Option<Page>) -> RecordChange {
         let Some(job) = self.jobs.get_mut(id) else {
             return RecordChange::default();
@@ -203,7 +203,7 @@
     }
 }
 
-/// The replacement of a page, task by task. The team's sums change once, at the end.
+/// The replacement of a page, task by task. The team's sums are updated once, at the end.
 struct PageUpdate<'a> {
     id: &'a JobId,
     spec: &'a JobSpec,
@@ -233,11 +233,11 @@
         *self.placed -= 1;
         self.committed_usage = self.committed_usage.minus(spec.resources);
         if self.departed.remove(&index).is_some() {
-            // Its resources on the machine are available already.
+            // Its resources on the machine were freed when it was seen to have left.
             self.departed_usage = self.departed_usage.minus(spec.resources);
         } else {
             let machines = &mut self.usage.machines;
-            machines.vacate(machine_id, spec, Allocation::Committed);
+            machines.free(machine_id, spec, Allocation::Committed);
         }
         let task = (self.id.clone(), index);
         self.usage.remove_placement(spec, placement, &task);
--- a/src/jobs/cache/change.rs
+++ b/src/jobs/cache/change.rs
@@ -1,15 +1,16 @@
-//! Changes of tasks that this controller has decided on or observed, and that no record shows yet.
+//! Pending changes of tasks: those that this controller has decided on or observed, and that no record
+//! shows yet.
 
 use crate::jobs::Placement;
 use crate::types::{Attempt, FencingToken, Revision};
 
-/// What this controller wants the record of a task to say next. A change applies to one attempt only:
+/// The next state of a task that this controller wants to write. A change applies to one attempt only:
 /// by the time it is written, the task may have another attempt on another machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskChange {
     /// The task is to run on a machine.
     Place(Placement),
-    /// The task is proven off the machine it was placed on, without being done.
+    /// The task is proven to have left its machine without being done.
     Release {
         /// The attempt that left.
         attempt: Attempt,
@@ -24,7 +25,7 @@
 }
 
 impl TaskChange {
-    /// Whether the task is done by this change.
+    /// Whether the change marks the task as done.
     pub fn finishes(&self) -> bool {
         matches!(self, TaskChange::Finish { .. })
     }
@@ -36,18 +37,18 @@
     /// Observed by the holder of the machine's shard under this token. Under another token, another
     /// controller may have started the task since.
     Holder(FencingToken),
-    /// The cloud answered that the machine is deleted.
+    /// The cloud's response shows that the machine is deleted.
     Deleted,
 }
 
-/// Whether a transaction with changes of a job is in flight. At most one is.
+/// Whether a transaction with changes of a job is in flight; there is at most one.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommitState {
-    /// None is; noted changes may be written.
+    /// No transaction is in flight; pending changes may be written.
     Idle,
-    /// One is, and the store has not answered yet.
+    /// A transaction is in flight, and the store has not responded yet.
     InFlight,
-    /// One failed or went unanswered: nothing is written before the cache has reached this revision
-    /// (`None`: before a read of the store's revision shows which one that is).
+    /// A transaction failed or got no response. Nothing is written before the cache has reached this
+    /// revision; `None`: a read of the store's revision has yet to show which one that is.
     Resolving(Option<Revision>),
 }
--- a/src/jobs/cache/job.rs
+++ b/src/jobs/cache/job.rs
@@ -1,4 +1,4 @@
-//! One unfinished job as the cache holds it: its records, and the changes noted on top of them.
+//! One unfinished job in the cache: its records, and its changes that the records don't show yet.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     pub(super) version: Revision,
     /// Its tasks, in order.
     pub(super) tasks: Vec<Task>,
-    /// How many of the tasks wait.
+    /// How many of the tasks are waiting.
     waiting: usize,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A job that is not finished, or of which tasks may still be on machines.
+/// A job that is not finished, or whose tasks may still be on machines.
 #[derive(Debug)]
 pub struct Job {
     /// The job's id.
@@ -41,11 +41,11 @@
     pub version: Revision,
     /// Its record.
     pub record: JobRecord,
-    /// What its user asked for.
+    /// The validated submission, as in its record.
     pub spec: JobSpec,
     /// When this controller first saw its record.
     pub first_seen: Millis,
-    /// When a task of it was last placed or taken off its machine.
+    /// When its records last changed which tasks are placed, or else when the job was first seen.
     pub last_placement_change: Millis,
     /// Pages that exist, by number. A task of a page that does not exist was never placed.
     pub(super) pages: BTreeMap<u32, Page>,
@@ -55,15 +55,15 @@
     pub done: u32,
     /// Changes of tasks that are not in the records yet, by task.
     pub pending_changes: BTreeMap<u32, TaskChange>,
-    /// Tasks that are known to have left their machines, though that is not written yet, with the
-    /// machine. Its resources are available, but the tasks count for the team and for zones.
+    /// Tasks that are known to have left their machines while the records still place them there, with
+    /// the machine. The machine's resources are available, but the tasks count for the team and zones.
     pub(super) departed: BTreeMap<u32, MachineId>,
     /// Whether a transaction with its changes is in flight.
     pub commit_state: CommitState,
 }
 
 impl Job {
-    /// A job of which only the record is known. `now`: when the record arrived.
+    /// A job without any pages. `now`: when its record arrived.
     pub(super) fn new(
         id: JobId,
         version: Revision,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Whether its tasks may be placed: neither done nor cancelled.
+    /// Whether the job is neither done nor cancelled, so that its tasks may be placed.
     pub fn is_active(&self) -> bool {
         self.record.phase == Phase::Active
     }
 
-    /// What the records say of a task.
+    /// The state of a task in the records.
     pub fn task(&self, index: u32) -> &Task {
         self.pages
             .get(&(index / self.record.page_size))
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Tasks that are on no machine, not done, and not about to be placed.
+    /// Number of tasks that are on no machine, not done and not about to be placed.
     pub fn waiting_tasks(&self) -> u32 {
         let placing = self.pending_placements().count() as u32;
         self.record
@@ -122,7 +122,7 @@
     }
 
     /// The first `max` tasks that could be placed now, each with its last attempt. Pages without any
-    /// are passed over as a whole: a job may have 100,000 tasks, and each cycle asks for the next one.
+    /// are skipped as a whole, since a job may have 100,000 tasks and each cycle asks for the next one.
     pub fn next_waiting(&self, max: usize) -> Vec<(u32, Attempt)> {
         let mut found = Vec::new();
         for page in 0..self.record.page_count() {
@@ -146,7 +146,7 @@
         found
     }
 
-    /// The highest attempt that any task of the job had.
+    /// The highest attempt of any task of the job that is not done.
     pub fn highest_attempt(&self) -> Attempt {
         self.pages
             .values()
@@ -172,7 +172,7 @@
         })
     }
 
-    /// Placements that are not in the records yet.
+    /// The placements among the pending changes.
     pub(super) fn pending_placements(&self) -> impl Iterator<Item = &Placement> {
         self.pending_changes
             .values()
@@ -192,7 +192,8 @@
         zones
     }
 
-    /// Whether the job's tasks, those about to be placed included, are in zones that it allows.
+    /// Whether the zones of the job's tasks, those about to be placed included, comply with `one_zone`
+    /// and `spread`.
     pub fn satisfies_zone_constraints(&self) -> bool {
         let spec = &self.spec;
         if !spec.one_zone && !spec.spread {
@@ -211,15 +212,15 @@
         self.spec.kind == JobKind::Gang && self.record.tasks > 1
     }
 
-    /// Whether this is a gang of which some tasks are placed and others are not. It can't go on: what is
-    /// left of the attempt has to be released first.
+    /// Whether this is a gang of which some tasks are placed and others are not. Its attempt can't
+    /// continue: the tasks that are left have to be released first.
     pub fn is_partially_placed_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
             && self.placed > 0
             && self.placed + self.done < self.record.tasks
     }
 
-    /// The state in answers to users.
+    /// The state in responses to users.
     pub fn state(&self) -> JobState {
         let stage = match self.record.phase {
             Phase::Done => JobStage::Done,
@@ -236,7 +237,7 @@
     }
 }
 
-/// A job that is over and of which no task is on any machine: only how it ended is remembered.
+/// A job that is over and has no task on any machine. Only how it ended is kept.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FinishedJob {
     /// How the job ended.
@@ -248,7 +249,7 @@
 }
 
 impl FinishedJob {
-    /// The state in answers to users; `id`: the job's id.
+    /// The state in responses to users; `id`: the job's id.
     pub(super) fn state(&self, id: &JobId) -> JobState {
         let stage = match self.phase {
             Phase::Aborted => JobStage::Aborted,
--- a/src/jobs/cache/machine_usage.rs
+++ b/src/jobs/cache/machine_usage.rs
@@ -1,45 +1,45 @@
-//! Resources allocated on each machine, kept as tasks come and go.
+//! Resources allocated on each machine, updated as tasks come and go.
 //!
-//! Sums are updated task by task, so that looking at a machine costs the same whatever is on it.
+//! Sums are updated task by task, so that reading a machine's usage costs the same whatever is on it.
 
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
 use crate::jobs::{JobSpec, PriorityClass};
 use crate::types::{MachineId, Resources};
 
-/// The number of priority classes.
+/// Length of an array that is indexed by [`PriorityClass`].
 const PRIORITY_CLASSES: usize = 4;
 
 /// Whether a task is placed on a machine by the records, or only reserved there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Allocation {
-    /// The records place it there.
+    /// The records place the task there.
     Committed,
-    /// A placement is noted that no record shows yet.
+    /// The task's placement is pending: no record shows it yet.
     Reserved,
 }
 
 /// What is allocated on one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineUsage {
-    /// By committed tasks and reservations.
+    /// Allocated by committed tasks and reservations.
     pub allocated: Resources,
-    /// By committed tasks that can be preempted without much loss.
+    /// Allocated by committed tasks that can be preempted without much loss.
     pub preemptible: Resources,
-    /// By committed tasks of each priority, the lowest first.
+    /// Allocated by committed tasks of each priority, the lowest first.
     by_priority: [Resources; PRIORITY_CLASSES],
     tasks: u32,
-    /// Committed tasks that can't be preempted without much loss.
-    firm: u32,
+    /// Number of committed tasks that can't be preempted without much loss.
+    non_preemptible: u32,
 }
 
 impl MachineUsage {
     /// Whether all committed tasks can be preempted without much loss.
     pub fn is_preemptible(&self) -> bool {
-        self.firm == 0
+        self.non_preemptible == 0
     }
 
-    /// What committed tasks of lower priority allocate.
+    /// Resources allocated by committed tasks of lower priority.
     pub fn below_priority(&self, priority: PriorityClass) -> Resources {
         let lower = self.by_priority.iter().take(priority as usize);
         lower.fold(Resources::default(), |sum, resources| sum.plus(*resources))
@@ -56,7 +56,7 @@
         if spec.is_cheaply_preemptible() {
             self.preemptible = self.preemptible.plus(spec.resources);
         } else {
-            self.firm += 1;
+            self.non_preemptible += 1;
         }
     }
 
@@ -71,7 +71,7 @@
         if spec.is_cheaply_preemptible() {
             self.preemptible = self.preemptible.minus(spec.resources);
         } else {
-            self.firm -= 1;
+            self.non_preemptible -= 1;
         }
     }
 }
@@ -85,7 +85,7 @@
 
 impl MachineUsages {
     /// Allocates a task's resources on a machine.
-    pub(super) fn occupy(
+    pub(super) fn allocate(
         &mut self,
         machine_id: &MachineId,
         spec: &JobSpec,
@@ -97,15 +97,10 @@
     }
 
     /// Frees a task's resources on a machine.
-    pub(super) fn vacate(
-        &mut self,
-        machine_id: &MachineId,
-        spec: &JobSpec,
-        allocation: Allocation,
-    ) {
+    pub(super) fn free(&mut self, machine_id: &MachineId, spec: &JobSpec, allocation: Allocation) {
         if let Some(usage) = self.by_machine.get_mut(machine_id) {
             usage.remove(spec, allocation);
-            // An empty machine is forgotten, and with it the rounding error of its sums.
+            // The sums of an empty machine are dropped, and with them their rounding error.
             if usage.tasks == 0 {
                 self.by_machine.remove(machine_id);
             }
--- a/src/jobs/cache/mod.rs
+++ b/src/jobs/cache/mod.rs
@@ -1,8 +1,8 @@
-//! The cache of all job records, applied from the watch and from this controller's own commits.
+//! The cache of all job records, updated from the watch and from this controller's own commits.
 //!
-//! [`JobCache`] stores the jobs ([`job`]), the changes that are noted on top of their records
+//! [`JobCache`] stores the jobs ([`job`]), their changes that the records don't show yet
 //! ([`changes`]), and an index of usage by machine, team and shard ([`usage_index`]) that [`apply`]
-//! keeps in step with the records.
+//! keeps consistent with the records.
 
 mod apply;
 mod change;
@@ -26,27 +26,27 @@
 pub use team_usage::TeamGroups;
 use usage_index::UsageIndex;
 
-/// All jobs, and what they use.
+/// All jobs, and the resources that they use.
 #[derive(Default)]
 pub struct JobCache {
-    /// Jobs that are not over, or of which tasks may still be on machines.
+    /// Jobs that are not over, or whose tasks may still be on machines.
     jobs: HashMap<JobId, Job>,
     /// How the other jobs ended.
     finished: HashMap<JobId, FinishedJob>,
     usage: UsageIndex,
-    /// Pages that came before their job's record, as they were read.
+    /// Pages that arrived before their job's record, not decoded yet.
     early_pages: HashMap<JobId, BTreeMap<u32, (Revision, String)>>,
-    /// Pages of finished jobs that the store still has.
+    /// Pages of finished jobs that are still in the store.
     obsolete_pages: HashSet<(JobId, u32)>,
 }
 
 impl JobCache {
-    /// A job that is not finished.
+    /// A job; `None` if it is unknown or finished.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// A job that is not finished.
+    /// A job; `None` if it is unknown or finished.
     pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.jobs.get_mut(id)
     }
@@ -56,7 +56,7 @@
         self.jobs.values()
     }
 
-    /// The state of a job in answers to users, finished or not.
+    /// The state of a job in responses to users, finished or not; `None` if it is unknown.
     pub fn state(&self, id: &JobId) -> Option<JobState> {
         self.get(id).map(Job::state).or_else(|| {
             let finished = self.finished.get(id)?;
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Pages of finished jobs that the store still has.
+    /// Pages of finished jobs that are still in the store and can be deleted.
     pub fn obsolete_pages(&self) -> impl Iterator<Item = &(JobId, u32)> {
         self.obsolete_pages.iter()
     }
@@ -79,12 +79,12 @@
         self.usage.machine_ids()
     }
 
-    /// Whether anything is allocated on a machine.
+    /// Whether anything is allocated on a machine, by the records or by reservations.
     pub fn is_occupied(&self, machine_id: &MachineId) -> bool {
         self.usage.machines.is_occupied(machine_id)
     }
 
-    /// What is allocated on a machine.
+    /// What is allocated on a machine, by the records and by reservations.
     pub fn machine_usage(&self, machine_id: &MachineId) -> MachineUsage {
         self.usage.machines.get(machine_id)
     }
@@ -109,8 +109,9 @@
         self.usage.teams.total(team)
     }
 
-    /// What a team's tasks use, without those that are known to have left. Quota limits rest on the
-    /// records, allocations of quota on what is observed.
+    /// What a team's tasks use, without those that are known to have left. Quota limits are based on
+    /// the records, allocations of quota on what is observed. Tasks that have left are only tracked while
+    /// groups of teams are set, so it must not be used without them.
     pub fn observed_usage(&self, team: &Team) -> Resources {
         self.usage.teams.observed(team)
     }
@@ -120,7 +121,7 @@
         self.usage.teams.in_shard(team, shard)
     }
 
-    /// What is reserved for a team's tasks in one shard, and not yet in the records.
+    /// What is reserved for a team's tasks in one shard and not in the records yet.
     pub fn reserved_in_shard(&self, team: &Team, shard: &ShardId) -> Resources {
         self.usage.teams.reserved_in_shard(team, shard)
     }
@@ -130,21 +131,21 @@
         self.usage.teams.shards(team)
     }
 
-    /// Counts usage by other groups of teams from now on.
+    /// Replaces the groups of teams by which usage is counted, and recounts it.
     pub fn set_groups(&mut self, groups: TeamGroups) {
         self.usage.teams.reset(groups);
         for job in self.jobs.values() {
-            self.usage.teams.count(job);
+            self.usage.teams.add_job(job);
         }
     }
 
-    /// What the active jobs of each team could use at once.
+    /// What the tasks of each team's active jobs that are not done request in total.
     pub fn demands(&self) -> HashMap<&Team, Resources> {
         let mut demands: HashMap<&Team, Resources> = HashMap::default();
         for job in self.jobs.values().filter(|job| job.is_active()) {
-            let undone = job.record.tasks.saturating_sub(job.done);
+            let unfinished = job.record.tasks.saturating_sub(job.done);
             let demand = demands.entry(&job.spec.team).or_default();
-            *demand = demand.plus(job.spec.resources.times(f64::from(undone)));
+            *demand = demand.plus(job.spec.resources.times(f64::from(unfinished)));
         }
         demands
     }
--- a/src/jobs/cache/team_usage.rs
+++ b/src/jobs/cache/team_usage.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{JobSpec, Placement};
 use crate::types::{Resources, ShardId, Team};
 
-/// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
+/// The groups of teams that each team belongs to: its ancestors in the quota tree.
 pub type TeamGroups = HashMap<Team, Vec<Team>>;
 
 /// A team and its groups.
@@ -27,7 +27,7 @@
     }
 }
 
-/// What each team's tasks use in each shard, and how many tasks these are.
+/// Resources that each team's tasks use in each shard, and the number of these tasks.
 #[derive(Default)]
 struct UsageByShard(HashMap<Team, HashMap<ShardId, (Resources, u32)>>);
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Removes a task. A shard without tasks is forgotten, and with it the rounding error of its sum.
+    /// Removes a task. The sum of a shard without tasks is dropped, and with it its rounding error.
     fn remove(&mut self, groups: &TeamGroups, shard: &ShardId, spec: &JobSpec) {
         for team in with_groups(groups, &spec.team) {
             let Some(shards) = self.0.get_mut(team) else {
@@ -73,15 +73,15 @@
     }
 }
 
-/// The usage of all teams. TeamGroups are counted as teams are, under names of their own.
+/// The usage of all teams. Groups are counted like teams, under their own names.
 #[derive(Default)]
 pub(super) struct TeamUsage {
     groups: TeamGroups,
-    /// What placed tasks use, by the records.
+    /// What tasks use that the records place on machines.
     committed: HashMap<Team, Resources>,
-    /// Of that, what tasks use that are known to have left, though that is not written yet.
+    /// The part of `committed` used by tasks that are known to have left their machines.
     departed: HashMap<Team, Resources>,
-    /// What tasks use whose placements are noted, but not in the records yet.
+    /// What tasks use whose placements are pending and not in the records yet.
     reserved: HashMap<Team, Resources>,
     /// Committed and reserved usage by shard.
     by_shard: UsageByShard,
@@ -100,11 +100,11 @@
         self.by_shard.0.clear();
     }
 
-    /// Counts all tasks of a job.
-    pub(super) fn count(&mut self, job: &Job) {
+    /// Adds all tasks of a job.
+    pub(super) fn add_job(&mut self, job: &Job) {
         for (_, placement) in job.placements() {
             self.add_committed(&job.spec, job.spec.resources);
-            self.enter_shard(&job.spec, &placement.shard);
+            self.add_task_to_shard(&job.spec, &placement.shard);
         }
         for _ in &job.departed {
             let (groups, spec) = (&self.groups, &job.spec);
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Adds to what a team's placed tasks use. The difference may be negative.
+    /// Adds `difference`, which may be negative, to what a team's placed tasks use.
     pub(super) fn add_committed(&mut self, spec: &JobSpec, difference: Resources) {
         add_to(&mut self.committed, &self.groups, &spec.team, difference);
     }
 
-    /// Adds to what departed tasks use, which may be negative. Only a tree of quotas asks for it, so
-    /// without groups it is not counted.
+    /// Adds `difference`, which may be negative, to what departed tasks use. Only a quota tree needs
+    /// this sum, so it is not counted without groups.
     pub(super) fn add_departed(&mut self, spec: &JobSpec, difference: Resources) {
         if !self.groups.is_empty() {
             add_to(&mut self.departed, &self.groups, &spec.team, difference);
@@ -129,16 +129,16 @@
     }
 
     /// Adds a task to a shard.
-    pub(super) fn enter_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+    pub(super) fn add_task_to_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.add(&self.groups, shard, spec);
     }
 
     /// Removes a task from a shard.
-    pub(super) fn leave_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+    pub(super) fn remove_task_from_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.remove(&self.groups, shard, spec);
     }
 
-    /// Adds a noted placement.
+    /// Adds a pending placement.
     pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.add(groups, &placement.shard, spec);
@@ -146,7 +146,7 @@
         add_to(&mut self.reserved, groups, &spec.team, spec.resources);
     }
 
-    /// Removes a noted placement.
+    /// Removes a pending placement.
     pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.remove(groups, &placement.shard, spec);
@@ -163,7 +163,7 @@
         committed.plus(reserved)
     }
 
-    /// The same without tasks that are known to have left.
+    /// Committed and reserved usage of a team, without tasks that are known to have left.
     pub(super) fn observed(&self, team: &Team) -> Resources {
         let departed = self.departed.get(team).copied().unwrap_or_default();
         self.total(team).minus(departed)
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -33,14 +33,14 @@
     (jobs, id)
 }
 
-/// The response to a cancellation arrived after the watch had delivered the job's end: the job was revived
-/// from the older record, and reported to its users as queued.
+/// The response to a cancellation arrived after the watch had delivered the job's end. The older record restored
+/// the job, which was then reported to users as queued.
 #[test]
-fn an_older_record_does_not_revive_a_finished_job() {
+fn an_older_record_does_not_restore_a_finished_job() {
     let (mut jobs, id) = jobs(1, &[]);
-    let record = |phase, over: bool| {
+    let record = |phase, finished: bool| {
         let job = jobs.get(&id).unwrap();
-        let spec = (!over).then(|| job.spec.clone());
+        let spec = (!finished).then(|| job.spec.clone());
         let record = JobRecord {
             phase,
             spec,
@@ -97,7 +97,7 @@
 }
 
 /// The usage sums that cycles read are maintained incrementally; they must equal a recount of the records
-/// and the noted changes.
+/// and the pending changes.
 #[test]
 fn machine_usage_follows_its_tasks() {
     let (mut jobs, id) = jobs(4, &[(0, vec![placed("vm-1"), placed("vm-1")])]);
@@ -114,21 +114,30 @@
     ];
     let key = page_key(&id, 0);
     jobs.apply(&key, Some(&page(&first)), Revision(3), Millis(1));
-    let each = jobs.get(&id).unwrap().spec.resources.gpus;
-    let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
-    assert_eq!(gpus(&jobs, "vm-1"), 2.0);
+    let gpus_per_task = jobs.get(&id).unwrap().spec.resources.gpus;
+    let allocated_tasks =
+        |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / gpus_per_task;
+    assert_eq!(allocated_tasks(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
     jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
-    assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
-    let used = |jobs: &JobCache| {
+    assert_eq!(
+        allocated_tasks(&jobs, "vm-1"),
+        1.0,
+        "one was seen to have left"
+    );
+    let tasks_in_shard = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
         jobs.usage_in_shard(&team, &ShardId::parse("a.0").unwrap())
             .gpus
-            / each
+            / gpus_per_task
     };
-    assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
+    assert_eq!(
+        tasks_in_shard(&jobs),
+        2.0,
+        "but it counts until that is written"
+    );
     jobs.discard_changes(&id, &[0]);
-    assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
+    assert_eq!(allocated_tasks(&jobs, "vm-1"), 2.0, "it was not written");
     jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
     let second = [
         Task::Done,
@@ -138,8 +147,14 @@
     ];
     jobs.apply(&key, Some(&page(&second)), Revision(4), Millis(2));
     jobs.discard_changes(&id, &[0]);
-    assert_eq!((gpus(&jobs, "vm-1"), gpus(&jobs, "vm-2")), (1.0, 1.0));
-    assert_eq!(used(&jobs), 2.0);
+    assert_eq!(
+        (
+            allocated_tasks(&jobs, "vm-1"),
+            allocated_tasks(&jobs, "vm-2")
+        ),
+        (1.0, 1.0)
+    );
+    assert_eq!(tasks_in_shard(&jobs), 2.0);
     jobs.apply(&key, None, Revision(5), Millis(3));
     assert!(!jobs.is_occupied(&"vm-1".into()) && !jobs.is_occupied(&"vm-2".into()));
 }
--- a/src/jobs/cache/usage_index.rs
+++ b/src/jobs/cache/usage_index.rs
@@ -1,4 +1,4 @@
-//! The sums over all jobs, kept in step with their tasks: by machine, by team and by shard.
+//! Usage summed over all jobs, by machine, team and shard, and updated as their tasks change.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::jobs::{JobSpec, Placement};
 use crate::types::{JobId, MachineId};
 
-/// Index of usage, and of which tasks the records place on each machine.
+/// Index of usage, and of the tasks that the records place on each machine.
 #[derive(Default)]
 pub(super) struct UsageIndex {
     /// What is allocated on each machine.
@@ -31,7 +31,7 @@
         self.tasks_by_machine.keys()
     }
 
-    /// Adds a task that the records place now; the caller updates the team's sum.
+    /// Adds a task that the records now place on a machine; the caller updates the team's sum.
     pub(super) fn add_placement(
         &mut self,
         spec: &JobSpec,
@@ -40,21 +40,21 @@
     ) {
         let machine_id = &placement.machine_id;
         self.machines
-            .occupy(machine_id, spec, Allocation::Committed);
-        self.teams.enter_shard(spec, &placement.shard);
+            .allocate(machine_id, spec, Allocation::Committed);
+        self.teams.add_task_to_shard(spec, &placement.shard);
         let tasks = self.tasks_by_machine.entry(machine_id.clone()).or_default();
         tasks.insert(task);
     }
 
-    /// Removes a task that the records placed; the caller updates the team's sum and the machine's
-    /// allocation.
+    /// Removes a task that the records no longer place on a machine; the caller updates the team's sum
+    /// and the machine's allocation.
     pub(super) fn remove_placement(
         &mut self,
         spec: &JobSpec,
         placement: &Placement,
         task: &(JobId, u32),
     ) {
-        self.teams.leave_shard(spec, &placement.shard);
+        self.teams.remove_task_from_shard(spec, &placement.shard);
         if let Some(tasks) = self.tasks_by_machine.get_mut(&placement.machine_id) {
             tasks.remove(task);
             if tasks.is_empty() {
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Reserves the resources of a noted placement.
+    /// Reserves the resources of a pending placement.
     pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
         self.machines
-            .occupy(&placement.machine_id, spec, Allocation::Reserved);
+            .allocate(&placement.machine_id, spec, Allocation::Reserved);
         self.teams.reserve(spec, placement);
     }
 
-    /// Frees what `reserve` took.
+    /// Frees the resources that `reserve` has taken.
     pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
         self.machines
-            .vacate(&placement.machine_id, spec, Allocation::Reserved);
+            .free(&placement.machine_id, spec, Allocation::Reserved);
         self.teams.unreserve(spec, placement);
     }
 }
--- a/src/jobs/cancel.rs
+++ b/src/jobs/cancel.rs
@@ -1,13 +1,13 @@
-//! Users who wait for the end of a job that they cancelled.
+//! Cancellation requests that wait for the end of their job.
 //!
-//! They are answered once it is proven that no task of it is left on any machine: a machine that no
-//! controller can reach must not make that answer wrong later.
+//! The response is sent once it is proven that no task of the job is left on any machine. Otherwise a
+//! machine that no controller can reach could make the response wrong later.
 
 use std::collections::BTreeMap;
 
 use crate::types::{JobId, Millis, ReplyId};
 
-/// How long a user waits for the tasks to leave before being asked to retry.
+/// How long a request waits for the tasks to leave before its user is asked to retry.
 const REPLY_TIMEOUT: Millis = Millis(500);
 
 /// A request that waits for the end of a job.
@@ -24,7 +24,7 @@
 }
 
 impl PendingCancellations {
-    /// Adds a request that waits for the end of a job from now on.
+    /// Adds a request that waits for the end of a job from `now` on.
     pub fn add(&mut self, job: &JobId, reply: ReplyId, now: Millis) {
         let deadline = now + REPLY_TIMEOUT;
         let waiting = self.waiting.entry(job.clone()).or_default();
--- a/src/jobs/completion_forwarding.rs
+++ b/src/jobs/completion_forwarding.rs
@@ -1,9 +1,10 @@
 //! Forwards departures of tasks to the controller that owns their job.
 //!
-//! A job's tasks run on machines of several shard holders. If each holder wrote what it sees itself,
-//! that would cost several transactions where one is enough, and half of them would conflict. So a
-//! holder forwards departures to the job's owner, which writes for all holders. What the owner can't
-//! write, or does not write in time, the holder still writes itself.
+//! A departure is a completed or released task that has left its machine. A job's tasks run on
+//! machines of several shard holders. If each holder wrote the departures that it observes, that would
+//! take several transactions where one is enough, and half of them would conflict. So a holder forwards
+//! departures to the job's owner, which writes for all holders. A holder still writes those itself that
+//! the owner can't write or does not write in time.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +14,23 @@
 use crate::peers::TaskDeparture;
 use crate::types::{Attempt, ControllerId, FencingToken, JobId, Millis};
 
-/// A departure that the records don't show is sent again after this long: a message may be lost.
+/// A departure that the records don't show yet is sent again after this long, since the message may
+/// have been lost.
 const RESEND_INTERVAL: Millis = Millis(4_000);
-/// Most departures in one message; a message of this size is well below the limit of a frame.
+/// Maximum number of departures in one message, which keeps it well below the largest frame.
 const MAX_DEPARTURES: usize = 2_000;
 
-/// Jobs with more noted changes than this are scanned at most every `SCAN_INTERVAL`: each scan goes
-/// through all changes, and an array of 25,000 tasks has some in every heartbeat.
+/// Jobs with more pending changes than this are scanned at most every `SCAN_INTERVAL`, since each scan
+/// goes through all changes, and an array of 25,000 tasks has some in every heartbeat.
 const MAX_UNTHROTTLED_CHANGES: usize = 100;
 /// Minimum time between two scans of a job with more changes than `MAX_UNTHROTTLED_CHANGES`.
 const SCAN_INTERVAL: Millis = Millis(400);
 
-/// The last scan of a job with many noted changes.
+/// The last scan of a job with more pending changes than `MAX_UNTHROTTLED_CHANGES`.
 #[derive(Debug, Default)]
 struct Scan {
-    /// When it was.
     at: Millis,
-    /// Whether another scan was deferred since.
+    /// Whether a later scan was deferred.
     deferred: bool,
 }
 
@@ -39,16 +40,16 @@
 /// Departures that are being forwarded to the owners of their jobs.
 #[derive(Debug, Default)]
 pub struct CompletionForwarder {
-    /// The last scans of jobs with many noted changes.
+    /// The last scans of jobs with many pending changes.
     scans: HashMap<JobId, Scan>,
-    /// What was forwarded, and perhaps not written yet.
+    /// What was forwarded and may not be written yet.
     forwarded: HashMap<JobId, ForwardedTasks>,
-    /// What is to be sent, by owner.
+    /// Departures to be sent, by owner.
     outbox: BTreeMap<ControllerId, Vec<TaskDeparture>>,
 }
 
 impl CompletionForwarder {
-    /// Whether a scan of the job's changes is put off; `due_scans` returns the job later.
+    /// Whether a scan of the job's changes is deferred; `due_scans` returns the job later.
     pub fn defers_scan(&mut self, job: &Job, now: Millis) -> bool {
         if job.pending_changes.len() <= MAX_UNTHROTTLED_CHANGES {
             return false;
@@ -62,7 +63,7 @@
         defers
     }
 
-    /// Jobs whose scan has been put off long enough.
+    /// Takes the jobs whose scan was deferred and is now due.
     pub fn due_scans(&mut self, now: Millis) -> Vec<JobId> {
         let mut due = Vec::new();
         self.scans.retain(|job, scan| {
@@ -75,9 +76,9 @@
         due
     }
 
-    /// Forwards all noted changes of a job to its owner. Returns false, and forwards none, if one of
-    /// them is not for the owner to write. `held_token`: the token under which this controller holds
-    /// the shard of a task's machine.
+    /// Queues all pending changes of a job for its owner. Returns false, and forwards none, if the
+    /// owner can't write one of them. `held_token`: the token under which this controller holds the
+    /// shard of a task's machine.
     pub fn forward(
         &mut self,
         owner: &ControllerId,
@@ -108,22 +109,22 @@
         true
     }
 
-    /// Takes what is to be sent, by owner.
+    /// Takes the departures to be sent, by owner.
     #[must_use]
     pub fn take_outbox(&mut self) -> BTreeMap<ControllerId, Vec<TaskDeparture>> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The jobs of which something was forwarded and is not written yet, by `unwritten`. The others
-    /// are forgotten.
+    /// The jobs with forwarded departures that are not written yet, as `unwritten` tells. The other
+    /// jobs are forgotten.
     pub fn retain_unwritten(&mut self, unwritten: impl Fn(&JobId) -> bool) -> Vec<JobId> {
         self.forwarded.retain(|job, _| unwritten(job));
         self.forwarded.keys().cloned().collect()
     }
 }
 
-/// The departure that a noted change records. `None` if the owner can't write it: a placement, or a
-/// departure that is not proved by the holder of the machine's shard.
+/// The departure that a pending change records. `None` if the owner can't write it: a placement, or a
+/// departure that is not proven by the holder of the machine's shard.
 fn departure(
     id: &JobId,
     index: u32,
@@ -148,7 +149,7 @@
 }
 
 impl TaskDeparture {
-    /// The change that the owner notes, if the records still have the task on that machine.
+    /// The pending change that the owner adds if the records still place this attempt of the task.
     pub fn change(&self) -> TaskChange {
         let attempt = Attempt(self.attempt);
         if self.done {
--- a/src/jobs/completion_forwarding/tests.rs
+++ b/src/jobs/completion_forwarding/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::jobs::cache::tests::jobs;
 
-/// An array of 25,000 tasks has completions in every heartbeat, and each scan went through all noted changes:
-/// the CPU was saturated for minutes. Every change is still scanned eventually.
+/// An array of 25,000 tasks has completions in every heartbeat, and each scan went through all pending changes, so
+/// that the CPU was saturated for minutes. Every change must still be scanned eventually.
 #[test]
 fn a_job_with_many_changes_is_scanned_at_a_bounded_rate() {
-    for (count, looks) in [
+    for (count, expected) in [
         (MAX_UNTHROTTLED_CHANGES as u32, 20),
         (MAX_UNTHROTTLED_CHANGES as u32 + 1, 5),
     ] {
@@ -16,15 +16,15 @@
         }
         let job = jobs.get(&id).unwrap();
         let mut forwarder = CompletionForwarder::default();
-        let mut looked = 0;
+        let mut scans = 0;
         // Twenty heartbeats in two seconds.
         for step in 1..=20 {
-            looked += u32::from(!forwarder.defers_scan(job, Millis(step * 100)));
+            scans += u32::from(!forwarder.defers_scan(job, Millis(step * 100)));
         }
-        assert_eq!(looked, looks, "{count} changes");
-        let left = forwarder.due_scans(Millis(2_500));
+        assert_eq!(scans, expected, "{count} changes");
+        let due = forwarder.due_scans(Millis(2_500));
         assert_eq!(
-            left.len(),
+            due.len(),
             usize::from(count as usize > MAX_UNTHROTTLED_CHANGES)
         );
         assert!(forwarder.due_scans(Millis(3_000)).is_empty(), "once");
--- a/src/jobs/crash_loop/tests.rs
+++ b/src/jobs/crash_loop/tests.rs
@@ -14,17 +14,17 @@
         (JobKind::Service, &[0, 1, 2], false),
         (JobKind::Service, &[0, 1, 2, 3], true),
     ];
-    for (kind, failed, suspect) in cases {
+    for (kind, failed, crash_looping) in cases {
         let mut tracker = CrashLoopTracker::default();
         for index in failed {
             tracker.record_failure(&job, kind, &machine_ids[*index], Millis(5));
         }
         assert_eq!(
             tracker.is_crash_looping(&job),
-            suspect,
+            crash_looping,
             "{kind:?} on {failed:?}"
         );
-        assert_eq!(tracker.not_before(&job).is_some(), suspect);
+        assert_eq!(tracker.not_before(&job).is_some(), crash_looping);
         tracker.record_success(&job);
         assert!(!tracker.is_crash_looping(&job), "one success clears it");
     }
@@ -33,12 +33,12 @@
         tracker.record_failure(&job, JobKind::Gang, &machine_ids[machine_id], Millis(at));
     }
     // The machines were at fault, not the job.
-    for (quarantined, suspect) in [(2, true), (1, false), (0, false)] {
+    for (quarantined, crash_looping) in [(2, true), (1, false), (0, false)] {
         tracker.forget_machine(&machine_ids[quarantined], Millis(20));
         assert_eq!(
             tracker.is_crash_looping(&job),
-            suspect,
-            "{quarantined} is sick"
+            crash_looping,
+            "{quarantined} is quarantined"
         );
     }
     // A service fails on a faulty machine every ten minutes.
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,9 +1,10 @@
-//! Jobs: what users ask for, how it is recorded in the key-value store, and a cache of all records.
+//! Jobs: submissions, their records in the key-value store, and a cache of all records.
 //!
-//! The types here are shared by the rest of the controller. [`api`] is the users'
-//! interface, [`record`] the form of the records, [`cache`] all jobs with what they use, [`cancel`] the
-//! users who wait for the end of a job, [`crash_loop`] the jobs that fail everywhere, and
-//! [`completion_forwarding`] what shard holders report to the owner of a job.
+//! The types here are shared by the rest of the controller. [`api`] is the user API, [`record`] the
+//! encoding of the records, [`cache`] the cache of all jobs with the resources that they use,
+//! [`cancel`] the cancellations that wait for the end of a job, [`crash_loop`] the detection of jobs
+//! that fail on every machine, and [`completion_forwarding`] the reports of shard holders to the
+//! owner of a job.
 
 pub mod api;
 pub mod cache;
@@ -18,25 +19,25 @@
     AgentEpoch, Attempt, Image, MachineId, MachineTypeId, Resources, ShardId, Team, Zone,
 };
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job are scheduled relative to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
     /// Independent tasks; each runs to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Tasks of which all run at the same time or none does.
     Gang,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// Priority; the greater goes first.
+/// Priority of a job; the greater goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// Runs on resources that the others leave unused.
+    /// Runs on resources that the other priorities leave unused.
     BestEffort,
     /// The usual priority.
     Normal,
@@ -46,25 +47,25 @@
     Critical,
 }
 
-/// What a user asked for, checked.
+/// A validated submission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class of jobs that service-level objectives are set for.
+    /// The class of jobs to which the job belongs; service-level objectives are set per class.
     #[serde(rename = "lot")]
     pub class: String,
     /// The team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: Team,
-    /// How the tasks belong together.
+    /// Whether the tasks run independently, together or as replicas.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Which jobs go first.
+    /// The job's priority.
     #[serde(rename = "rank")]
     pub priority: PriorityClass,
     /// Number of tasks.
     #[serde(rename = "picks")]
     pub tasks: u32,
-    /// What each task needs.
+    /// The resources that each task requests.
     #[serde(rename = "room")]
     pub resources: Resources,
     /// The image that each task runs.
@@ -87,22 +88,24 @@
     pub spread: bool,
     /// Whether tasks may run on spot machines.
     pub spot: bool,
-    /// How long a task runs, as the user expects, in seconds.
+    /// The user's estimate of how long a task runs, in seconds.
     pub estimate_s: f64,
     /// Seconds between checkpoints; zero: a task that stops loses all its work.
     pub checkpoint_s: f64,
     /// How long a task takes to save a checkpoint when it is asked to stop, in seconds.
     pub save_s: f64,
-    /// Seconds after submission by which the job should be done.
+    /// Seconds after submission by which the job should be done; `None`: no deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
 }
 
-/// Checkpoints less than this many saving times apart make killing a task as cheap as evicting it.
+/// If a job's checkpoints are at most this many saving times apart, killing a task is about as cheap
+/// as a graceful eviction.
 const CHEAP_CHECKPOINT_RATIO: f64 = 3.0;
 
 impl JobSpec {
-    /// Whether tasks may run on machines of this type in this zone; `spot`: on spot machines.
+    /// Whether tasks may run on machines of this type in this zone; `spot`: whether these are spot
+    /// machines.
     pub fn allows(&self, machine_type: &MachineTypeId, zone: &Zone, spot: bool) -> bool {
         self.machine_types
             .as_ref()
@@ -118,13 +121,13 @@
             && self.kind == JobKind::Array
     }
 
-    /// Whether killing a task wastes about as little as a graceful eviction: the work since its last
-    /// checkpoint, against the time to save, during which its resources are of no use.
+    /// Whether killing a task wastes about as little as a graceful eviction. A kill loses the work since
+    /// the last checkpoint; an eviction blocks the task's resources while it saves.
     pub fn is_cheap_to_kill(&self) -> bool {
         self.checkpoint_s > 0.0 && self.checkpoint_s <= CHEAP_CHECKPOINT_RATIO * self.save_s
     }
 
-    /// With `spread`, how many tasks may be in one zone.
+    /// How many tasks may be in one zone if `spread` is set.
     pub fn max_tasks_per_zone(&self) -> u32 {
         self.tasks.div_ceil(2)
     }
@@ -133,27 +136,27 @@
 /// Where a task was placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The machine.
+    /// The machine that the task was placed on.
     pub machine_id: MachineId,
     /// The machine's shard.
     pub shard: ShardId,
-    /// The epoch of the machine's agent; after a restart it has lost the task.
+    /// The epoch of the machine's agent; an agent that has restarted since has lost the task.
     pub agent_epoch: AgentEpoch,
-    /// Which start of the task this is.
+    /// The attempt that this placement starts.
     pub attempt: Attempt,
 }
 
-/// What the records say of a task.
+/// The state of a task in the records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Task {
     /// On no machine.
     Waiting {
-        /// The highest attempt so far.
+        /// The highest attempt so far; zero if the task was never placed.
         last_attempt: Attempt,
     },
     /// On this machine, or being started there, or not yet proven to have left it.
     Placed(Placement),
-    /// Complete.
+    /// Completed.
     Done,
 }
 
@@ -172,16 +175,17 @@
     }
 }
 
-/// How far a job is, by its record.
+/// The phase of a job in its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
     /// Its tasks wait, run or are done.
     Active,
-    /// Its user has cancelled it, and is answered once no task of it is left on any machine.
+    /// Its user has cancelled it. The cancellation is confirmed once none of its tasks is left on any
+    /// machine.
     Aborting,
     /// All tasks are done.
     Done,
-    /// It was cancelled, and no task of it is left.
+    /// It was cancelled, and none of its tasks is left on any machine.
     Aborted,
 }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! How jobs are written in the key-value store: one record per job, and its tasks in run-length
+//! The encoding of jobs in the key-value store: one record per job, and its tasks in run-length
 //! encoded pages.
 //!
 //! A page that does not exist represents tasks that were never placed, so a job of 100,000 tasks
@@ -30,13 +30,14 @@
     Some((job.into(), page.parse().ok()?))
 }
 
-/// A job's own record. `spec` is dropped once the job is over and no task of it is left anywhere.
+/// A job's own record. `spec` is dropped once the job is over and none of its tasks is left on any
+/// machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// How far the job is.
+    /// The job's phase.
     pub phase: Phase,
-    /// The controller that accepted the job. It tries to place it first, and writes the completions
-    /// that other holders forward.
+    /// The controller that accepted the job. It is the first to try to place the job, and writes the
+    /// completions that the holders of other shards forward.
     #[serde(rename = "home")]
     pub owner: ControllerId,
     /// Number of tasks.
@@ -44,7 +45,7 @@
     /// Tasks per page.
     #[serde(rename = "page")]
     pub page_size: u32,
-    /// What the user asked for; `None` once the job is finished.
+    /// The validated submission; `None` once the job is finished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
@@ -55,7 +56,7 @@
         self.tasks.div_ceil(self.page_size.max(1))
     }
 
-    /// How many tasks a page holds.
+    /// How many tasks a page holds; zero for a page beyond the last.
     pub fn page_len(&self, page: u32) -> u32 {
         self.tasks
             .saturating_sub(page * self.page_size)
@@ -75,11 +76,11 @@
 
 /// Most bytes that one placed task takes in a page, besides the names of its machine and zone.
 const MAX_TASK_BYTES: usize = 64;
-/// Bytes that the name of a machine takes.
+/// Bytes that are reserved for the name of a machine.
 const MACHINE_NAME_BYTES: usize = 24;
 /// Maximum number of tasks in a page.
 const MAX_PAGE_TASKS: usize = 128;
-/// The fraction of the largest value that a page may fill.
+/// The fraction of the store's largest value size that a page may fill.
 const MAX_VALUE_FILL: f64 = 0.9;
 
 /// Tasks per page so that a page always fits one value of `value_kb` KiB. `longest_zone`: bytes of the
@@ -91,8 +92,8 @@
 }
 
 /// Neighbouring tasks in the same state, as written in a page. The stored form is
-/// `[{"w":[count, last_attempt]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`.
-
+/// `[{"w":[count, last attempt]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`, so the
+/// order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 enum Run {
     #[serde(rename = "w")]
