--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -155,7 +155,10 @@
             only_preemptible: usage.is_preemptible(),
             image_s: machine.image_wait_s(image, image_gb, rate_gb_per_s, self.now),
             fetch_s: image_gb / rate_gb_per_s,
-            non_preemptible_share: usage.allocated.minus(usage.preemptible).share_of(capacity),
+            non_preemptible_share: usage
+                .allocated
+                .minus(usage.preemptible)
+                .dominant_share(capacity),
         }
     }
 
@@ -173,7 +176,7 @@
         let request = PlacementRequest::new(job, self.shards_without_quota(job, None));
         let mut groups = self.scheduler.candidates.groups(&job.spec, scope, None);
         groups.retain(|group| request.shard_rejection(&group.shard).is_none());
-        if job.is_gang_of_several() {
+        if job.is_multi_task_gang() {
             return self.has_cached_gang_capacity(&request, &groups);
         }
         let image_filter = ImageFilter::Image(&job.spec.image);
@@ -205,7 +208,7 @@
                 self.work_counters.candidates.add(1);
                 let candidate = self.candidate(job, machine);
                 if cycle::filter(request, &candidate).is_none() {
-                    *zone_tasks += candidate.available.holds(job.spec.resources);
+                    *zone_tasks += candidate.available.fit_count(job.spec.resources);
                 }
             }
         }
@@ -234,7 +237,7 @@
                 continue;
             }
             for class in candidates.index.fitting(ImageFilter::Any, group, resources) {
-                let tasks_per_machine = class.level.available().holds(resources);
+                let tasks_per_machine = class.level.available().fit_count(resources);
                 let tasks = tasks_per_machine.saturating_mul(class.machine_ids.len() as u32);
                 let zone_tasks = fitting_tasks.entry(group.zone()).or_default();
                 *zone_tasks = zone_tasks.saturating_add(tasks);
--- a/src/controller/candidates/tests.rs
+++ b/src/controller/candidates/tests.rs
@@ -48,7 +48,7 @@
         );
         machine.reachability.confirm();
         (machine.last_contact, machine.last_heartbeat) = (NOW, NOW);
-        machine.worker_token = WorkerToken::of(FencingToken(5));
+        machine.worker_token = WorkerToken::connected(FencingToken(5));
         machine.last_answer = Some((FencingToken(5), NOW));
         controller
             .machines
@@ -80,7 +80,7 @@
         phase: Phase::Active,
         owner: "n1".into(),
         tasks: spec.tasks,
-        page: spec.tasks,
+        page_size: spec.tasks,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
--- a/src/controller/commits/commit_schedule.rs
+++ b/src/controller/commits/commit_schedule.rs
@@ -95,17 +95,17 @@
 
 /// Classifies a job's noted changes.
 fn kind_of(job: &Job) -> ChangeKind {
-    let completions = job.changes.values().all(TaskChange::finishes);
-    let complete = job.done as usize + job.changes.len() >= job.record.tasks as usize;
+    let completions = job.pending_changes.values().all(TaskChange::finishes);
+    let complete = job.done as usize + job.pending_changes.len() >= job.record.tasks as usize;
     if !job.is_active() {
         ChangeKind::Stop
-    } else if completions && (complete || job.is_gang_of_several()) {
+    } else if completions && (complete || job.is_multi_task_gang()) {
         ChangeKind::FinalCompletions
     } else if completions {
         ChangeKind::PartialCompletions
-    } else if more_departures_expected(job) && job.is_broken_gang() {
+    } else if more_departures_expected(job) && job.is_partially_placed_gang() {
         ChangeKind::BrokenGang
-    } else if job.is_gang_of_several() && job.placed == 0 {
+    } else if job.is_multi_task_gang() && job.placed == 0 {
         ChangeKind::GangPlacement
     } else if job.spec.kind == JobKind::Array && job.waiting_tasks() > 0 && only_placements(job) {
         ChangeKind::ArrayPlacements
@@ -116,14 +116,14 @@
 
 /// Whether tasks of the job are placed for which no change is noted yet.
 fn more_departures_expected(job: &Job) -> bool {
-    job.placed as usize > job.changes.len()
+    job.placed as usize > job.pending_changes.len()
 }
 
 /// Whether all noted changes are placements. Other changes free resources that a gang may be
 /// waiting for on another controller.
 fn only_placements(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
-    job.changes.values().all(is_placement)
+    job.pending_changes.values().all(is_placement)
 }
 
 /// How long completions of some of a job's tasks are batched. Near the team's limit its next tasks
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -100,7 +100,7 @@
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle
-            || job.changes.is_empty()
+            || job.pending_changes.is_empty()
             || self.commits.completions.defers_scan(job, self.now)
         {
             return;
@@ -142,7 +142,7 @@
     /// Writes a job's noted changes, unless a transaction of the job is in flight.
     fn write(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.commit_state != CommitState::Idle || job.changes.is_empty() {
+        if job.commit_state != CommitState::Idle || job.pending_changes.is_empty() {
             return;
         }
         let mut planned = self.plan_write(job);
@@ -153,7 +153,7 @@
         };
         self.add_records(job, &planned, &mut txn);
         let PlannedWrite { changes, stale, .. } = planned;
-        self.jobs.discard(id, &stale);
+        self.jobs.discard_changes(id, &stale);
         if changes.is_empty() {
             return;
         }
@@ -180,8 +180,8 @@
         }
         let placements = &planned.placements;
         // A gang is placed as a whole or not at all.
-        if placements.stale > 0 && job.is_gang_of_several()
-            || placements.planned > 0 && !job.zones_allowed()
+        if placements.stale > 0 && job.is_multi_task_gang()
+            || placements.planned > 0 && !job.satisfies_zone_constraints()
             || !self.require_allocations(job, &mut txn, &planned.placements_by_shard())
         {
             return None;
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -48,7 +48,7 @@
             tracing::debug!(job = %id, index, ?change, "transaction committed");
         }
         let indices: Vec<u32> = changes.iter().map(|(index, _)| *index).collect();
-        self.jobs.discard(id, &indices);
+        self.jobs.discard_changes(id, &indices);
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::Idle;
         }
@@ -72,7 +72,7 @@
     pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
         let completions = self.noted_completions(id);
-        self.jobs.discard_changes(id);
+        self.jobs.discard_all_changes(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::Idle;
             self.back_off(id);
@@ -85,8 +85,8 @@
         }
         for (index, change) in completions {
             let job = self.jobs.get(id);
-            if job.is_some_and(|job| !job.changes.contains_key(&index)) {
-                self.jobs.note_change(id, index, change);
+            if job.is_some_and(|job| !job.pending_changes.contains_key(&index)) {
+                self.jobs.add_pending_change(id, index, change);
             }
         }
         self.discard_superseded_departures(id);
@@ -98,7 +98,7 @@
         let Some(job) = self.jobs.get(id) else {
             return BTreeSet::new();
         };
-        job.changes
+        job.pending_changes
             .iter()
             .filter(|(_, change)| !matches!(change, TaskChange::Place(_)))
             .filter_map(|(index, _)| Some(job.task(*index).placement()?.machine_id.clone()))
@@ -110,7 +110,7 @@
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        job.changes
+        job.pending_changes
             .iter()
             .filter(|(_, change)| change.finishes())
             .map(|(index, change)| (*index, change.clone()))
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -62,12 +62,12 @@
     /// Adds an allowed change of the task at `index` to the transaction.
     fn add(&mut self, job: &Job, index: u32, change: &TaskChange, allowed: AllowedChange) {
         self.shard_tokens.extend(allowed.shard_token);
-        let page = index / job.record.page;
+        let page = index / job.record.page_size;
         let tasks = self
             .pages
             .entry(page)
             .or_insert_with(|| job.page_tasks(page));
-        if let Some(slot) = tasks.get_mut((index % job.record.page) as usize) {
+        if let Some(slot) = tasks.get_mut((index % job.record.page_size) as usize) {
             *slot = allowed.next;
         }
         self.changes.push((index, change.clone()));
@@ -77,22 +77,22 @@
     /// complete together: one completion proves that all tasks of its attempt are done, including
     /// those whose departure from their machine was not observed.
     pub(super) fn complete_gang(&mut self, job: &Job) {
-        let fits_transaction = job.record.pages() as usize <= MAX_PAGES;
-        if !job.is_gang_of_several() || !job.is_active() || !fits_transaction {
+        let fits_transaction = job.record.page_count() as usize <= MAX_PAGES;
+        if !job.is_multi_task_gang() || !job.is_active() || !fits_transaction {
             return;
         }
         let Some(finished) = self.finished_attempt() else {
             return;
         };
-        for page in 0..job.record.pages() {
+        for page in 0..job.record.page_count() {
             let tasks = self
                 .pages
                 .entry(page)
                 .or_insert_with(|| job.page_tasks(page));
-            for (index, task) in (page * job.record.page..).zip(tasks) {
+            for (index, task) in (page * job.record.page_size..).zip(tasks) {
                 let attempt = match task {
                     Task::Placed(placement) => placement.attempt,
-                    Task::Waiting { tried } => *tried,
+                    Task::Waiting { last_attempt } => *last_attempt,
                     Task::Done => continue,
                 };
                 if attempt == finished {
@@ -116,7 +116,8 @@
     /// several pages. That page is the record on which the controllers agree about the zones:
     /// concurrent placements by two of them conflict on it.
     pub(super) fn require_zone_page(&mut self, job: &Job) {
-        let has_zone_constraint = (job.spec.one_zone || job.spec.spread) && job.record.pages() > 1;
+        let has_zone_constraint =
+            (job.spec.one_zone || job.spec.spread) && job.record.page_count() > 1;
         if self.placements.planned > 0 && has_zone_constraint && !self.pages.contains_key(&0) {
             self.pages.insert(0, job.page_tasks(0));
         }
@@ -156,8 +157,8 @@
     pub(super) fn plan_write(&self, job: &Job) -> PlannedWrite {
         let max_ops = self.settings.deployment.state.txn_ops;
         let mut planned = PlannedWrite::default();
-        for (index, change) in &job.changes {
-            if !planned.has_room_for(index / job.record.page, max_ops) {
+        for (index, change) in &job.pending_changes {
+            if !planned.has_room_for(index / job.record.page_size, max_ops) {
                 break;
             }
             let is_placement = matches!(change, TaskChange::Place(_));
@@ -179,8 +180,8 @@
     /// Checks one change against the records; `None` if it is stale.
     fn check_change(&self, job: &Job, index: u32, change: &TaskChange) -> Option<AllowedChange> {
         match (change, job.task(index)) {
-            (TaskChange::Place(placement), Task::Waiting { tried })
-                if job.is_active() && *tried < placement.attempt =>
+            (TaskChange::Place(placement), Task::Waiting { last_attempt })
+                if job.is_active() && *last_attempt < placement.attempt =>
             {
                 self.check_placement(placement)
             }
@@ -234,9 +235,9 @@
             }
             Evidence::Holder(_) => return None,
         };
-        let tried = placement.attempt;
+        let last_attempt = placement.attempt;
         Some(AllowedChange {
-            next: Task::Waiting { tried },
+            next: Task::Waiting { last_attempt },
             shard_token,
         })
     }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -49,7 +49,7 @@
     for (machine_id, zone) in [("vm-a", "a"), ("vm-b", "b")] {
         let shard = ShardId {
             zone: zone.into(),
-            part: 0,
+            index: 0,
         };
         let (id, by) = (MachineId::from(machine_id), "n0".into());
         let mut machine = Machine::new(id.clone(), "g8".into(), zone.into(), false, shard, by);
@@ -61,7 +61,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: spec.tasks,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
@@ -92,8 +92,8 @@
         attempt: Attempt(attempt),
     };
     let on_a = || placed("vm-a", "a.0", 2);
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let cases: Vec<(&str, f64, [Task; 2], TaskChange, bool)> = vec![
         (
@@ -183,7 +183,7 @@
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
         // The change was valid when it was noted; the records are newer now.
-        controller.jobs.note_change(&id, 0, change);
+        controller.jobs.add_pending_change(&id, 0, change);
         controller.write(&id);
         let wrote = controller.effects.iter().any(|effect| {
             let Effect::Store { call, .. } = effect else {
@@ -199,8 +199,8 @@
 /// others were recorded as done, and the gang waited for a task that could not be placed.
 #[test]
 fn one_done_task_of_a_gang_completes_all_tasks_of_its_attempt() {
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let finish = TaskChange::Finish {
         attempt: Attempt(2),
@@ -221,9 +221,9 @@
         (spec.kind, spec.tasks) = (JobKind::Gang, 2);
         let tasks = vec![placed("vm-a", "a.0", 2), other_task.clone()];
         let (mut controller, id) = controller(spec, tasks);
-        controller.jobs.note_change(&id, 0, finish.clone());
+        controller.jobs.add_pending_change(&id, 0, finish.clone());
         if let Some(noted) = noted {
-            controller.jobs.note_change(&id, 1, noted);
+            controller.jobs.add_pending_change(&id, 1, noted);
         }
         controller.write(&id);
         let gang_done = controller.effects.iter().any(|effect| {
@@ -272,7 +272,9 @@
         if scarce {
             controller.commits.writes_short_until = Millis(11_000);
         }
-        controller.jobs.note_change(&id, index, change.clone());
+        controller
+            .jobs
+            .add_pending_change(&id, index, change.clone());
         controller.commit(&id);
         let written = controller.jobs.get(&id).unwrap().commit_state == CommitState::InFlight;
         assert_eq!(written, at_once, "{change:?}, scarce: {scarce}");
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -33,7 +33,7 @@
     /// Whether capacity is reclaimed for a job's tasks one by one: there is a tree, and the job is
     /// not a gang of several tasks.
     fn reclaims_per_task(&self, job: Option<&Job>) -> bool {
-        let is_gang = job.is_none_or(Job::is_gang_of_several);
+        let is_gang = job.is_none_or(Job::is_multi_task_gang);
         self.hierarchy.active_tree().is_some() && !is_gang
     }
 }
@@ -139,7 +139,7 @@
             return self.scheduler.nominations.remove(id);
         };
         let machine_ids: Vec<MachineId> = job
-            .changes
+            .pending_changes
             .values()
             .filter_map(|change| match change {
                 TaskChange::Place(placement) => Some(placement.machine_id.clone()),
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -54,7 +54,7 @@
     /// Whether a task of the job needs at least [`MIN_MACHINE_FRACTION`] of a machine of some type.
     fn needs_most_of_a_machine(&self, job: &Job) -> bool {
         self.autoscaler.type_specs.iter().any(|type_spec| {
-            let fraction = job.spec.resources.share_of(type_spec.resources);
+            let fraction = job.spec.resources.dominant_share(type_spec.resources);
             (MIN_MACHINE_FRACTION..=1.0).contains(&fraction)
         })
     }
@@ -141,6 +141,6 @@
 /// Whether a job's tasks end on their own within at most [`MAX_TASK_DURATION_FACTOR`] times the
 /// duration of a reservation, by their estimate.
 fn ends_soon(job: &Job) -> bool {
-    let ends = job.spec.kind != JobKind::Service && !job.is_gang_of_several();
+    let ends = job.spec.kind != JobKind::Service && !job.is_multi_task_gang();
     ends && job.spec.estimate_s <= RESERVATION_TIMEOUT.secs() * MAX_TASK_DURATION_FACTOR
 }
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -60,7 +60,7 @@
     };
     controller
         .jobs
-        .note_change(id, task, TaskChange::Place(placement));
+        .add_pending_change(id, task, TaskChange::Place(placement));
     controller.commit(id);
     written(controller)
 }
@@ -133,9 +133,9 @@
         };
         controller
             .jobs
-            .note_change(&id, task, TaskChange::Place(placement));
+            .add_pending_change(&id, task, TaskChange::Place(placement));
     }
     assert!(place(&mut controller, &id, 5).is_none());
-    controller.jobs.discard(&id, &[5]);
+    controller.jobs.discard_changes(&id, &[5]);
     assert!(place(&mut controller, &id, 4).is_some());
 }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -100,9 +100,9 @@
         .is_empty();
     assert!(limited, "the job's team has a limit");
     let sent = TaskChange::Place(placement("vm-b", "b.0"));
-    controller.jobs.note_change(&id, 1, sent.clone());
+    controller.jobs.add_pending_change(&id, 1, sent.clone());
     let later = TaskChange::Place(placement("vm-a", "a.0"));
-    controller.jobs.note_change(&id, 0, later);
+    controller.jobs.add_pending_change(&id, 0, later);
     controller.commits.backlog.in_flight = 1;
     controller.on_task_changes_written(id, vec![(1, sent)], StoreResponse::Unknown);
     controller.now = Millis(9_000);
@@ -127,7 +127,7 @@
         );
         controller.effects.clear();
         let change = TaskChange::Place(placement("vm-b", "b.0"));
-        controller.jobs.note_change(&id, 0, change);
+        controller.jobs.add_pending_change(&id, 0, change);
         controller.now = Millis(9_000);
         controller.commit(&id);
         let conditions = controller.effects.iter().find_map(|effect| match effect {
@@ -170,7 +170,7 @@
         }
         for index in 0..tasks {
             let change = TaskChange::Place(placement("vm-b", "b.0"));
-            controller.jobs.note_change(&id, index, change);
+            controller.jobs.add_pending_change(&id, index, change);
         }
         let mut txn = Transaction::default();
         let job = controller.jobs.get(&id).unwrap();
--- a/src/controller/reachability/probes.rs
+++ b/src/controller/reachability/probes.rs
@@ -21,7 +21,7 @@
             .values()
             .filter(|machine| {
                 let token_seen =
-                    self.token_for(&machine.shard) == Some(machine.worker_token.token());
+                    self.token_for(&machine.shard) == Some(machine.worker_token.fencing_token());
                 let silent_for = now.since(machine.last_contact);
                 token_seen
                     && silent_for > silence
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -10,7 +10,7 @@
 
 use super::store_sync::PendingRead;
 use super::{CallPurpose, Controller, Effect};
-use crate::jobs::api::{self, Refusal, Refused, Response};
+use crate::jobs::api::{self, RejectedSubmission, RejectionReason, Response};
 use crate::jobs::cancel::PendingCancellations;
 use crate::jobs::record::{JobRecord, job_key, page_size};
 use crate::jobs::{JobSpec, Phase, PriorityClass};
@@ -43,29 +43,34 @@
     pub(super) fn on_submit(
         &mut self,
         reply: ReplyId,
-        submission: Result<(JobId, JobSpec), Refused>,
+        submission: Result<(JobId, JobSpec), RejectedSubmission>,
     ) {
         let (id, spec) = match submission {
             Ok(submission) => submission,
-            Err(Refused { id: Some(id), why }) => return self.refuse(reply, id, why),
-            Err(Refused { id: None, why }) => return self.respond(reply, why.into()),
+            Err(RejectedSubmission {
+                id: Some(id),
+                reason,
+            }) => return self.refuse(reply, id, reason),
+            Err(RejectedSubmission { id: None, reason }) => {
+                return self.respond(reply, reason.into());
+            }
         };
         if self.jobs.state(&id).is_some() {
             return self.on_poll(reply, id);
         }
         if !self.store_is_ready() || self.autoscaler.type_specs.is_empty() {
-            return self.respond(reply, Response::Later(NOT_READY_RETRY_S));
+            return self.respond(reply, Response::RetryAfter(NOT_READY_RETRY_S));
         }
         if let Some(waiting) = self.requests.submitting.get_mut(&id) {
             waiting.push(reply);
             return;
         }
-        let spec = match api::admit(spec, &self.settings, &self.autoscaler.type_specs) {
+        let spec = match api::check_feasibility(spec, &self.settings, &self.autoscaler.type_specs) {
             Ok(spec) => spec,
             Err(why) => return self.refuse(reply, id, why),
         };
         if let Err(retry_s) = self.admit_now(&id, &spec) {
-            return self.respond(reply, Response::Later(retry_s));
+            return self.respond(reply, Response::RetryAfter(retry_s));
         }
         self.requests.submitting.insert(id.clone(), vec![reply]);
         self.commit_submission(id, spec);
@@ -109,7 +114,7 @@
             phase: Phase::Active,
             owner: self.me.clone(),
             tasks: spec.tasks,
-            page: page_size(deployment.state.value_kb, longest_zone),
+            page_size: page_size(deployment.state.value_kb, longest_zone),
             spec: Some(spec),
         };
         let mut txn = Transaction::default();
@@ -121,7 +126,7 @@
     /// Refuses a submission, unless its job is known after a read barrier, since the cache may be
     /// outdated. A job that was accepted once is never refused, even if its body or the settings
     /// have changed since.
-    fn refuse(&mut self, reply: ReplyId, job: JobId, why: Refusal) {
+    fn refuse(&mut self, reply: ReplyId, job: JobId, why: RejectionReason) {
         if self.jobs.state(&job).is_some() {
             return self.on_poll(reply, job);
         }
@@ -147,7 +152,7 @@
                         ?answer,
                         "submission not confirmed, asking the user to retry"
                     );
-                    self.respond(reply, Response::later());
+                    self.respond(reply, Response::retry_soon());
                 }
             }
         }
@@ -178,7 +183,7 @@
                 let response = self
                     .jobs
                     .state(&job)
-                    .map_or(Response::Unknown, Response::State);
+                    .map_or(Response::UnknownJob, Response::State);
                 self.respond(reply, response);
             }
             PendingRead::Refuse { reply, job, why } => {
@@ -186,7 +191,7 @@
                 self.respond(reply, state.unwrap_or(why.into()));
             }
             PendingRead::Abort { reply, job } => match self.jobs.state(&job) {
-                None => self.respond(reply, Response::Unknown),
+                None => self.respond(reply, Response::UnknownJob),
                 Some(state) if state.is_final() => self.respond(reply, Response::State(state)),
                 Some(_) => self.cancel_known(reply, job),
             },
@@ -202,7 +207,7 @@
             | PendingRead::Refuse { reply, job, .. }
             | PendingRead::Abort { reply, job } => {
                 tracing::debug!(%job, "read barrier expired, asking the user to retry");
-                self.respond(reply, Response::later());
+                self.respond(reply, Response::retry_soon());
             }
             PendingRead::FinalizeCancelled { job } => self.finalize_cancelled(&job),
             // The outcome of a transaction must become known, however long it takes.
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -31,7 +31,7 @@
         if self.partition.mode.is_on() {
             WorkerToken::partitioned(token)
         } else {
-            WorkerToken::of(token)
+            WorkerToken::connected(token)
         }
     }
 
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -80,7 +80,7 @@
         *machines_by_zone.entry(bin.offer.zone.clone()).or_default() += 1;
     }
     bins.sort_by(|a, b| {
-        let available_share = |bin: &Bin| bin.available.share_of(bin.capacity);
+        let available_share = |bin: &Bin| bin.available.dominant_share(bin.capacity);
         available_share(a).total_cmp(&available_share(b))
     });
     let mut planner = Planner {
--- a/src/jobs/api/feasibility.rs
+++ b/src/jobs/api/feasibility.rs
@@ -1,26 +1,26 @@
-//! Checks that a job can ever run on the machine types, zones and quotas that there are.
+//! Checks that a job can ever run on the existing machine types and zones and within its team's quota.
 
 use std::collections::BTreeSet;
 
-use super::Refusal;
+use super::RejectionReason;
 use crate::fleet::MachineTypeSpec;
 use crate::jobs::{JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::types::Zone;
 
-/// Accepts a job that can run at some time. Drops the allowed machine types that don't exist, so that
-/// the record stays small whatever the user listed.
+/// Accepts a job that can run at some time, whether or not it can run now. Drops the allowed machine
+/// types that don't exist, so that the record stays small whatever the user listed.
 ///
 /// # Errors
-/// Why the job can never run.
-pub fn admit(
+/// The reason why the job can never run.
+pub fn check_feasibility(
     mut spec: JobSpec,
     settings: &Settings,
     type_specs: &[MachineTypeSpec],
-) -> Result<JobSpec, Refusal> {
-    let never_runs = |reason: String| Err(Refusal::NeverRuns(reason));
+) -> Result<JobSpec, RejectionReason> {
+    let infeasible = |reason: String| Err(RejectionReason::Infeasible(reason));
     let Some(team) = settings.team(&spec.team) else {
-        return never_runs(format!("crew: no team is called {}", spec.team));
+        return infeasible(format!("crew: no team is called {}", spec.team));
     };
     if let Some(machine_types) = &mut spec.machine_types {
         machine_types
@@ -29,22 +29,22 @@
     }
     let zones = feasible_zones(&spec, type_specs);
     if zones.is_empty() {
-        return never_runs("a task fits no allowed machine type".into());
+        return infeasible("a task fits no allowed machine type".into());
     }
-    let confined = spec.one_zone || zones.len() == 1;
+    let confined_to_one_zone = spec.one_zone || zones.len() == 1;
     if spec.kind != JobKind::Array
         && spec.spread
-        && confined
+        && confined_to_one_zone
         && spec.max_tasks_per_zone() < spec.tasks
     {
-        return never_runs("spread: all tasks would have to be in one zone".into());
+        return infeasible("spread: all tasks would have to be in one zone".into());
     }
     let concurrent_tasks = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks,
     };
     if !crate::quota::within_limit(spec.resources.times(f64::from(concurrent_tasks)), team) {
-        return never_runs(format!(
+        return infeasible(format!(
             "the job needs more than the limit of {}",
             spec.team
         ));
--- a/src/jobs/cache/team_usage.rs
+++ b/src/jobs/cache/team_usage.rs
@@ -6,28 +6,33 @@
 use crate::jobs::{JobSpec, Placement};
 use crate::types::{Resources, ShardId, Team};
 
-/// The groups of teams that each team belongs to: the nodes above it in the tree of quotas.
-pub type Groups = HashMap<Team, Vec<Team>>;
+/// The groups of teams that each team belongs to: its ancestors in the quota tree.
+pub type TeamGroups = HashMap<Team, Vec<Team>>;
 
 /// A team and its groups.
-fn with_groups<'a>(groups: &'a Groups, team: &'a Team) -> impl Iterator<Item = &'a Team> {
+fn with_groups<'a>(groups: &'a TeamGroups, team: &'a Team) -> impl Iterator<Item = &'a Team> {
     std::iter::once(team).chain(groups.get(team).into_iter().flatten())
 }
 
 /// Adds to the sums of a team and its groups.
-fn add_to(sums: &mut HashMap<Team, Resources>, groups: &Groups, team: &Team, resources: Resources) {
+fn add_to(
+    sums: &mut HashMap<Team, Resources>,
+    groups: &TeamGroups,
+    team: &Team,
+    resources: Resources,
+) {
     for team in with_groups(groups, team) {
         let sum = sums.entry(team.clone()).or_default();
         *sum = sum.plus(resources);
     }
 }
 
-/// What each team's tasks use in each shard, and how many tasks these are.
+/// Resources that each team's tasks use in each shard, and the number of these tasks.
 #[derive(Default)]
 struct UsageByShard(HashMap<Team, HashMap<ShardId, (Resources, u32)>>);
 
 impl UsageByShard {
-    fn add(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+    fn add(&mut self, groups: &TeamGroups, shard: &ShardId, spec: &JobSpec) {
         for team in with_groups(groups, &spec.team) {
             let shards = self.0.entry(team.clone()).or_default();
             let (resources, tasks) = shards.entry(shard.clone()).or_default();
@@ -36,8 +41,8 @@
         }
     }
 
-    /// Removes a task. A shard without tasks is forgotten, and with it the rounding error of its sum.
-    fn remove(&mut self, groups: &Groups, shard: &ShardId, spec: &JobSpec) {
+    /// Removes a task. The sum of a shard without tasks is dropped, and with it its rounding error.
+    fn remove(&mut self, groups: &TeamGroups, shard: &ShardId, spec: &JobSpec) {
         for team in with_groups(groups, &spec.team) {
             let Some(shards) = self.0.get_mut(team) else {
                 continue;
@@ -68,15 +73,15 @@
     }
 }
 
-/// The usage of all teams. Groups are counted as teams are, under names of their own.
+/// The usage of all teams. Groups are counted like teams, under their own names.
 #[derive(Default)]
 pub(super) struct TeamUsage {
-    groups: Groups,
-    /// What placed tasks use, by the records.
+    groups: TeamGroups,
+    /// What tasks use that the records place on machines.
     committed: HashMap<Team, Resources>,
-    /// Of that, what tasks use that are known to have left, though that is not written yet.
+    /// The part of `committed` used by tasks that are known to have left their machines.
     departed: HashMap<Team, Resources>,
-    /// What tasks use whose placements are noted, but not in the records yet.
+    /// What tasks use whose placements are pending and not in the records yet.
     reserved: HashMap<Team, Resources>,
     /// Committed and reserved usage by shard.
     by_shard: UsageByShard,
@@ -86,7 +91,7 @@
 
 impl TeamUsage {
     /// Replaces the groups and resets all sums.
-    pub(super) fn reset(&mut self, groups: Groups) {
+    pub(super) fn reset(&mut self, groups: TeamGroups) {
         self.groups = groups;
         self.committed.clear();
         self.departed.clear();
@@ -95,28 +100,28 @@
         self.by_shard.0.clear();
     }
 
-    /// Counts all tasks of a job.
-    pub(super) fn count(&mut self, job: &Job) {
+    /// Adds all tasks of a job.
+    pub(super) fn add_job(&mut self, job: &Job) {
         for (_, placement) in job.placements() {
             self.add_committed(&job.spec, job.spec.resources);
-            self.enter_shard(&job.spec, &placement.shard);
+            self.add_task_to_shard(&job.spec, &placement.shard);
         }
         for _ in &job.departed {
             let (groups, spec) = (&self.groups, &job.spec);
             add_to(&mut self.departed, groups, &spec.team, spec.resources);
         }
-        for placement in job.noted_placements() {
+        for placement in job.pending_placements() {
             self.reserve(&job.spec, placement);
         }
     }
 
-    /// Adds to what a team's placed tasks use. The difference may be negative.
+    /// Adds `difference`, which may be negative, to what a team's placed tasks use.
     pub(super) fn add_committed(&mut self, spec: &JobSpec, difference: Resources) {
         add_to(&mut self.committed, &self.groups, &spec.team, difference);
     }
 
-    /// Adds to what departed tasks use, which may be negative. Only a tree of quotas asks for it, so
-    /// without groups it is not counted.
+    /// Adds `difference`, which may be negative, to what departed tasks use. Only a quota tree needs
+    /// this sum, so it is not counted without groups.
     pub(super) fn add_departed(&mut self, spec: &JobSpec, difference: Resources) {
         if !self.groups.is_empty() {
             add_to(&mut self.departed, &self.groups, &spec.team, difference);
@@ -124,16 +129,16 @@
     }
 
     /// Adds a task to a shard.
-    pub(super) fn enter_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+    pub(super) fn add_task_to_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.add(&self.groups, shard, spec);
     }
 
     /// Removes a task from a shard.
-    pub(super) fn leave_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
+    pub(super) fn remove_task_from_shard(&mut self, spec: &JobSpec, shard: &ShardId) {
         self.by_shard.remove(&self.groups, shard, spec);
     }
 
-    /// Adds a noted placement.
+    /// Adds a pending placement.
     pub(super) fn reserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.add(groups, &placement.shard, spec);
@@ -141,7 +146,7 @@
         add_to(&mut self.reserved, groups, &spec.team, spec.resources);
     }
 
-    /// Removes a noted placement.
+    /// Removes a pending placement.
     pub(super) fn unreserve(&mut self, spec: &JobSpec, placement: &Placement) {
         let groups = &self.groups;
         self.by_shard.remove(groups, &placement.shard, spec);
@@ -158,7 +163,7 @@
         committed.plus(reserved)
     }
 
-    /// The same without tasks that are known to have left.
+    /// Committed and reserved usage of a team, without tasks that are known to have left.
     pub(super) fn observed(&self, team: &Team) -> Resources {
         let departed = self.departed.get(team).copied().unwrap_or_default();
         self.total(team).minus(departed)
--- a/src/jobs/cache/tests.rs
+++ b/src/jobs/cache/tests.rs
@@ -20,7 +20,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks,
-        page: 4,
+        page_size: 4,
         spec: Some(spec),
     };
     let mut jobs = JobCache::default();
@@ -33,14 +33,14 @@
     (jobs, id)
 }
 
-/// The response to a cancellation arrived after the watch had delivered the job's end: the job was revived
-/// from the older record, and reported to its users as queued.
+/// The response to a cancellation arrived after the watch had delivered the job's end. The older record restored
+/// the job, which was then reported to users as queued.
 #[test]
-fn an_older_record_does_not_revive_a_finished_job() {
+fn an_older_record_does_not_restore_a_finished_job() {
     let (mut jobs, id) = jobs(1, &[]);
-    let record = |phase, over: bool| {
+    let record = |phase, finished: bool| {
         let job = jobs.get(&id).unwrap();
-        let spec = (!over).then(|| job.spec.clone());
+        let spec = (!finished).then(|| job.spec.clone());
         let record = JobRecord {
             phase,
             spec,
@@ -63,8 +63,8 @@
 
 #[test]
 fn the_next_tasks_to_place_are_found_across_pages() {
-    let waits = |tried| Task::Waiting {
-        tried: Attempt(tried),
+    let waits = |last_attempt| Task::Waiting {
+        last_attempt: Attempt(last_attempt),
     };
     let full = || vec![placed("vm-1"), Task::Done, placed("vm-2"), Task::Done];
     let part = || vec![Task::Done, waits(3), placed("vm-1"), waits(0)];
@@ -88,7 +88,7 @@
             let Task::Placed(placement) = placed("vm-3") else {
                 unreachable!()
             };
-            jobs.note_change(&id, index, TaskChange::Place(placement));
+            jobs.add_pending_change(&id, index, TaskChange::Place(placement));
         }
         let found = jobs.get(&id).unwrap().next_waiting(3);
         let found: Vec<(u32, u64)> = found.into_iter().map(|(i, a)| (i, a.0)).collect();
@@ -97,7 +97,7 @@
 }
 
 /// The usage sums that cycles read are maintained incrementally; they must equal a recount of the records
-/// and the noted changes.
+/// and the pending changes.
 #[test]
 fn machine_usage_follows_its_tasks() {
     let (mut jobs, id) = jobs(4, &[(0, vec![placed("vm-1"), placed("vm-1")])]);
@@ -114,22 +114,31 @@
     ];
     let key = page_key(&id, 0);
     jobs.apply(&key, Some(&page(&first)), Revision(3), Millis(1));
-    let each = jobs.get(&id).unwrap().spec.resources.gpus;
-    let gpus = |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / each;
-    assert_eq!(gpus(&jobs, "vm-1"), 2.0);
+    let gpus_per_task = jobs.get(&id).unwrap().spec.resources.gpus;
+    let allocated_tasks =
+        |jobs: &JobCache, machine_id: &str| jobs.allocated(&machine_id.into()).gpus / gpus_per_task;
+    assert_eq!(allocated_tasks(&jobs, "vm-1"), 2.0);
     let attempt = Attempt(1);
-    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
-    assert_eq!(gpus(&jobs, "vm-1"), 1.0, "one was seen to have left");
-    let used = |jobs: &JobCache| {
+    jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
+    assert_eq!(
+        allocated_tasks(&jobs, "vm-1"),
+        1.0,
+        "one was seen to have left"
+    );
+    let tasks_in_shard = |jobs: &JobCache| {
         let team = jobs.get(&id).unwrap().spec.team.clone();
         jobs.usage_in_shard(&team, &ShardId::parse("a.0").unwrap())
             .gpus
-            / each
+            / gpus_per_task
     };
-    assert_eq!(used(&jobs), 2.0, "but it counts until that is written");
-    jobs.discard(&id, &[0]);
-    assert_eq!(gpus(&jobs, "vm-1"), 2.0, "it was not written");
-    jobs.note_change(&id, 0, TaskChange::Finish { attempt });
+    assert_eq!(
+        tasks_in_shard(&jobs),
+        2.0,
+        "but it counts until that is written"
+    );
+    jobs.discard_changes(&id, &[0]);
+    assert_eq!(allocated_tasks(&jobs, "vm-1"), 2.0, "it was not written");
+    jobs.add_pending_change(&id, 0, TaskChange::Finish { attempt });
     let second = [
         Task::Done,
         placed("vm-1"),
@@ -137,9 +146,15 @@
         Task::NEVER_PLACED,
     ];
     jobs.apply(&key, Some(&page(&second)), Revision(4), Millis(2));
-    jobs.discard(&id, &[0]);
-    assert_eq!((gpus(&jobs, "vm-1"), gpus(&jobs, "vm-2")), (1.0, 1.0));
-    assert_eq!(used(&jobs), 2.0);
+    jobs.discard_changes(&id, &[0]);
+    assert_eq!(
+        (
+            allocated_tasks(&jobs, "vm-1"),
+            allocated_tasks(&jobs, "vm-2")
+        ),
+        (1.0, 1.0)
+    );
+    assert_eq!(tasks_in_shard(&jobs), 2.0);
     jobs.apply(&key, None, Revision(5), Millis(3));
     assert!(!jobs.is_occupied(&"vm-1".into()) && !jobs.is_occupied(&"vm-2".into()));
 }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! How jobs are written in the key-value store: one record per job, and its tasks in run-length
+//! The encoding of jobs in the key-value store: one record per job, and its tasks in run-length
 //! encoded pages.
 //!
 //! A page that does not exist represents tasks that were never placed, so a job of 100,000 tasks
@@ -10,53 +10,57 @@
 use crate::types::{AgentEpoch, Attempt, ControllerId, JobId, MachineId, ShardId};
 
 /// Prefix of the keys of job records.
-pub const JOBS: &str = "jt/job/";
+pub const JOB_KEY_PREFIX: &str = "jt/job/";
 /// Prefix of the keys of task pages.
-pub const PAGES: &str = "jt/task/";
+pub const PAGE_KEY_PREFIX: &str = "jt/task/";
 
 /// The key of a job's record.
 pub fn job_key(job: &JobId) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOB_KEY_PREFIX}{job}")
 }
 
 /// The key of a page of a job's tasks.
 pub fn page_key(job: &JobId, page: u32) -> String {
-    format!("{PAGES}{job}/{page}")
+    format!("{PAGE_KEY_PREFIX}{job}/{page}")
 }
 
 /// The job and the page that a key names; `None` if it is not the key of a page.
 pub fn parse_page_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, page) = key.strip_prefix(PAGES)?.rsplit_once('/')?;
+    let (job, page) = key.strip_prefix(PAGE_KEY_PREFIX)?.rsplit_once('/')?;
     Some((job.into(), page.parse().ok()?))
 }
 
-/// A job's own record. `spec` is dropped once the job is over and no task of it is left anywhere.
+/// A job's own record. `spec` is dropped once the job is over and none of its tasks is left on any
+/// machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// How far the job is.
+    /// The job's phase.
     pub phase: Phase,
-    /// The controller that accepted the job. It tries to place it first, and writes the completions
-    /// that other holders forward.
+    /// The controller that accepted the job. It is the first to try to place the job, and writes the
+    /// completions that the holders of other shards forward.
     #[serde(rename = "home")]
     pub owner: ControllerId,
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per page.
-    pub page: u32,
-    /// What the user asked for; `None` once the job is finished.
+    #[serde(rename = "page")]
+    pub page_size: u32,
+    /// The validated submission; `None` once the job is finished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
 
 impl JobRecord {
     /// Number of pages, whether they exist or not.
-    pub fn pages(&self) -> u32 {
-        self.tasks.div_ceil(self.page.max(1))
+    pub fn page_count(&self) -> u32 {
+        self.tasks.div_ceil(self.page_size.max(1))
     }
 
-    /// How many tasks a page holds.
+    /// How many tasks a page holds; zero for a page beyond the last.
     pub fn page_len(&self, page: u32) -> u32 {
-        self.tasks.saturating_sub(page * self.page).min(self.page)
+        self.tasks
+            .saturating_sub(page * self.page_size)
+            .min(self.page_size)
     }
 
     /// The final record of a job that ends in `phase`. It needs no spec.
@@ -72,11 +76,11 @@
 
 /// Most bytes that one placed task takes in a page, besides the names of its machine and zone.
 const MAX_TASK_BYTES: usize = 64;
-/// Bytes that the name of a machine takes.
+/// Bytes that are reserved for the name of a machine.
 const MACHINE_NAME_BYTES: usize = 24;
 /// Maximum number of tasks in a page.
 const MAX_PAGE_TASKS: usize = 128;
-/// The fraction of the largest value that a page may fill.
+/// The fraction of the store's largest value size that a page may fill.
 const MAX_VALUE_FILL: f64 = 0.9;
 
 /// Tasks per page so that a page always fits one value of `value_kb` KiB. `longest_zone`: bytes of the
@@ -88,8 +92,8 @@
 }
 
 /// Neighbouring tasks in the same state, as written in a page. The stored form is
-/// `[{"w":[count, tried]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`.
-
+/// `[{"w":[count, last attempt]}, {"d":count}, {"p":[machine, shard, agent epoch, attempt]}]`, so the
+/// order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 enum Run {
     #[serde(rename = "w")]
@@ -105,11 +109,13 @@
     let mut runs: Vec<Run> = Vec::new();
     for task in tasks {
         match (task, runs.last_mut()) {
-            (Task::Waiting { tried }, Some(Run::Waiting(count, last))) if *last == tried.0 => {
+            (Task::Waiting { last_attempt }, Some(Run::Waiting(count, last)))
+                if *last == last_attempt.0 =>
+            {
                 *count += 1;
             }
             (Task::Done, Some(Run::Done(count))) => *count += 1,
-            (Task::Waiting { tried }, _) => runs.push(Run::Waiting(1, tried.0)),
+            (Task::Waiting { last_attempt }, _) => runs.push(Run::Waiting(1, last_attempt.0)),
             (Task::Done, _) => runs.push(Run::Done(1)),
             (Task::Placed(placement), _) => runs.push(Run::Placed(
                 placement.machine_id.clone(),
@@ -131,10 +137,10 @@
         // A count in a record is not trusted to allocate more than a page.
         let remaining = len.checked_sub(tasks.len())?;
         match run {
-            Run::Waiting(count, tried) => {
-                let tried = Attempt(tried);
+            Run::Waiting(count, last_attempt) => {
+                let last_attempt = Attempt(last_attempt);
                 let count = remaining.min(count as usize);
-                tasks.extend(std::iter::repeat_n(Task::Waiting { tried }, count));
+                tasks.extend(std::iter::repeat_n(Task::Waiting { last_attempt }, count));
             }
             Run::Done(count) => {
                 let count = remaining.min(count as usize);
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -150,7 +150,7 @@
     /// Records that the worker has seen this controller's token, if its last heartbeat shows that.
     pub fn confirm_token(&mut self, token: FencingToken, now: Millis) {
         let confirmed = self.token_confirmed.is_some_and(|(seen, _)| seen == token);
-        if self.worker_token.token() >= token && !confirmed {
+        if self.worker_token.fencing_token() >= token && !confirmed {
             self.token_confirmed = Some((token, now));
         }
     }
@@ -200,7 +200,7 @@
     /// Whether the machine [is schedulable](Self::is_schedulable) and its worker has seen the token.
     #[must_use]
     pub fn is_schedulable_under(&self, token: FencingToken, now: Millis, silence: Millis) -> bool {
-        self.is_schedulable(now, silence) && self.worker_token.token() >= token
+        self.is_schedulable(now, silence) && self.worker_token.fencing_token() >= token
     }
 }
 
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -53,7 +53,7 @@
     stops: &Stops,
     may_be_fetching: impl Fn(&Job) -> bool,
 ) -> Reconciliation {
-    if machine.worker_token.token() < token {
+    if machine.worker_token.fencing_token() < token {
         return Reconciliation::default();
     }
     let mut pass = Pass {
@@ -117,7 +117,7 @@
             self.stop_if_unwanted(job, task, observation);
             return;
         }
-        let change_pending = job.changes.contains_key(&task.index);
+        let change_pending = job.pending_changes.contains_key(&task.index);
         let cause = observation.cause.unwrap_or(ExitCause::Error);
         let start = (task.clone(), attempt);
         if cause == ExitCause::GangTimeout
@@ -206,7 +206,7 @@
                 index: *index,
             };
             let Some(job) = jobs.get(id) else { continue };
-            if current.contains(&task) || job.changes.contains_key(index) {
+            if current.contains(&task) || job.pending_changes.contains_key(index) {
                 continue;
             }
             let Task::Placed(placement) = job.task(*index) else {
@@ -319,7 +319,7 @@
 
 /// Whether a job's tasks should run.
 fn is_wanted(job: &Job) -> bool {
-    job.record.phase == Phase::Active && !job.is_broken_gang()
+    job.record.phase == Phase::Active && !job.is_partially_placed_gang()
 }
 
 /// Whether an exit counts as a failure of the job or the machine.
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -24,12 +24,12 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: 2,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let record = serde_json::to_string(&record).unwrap();
     let (here, other) = (placed("vm-1", "a.0"), placed("vm-2", "a.1"));
-    let tried = Attempt(3);
+    let last_attempt = Attempt(3);
     let task = TaskId {
         job: id.clone(),
         index: 0,
@@ -70,7 +70,7 @@
         ),
         (
             ExitCause::GangTimeout,
-            Task::Waiting { tried },
+            Task::Waiting { last_attempt },
             true,
             false,
             false,
@@ -89,9 +89,9 @@
         let (machine_type, zone) = ("g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         let observation = TaskObservation {
-            attempt: tried,
+            attempt: last_attempt,
             stage: TaskStage::Exited,
             cause: Some(cause),
         };
@@ -100,12 +100,12 @@
             machine
                 .direct
                 .piggybacked_starts
-                .insert((task.clone(), tried));
+                .insert((task.clone(), last_attempt));
         }
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
             may_be_fetching
         });
-        let attempt = tried;
+        let attempt = last_attempt;
         let forget = WorkerCommand::Forget {
             task: task.clone(),
             attempt,
@@ -127,7 +127,7 @@
         phase: Phase::Active,
         owner: "n0".into(),
         tasks: 1,
-        page: 8,
+        page_size: 8,
         spec: Some(spec),
     };
     let mut jobs = JobCache::default();
@@ -162,8 +162,10 @@
         let jobs = jobs_with_one_placement(&id, spec, placement);
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
-        (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(current_epoch), WorkerToken::of(FencingToken(4)));
+        (machine.agent_epoch, machine.worker_token) = (
+            AgentEpoch(current_epoch),
+            WorkerToken::connected(FencingToken(4)),
+        );
         if confirmed {
             machine.reachability.confirm();
         }
@@ -240,7 +242,7 @@
             "n0".into(),
         );
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         send_start(&mut machine, (task.clone(), attempt));
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), released, "{name}");
@@ -280,7 +282,7 @@
         let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
         let mut machine = Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
         (machine.agent_epoch, machine.worker_token) =
-            (AgentEpoch(1), WorkerToken::of(FencingToken(4)));
+            (AgentEpoch(1), WorkerToken::connected(FencingToken(4)));
         let stop = Stop {
             attempt: Attempt(stopped),
             save: false,
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -84,7 +84,7 @@
         phase,
         owner: controller_id("n2"),
         tasks: 300,
-        page: 64,
+        page_size: 64,
         spec,
     }
 }
@@ -98,9 +98,9 @@
     })
 }
 
-fn waiting(tried: u64) -> Task {
+fn waiting(last_attempt: u64) -> Task {
     Task::Waiting {
-        tried: Attempt(tried),
+        last_attempt: Attempt(last_attempt),
     }
 }
 
