--- a/src/controller/placement/single_task.rs
+++ b/src/controller/placement/single_task.rs
@@ -26,12 +26,12 @@
         };
         let gang = job.spec.kind == JobKind::Gang;
         if gang && (job.placed > 0 || !job.changes.is_empty()) {
-            return Err(BTreeSet::from([Check::Attempt]));
+            return Err(BTreeSet::from([Check::EarlierAttempt]));
         }
         let tasks = if gang { job.record.tasks } else { 1 };
         let wanted = job.spec.resources.times(f64::from(tasks));
         if !self.within_team_limits(job, wanted) {
-            return Err(BTreeSet::from([Check::Team]));
+            return Err(BTreeSet::from([Check::TeamQuota]));
         }
         if gang {
             self.place_gang(id)
--- a/src/controller/placement/unplaced.rs
+++ b/src/controller/placement/unplaced.rs
@@ -35,7 +35,7 @@
         let PoppedJob { id, failures } = popped;
         let failures = *failures;
         // More resources do not help a job that has to wait for its team or for its own tasks.
-        let blocked = checks.contains(&Check::Team) || checks.contains(&Check::Attempt);
+        let blocked = checks.contains(&Check::TeamQuota) || checks.contains(&Check::EarlierAttempt);
         tracing::debug!(job = %id, fails = failures, ?checks, "job does not fit own shards");
         let nominated = self
             .scheduler
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -170,13 +170,13 @@
                     && job.spec.resources.fits_in(available)
             }),
             (Check::Zones, ClusterEvent::MachineSchedulable(_)) => true,
-            (Check::Zones | Check::Attempt, ClusterEvent::TaskLeft(left)) => *left == job.id,
-            (Check::Team | Check::ShardQuota, ClusterEvent::TeamUsageReduced(team)) => {
+            (Check::Zones | Check::EarlierAttempt, ClusterEvent::TaskLeft(left)) => *left == job.id,
+            (Check::TeamQuota | Check::ShardQuota, ClusterEvent::TeamUsageReduced(team)) => {
                 self.may_gain_from(team, &job.id)
             }
             (Check::ShardQuota, ClusterEvent::QuotaReallocated) => true,
             (
-                Check::Team | Check::ShardQuota | Check::Resources,
+                Check::TeamQuota | Check::ShardQuota | Check::Resources,
                 ClusterEvent::QuotaTreeReplaced,
             ) => true,
             (Check::Resources | Check::Machine, ClusterEvent::EntitlementRaised(team)) => {
--- a/src/controller/store_sync/apply/tests.rs
+++ b/src/controller/store_sync/apply/tests.rs
@@ -13,8 +13,8 @@
     use crate::queue::Check;
     use crate::types::{AgentEpoch, Attempt, JobId, ShardId};
     for (check, phase) in [
-        (Check::Team, Phase::Done),
-        (Check::Team, Phase::Aborted),
+        (Check::TeamQuota, Phase::Done),
+        (Check::TeamQuota, Phase::Aborted),
         (Check::Resources, Phase::Done),
     ] {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
--- a/src/controller/wait_reason.rs
+++ b/src/controller/wait_reason.rs
@@ -18,6 +18,6 @@
             return Some(WaitReason::Writing);
         }
         let queued = self.scheduler.queue.waits_for(id);
-        queued.or_else(|| (job.placed > 0).then_some(WaitReason::Leaving))
+        queued.or_else(|| (job.placed > 0).then_some(WaitReason::EarlierAttempt))
     }
 }
--- a/src/queue/reason.rs
+++ b/src/queue/reason.rs
@@ -15,11 +15,11 @@
     /// The job wants one zone, or a spread over zones.
     Zones,
     /// The team's quota limit is used up.
-    Team,
+    TeamQuota,
     /// The shard's allocation of the team's quota is used up.
     ShardQuota,
     /// Tasks of an earlier attempt are not proven to have left their machines yet.
-    Attempt,
+    EarlierAttempt,
 }
 
 /// What a job waits for.
@@ -40,7 +40,7 @@
     /// The store: a decision about the job is being written, or its outcome is unknown.
     Writing,
     /// Tasks of an earlier attempt that have to leave their machines first.
-    Leaving,
+    EarlierAttempt,
 }
 
 /// A change in the cluster that may help a parked job.
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -102,8 +102,8 @@
         // rejecting check, check that the event satisfies, time of the event, when active
         (Check::Resources, Check::Resources, 500, Some(1_200)),
         (Check::Resources, Check::Resources, 5_000, Some(5_000)),
-        (Check::Resources, Check::Team, 5_000, None),
-        (Check::Team, Check::Team, 5_000, Some(5_000)),
+        (Check::Resources, Check::TeamQuota, 5_000, None),
+        (Check::TeamQuota, Check::TeamQuota, 5_000, Some(5_000)),
     ];
     for (rejected, satisfied, at, active) in cases {
         let (mut queue, mut rng) = queue();
