--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use jaspertiller::lease::{LEADER, LeaderRecord};
+use jaspertiller::lease::{LEADER_KEY, LeaderRecord};
 use jaspertiller::types::{JobId, Zone};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -207,7 +207,7 @@
     /// The index of the leader, as the store has it.
     fn leader(&self) -> Option<usize> {
         let region = self.shared.lock();
-        let (text, _, _) = region.store.get(LEADER)?;
+        let (text, _, _) = region.store.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_str(text).ok()?;
         record.leader.as_str().strip_prefix('n')?.parse().ok()
     }
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -6,7 +6,7 @@
 
 use super::{CallPurpose, Controller, Effect};
 use crate::admission::shared::{AdmissionReport, PLAN_KEY, WriteAdmission};
-use crate::lease::{LEADER, OwnLease, controller_key};
+use crate::lease::{LEADER_KEY, OwnLease, controller_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{ControllerId, Revision};
 
@@ -84,7 +84,7 @@
         let Some(plan) = next else { return };
         tracing::debug!(shares = ?plan.shares, "admission plan updated");
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), leader_revision);
+        txn.require(LEADER_KEY.into(), leader_revision);
         txn.require(PLAN_KEY.into(), admission.version);
         // A controller that returns in the meantime may follow a plan that includes it.
         for controller in controllers
--- a/src/controller/autoscaling/cloud_replies.rs
+++ b/src/controller/autoscaling/cloud_replies.rs
@@ -6,7 +6,7 @@
     CloudCall, CloudResponse, ListedMachine, MACHINE_TYPES_KEY, MachineStage, MachineTypeSpec,
     Offer, RentedMachine,
 };
-use crate::lease::LEADER;
+use crate::lease::LEADER_KEY;
 use crate::store::{CallClass, Transaction};
 use crate::types::{MachineId, Millis};
 
@@ -145,7 +145,7 @@
         }
         let mut txn = Transaction::default();
         // If it is applied late, it must not overwrite what a later leader has written.
-        txn.require(LEADER.into(), term);
+        txn.require(LEADER_KEY.into(), term);
         txn.put(MACHINE_TYPES_KEY.into(), type_specs);
         self.transact(CallClass::Background, txn, CallPurpose::NoFollowUp);
     }
--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -7,7 +7,7 @@
 use crate::jobs::Phase;
 use crate::jobs::cache::{CommitState, Job};
 use crate::jobs::record::{job_key, page_key};
-use crate::lease::LEADER;
+use crate::lease::LEADER_KEY;
 use crate::store::{CallClass, Transaction};
 use crate::types::JobId;
 
@@ -70,7 +70,7 @@
             return;
         };
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), leader_revision);
+        txn.require(LEADER_KEY.into(), leader_revision);
         for (id, page) in self.jobs.leftovers().take(max_ops) {
             txn.delete(page_key(id, *page));
         }
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -25,7 +25,7 @@
         }
         let held_token = |index| {
             let shard = &job.task(index).placement()?.shard;
-            self.membership.leases.holds(shard, &self.me)
+            self.membership.leases.held_token(shard, &self.me)
         };
         self.commits
             .completions
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -28,7 +28,7 @@
 use crate::jobs::cache::{CommitState, Job};
 use crate::jobs::completion_forwarding::CompletionForwarder;
 use crate::jobs::record::{encode_page, job_key, page_key};
-use crate::lease::{LEADER, shard_key};
+use crate::lease::{LEADER_KEY, shard_key};
 use crate::quota;
 use crate::settings::{Settings, TeamSettings};
 use crate::store::{CallClass, Transaction};
@@ -189,7 +189,7 @@
         // In shards of other holders a leader places tasks by its view of all shards. Applied after
         // its term, such a placement would add to what its successor has allocated in the meantime.
         if let Some(leader_revision) = self.leading().filter(|_| placements.in_other_shards > 0) {
-            txn.require(LEADER.into(), leader_revision);
+            txn.require(LEADER_KEY.into(), leader_revision);
         }
         for page in planned.pages.keys() {
             txn.require(page_key(&job.id, *page), job.page_version(*page));
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -165,7 +165,7 @@
                 continue;
             };
             if let Some((shard, _)) = allowed.shard_token.as_ref().filter(|_| is_placement) {
-                let held = self.membership.leases.holds(shard, &self.me).is_some();
+                let held = self.membership.leases.held_token(shard, &self.me).is_some();
                 planned.placements.in_other_shards += u32::from(!held);
             }
             planned.placements.planned += u32::from(is_placement);
@@ -211,7 +211,10 @@
         if !has_room {
             return None;
         }
-        let held = self.membership.leases.holds(&placement.shard, &self.me);
+        let held = self
+            .membership
+            .leases
+            .held_token(&placement.shard, &self.me);
         let token = held.or_else(|| {
             self.leading()?;
             self.known_token(&placement.shard)
--- a/src/controller/failure_attribution.rs
+++ b/src/controller/failure_attribution.rs
@@ -55,7 +55,7 @@
         let Some(machine) = self
             .machines
             .get_mut(machine_id)
-            .filter(|machine| leases.holds(&machine.shard, me).is_some())
+            .filter(|machine| leases.held_token(&machine.shard, me).is_some())
         else {
             return;
         };
@@ -74,7 +74,7 @@
         let (jobs, crash_loops) = (&self.jobs, &self.scheduler.crash_loops);
         for (machine_id, machine) in &mut self.machines {
             if !machine.failure_streaks.contains_key(id)
-                || leases.holds(&machine.shard, me).is_none()
+                || leases.held_token(&machine.shard, me).is_none()
             {
                 continue;
             }
--- a/src/controller/hierarchical_quota/excess.rs
+++ b/src/controller/hierarchical_quota/excess.rs
@@ -103,7 +103,7 @@
     fn held_shards_of(&self, team: &TeamSettings) -> Vec<ShardId> {
         self.jobs
             .shards_of(&team.name)
-            .filter(|shard| self.membership.leases.holds(shard, &self.me).is_some())
+            .filter(|shard| self.membership.leases.held_token(shard, &self.me).is_some())
             .cloned()
             .collect()
     }
--- a/src/controller/hierarchical_quota/tests.rs
+++ b/src/controller/hierarchical_quota/tests.rs
@@ -4,7 +4,7 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{Placement, Task};
-use crate::lease::LEADER;
+use crate::lease::LEADER_KEY;
 use crate::quota::hierarchical::{HierarchicalQuota, PendingTreeWrite, TREE_HEAD_KEY};
 use crate::settings::TeamSettings;
 use crate::store::{StoreCall, Transaction};
@@ -32,7 +32,11 @@
     let file = TreeSpec::parse("f", &text).unwrap();
     controller.quota.hierarchy =
         HierarchicalQuota::new(std::slice::from_ref(&team), Some(&file), 8.0);
-    controller.apply(LEADER, Some(r#"{"leader":"n0","permit":1}"#), Revision(9));
+    controller.apply(
+        LEADER_KEY,
+        Some(r#"{"leader":"n0","permit":1}"#),
+        Revision(9),
+    );
     let mut revision = 9;
     loop {
         let changes = match controller.quota.hierarchy.pending_write(1) {
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -9,7 +9,9 @@
 use rustc_hash::{FxHashMap as HashMap, FxHashSet as HashSet};
 
 use super::{CallPurpose, Controller};
-use crate::lease::{self, ControllerRecord, LEADER, LeaderRecord, LeaseChange, Leases, OwnLease};
+use crate::lease::{
+    self, ControllerRecord, LEADER_KEY, LeaderRecord, LeaseChange, Leases, OwnLease,
+};
 use crate::store::{CallClass, StoreCall, StoreResponse, Transaction};
 use crate::types::{ControllerId, FencingToken, LeaseId, Millis, Revision, ShardId};
 
@@ -169,8 +171,8 @@
                 lease_id,
             };
             let mut txn = Transaction::default();
-            txn.require(LEADER.into(), Revision(0));
-            txn.put_leased(LEADER.into(), &record, lease_id);
+            txn.require(LEADER_KEY.into(), Revision(0));
+            txn.put_leased(LEADER_KEY.into(), &record, lease_id);
             self.transact(CallClass::Leases, txn, CallPurpose::Lead);
         }
         if let Some(version) = self.leading() {
@@ -199,7 +201,7 @@
             }
             (StoreResponse::LeaseExpired, _) => {
                 tracing::info!("lease expired");
-                self.membership.leases.lose(&self.me);
+                self.membership.leases.drop_own_lease(&self.me);
             }
             // Perhaps an outage of the store, in which leases do not expire.
             _ => self.membership.leases.renewal_base = self.now - FAILED_RENEWAL_ADVANCE,
@@ -229,7 +231,7 @@
     /// Drops our lease if the answer shows that it has ended.
     fn lose_lease_if_ended(&mut self, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::LeaseExpired) {
-            self.membership.leases.lose(&self.me);
+            self.membership.leases.drop_own_lease(&self.me);
         }
     }
 
@@ -287,12 +289,12 @@
 
     /// The fencing token of a shard that this controller holds.
     pub(super) fn token_for(&self, shard: &ShardId) -> Option<FencingToken> {
-        self.membership.leases.holds(shard, &self.me)
+        self.membership.leases.held_token(shard, &self.me)
     }
 
     /// The revision at which this controller took the leadership, if it believes that it leads.
     pub(super) fn leading(&self) -> Option<Revision> {
-        self.membership.leases.leads(&self.me)
+        self.membership.leases.leadership_revision(&self.me)
     }
 
     /// The leader, as far as this controller knows.
--- a/src/controller/membership/shard_assignment.rs
+++ b/src/controller/membership/shard_assignment.rs
@@ -3,7 +3,7 @@
 
 use super::super::{CallPurpose, Controller};
 use super::MembershipStep;
-use crate::lease::{self, LEADER, ShardRecord};
+use crate::lease::{self, LEADER_KEY, ShardRecord};
 use crate::store::{CallClass, Transaction};
 use crate::types::{ControllerId, LeaseId, Revision, ShardId};
 
@@ -54,7 +54,7 @@
         let shards_per_zone = self.settings.operator.shards_per_zone;
         let controllers = &self.membership.leases.controllers;
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), lead);
+        txn.require(LEADER_KEY.into(), lead);
         for (shard, holder) in lease::desired_assignment(zones, shards_per_zone, controllers) {
             if txn.changes.len() >= self.settings.deployment.state.txn_ops {
                 break;
--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -98,7 +98,7 @@
                 from.clone(),
             )
         });
-        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        let token = self.membership.leases.held_token(&machine.shard, &self.me);
         if token.is_some() {
             return;
         }
@@ -130,7 +130,7 @@
             self.contact.relayed_heartbeats.insert(machine_id, heard);
             return None;
         };
-        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        let token = self.membership.leases.held_token(&machine.shard, &self.me);
         if token.is_some() {
             return None;
         }
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -116,7 +116,7 @@
         let leases = &self.membership.leases;
         let mut views = Vec::new();
         for machine in self.machines.values() {
-            let token = leases.holds(&machine.shard, &self.me);
+            let token = leases.held_token(&machine.shard, &self.me);
             if token == Some(machine.worker_token.token())
                 && self.peers.is_description_due(machine, round)
             {
--- a/src/controller/quota_allocation/admission.rs
+++ b/src/controller/quota_allocation/admission.rs
@@ -43,7 +43,7 @@
                     .plus(job.spec.resources);
                 let allocated = self.quota.allocations.allocation(shard, &team.name);
                 // The leader places in another controller's shard only by raising its allocation.
-                let held_here = self.membership.leases.holds(shard, &self.me).is_some();
+                let held_here = self.membership.leases.held_token(shard, &self.me).is_some();
                 let usable = (held_here || raise.is_none()) && self.knows_all_placements(shard);
                 usable && quota::within_allocation(used, allocated, team)
             };
@@ -122,7 +122,7 @@
 
     /// Whether this controller holds a shard and knows all placements there.
     fn ownership(&self, shard: &ShardId) -> ShardOwnership {
-        if self.membership.leases.holds(shard, &self.me).is_some()
+        if self.membership.leases.held_token(shard, &self.me).is_some()
             && self.knows_all_placements(shard)
         {
             ShardOwnership::Local
--- a/src/controller/quota_allocation/reallocation.rs
+++ b/src/controller/quota_allocation/reallocation.rs
@@ -82,7 +82,7 @@
         records: BTreeMap<ShardId, AllocationRecord>,
     ) -> Transaction {
         let mut txn = Transaction::default();
-        txn.require(crate::lease::LEADER.into(), leader_version);
+        txn.require(crate::lease::LEADER_KEY.into(), leader_version);
         // Allocations computed by another tree might exceed the limits of the active one.
         self.require_tree(&mut txn);
         for (shard, record) in records {
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -4,7 +4,7 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{JobKind, Placement, Task};
-use crate::lease::LEADER;
+use crate::lease::LEADER_KEY;
 use crate::quota::allocation_key;
 use crate::settings::tests::settings;
 use crate::store::{Mutation as Write, StoreCall, StoreResponse, Transaction};
@@ -24,7 +24,7 @@
     spec.resources.gpus = gpus;
     let (mut controller, id) = controller_with(&settings, spec, tasks);
     let lead = r#"{"leader":"n0","permit":1}"#;
-    controller.apply(LEADER, Some(lead), Revision(9));
+    controller.apply(LEADER_KEY, Some(lead), Revision(9));
     controller.store_sync.applied = Revision(50);
     controller.effects.clear();
     (controller, id)
@@ -137,7 +137,7 @@
             _ => None,
         });
         let conditions = conditions.expect("it is written");
-        let rests = conditions.contains(&(LEADER.to_string(), Revision(9)));
+        let rests = conditions.contains(&(LEADER_KEY.to_string(), Revision(9)));
         assert_eq!(rests, required, "held by {holder}: {conditions:?}");
     }
 }
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -79,7 +79,7 @@
         // Reservations are dropped too, so transactions in flight must fail: they are conditioned
         // on the shards' fencing tokens, which end with the lease.
         self.membership.old_lease_ended = false;
-        self.membership.leases.lose(&self.me);
+        self.membership.leases.drop_own_lease(&self.me);
         self.jobs = JobCache::default();
         self.scheduler.candidates = Candidates::default();
         self.membership.leases.controllers.clear();
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -64,7 +64,7 @@
         if let Some(duration) = self.partition.mode.leave(self.now) {
             tracing::info!(kept_s = duration.secs(), "partition mode left");
             self.membership.old_lease_ended = false;
-            self.membership.leases.lose(&self.me);
+            self.membership.leases.drop_own_lease(&self.me);
         }
     }
 
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -13,7 +13,7 @@
 /// The prefix of controllers' records; the controller's label follows.
 pub const CONTROLLER_PREFIX: &str = "jt/node/";
 /// The key of the leader's record.
-pub const LEADER: &str = "jt/lead";
+pub const LEADER_KEY: &str = "jt/lead";
 /// The prefix of shards' records; the shard follows.
 pub const SHARD_PREFIX: &str = "jt/block/";
 
@@ -165,14 +165,14 @@
 
     /// The fencing token of a shard, if `me` holds it.
     #[must_use]
-    pub fn holds(&self, shard: &ShardId, me: &ControllerId) -> Option<FencingToken> {
+    pub fn held_token(&self, shard: &ShardId, me: &ControllerId) -> Option<FencingToken> {
         let (holder, token) = self.shards.get(shard)?;
         (holder == me).then_some(*token)
     }
 
     /// The revision at which `me` took the leadership, if it leads.
     #[must_use]
-    pub fn leads(&self, me: &ControllerId) -> Option<Revision> {
+    pub fn leadership_revision(&self, me: &ControllerId) -> Option<Revision> {
         let (leader, version) = self.leader.as_ref()?;
         (leader == me).then_some(*version)
     }
@@ -196,7 +196,7 @@
 
     /// Our lease has expired, and with it our leadership and our shards. The watch may report that later: without
     /// this, a leader that is back from a partition would lead again under its old record and a new lease.
-    pub fn lose(&mut self, me: &ControllerId) {
+    pub fn drop_own_lease(&mut self, me: &ControllerId) {
         self.own = OwnLease::None;
         self.leader.take_if(|(leader, _)| leader == me);
         self.shards.retain(|_, (holder, _)| holder != me);
@@ -211,7 +211,7 @@
         data: Option<&str>,
         version: Revision,
     ) -> Option<LeaseChange> {
-        if key == LEADER {
+        if key == LEADER_KEY {
             return self.apply_leader(me, data, version);
         }
         if let Some(label) = key.strip_prefix(CONTROLLER_PREFIX) {
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -105,9 +105,12 @@
         ShardId::parse("a.0").unwrap(),
         ShardId::parse("a.1").unwrap(),
     );
-    leases.lose(&n0);
-    assert_eq!((leases.leads(&n0), leases.holds(&a0, &n0)), (None, None));
-    assert_eq!(leases.holds(&a1, &n1), Some(FencingToken(5)));
+    leases.drop_own_lease(&n0);
+    assert_eq!(
+        (leases.leadership_revision(&n0), leases.held_token(&a0, &n0)),
+        (None, None)
+    );
+    assert_eq!(leases.held_token(&a1, &n1), Some(FencingToken(5)));
     assert_eq!(leases.own, OwnLease::None);
     // Later records of other controllers are applied as before.
     leases.apply(
@@ -116,9 +119,9 @@
         Some(r#"{"leader":"n1","permit":8}"#),
         Revision(8),
     );
-    assert_eq!(leases.leads(&n1), Some(Revision(8)));
-    leases.lose(&n0);
-    assert_eq!(leases.leads(&n1), Some(Revision(8)));
+    assert_eq!(leases.leadership_revision(&n1), Some(Revision(8)));
+    leases.drop_own_lease(&n0);
+    assert_eq!(leases.leadership_revision(&n1), Some(Revision(8)));
 }
 
 #[test]
@@ -167,11 +170,11 @@
         }
         let lead = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
         let held = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
-        leases.apply(&me, LEADER, Some(&lead), Revision(3));
+        leases.apply(&me, LEADER_KEY, Some(&lead), Revision(3));
         leases.apply(&me, &shard_key(&shard), Some(&held), Revision(4));
         let case = format!("{own:?}, {holder} under {lease_id}");
-        assert_eq!(leases.leads(&me).is_some(), ours, "{case}");
-        assert_eq!(leases.holds(&shard, &me).is_some(), ours, "{case}");
+        assert_eq!(leases.leadership_revision(&me).is_some(), ours, "{case}");
+        assert_eq!(leases.held_token(&shard, &me).is_some(), ours, "{case}");
         assert_eq!(leases.leader.is_some(), known, "{case}");
         assert_eq!(leases.shards.contains_key(&shard), known, "{case}");
     }
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -10,7 +10,7 @@
 };
 use jaspertiller::jobs::{JobKind, JobSpec, Phase, Placement, PriorityClass, Task};
 use jaspertiller::lease::{
-    ControllerRecord, LEADER, LeaderRecord, Leases, ShardRecord, controller_key, shard_key,
+    ControllerRecord, LEADER_KEY, LeaderRecord, Leases, ShardRecord, controller_key, shard_key,
 };
 use jaspertiller::quota::hierarchical::{
     HierarchicalQuota, PendingTreeWrite, TREE_HEAD_KEY, TreeStatus, group_name,
@@ -162,7 +162,7 @@
         ("task-page-first", page_key(&job, 0)),
         ("task-page", page_key(&job, 17)),
         ("controller", controller_key(&controller_id("n2"))),
-        ("leader", LEADER.to_string()),
+        ("leader", LEADER_KEY.to_string()),
         ("block", shard_key(&shard("a.1"))),
         ("share", allocation_key(&shard("a.1"))),
         ("admission-plan", PLAN_KEY.to_string()),
@@ -291,7 +291,7 @@
     let expected = Some((controller_id("n2"), Revision(32)));
     fixtures.check("leader", "is seen", seen.leader.clone(), expected);
     let token = seen
-        .holds(&shard("a.1"), &controller_id("n2"))
+        .held_token(&shard("a.1"), &controller_id("n2"))
         .map(|token| token.0);
     fixtures.check("block", "fencing token", token, Some(33));
     fixtures.finish();
