--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -153,7 +153,7 @@
     }
 
     /// The jobs that wait to have placements written.
-    pub fn placing(&self) -> Vec<JobId> {
+    pub fn jobs_in_placements_lane(&self) -> Vec<JobId> {
         let classes = self.lanes[Lane::Placements as usize].classes.values();
         classes.flatten().map(|(_, id)| id.clone()).collect()
     }
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -46,7 +46,7 @@
     /// When this controller last wrote a plan.
     planned_at: Millis,
     /// The rate that the write budget was last set to, in changes a second.
-    pub allowed: Rate,
+    pub allowed_rate: Rate,
 }
 
 impl WriteAdmission {
@@ -84,13 +84,13 @@
     }
 
     /// The part of the store's write limit that plans divide, in changes a second.
-    pub fn limit(write_rps: f64) -> Rate {
+    pub fn limit_for_plans(write_rps: f64) -> Rate {
         write_rps * (1.0 - LEASE_RESERVE)
     }
 
     /// The plan to be written now, if it differs enough from the present one. `has_lease`: whether a
     /// controller has a lease.
-    pub fn next(
+    pub fn next_plan(
         &self,
         limit: Rate,
         controllers: impl Iterator<Item = ControllerId>,
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -13,7 +13,7 @@
 impl Controller {
     /// Follows the newest plan, reports the demand, and writes the next plan if this controller leads.
     pub(super) fn update_admission_plan(&mut self) {
-        let limit = WriteAdmission::limit(self.settings.deployment.state.write_rps);
+        let limit = WriteAdmission::limit_for_plans(self.settings.deployment.state.write_rps);
         self.follow_admission_plan(limit);
         let report = self.admission_report();
         self.commits
@@ -29,8 +29,8 @@
         let is_member = self.obeys_plan();
         let plan = &self.commits.admission.plan;
         let allowed = plan.allowance(self.me.as_str(), is_member, base);
-        if allowed != self.commits.admission.allowed {
-            self.commits.admission.allowed = allowed;
+        if allowed != self.commits.admission.allowed_rate {
+            self.commits.admission.allowed_rate = allowed;
             self.effects.push(Effect::Allow { writes: allowed });
         }
     }
@@ -80,7 +80,7 @@
         let has_lease =
             |controller: &ControllerId| self.membership.leases.controllers.contains_key(controller);
         let admission = &self.commits.admission;
-        let next = admission.next(limit, controllers.iter().cloned(), has_lease, self.now);
+        let next = admission.next_plan(limit, controllers.iter().cloned(), has_lease, self.now);
         let Some(plan) = next else { return };
         tracing::debug!(shares = ?plan.shares, "admission plan updated");
         let mut txn = Transaction::default();
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -88,7 +88,7 @@
     /// are conditioned on versions that become outdated, so only a fraction of a second's worth is
     /// sent ahead.
     fn in_flight_limit(&self) -> usize {
-        let limit = (self.admission.allowed * IN_FLIGHT_S).ceil() as usize;
+        let limit = (self.admission.allowed_rate * IN_FLIGHT_S).ceil() as usize;
         limit.clamp(1, MAX_IN_FLIGHT)
     }
 }
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -145,7 +145,7 @@
     /// write. They also take resources, so a job that ranks below the first active one is left out.
     fn extend_pending_placements(&mut self, budget: &mut CycleBudget) {
         let first_rank = self.scheduler.queue.first_key().map(|key| key.rank());
-        for id in self.commits.backlog.placing() {
+        for id in self.commits.backlog.jobs_in_placements_lane() {
             if self.rank(&id) > first_rank {
                 continue;
             }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -87,7 +87,7 @@
             class: self.commits.flows.of(spec).class,
             urgency,
             pending,
-            allowed: self.commits.admission.allowed,
+            allowed: self.commits.admission.allowed_rate,
             now_s: self.now.secs(),
             jitter: self.rng.random(),
         };
