--- a/src/controller/candidates/choose.rs
+++ b/src/controller/candidates/choose.rs
@@ -8,7 +8,7 @@
 
 use super::{MachineQuery, MachineScope};
 use crate::controller::Controller;
-use crate::cycle::index::{Group, ImageFilter, MachineClass};
+use crate::cycle::index::{ImageFilter, MachineClass, MachineGroup};
 use crate::cycle::{self, Candidate, Choice, PlacementRequest};
 use crate::fleet::fetch_rate;
 use crate::jobs::cache::Job;
@@ -81,14 +81,14 @@
         request: &PlacementRequest,
         query: MachineQuery,
         choice: &mut Choice,
-    ) -> Vec<&Group> {
+    ) -> Vec<&MachineGroup> {
         let (spec, resources) = (&request.job.spec, request.job.spec.resources);
         let candidates = &self.scheduler.candidates;
         let mut open = Vec::new();
         for group in candidates.groups(spec, query.scope, query.zone) {
             let fits_when_empty = resources.fits_in(self.capacity_of_type(&group.machine_type));
             if fits_when_empty && candidates.index.any_too_full(group, resources) {
-                choice.reject(Check::Resources);
+                choice.record_rejection(Check::Resources);
             }
             let Some(check) = request.shard_rejection(&group.shard) else {
                 open.push(group);
@@ -96,7 +96,7 @@
             };
             let mut fitting = candidates.index.fitting(ImageFilter::Any, group, resources);
             if fitting.next().is_some() {
-                choice.reject(check);
+                choice.record_rejection(check);
             }
         }
         open
@@ -108,7 +108,7 @@
     fn visit<'a>(
         &'a self,
         image_filter: ImageFilter,
-        group: &'a Group,
+        group: &'a MachineGroup,
         job: &Job,
         max_feasible: usize,
         mut is_feasible: impl FnMut(Candidate<'a>) -> bool,
@@ -183,7 +183,11 @@
     }
 
     /// The same for a gang, over the machines of `groups`.
-    fn has_cached_gang_capacity(&self, request: &PlacementRequest, groups: &[&Group]) -> bool {
+    fn has_cached_gang_capacity(
+        &self,
+        request: &PlacementRequest,
+        groups: &[&MachineGroup],
+    ) -> bool {
         let job = request.job;
         let image_filter = ImageFilter::Image(&job.spec.image);
         let index = &self.scheduler.candidates.index;
--- a/src/controller/candidates/mod.rs
+++ b/src/controller/candidates/mod.rs
@@ -8,7 +8,7 @@
 mod eligibility;
 mod refresh;
 
-use crate::cycle::index::{CapacityIndex, Group};
+use crate::cycle::index::{CapacityIndex, MachineGroup};
 use crate::jobs::JobSpec;
 use crate::types::{MachineId, Millis, Zone};
 
@@ -66,13 +66,13 @@
         spec: &JobSpec,
         scope: MachineScope,
         zone: Option<&Zone>,
-    ) -> Vec<&Group> {
-        let in_scope = |group: &&Group| match scope {
+    ) -> Vec<&MachineGroup> {
+        let in_scope = |group: &&MachineGroup| match scope {
             MachineScope::Own => group.own,
             MachineScope::Others => !group.own,
             MachineScope::All => true,
         };
-        let allowed = |group: &&Group| {
+        let allowed = |group: &&MachineGroup| {
             zone.is_none_or(|zone| group.zone() == zone)
                 && spec.allows(&group.machine_type, group.zone(), group.spot)
         };
--- a/src/controller/candidates/refresh.rs
+++ b/src/controller/candidates/refresh.rs
@@ -4,7 +4,7 @@
 //! it, since the passage of time alone changes which machines are schedulable.
 
 use crate::controller::Controller;
-use crate::cycle::index::{CapacityLevel, Entry, Group};
+use crate::cycle::index::{CapacityLevel, IndexEntry, MachineGroup};
 use crate::types::{Image, MachineId, Millis};
 use crate::workers::Machine;
 
@@ -52,15 +52,15 @@
     }
 
     /// A machine's entry in the index; `None` if it is not schedulable.
-    fn index_entry(&self, machine: &Machine) -> Option<Entry> {
+    fn index_entry(&self, machine: &Machine) -> Option<IndexEntry> {
         let own = self.is_schedulable_by_us(machine);
         if !own && !self.is_schedulable_by_peer(machine) {
             return None;
         }
         let mut images: Vec<Image> = machine.images.keys().cloned().collect();
         images.sort();
-        Some(Entry {
-            group: Group {
+        Some(IndexEntry {
+            group: MachineGroup {
                 own,
                 shard: machine.shard.clone(),
                 machine_type: machine.machine_type.clone(),
@@ -163,7 +163,7 @@
     fn entry_difference(
         &self,
         machine_id: &MachineId,
-        entered: &Entry,
+        entered: &IndexEntry,
         swept: bool,
     ) -> Option<String> {
         let machine = self.machines.get(machine_id);
--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::controller::candidates::MachineScope;
 use crate::cycle::PlacementRequest;
-use crate::cycle::index::{Group, ImageFilter};
+use crate::cycle::index::{ImageFilter, MachineGroup};
 use crate::fleet::fetch_rate;
 use crate::jobs::cache::Job;
 use crate::preempt::{self, PreemptionSite, Victim};
@@ -96,7 +96,11 @@
 
     /// Sites of one group: machines with the job's image that have the resources available, other
     /// machines that have them, and full ones where enough tasks can be stopped.
-    pub(super) fn sites_of_group(&self, search: &SiteSearch, group: &Group) -> Vec<PreemptionSite> {
+    pub(super) fn sites_of_group(
+        &self,
+        search: &SiteSearch,
+        group: &MachineGroup,
+    ) -> Vec<PreemptionSite> {
         let mut found = SitesByMachine::default();
         self.add_sites_with_room(search, group, &mut found);
         self.add_full_sites(search, group, &mut found);
@@ -107,7 +111,7 @@
     fn add_sites_with_room<'a>(
         &'a self,
         search: &SiteSearch,
-        group: &'a Group,
+        group: &'a MachineGroup,
         found: &mut SitesByMachine<'a>,
     ) {
         let spec = &search.preemptor.job.spec;
@@ -131,7 +135,7 @@
     fn add_full_sites<'a>(
         &'a self,
         search: &SiteSearch,
-        group: &'a Group,
+        group: &'a MachineGroup,
         found: &mut SitesByMachine<'a>,
     ) {
         let spec = &search.preemptor.job.spec;
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -20,7 +20,7 @@
 /// Machines that a job either all allows or all excludes. The order of the fields is the order
 /// in which groups are visited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Group {
+pub struct MachineGroup {
     /// This controller holds the shard.
     pub own: bool,
     /// The shard of the machines.
@@ -31,7 +31,7 @@
     pub spot: bool,
 }
 
-impl Group {
+impl MachineGroup {
     /// The zone of the machines.
     pub fn zone(&self) -> &Zone {
         &self.shard.zone
@@ -40,9 +40,9 @@
 
 /// A machine's entry in the index.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct IndexEntry {
     /// The group that the machine belongs to.
-    pub group: Group,
+    pub group: MachineGroup,
     /// What was available when it was entered.
     pub level: CapacityLevel,
     /// The images in its cache, sorted.
@@ -50,12 +50,12 @@
 }
 
 /// Machines by group and level.
-type MachinesByClass = BTreeMap<Group, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
+type MachinesByClass = BTreeMap<MachineGroup, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
 
 fn insert_machine(
     by_class: &mut MachinesByClass,
     machine_id: &MachineId,
-    group: &Group,
+    group: &MachineGroup,
     level: CapacityLevel,
 ) {
     if !by_class.contains_key(group) {
@@ -69,7 +69,7 @@
 fn remove_machine(
     by_class: &mut MachinesByClass,
     machine_id: &MachineId,
-    group: &Group,
+    group: &MachineGroup,
     level: CapacityLevel,
 ) {
     let Some(levels) = by_class.get_mut(group) else {
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MachineClass<'a> {
     /// The group of the machines.
-    pub group: &'a Group,
+    pub group: &'a MachineGroup,
     /// Their level.
     pub level: CapacityLevel,
     /// The machines, by id.
@@ -109,7 +109,7 @@
 /// The index of available capacity.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
-    entries: HashMap<MachineId, Entry>,
+    entries: HashMap<MachineId, IndexEntry>,
     all: MachinesByClass,
     by_image: HashMap<Image, MachinesByClass>,
 }
@@ -131,7 +131,7 @@
     }
 
     /// All entries, in no particular order.
-    pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &IndexEntry)> {
         self.entries.iter()
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Enters a machine, or replaces its entry.
-    pub fn update(&mut self, machine_id: &MachineId, entry: Entry) {
+    pub fn update(&mut self, machine_id: &MachineId, entry: IndexEntry) {
         if self.entries.get(machine_id) == Some(&entry) {
             return;
         }
@@ -193,7 +193,7 @@
     }
 
     /// The groups that have machines, in their order.
-    pub fn groups(&self) -> impl Iterator<Item = &Group> {
+    pub fn groups(&self) -> impl Iterator<Item = &MachineGroup> {
         self.all.keys()
     }
 
@@ -201,7 +201,7 @@
     pub fn fitting<'a>(
         &'a self,
         image_filter: ImageFilter,
-        group: &'a Group,
+        group: &'a MachineGroup,
         resources: Resources,
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let by_class = self.machines_by_class(image_filter);
@@ -222,7 +222,7 @@
     }
 
     /// Whether a group has a machine on which these resources are not available.
-    pub fn any_too_full(&self, group: &Group, resources: Resources) -> bool {
+    pub fn any_too_full(&self, group: &MachineGroup, resources: Resources) -> bool {
         let levels = self.all.get(group);
         let mut levels = levels.into_iter().flat_map(|levels| levels.keys());
         levels.any(|level| !resources.fits_in(level.available()))
@@ -232,7 +232,7 @@
     /// first.
     pub fn too_full<'a>(
         &'a self,
-        group: &'a Group,
+        group: &'a MachineGroup,
         resources: Resources,
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.all.get(group).into_iter();
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -11,12 +11,12 @@
     }
 }
 
-fn entry(rng: &mut SmallRng) -> Entry {
+fn entry(rng: &mut SmallRng) -> IndexEntry {
     let zone = Zone::from(["a", "b"][rng.random_range(0..2)]);
     let images = (0..4).filter(|_| rng.random_bool(0.4));
     let images = images.map(|i| Image::from(format!("img-{i}"))).collect();
-    Entry {
-        group: Group {
+    IndexEntry {
+        group: MachineGroup {
             own: rng.random_bool(0.5),
             shard: ShardId {
                 zone,
@@ -40,7 +40,7 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = CapacityIndex::default();
-        let mut all: BTreeMap<MachineId, Entry> = BTreeMap::new();
+        let mut all: BTreeMap<MachineId, IndexEntry> = BTreeMap::new();
         for _ in 0..400 {
             let machine_id = MachineId::from(format!("vm-{}", rng.random_range(0..60)));
             if rng.random_bool(0.3) {
@@ -53,8 +53,8 @@
             }
         }
         assert_eq!(index.len(), all.len());
-        let groups: BTreeSet<&Group> = index.groups().collect();
-        let expected: BTreeSet<&Group> = all.values().map(|entry| &entry.group).collect();
+        let groups: BTreeSet<&MachineGroup> = index.groups().collect();
+        let expected: BTreeSet<&MachineGroup> = all.values().map(|entry| &entry.group).collect();
         assert_eq!(groups, expected);
         for group in groups {
             for wanted in [
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -182,7 +182,7 @@
 
 impl<'a> Choice<'a> {
     /// Notes that a check rejected machines.
-    pub fn reject(&mut self, check: Check) {
+    pub fn record_rejection(&mut self, check: Check) {
         self.rejected_by.insert(check);
     }
 
@@ -190,7 +190,7 @@
     /// scores the one with the least id is chosen.
     pub fn consider(&mut self, request: &PlacementRequest, candidate: &Candidate<'a>) -> bool {
         if let Some(check) = filter(request, candidate) {
-            self.reject(check);
+            self.record_rejection(check);
             return false;
         }
         let (job, machine) = (request.job, candidate.machine);
