--- a/src/controller/preemption/sites.rs
+++ b/src/controller/preemption/sites.rs
@@ -198,13 +198,13 @@
             index,
         };
         let victim: &Job = self.jobs.get(id)?;
-        let leaving = self.scheduler.stops.contains_key(&task) || !victim.is_active();
-        let grounds = if leaving || victim.is_gang_of_several() {
+        let already_stopping = self.scheduler.stops.contains_key(&task) || !victim.is_active();
+        let grounds = if already_stopping || victim.is_gang_of_several() {
             Preemptibility::default()
         } else {
             self.preemptibility(preemptor, victim)
         };
-        if !leaving && !grounds.unconditional && !grounds.by_quota_tree {
+        if !already_stopping && !grounds.unconditional && !grounds.by_quota_tree {
             return None;
         }
         Some(Victim {
@@ -212,7 +212,7 @@
             resources: victim.spec.resources,
             priority: victim.spec.priority,
             waste_s: self.wasted_machine_s(victim),
-            leaving,
+            already_stopping,
             unconditional: grounds.unconditional,
             borrowing_team: grounds.by_quota_tree.then(|| victim.spec.team.clone()),
             overuse_steps: None,
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -22,7 +22,7 @@
     /// Seconds of its machine's time that stopping it wastes.
     pub waste_s: f64,
     /// It is being stopped already.
-    pub leaving: bool,
+    pub already_stopping: bool,
     /// It may be stopped whatever its team's share is: by priority, or for a flat guarantee.
     pub unconditional: bool,
     /// Its team, if the quota tree may let it be stopped.
@@ -73,7 +73,7 @@
     let chosen = cheapest_victims(resources, site)?;
     let needed = without_unneeded(resources, chosen);
     let highest_priority = needed.iter().map(|victim| victim.priority).max();
-    let stopped = || needed.iter().filter(|victim| !victim.leaving);
+    let stopped = || needed.iter().filter(|victim| !victim.already_stopping);
     let waste_s: f64 = stopped().map(|victim| victim.waste_s).sum();
     let highest_rank = stopped().map(|victim| entitlement_rank(site, victim)).max();
     Some(PreemptionOffer {
@@ -160,7 +160,7 @@
     let mut by_cost: Vec<&Victim> = site.victims.iter().collect();
     by_cost.sort_by(|left, right| {
         let rank = |victim: &Victim| {
-            let stopped = !victim.leaving;
+            let stopped = !victim.already_stopping;
             (stopped, entitlement_rank(site, victim), victim.priority)
         };
         rank(left)
@@ -190,7 +190,7 @@
     } = chosen;
     for index in (0..victims.len()).rev() {
         let without = available.minus(victims[index].resources);
-        if !victims[index].leaving && resources.fits_in(without) {
+        if !victims[index].already_stopping && resources.fits_in(without) {
             available = without;
             victims.remove(index);
         }
--- a/src/preempt/tests.rs
+++ b/src/preempt/tests.rs
@@ -18,19 +18,21 @@
         available: resources(available),
         victims: victims
             .iter()
-            .map(|(index, gpus, priority, waste_s, leaving)| Victim {
-                task: TaskId {
-                    job: "job-1".into(),
-                    index: *index,
+            .map(
+                |(index, gpus, priority, waste_s, already_stopping)| Victim {
+                    task: TaskId {
+                        job: "job-1".into(),
+                        index: *index,
+                    },
+                    resources: resources(*gpus),
+                    priority: *priority,
+                    waste_s: *waste_s,
+                    already_stopping: *already_stopping,
+                    unconditional: true,
+                    borrowing_team: None,
+                    overuse_steps: None,
                 },
-                resources: resources(*gpus),
-                priority: *priority,
-                waste_s: *waste_s,
-                leaving: *leaving,
-                unconditional: true,
-                borrowing_team: None,
-                overuse_steps: None,
-            })
+            )
             .collect(),
         delay_s: 0.0,
         under_quota_tree: false,
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -152,12 +152,16 @@
         let mut victims = Vec::with_capacity(site.victims.len());
         for victim in &site.victims {
             let mut over = None;
-            if let Some(team) = victim.borrowing_team.as_ref().filter(|_| !victim.leaving) {
+            if let Some(team) = victim
+                .borrowing_team
+                .as_ref()
+                .filter(|_| !victim.already_stopping)
+            {
                 let stopped_before = stopped.entry(team).or_default();
                 over = self.reclaimable_overuse(team, victim.resources, *stopped_before);
                 *stopped_before += u32::from(over.is_some());
             }
-            if victim.leaving || victim.unconditional || over.is_some() {
+            if victim.already_stopping || victim.unconditional || over.is_some() {
                 victims.push(Victim {
                     overuse_steps: over,
                     ..victim.clone()
@@ -186,7 +190,11 @@
             .iter()
             .position(|site| site.machine_id == best.machine_id)?;
         let site = sites.swap_remove(position);
-        for victim in site.victims.iter().filter(|victim| !victim.leaving) {
+        for victim in site
+            .victims
+            .iter()
+            .filter(|victim| !victim.already_stopping)
+        {
             if let Some(team) = &victim.borrowing_team
                 && best.victims.contains(&victim.task)
             {
@@ -279,13 +287,13 @@
         let freed = site_with_victims
             .victims
             .iter()
-            .filter(|victim| victim.leaving || victim.overuse_steps.is_some());
+            .filter(|victim| victim.already_stopping || victim.overuse_steps.is_some());
         let available = freed
             .clone()
             .fold(site.available, |sum, victim| sum.plus(victim.resources));
         let available_part = available.share_of(resources).min(1.0);
         let victims: Vec<TaskId> = freed
-            .filter(|victim| !victim.leaving)
+            .filter(|victim| !victim.already_stopping)
             .map(|victim| victim.task.clone())
             .collect();
         let remaining_s = remaining_s(site, &victims)?;
