--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -1,7 +1,7 @@
-//! Jobs whose noted changes wait to be written, by lane, and within a lane by class.
+//! Jobs with changes that wait to be written to the store, by lane, and within a lane by class.
 //!
 //! The backlog holds jobs, not finished transactions: a transaction is built from a job's changes only
-//! when the job's turn comes, so changes that are noted meanwhile are included at no extra cost.
+//! when the job is next, so changes that are made in the meantime are included at no extra cost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,10 +32,11 @@
     Lane::PartialCompletions,
 ];
 
-/// The fraction of the writes that the lanes' floors divide; the rest goes to the most urgent lane.
-const LANE_FLOORS: f64 = 0.9;
-/// The fraction of a lane's writes that the floors of classes divide; the rest goes by due time.
-const CLASS_FLOORS: f64 = 0.5;
+/// The fraction of the writes that the lanes' floors divide; the remainder goes to the most urgent
+/// lane.
+const LANE_FLOOR_SHARE: f64 = 0.9;
+/// The fraction of a lane's writes that the floors of classes divide; the remainder goes by due time.
+const CLASS_FLOOR_SHARE: f64 = 0.5;
 
 /// The weight of a lane among the lanes' floors.
 fn lane_weight(lane: &Lane) -> f64 {
@@ -46,9 +47,10 @@
     }
 }
 
-/// Where a job waits. The least is the most urgent.
+/// Where a job waits. The order of the fields is the order of comparison; the least is the most
+/// urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct Position {
     lane: Lane,
     due: Millis,
     class: Slot,
@@ -73,16 +75,16 @@
         firsts.filter(move |(_, due)| *due <= now)
     }
 
-    fn insert(&mut self, id: JobId, turn: Turn) {
-        let jobs = self.classes.entry(turn.class).or_default();
-        jobs.insert((turn.due, id));
+    fn insert(&mut self, id: JobId, position: Position) {
+        let jobs = self.classes.entry(position.class).or_default();
+        jobs.insert((position.due, id));
     }
 
-    fn remove(&mut self, id: &JobId, turn: Turn) {
-        if let Some(jobs) = self.classes.get_mut(&turn.class) {
-            jobs.remove(&(turn.due, id.clone()));
+    fn remove(&mut self, id: &JobId, position: Position) {
+        if let Some(jobs) = self.classes.get_mut(&position.class) {
+            jobs.remove(&(position.due, id.clone()));
             if jobs.is_empty() {
-                self.classes.remove(&turn.class);
+                self.classes.remove(&position.class);
             }
         }
     }
@@ -101,7 +103,7 @@
 #[derive(Debug)]
 pub struct Backlog {
     lanes: [LaneQueue; LANE_COUNT],
-    turns: HashMap<JobId, Turn>,
+    positions: HashMap<JobId, Position>,
     /// Job transactions in flight.
     pub in_flight: usize,
     lane_floors: Floors<Lane>,
@@ -112,63 +114,63 @@
     fn default() -> Self {
         Self {
             lanes: Default::default(),
-            turns: HashMap::default(),
+            positions: HashMap::default(),
             in_flight: 0,
-            lane_floors: Floors::weighted(LANE_FLOORS, lane_weight),
-            class_floors: std::array::from_fn(|_| Floors::equal(CLASS_FLOORS)),
+            lane_floors: Floors::weighted(LANE_FLOOR_SHARE, lane_weight),
+            class_floors: std::array::from_fn(|_| Floors::equal(CLASS_FLOOR_SHARE)),
         }
     }
 }
 
 impl Backlog {
-    /// Queues a job in a lane until it is due, unless it already waits in a more urgent lane, or is
-    /// due earlier in the same lane.
+    /// Adds a job to a lane, to be written from `due` on, unless it already waits in a more urgent
+    /// lane or is due earlier in the same lane.
     pub fn add(&mut self, id: &JobId, lane: Lane, class: Slot, due: Millis) {
-        let turn = Turn { lane, due, class };
-        match self.turns.get(id) {
-            Some(known) if *known <= turn => return,
+        let position = Position { lane, due, class };
+        match self.positions.get(id) {
+            Some(existing) if *existing <= position => return,
             Some(_) => {
                 self.remove(id);
             }
             None => {}
         }
-        self.lanes[lane as usize].insert(id.clone(), turn);
-        self.turns.insert(id.clone(), turn);
+        self.lanes[lane as usize].insert(id.clone(), position);
+        self.positions.insert(id.clone(), position);
     }
 
-    fn remove(&mut self, id: &JobId) -> Option<Turn> {
-        let turn = self.turns.remove(id)?;
-        self.lanes[turn.lane as usize].remove(id, turn);
-        Some(turn)
+    fn remove(&mut self, id: &JobId) -> Option<Position> {
+        let position = self.positions.remove(id)?;
+        self.lanes[position.lane as usize].remove(id, position);
+        Some(position)
     }
 
     /// Whether no job waits and none is being written.
     pub fn is_empty(&self) -> bool {
-        self.turns.is_empty() && self.in_flight == 0
+        self.positions.is_empty() && self.in_flight == 0
     }
 
-    /// How many jobs wait in a lane.
+    /// Number of jobs that wait in a lane, whether due or not.
     pub fn waiting(&self, lane: Lane) -> usize {
         self.lanes[lane as usize].len()
     }
 
-    /// The jobs that wait to have placements written.
+    /// The jobs that wait in [`Lane::Placements`].
     pub fn jobs_in_placements_lane(&self) -> Vec<JobId> {
         let classes = self.lanes[Lane::Placements as usize].classes.values();
         classes.flatten().map(|(_, id)| id.clone()).collect()
     }
 
-    /// How many jobs should have been written by now.
+    /// Number of jobs that are due and not yet being written.
     pub fn overdue(&self, now: Millis) -> usize {
         LANES.map(|lane| self.overdue_in(lane, now)).iter().sum()
     }
 
-    /// The same in one lane.
+    /// Number of jobs of one lane that are due and not yet being written.
     pub fn overdue_in(&self, lane: Lane, now: Millis) -> usize {
         self.lanes[lane as usize].overdue(now)
     }
 
-    /// Removes and returns the job that is to be written next, if one is due.
+    /// Removes and returns the job that is to be written next; `None` if no job is due.
     pub fn next(&mut self, now: Millis) -> Option<JobId> {
         let lane = self.next_lane(now)?;
         let queue = &self.lanes[lane as usize];
--- a/src/admission/backlog/tests.rs
+++ b/src/admission/backlog/tests.rs
@@ -4,10 +4,10 @@
     format!("job-{n}").as_str().into()
 }
 
-/// A backlog of completions used to block all placements, while thousands of tasks waited and
-/// hundreds of machines were idle.
+/// A backlog of completions used to block all writes of placements, while thousands of tasks waited
+/// and hundreds of machines were idle.
 #[test]
-fn a_backlog_of_completions_leaves_starts_their_floor() {
+fn a_backlog_of_completions_leaves_placements_their_floor() {
     let mut backlog = Backlog::default();
     for n in 0..100 {
         backlog.add(&id(n), Lane::Completions, 0, Millis(0));
@@ -15,10 +15,13 @@
         backlog.add(&id(200 + n), Lane::Placements, 0, Millis(50));
     }
     let written: Vec<JobId> = (0..60).filter_map(|_| backlog.next(Millis(100))).collect();
-    let places = (200..300).map(id).filter(|id| written.contains(id)).count();
-    let gathered = (100..200).map(id).filter(|id| written.contains(id)).count();
-    assert!((25..=32).contains(&places), "{places}");
-    assert!((6..=10).contains(&gathered), "{gathered}");
+    let placements = (200..300).map(id).filter(|id| written.contains(id)).count();
+    let partial_completions = (100..200).map(id).filter(|id| written.contains(id)).count();
+    assert!((25..=32).contains(&placements), "{placements}");
+    assert!(
+        (6..=10).contains(&partial_completions),
+        "{partial_completions}"
+    );
 }
 
 #[test]
@@ -35,7 +38,7 @@
     assert!(backlog.next(Millis(9_000)).is_none() && backlog.is_empty());
 }
 
-/// The oldest jobs of a burst used to precede all other jobs.
+/// A burst of jobs of one class used to delay all jobs that were due later.
 #[test]
 fn a_burst_of_one_class_leaves_the_others_their_floor() {
     let mut backlog = Backlog::default();
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,5 +1,6 @@
-//! Admission: which writes go first when write capacity is scarce. The decisions are pure functions in
-//! `crates/admission-control`; this module applies them to jobs and to the store's write limit.
+//! Admission control: which writes go first when write capacity is scarce. The decisions are pure
+//! functions in `crates/admission-control`; this module applies them to jobs and to the store's write
+//! limit.
 //!
 //! [`backlog`] orders the commits of task changes on this controller, [`shared`] has the plan that
 //! divides the store's write limit among controllers, and [`Flows`] maps jobs to the slots of their
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -1,5 +1,6 @@
-//! The store's write limit, which all controllers share: what each reports of its demand, and the plan
-//! that divides the limit. `admission_control::plan` explains why the sum holds.
+//! The store's write limit, which all controllers share: the demand that each controller reports, and
+//! the plan that divides the limit. `admission_control::plan` explains why the controllers together
+//! stay within the limit.
 
 use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, Rate};
 use rustc_hash::FxHashMap as HashMap;
@@ -10,17 +11,17 @@
 pub const PLAN_KEY: &str = "jt/admission";
 /// Minimum time between two plans, since each is itself a write.
 const MIN_PLAN_INTERVAL: Millis = Millis(2_000);
-/// The rate of writes is measured over intervals of at least this.
+/// Minimum length of the intervals over which the rate of writes is measured.
 const MEASUREMENT_INTERVAL: Millis = Millis(500);
 /// Weight of the newest interval in the smoothed rate.
 const SMOOTHING: f64 = 0.35;
-/// The part of the store's limit that is reserved for lease renewals, which bypass the budget.
+/// The fraction of the store's limit that is reserved for lease renewals, which bypass the budget.
 const LEASE_RESERVE: f64 = 0.01;
 
-/// What a controller reports of itself with every status to the others.
+/// What a controller reports about itself in each status message to the other controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionReport {
-    /// The version of the plan that it follows; zero: none.
+    /// The version of the plan that it follows; zero if it follows none.
     pub plan_version: Revision,
     /// Its demand for writes.
     pub demand: Demand,
@@ -50,7 +51,8 @@
 }
 
 impl WriteAdmission {
-    /// Applies the plan's record; `None`: it was deleted.
+    /// Applies a version of the plan's record, unless it is outdated; `data` is `None` if the record
+    /// was deleted. An invalid record is logged, and the previous plan stays in force.
     pub fn apply(&mut self, data: Option<&str>, version: Revision) {
         if version <= self.version {
             return;
@@ -60,7 +62,9 @@
                 self.plan = plan.unwrap_or_default();
                 self.version = version;
             }
-            Err(error) => tracing::error!(%error, "admission plan record is invalid"),
+            Err(error) => {
+                tracing::error!(%error, "invalid admission plan record; keeping the previous plan");
+            }
         }
     }
 
@@ -69,7 +73,8 @@
         self.written += changes as f64;
     }
 
-    /// This controller's demand. `waiting`: changes that should have been written by now.
+    /// This controller's demand. `waiting` is the number of changes that should have been written by
+    /// now.
     pub fn demand(&mut self, waiting: usize, now: Millis) -> Demand {
         let elapsed = now.since(self.measured_at);
         if elapsed >= MEASUREMENT_INTERVAL {
@@ -83,13 +88,15 @@
         }
     }
 
-    /// The part of the store's write limit that plans divide, in changes a second.
+    /// The part of the store's write limit that plans divide, in changes a second: all but the
+    /// reserve for lease renewals.
     pub fn limit_for_plans(write_rps: f64) -> Rate {
         write_rps * (1.0 - LEASE_RESERVE)
     }
 
-    /// The plan to be written now, if it differs enough from the present one. `has_lease`: whether a
-    /// controller has a lease.
+    /// The plan to be written now; `None` if it differs too little from the present one, if a plan
+    /// is being written, or if it is too early for another. `has_lease` tells whether a controller has
+    /// a lease.
     pub fn next_plan(
         &self,
         limit: Rate,
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Notes that this controller writes a plan now.
+    /// Records that this controller starts to write a plan now.
     pub fn record_plan(&mut self, now: Millis) {
         self.plan_in_flight = true;
         self.planned_at = now;
--- a/src/cycle/index/level.rs
+++ b/src/cycle/index/level.rs
@@ -29,8 +29,8 @@
 }
 
 impl CapacityLevel {
-    /// The level of a machine with these available resources, these others that are preemptible at
-    /// little loss, and this number of fetches in progress.
+    /// The level of a machine with these available resources, these resources allocated to tasks that
+    /// can be preempted at little loss, and this number of fetches in progress.
     pub fn new(available: Resources, preemptible: Resources, fetches: usize) -> Self {
         Self {
             available: rounded(available),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What is available on machines of this level, rounded.
+    /// The resources that are available on machines of this level, rounded.
     pub fn available(self) -> Resources {
         self.available
     }
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -4,8 +4,8 @@
 //! the whole fleet.
 //!
 //! Machines of one class (group and level) are equivalent to a cycle, except for their images: those
-//! with a job's image are found by a second index. The index gives a shortlist only; the caller
-//! checks the machine itself.
+//! with a job's image are found by a second index. The index only narrows the search: the caller still
+//! has to filter each machine.
 
 mod level;
 
@@ -25,7 +25,7 @@
     pub own: bool,
     /// The shard of the machines.
     pub shard: ShardId,
-    /// Their type.
+    /// The type of the machines.
     pub machine_type: MachineTypeId,
     /// Whether they are spot machines.
     pub spot: bool,
@@ -43,7 +43,7 @@
 pub struct IndexEntry {
     /// The group that the machine belongs to.
     pub group: MachineGroup,
-    /// What was available when it was entered.
+    /// The machine's capacity level when the entry was made.
     pub level: CapacityLevel,
     /// The images in its cache, sorted.
     pub images: Vec<Image>,
@@ -91,13 +91,13 @@
 pub struct MachineClass<'a> {
     /// The group of the machines.
     pub group: &'a MachineGroup,
-    /// Their level.
+    /// The capacity level of the machines.
     pub level: CapacityLevel,
     /// The machines, by id.
     pub machine_ids: &'a BTreeSet<MachineId>,
 }
 
-/// Whether a look-up asks for an image in the machines' caches.
+/// Which machines a lookup finds, by the images in their caches.
 #[derive(Clone, Copy, Debug)]
 pub enum ImageFilter<'a> {
     /// Machines with this image in their cache.
@@ -115,17 +115,17 @@
 }
 
 impl CapacityIndex {
-    /// How many machines are entered.
+    /// Number of machines in the index.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no machine is entered.
+    /// Whether the index has no machines.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All machines that are entered, in no particular order.
+    /// All machines in the index, in no particular order.
     pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
         self.entries.keys()
     }
@@ -143,18 +143,18 @@
         own: bool,
         shard: &ShardId,
         level: CapacityLevel,
-        images: usize,
+        image_count: usize,
     ) -> bool {
         let entry = self.entries.get(machine_id);
         entry.is_some_and(|entry| {
             entry.group.own == own
                 && entry.group.shard == *shard
                 && entry.level == level
-                && entry.images.len() == images
+                && entry.images.len() == image_count
         })
     }
 
-    /// Enters a machine, or replaces its entry.
+    /// Adds a machine, or replaces its entry.
     pub fn update(&mut self, machine_id: &MachineId, entry: IndexEntry) {
         if self.entries.get(machine_id) == Some(&entry) {
             return;
@@ -237,8 +237,8 @@
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.all.get(group).into_iter();
         let levels = levels.flat_map(|levels| levels.iter().rev());
-        let full = levels.filter(move |(level, _)| !resources.fits_in(level.available()));
-        full.map(move |(level, machine_ids)| MachineClass {
+        let too_full = levels.filter(move |(level, _)| !resources.fits_in(level.available()));
+        too_full.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
             machine_ids,
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -63,7 +63,7 @@
                 resources(5.0),
                 resources(8.0),
             ] {
-                let walk = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
+                let scan = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
                     let found = all.iter().filter(|(_, entry)| {
                         entry.group == *group
                             && image.is_none_or(|image| entry.images.contains(image))
@@ -75,18 +75,18 @@
                     .fitting(ImageFilter::Any, group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(any, walk(None, true));
+                assert_eq!(any, scan(None, true));
                 let image = Image::from("img-1");
                 let cached: BTreeSet<&MachineId> = index
                     .fitting(ImageFilter::Image(&image), group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(cached, walk(Some(&image), true));
+                assert_eq!(cached, scan(Some(&image), true));
                 let full: BTreeSet<&MachineId> = index
                     .too_full(group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(full, walk(None, false));
+                assert_eq!(full, scan(None, false));
                 assert_eq!(index.any_too_full(group, wanted), !full.is_empty());
             }
         }
--- a/src/cycle/mod.rs
+++ b/src/cycle/mod.rs
@@ -11,7 +11,7 @@
 use crate::types::{MachineId, Resources, ShardId, Zone};
 use crate::workers::Machine;
 
-/// A machine as the cycle sees it.
+/// A machine, with the state that the filter and the scores evaluate.
 pub struct Candidate<'a> {
     /// The machine itself: its type, zone, images and failures.
     pub machine: &'a Machine,
@@ -22,11 +22,13 @@
     /// All tasks on it can be preempted by urgent work at little loss, so that for urgent work it
     /// is as good as an empty machine.
     pub only_preemptible: bool,
-    /// Seconds until the job's image would be here: fetches share the machine's rate.
+    /// Seconds until the job's image would be in the machine's cache. Concurrent fetches share the
+    /// machine's fetch rate.
     pub image_s: f64,
-    /// Seconds that a fetch of the image takes here by itself.
+    /// Seconds that a fetch of the image takes while the machine fetches nothing else.
     pub fetch_s: f64,
-    /// Share of the machine, from 0 to 1, that work takes which cannot be preempted at little loss.
+    /// Fraction of the machine, from 0 to 1, that is allocated to tasks which cannot be preempted at
+    /// little loss.
     pub non_preemptible_share: f64,
 }
 
@@ -34,26 +36,26 @@
 
 /// The image is in the machine's cache.
 const CACHED_IMAGE_WEIGHT: f64 = 1.0;
-/// For each second until the image is there: what a faster start is worth against scores that save
-/// machines.
+/// Penalty for each second until the image is cached: weighs a faster start against the scores that
+/// reduce the number of machines in use.
 const IMAGE_DELAY_WEIGHT_PER_S: f64 = 0.4;
 /// Bin packing: fuller machines go first.
 const BIN_PACKING_WEIGHT: f64 = 2.0;
-/// Jobs that allow spot machines go to spot machines, and leave the others to those that do not.
+/// Jobs that allow spot machines prefer them, which leaves on-demand machines to jobs that do not.
 const SPOT_MATCH_WEIGHT: f64 = 1.5;
-/// For each second of a fetch: small long-running tasks keep apart where fetches are slow, since a
-/// machine full of them has images that no other job can use. Scaled by the share of the machine
-/// that work takes which cannot be preempted.
+/// Penalty for each second of a fetch: keeps small long-running tasks apart where fetches are slow,
+/// since the images on a machine full of them are of no use to other jobs. Scaled by the fraction of
+/// the machine allocated to tasks that cannot be preempted at little loss.
 const LONG_RUNNING_SPREAD_WEIGHT_PER_S: f64 = 0.4;
-/// For each second of a fetch: tasks that end soon and have to fetch spread where that is slow,
-/// since later ones then find their image on more machines. Scaled by the share of the machine in
-/// use.
+/// Penalty for each second of a fetch: spreads short tasks that have to fetch their image where
+/// fetches are slow, since later tasks then find the image on more machines. Scaled by the fraction
+/// of the machine in use.
 const COLD_SPREAD_WEIGHT_PER_S: f64 = 0.08;
 /// No task of the job has failed on the machine.
 const NOT_FAILED_WEIGHT: f64 = 4.0;
-/// Small long-running tasks keep off machines that urgent work may want as a whole.
-const KEEP_WHOLE_WEIGHT: f64 = 2.5;
-/// Tasks that take a smaller share of a machine count as small.
+/// Keeps small long-running tasks off machines that urgent work may need as a whole.
+const AVOID_FRAGMENTATION_WEIGHT: f64 = 2.5;
+/// A task that requests less than this fraction of a machine is small.
 const SMALL_TASK_SHARE: f64 = 0.5;
 
 /// A request to place a task. Values that are the same for all machines are computed once.
@@ -69,7 +71,8 @@
 }
 
 impl<'a> PlacementRequest<'a> {
-    /// A request for the next task of a job, which has used up its quota in `full_shards`.
+    /// A request for the next task of a job, whose team has used up its quota allocation in
+    /// `full_shards`.
     pub fn new(job: &'a Job, full_shards: Vec<ShardId>) -> Self {
         let bound_to_zones = job.spec.one_zone || job.spec.spread;
         let tasks_by_zone = if bound_to_zones {
@@ -147,7 +150,7 @@
         .share_of(candidate.capacity);
     let small = spec.resources.share_of(candidate.capacity) < SMALL_TASK_SHARE;
     let small_long_running = !spec.is_cheaply_preemptible() && small;
-    let breaks_up = candidate.only_preemptible && small_long_running;
+    let fragments_machine = candidate.only_preemptible && small_long_running;
     let cold_crowding =
         unit_score(spec.is_cheaply_preemptible() && !cached) * used_share * candidate.fetch_s;
     let long_running_crowding =
@@ -156,7 +159,7 @@
         + BIN_PACKING_WEIGHT * used_share
         + SPOT_MATCH_WEIGHT * unit_score(machine.spot == spec.spot)
         + NOT_FAILED_WEIGHT * unit_score(!failed_here)
-        + KEEP_WHOLE_WEIGHT * unit_score(!breaks_up)
+        + AVOID_FRAGMENTATION_WEIGHT * unit_score(!fragments_machine)
         - LONG_RUNNING_SPREAD_WEIGHT_PER_S * long_running_crowding
         - COLD_SPREAD_WEIGHT_PER_S * cold_crowding
 }
@@ -165,7 +168,8 @@
     f64::from(u8::from(holds))
 }
 
-/// The choice among candidates that are offered one by one.
+/// Selects the best of the candidates that are passed in one by one, and collects the checks that
+/// rejected the others.
 pub struct Choice<'a> {
     rejected_by: BTreeSet<Check>,
     best: Option<(f64, &'a MachineId)>,
@@ -181,13 +185,13 @@
 }
 
 impl<'a> Choice<'a> {
-    /// Notes that a check rejected machines.
+    /// Records that a check rejected machines.
     pub fn record_rejection(&mut self, check: Check) {
         self.rejected_by.insert(check);
     }
 
-    /// Takes a candidate into account, and returns whether it is feasible. Of machines with equal
-    /// scores the one with the least id is chosen.
+    /// Evaluates a candidate, and returns whether it is feasible. Of machines with equal scores, the
+    /// one with the least id is selected.
     pub fn consider(&mut self, request: &PlacementRequest, candidate: &Candidate<'a>) -> bool {
         if let Some(check) = filter(request, candidate) {
             self.record_rejection(check);
@@ -208,7 +212,7 @@
         true
     }
 
-    /// The best machine, or the checks that rejected all of them.
+    /// The best machine; if none was feasible, the checks that rejected them.
     pub fn into_result(self) -> Result<MachineId, BTreeSet<Check>> {
         self.best
             .map(|(_, machine_id)| machine_id.clone())
--- a/src/cycle/tests.rs
+++ b/src/cycle/tests.rs
@@ -11,8 +11,8 @@
     }
 }
 
-/// Array tasks that had to fetch were packed four to a machine, so that a fetch of a minute served
-/// one machine only. Tasks that find their image are still packed.
+/// Array tasks without a cached image were packed four to a machine, so that a fetch of a minute
+/// served one machine only. Tasks whose image is cached are still packed.
 #[test]
 fn array_tasks_spread_where_fetches_are_slow() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
@@ -35,22 +35,29 @@
             machine.record_image_use(&spec.image, 7.0, 80.0, crate::types::Millis(0));
         }
         let fetch_s = spec.image_gb / rate;
-        let at = |taken: f64| Candidate {
+        let candidate_with = |used_gpus: f64| Candidate {
             machine: &machine,
             capacity: resources(4.0),
-            available: resources(4.0 - taken),
+            available: resources(4.0 - used_gpus),
             only_preemptible: true,
             image_s: if cached { 0.0 } else { fetch_s },
             fetch_s,
             non_preemptible_share: 0.0,
         };
-        let (beside, alone) = (score(&spec, &at(2.0), false), score(&spec, &at(0.0), false));
-        assert_eq!(beside > alone, packed, "{rate} GB/s: {beside}, {alone}");
+        let (score_on_used, score_on_empty) = (
+            score(&spec, &candidate_with(2.0), false),
+            score(&spec, &candidate_with(0.0), false),
+        );
+        assert_eq!(
+            score_on_used > score_on_empty,
+            packed,
+            "{rate} GB/s: {score_on_used}, {score_on_empty}"
+        );
     }
 }
 
-/// Best-effort arrays filled every empty machine, and gangs waited for them to save: the part that
-/// started within 30 s was 0.87, and 0.97 once they avoided empty machines.
+/// Best-effort arrays filled every empty machine, and gangs waited for them to save: the fraction of
+/// gangs that started within 30 s was 0.87, and 0.97 once the arrays avoided empty machines.
 #[test]
 fn a_job_that_avoids_empty_machines_is_placed_on_used_ones() {
     let (jobs, id) = crate::jobs::cache::tests::jobs(1, &[]);
@@ -58,7 +65,7 @@
     let shard = ShardId::parse("a.0").unwrap();
     let (machine_id, machine_type, zone) = ("vm-1".into(), "g8".into(), "a".into());
     let machine = &Machine::new(machine_id, machine_type, zone, false, shard, "n0".into());
-    for (avoids_empty, taken, rejected) in [
+    for (avoids_empty, used_gpus, rejected) in [
         (false, 0.0, None),
         (true, 0.0, Some(Check::Resources)),
         (true, 1.0, None),
@@ -69,7 +76,7 @@
         let candidate = Candidate {
             machine,
             capacity,
-            available: capacity.minus(resources(taken)),
+            available: capacity.minus(resources(used_gpus)),
             only_preemptible: true,
             image_s: 0.0,
             fetch_s: 1.0,
@@ -78,13 +85,13 @@
         assert_eq!(
             filter(&request, &candidate),
             rejected,
-            "{avoids_empty}, {taken}"
+            "{avoids_empty}, {used_gpus}"
         );
     }
 }
 
 /// Replicas were packed four to a machine. Where an image took a minute to fetch, all machines that
-/// had it were full of work that cannot be preempted, and each new replica had to fetch.
+/// had it cached were full of work that cannot be preempted, and each new replica had to fetch it.
 #[test]
 fn replicas_are_packed_only_where_fetches_are_fast() {
     let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
@@ -106,17 +113,21 @@
     let cases = [(0.8, true), (0.5, true), (0.12, false)];
     for (rate, packed) in cases {
         let fetch_s = spec.image_gb / rate;
-        let at = |machine, taken: f64| Candidate {
+        let candidate_with = |machine, used_gpus: f64| Candidate {
             machine,
             capacity: resources(4.0),
-            available: resources(4.0 - taken),
-            only_preemptible: taken == 0.0,
+            available: resources(4.0 - used_gpus),
+            only_preemptible: used_gpus == 0.0,
             image_s: fetch_s,
             fetch_s,
-            non_preemptible_share: taken / 4.0,
+            non_preemptible_share: used_gpus / 4.0,
         };
-        let beside = score(&spec, &at(&used, 1.0), false);
-        let alone = score(&spec, &at(&empty, 0.0), false);
-        assert_eq!(beside > alone, packed, "{rate} GB/s: {beside}, {alone}");
+        let score_on_used = score(&spec, &candidate_with(&used, 1.0), false);
+        let score_on_empty = score(&spec, &candidate_with(&empty, 0.0), false);
+        assert_eq!(
+            score_on_used > score_on_empty,
+            packed,
+            "{rate} GB/s: {score_on_used}, {score_on_empty}"
+        );
     }
 }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -32,18 +32,19 @@
 /// A controller's own record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// The lease that the record is attached to. A restarted controller has another.
+    /// The lease that the record is attached to. A restarted controller has a different one.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
     /// The controller's zone.
     pub zone: Zone,
-    /// Whether workers' heartbeats reach it; without them it can hold no shards.
+    /// Whether workers' heartbeats reach the controller. It holds shards without them only if no
+    /// controller receives any.
     #[serde(rename = "hears")]
     pub receives_heartbeats: bool,
 }
 
-/// The leader's record. It names the lease and not only the label, since leadership belongs to a process:
-/// a restarted controller reads what the process before it held, and must not take it for its own.
+/// The leader's record. It names the lease in addition to the label, since leadership belongs to a process:
+/// a restarted controller reads the record of its previous process, and must not take itself for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The controller that leads.
@@ -66,25 +67,25 @@
 /// The lease of this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnLease {
-    /// It has none.
+    /// The controller has no lease.
     None,
-    /// It has requested one and waits for the answer.
+    /// The controller has requested a lease and waits for the response.
     Requested,
-    /// It holds one.
+    /// The controller holds a lease.
     Held {
         /// The lease.
         lease_id: LeaseId,
-        /// The lease lasts at least until this time of our clock.
+        /// The lease lasts at least until this time on this controller's clock.
         until: Millis,
     },
 }
 
-/// The cache of all leases: the controller's own, and the records that are attached to leases.
+/// The cache of all leases: this controller's own, and the records that are attached to leases.
 #[derive(Debug)]
 pub struct Leases {
     /// The lease of this controller.
     pub own: OwnLease,
-    /// The next renewal of our lease is due one renewal interval after this time.
+    /// The next renewal of this controller's lease is due one renewal interval after this time.
     pub renewal_base: Millis,
     /// The record of each running controller, and its version.
     pub controllers: BTreeMap<ControllerId, (ControllerRecord, Revision)>,
@@ -92,8 +93,8 @@
     pub leader: Option<(ControllerId, Revision)>,
     /// The holder of each shard, and its fencing token.
     pub shards: BTreeMap<ShardId, (ControllerId, FencingToken)>,
-    /// Leases whose controller's record was deleted or replaced, so that their processes have ended; oldest
-    /// first.
+    /// Leases whose controller's record was deleted or replaced, which shows that their processes have ended;
+    /// oldest first.
     ended: VecDeque<LeaseId>,
 }
 
@@ -114,10 +115,10 @@
     }
 }
 
-/// What a record that was applied has changed.
+/// What changed when a record was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// The record of this controller.
+    /// The record of the controller with this id.
     Controller(ControllerId),
     /// The leader.
     Leader,
@@ -125,13 +126,13 @@
     Shard(ShardId),
 }
 
-/// A stored record; none if it was deleted or can't be read.
+/// Parses a stored record; `None` if it was deleted or is invalid.
 fn decode<'a, T: Deserialize<'a>>(data: Option<&'a str>) -> Option<T> {
     data.and_then(|text| serde_json::from_str(text).ok())
 }
 
 impl Leases {
-    /// The lease that this controller holds.
+    /// The lease that this controller holds; `None` if it has none or is still requesting one.
     #[must_use]
     pub fn lease_id(&self) -> Option<LeaseId> {
         match self.own {
@@ -153,32 +154,32 @@
         }
     }
 
-    /// Whether a record was written by an earlier process with our label.
+    /// Whether a record was written by an earlier process with this controller's label.
     fn is_of_earlier_process(
         &self,
         holder: &ControllerId,
         lease_id: LeaseId,
-        me: &ControllerId,
+        self_id: &ControllerId,
     ) -> bool {
-        holder == me && self.lease_id() != Some(lease_id)
+        holder == self_id && self.lease_id() != Some(lease_id)
     }
 
-    /// The fencing token of a shard, if `me` holds it.
+    /// The fencing token of a shard, if this controller holds the shard.
     #[must_use]
-    pub fn held_token(&self, shard: &ShardId, me: &ControllerId) -> Option<FencingToken> {
+    pub fn held_token(&self, shard: &ShardId, self_id: &ControllerId) -> Option<FencingToken> {
         let (holder, token) = self.shards.get(shard)?;
-        (holder == me).then_some(*token)
+        (holder == self_id).then_some(*token)
     }
 
-    /// The revision at which `me` took the leadership, if it leads.
+    /// The revision at which this controller acquired the leadership, if it is the leader.
     #[must_use]
-    pub fn leadership_revision(&self, me: &ControllerId) -> Option<Revision> {
+    pub fn leadership_revision(&self, self_id: &ControllerId) -> Option<Revision> {
         let (leader, version) = self.leader.as_ref()?;
-        (leader == me).then_some(*version)
+        (leader == self_id).then_some(*version)
     }
 
-    /// Applies a peer's own message that it holds a shard. True if its fencing token is higher than that of
-    /// another holder we know; the watch will bring the record.
+    /// Applies a peer's message that the peer holds a shard. Returns true, and caches the peer as the holder, if
+    /// its fencing token is higher than that of another known holder; the watch delivers the record later.
     pub fn supersede(
         &mut self,
         shard: &ShardId,
@@ -186,7 +187,7 @@
         token: FencingToken,
     ) -> bool {
         match self.shards.get(shard) {
-            Some((known, old)) if *old < token && known != holder => {
+            Some((known_holder, known_token)) if *known_token < token && known_holder != holder => {
                 self.shards.insert(shard.clone(), (holder.clone(), token));
                 true
             }
@@ -194,36 +195,38 @@
         }
     }
 
-    /// Our lease has expired, and with it our leadership and our shards. The watch may report that later: without
-    /// this, a leader that is back from a partition would lead again under its old record and a new lease.
-    pub fn drop_own_lease(&mut self, me: &ControllerId) {
+    /// Drops this controller's lease after its expiry, and with it the leadership and the shards. The watch may
+    /// report these deletions later: without this, a leader that returns from a partition would act as leader
+    /// again under its old record and a new lease.
+    pub fn drop_own_lease(&mut self, self_id: &ControllerId) {
         self.own = OwnLease::None;
-        self.leader.take_if(|(leader, _)| leader == me);
-        self.shards.retain(|_, (holder, _)| holder != me);
+        self.leader.take_if(|(leader, _)| leader == self_id);
+        self.shards.retain(|_, (holder, _)| holder != self_id);
     }
 
-    /// Applies a record, or its deletion if there is no `data`. None if it is older than what is known, or
-    /// not a record of leases. Leadership and shards of an earlier process with our label count as vacant.
+    /// Applies a record, or its deletion if there is no `data`. Returns `None` if it is not newer than the cached
+    /// one, or not a record of leases. Leadership and shards of an earlier process with this controller's label
+    /// count as vacant.
     pub fn apply(
         &mut self,
-        me: &ControllerId,
+        self_id: &ControllerId,
         key: &str,
         data: Option<&str>,
         version: Revision,
     ) -> Option<LeaseChange> {
         if key == LEADER_KEY {
-            return self.apply_leader(me, data, version);
+            return self.apply_leader(self_id, data, version);
         }
         if let Some(label) = key.strip_prefix(CONTROLLER_PREFIX) {
             return self.apply_controller(label.into(), data, version);
         }
         let shard = ShardId::parse(key.strip_prefix(SHARD_PREFIX)?)?;
-        self.apply_shard(me, shard, data, FencingToken(version.0))
+        self.apply_shard(self_id, shard, data, FencingToken(version.0))
     }
 
     fn apply_leader(
         &mut self,
-        me: &ControllerId,
+        self_id: &ControllerId,
         data: Option<&str>,
         version: Revision,
     ) -> Option<LeaseChange> {
@@ -232,7 +235,7 @@
             return None;
         }
         self.leader = decode::<LeaderRecord>(data)
-            .filter(|record| !self.is_of_earlier_process(&record.leader, record.lease_id, me))
+            .filter(|record| !self.is_of_earlier_process(&record.leader, record.lease_id, self_id))
             .map(|record| (record.leader, version));
         Some(LeaseChange::Leader)
     }
@@ -265,7 +268,7 @@
 
     fn apply_shard(
         &mut self,
-        me: &ControllerId,
+        self_id: &ControllerId,
         shard: ShardId,
         data: Option<&str>,
         token: FencingToken,
@@ -275,7 +278,7 @@
             return None;
         }
         let record = decode::<ShardRecord>(data)
-            .filter(|record| !self.is_of_earlier_process(&record.holder, record.lease_id, me));
+            .filter(|record| !self.is_of_earlier_process(&record.holder, record.lease_id, self_id));
         match record {
             Some(record) => self.shards.insert(shard.clone(), (record.holder, token)),
             None => self.shards.remove(&shard),
@@ -284,9 +287,9 @@
     }
 }
 
-/// The controller that should hold each shard: the controllers of its zone take turns; shards of a zone
-/// without controllers go to those that hold the fewest. It depends on nothing but the arguments, so every
-/// leader comes to the same assignment and no shard moves without need. Controllers that receive no
+/// The controller that should hold each shard: shards are assigned round-robin to the controllers of their zone;
+/// shards of a zone without controllers go to those that hold the fewest. The result depends on the arguments
+/// only, so every leader computes the same assignment and no shard moves without need. Controllers that receive no
 /// heartbeats hold shards only if no controller receives any.
 #[must_use]
 pub fn desired_assignment(
@@ -322,7 +325,7 @@
     assignment
 }
 
-/// Assigns shards one by one to the controller that holds the fewest then.
+/// Assigns shards one by one, each to the controller that holds the fewest at that point.
 fn assign_to_fewest(
     shards: Vec<ShardId>,
     shard_counts: &mut BTreeMap<&ControllerId, u32>,
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -71,10 +71,10 @@
     }
 }
 
-/// A leader that was back from a partition took a new lease and, until the watch brought its successor, acted as
-/// leader again: it deleted twelve machines that ran tasks.
+/// A leader that returned from a partition acquired a new lease and, until the watch reported its successor, acted
+/// as leader again: it deleted twelve machines that ran tasks.
 #[test]
-fn losing_our_lease_drops_our_leadership_and_shards_only() {
+fn losing_the_lease_drops_only_own_leadership_and_shards() {
     let mut leases = Leases {
         own: OwnLease::Held {
             lease_id: LeaseId(7),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_peer_supersedes_us_only_with_a_higher_token() {
+fn a_peer_supersedes_the_holder_only_with_a_higher_token() {
     let shard = ShardId::parse("a.0").unwrap();
     for (token, holder, taken) in [
         (3, "n1", false),
@@ -146,21 +146,21 @@
 }
 
 /// A controller that was killed and restarted at once took itself for the leader and the holder of shards, at the
-/// revisions of the process before, until its old lease had been ended: it could have rented machines under names
+/// revisions of its previous process, until the old lease had been ended: it could have rented machines under names
 /// that were in use, and answered workers under a fencing token that was not its own.
 #[test]
 fn leadership_and_shards_belong_to_the_process_that_acquired_them() {
-    let me = ControllerId::from("n0");
+    let self_id = ControllerId::from("n0");
     let shard = ShardId::parse("a.0").unwrap();
     let cases = [
-        // our lease; the holder by the record, and under which lease; whether it is us, whether anybody
+        // own lease; holder and lease in the record; whether this process holds it, whether any holder is known
         (None, "n0", 7, false, false),
         (Some(8), "n0", 7, false, false),
         (Some(8), "n0", 8, true, true),
         (Some(8), "n1", 7, false, true),
         (None, "n1", 7, false, true),
     ];
-    for (own, holder, lease_id, ours, known) in cases {
+    for (own, holder, lease_id, held_by_this_process, known) in cases {
         let mut leases = Leases::default();
         if let Some(lease_id) = own {
             leases.own = OwnLease::Held {
@@ -168,35 +168,48 @@
                 until: Millis(9),
             };
         }
-        let lead = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
-        let held = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
-        leases.apply(&me, LEADER_KEY, Some(&lead), Revision(3));
-        leases.apply(&me, &shard_key(&shard), Some(&held), Revision(4));
+        let leader_record = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
+        let shard_record = format!("{{\"holder\":\"{holder}\",\"permit\":{lease_id}}}");
+        leases.apply(&self_id, LEADER_KEY, Some(&leader_record), Revision(3));
+        leases.apply(
+            &self_id,
+            &shard_key(&shard),
+            Some(&shard_record),
+            Revision(4),
+        );
         let case = format!("{own:?}, {holder} under {lease_id}");
-        assert_eq!(leases.leadership_revision(&me).is_some(), ours, "{case}");
-        assert_eq!(leases.held_token(&shard, &me).is_some(), ours, "{case}");
+        assert_eq!(
+            leases.leadership_revision(&self_id).is_some(),
+            held_by_this_process,
+            "{case}"
+        );
+        assert_eq!(
+            leases.held_token(&shard, &self_id).is_some(),
+            held_by_this_process,
+            "{case}"
+        );
         assert_eq!(leases.leader.is_some(), known, "{case}");
         assert_eq!(leases.shards.contains_key(&shard), known, "{case}");
     }
 }
 
-/// A late message of a process that has ended could make silent machines look alive.
+/// A late message from a process that has ended could make silent machines look alive.
 #[test]
 fn a_process_has_ended_once_its_record_is_replaced_or_deleted() {
     let mut leases = Leases::default();
     let record = |lease_id| format!("{{\"permit\":{lease_id},\"zone\":\"a\",\"hears\":true}}");
     let steps = [
-        // record, its version, leases that are over then
+        // record, its version, leases that have ended by then
         (Some(record(3)), 5, vec![]),
         (Some(record(3)), 6, vec![]),
         (Some(record(4)), 7, vec![3]),
         (None, 8, vec![3, 4]),
         (Some(record(9)), 9, vec![3, 4]),
     ];
-    for (data, version, over) in steps {
+    for (data, version, ended) in steps {
         let (key, version) = (controller_key(&"n1".into()), Revision(version));
         leases.apply(&"n0".into(), &key, data.as_deref(), version);
         let found: Vec<u64> = (1..12).filter(|p| leases.has_ended(LeaseId(*p))).collect();
-        assert_eq!(found, over, "at {version:?}");
+        assert_eq!(found, ended, "at {version:?}");
     }
 }
--- a/src/preempt/mod.rs
+++ b/src/preempt/mod.rs
@@ -5,7 +5,7 @@
 use crate::types::{MachineId, Resources, TaskId, Team};
 
 /// Cost rank of stopping borrowed work, before its overuse is subtracted. It is larger than any
-/// overuse in steps, so that the rank stays above zero (no task is stopped).
+/// overuse in steps, so that the rank stays above zero, the rank of stopping no task.
 const BORROWED_RANK: i64 = 1 << 20;
 /// Cost rank of stopping work that its team is entitled to: above that of any borrowed work.
 const ENTITLED_RANK: i64 = 1 << 21;
@@ -13,21 +13,23 @@
 /// A task that may be stopped for another.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// The task.
+    /// The task that would be stopped.
     pub task: TaskId,
-    /// What stopping it releases.
+    /// The resources that stopping it releases.
     pub resources: Resources,
     /// Its priority: victims of lower priority are stopped first.
     pub priority: PriorityClass,
     /// Seconds of its machine's time that stopping it wastes.
     pub waste_s: f64,
-    /// It is being stopped already.
+    /// The task is already being stopped: its resources count as released, and no offer names it
+    /// as a task to stop.
     pub already_stopping: bool,
-    /// It may be stopped whatever its team's share is: by priority, or for a flat guarantee.
+    /// It may be stopped regardless of its team's share: by priority, or for a flat guarantee.
     pub unconditional: bool,
     /// Its team, if the quota tree may let it be stopped.
     pub borrowing_team: Option<Team>,
-    /// For work that its team borrowed: how far the team is over its share, in steps.
+    /// For work that its team borrowed: how far the team is over its share, in steps. `None` for
+    /// other work.
     pub overuse_steps: Option<i64>,
 }
 
@@ -36,23 +38,23 @@
 pub struct PreemptionSite {
     /// The machine.
     pub machine_id: MachineId,
-    /// What is available on it without stopping any task.
+    /// The resources that are available on it without stopping any task.
     pub available: Resources,
     /// The tasks on it that may be stopped.
     pub victims: Vec<Victim>,
-    /// Seconds that the task would have to wait here in addition, such as for its image.
+    /// Additional seconds until the task could start on this machine, such as for its image fetch.
     pub delay_s: f64,
-    /// Shares of a quota tree count: machines where no task has to be stopped come first, then those
-    /// with borrowed work, that of the team furthest over its share first.
+    /// Whether the shares of a quota tree decide the order: machines where no task has to be stopped
+    /// come first, then those with borrowed work, starting with the team furthest over its share.
     pub under_quota_tree: bool,
 }
 
-/// The cost of making one machine available to a task.
+/// A way to make resources available to a task on one machine: the tasks to stop, and the cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreemptionOffer {
     /// The machine.
     pub machine_id: MachineId,
-    /// The tasks to stop there. Tasks that are leaving already are not among them.
+    /// The tasks to stop there, without those that are already being stopped.
     pub victims: Vec<TaskId>,
     cost: Cost,
 }
@@ -64,11 +66,12 @@
     entitlement_rank: i64,
     /// The highest priority of the victims.
     priority: PriorityClass,
-    /// Seconds that are wasted, and that the task has to wait in addition.
+    /// Seconds of machine time that are wasted, plus the additional seconds until the task could start.
     waste_s: f64,
 }
 
-/// The cost of preemption for a task on a machine; `None` if the task can't be made to fit.
+/// The offer of a machine for a task that needs these resources; `None` if the task would not fit
+/// even if all victims were stopped.
 pub fn offer_on_site(resources: Resources, site: &PreemptionSite) -> Option<PreemptionOffer> {
     let chosen = cheapest_victims(resources, site)?;
     let needed = without_unneeded(resources, chosen);
@@ -151,11 +154,12 @@
 /// Victims that were chosen on a machine, the cheapest first.
 struct ChosenVictims<'a> {
     victims: Vec<&'a Victim>,
-    /// What is available once they have left.
+    /// The resources that are available once the victims have stopped.
     available: Resources,
 }
 
-/// Takes victims, the cheapest first, until the task fits; `None` if it never does.
+/// Selects victims, the cheapest first, until the task fits; `None` if it does not fit even without
+/// all of them.
 fn cheapest_victims(resources: Resources, site: &PreemptionSite) -> Option<ChosenVictims<'_>> {
     let mut by_cost: Vec<&Victim> = site.victims.iter().collect();
     by_cost.sort_by(|left, right| {
@@ -182,7 +186,7 @@
     resources.fits_in(chosen.available).then_some(chosen)
 }
 
-/// Drops victims that need not be stopped for the task to fit, the most costly first.
+/// Removes victims that need not be stopped for the task to fit, the most costly first.
 fn without_unneeded(resources: Resources, chosen: ChosenVictims<'_>) -> Vec<&Victim> {
     let ChosenVictims {
         mut victims,
--- a/src/queue/active.rs
+++ b/src/queue/active.rs
@@ -1,7 +1,8 @@
 //! The active part of the queue: jobs that may be tried at once, in order.
 //!
-//! Usually the least key goes first. While writes to the store are short, half of the cycles go by
-//! floors instead, so that a flood of urgent jobs of one class or team does not starve the others.
+//! Usually the least key goes first. While write capacity of the store is scarce, half of the cycles
+//! are assigned by floors (guaranteed minimum rates) instead, so that a burst of urgent jobs of one
+//! class or team does not starve the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,11 +13,11 @@
 use crate::admission::Flow;
 use crate::types::JobId;
 
-/// Part of the cycles, while writes are short, that goes by the floors of classes and, within a
-/// class, by those of its teams. The other half goes by the queue's order.
+/// Fraction of the cycles, while write capacity is scarce, that is assigned by the floors of classes
+/// and, within a class, by those of its teams. The other half follows the queue's order.
 const FLOOR_SHARE: f64 = 0.5;
 
-/// Active jobs by flow, with the floors' account of what each flow was served.
+/// Active jobs by flow, with the floors that track how much each class and team was served.
 pub(super) struct ActiveJobs {
     by_flow: BTreeMap<Flow, BTreeSet<(QueueKey, JobId)>>,
     class_floors: Floors<Slot>,
--- a/src/queue/key.rs
+++ b/src/queue/key.rs
@@ -10,13 +10,13 @@
 /// priority, then those that were seen first. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// What the job would place next exceeds its team's guarantee.
+    /// The job's next placement would exceed its team's guarantee.
     pub beyond_guarantee: bool,
     /// The job's priority class, highest first.
     pub priority: Reverse<PriorityClass>,
     /// When this controller first saw the job.
     pub first_seen_at: Millis,
-    /// The job's class and team, whose floors apply while writes are short.
+    /// The job's class and team, whose floors apply while write capacity is scarce.
     pub flow: Flow,
 }
 
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,11 +1,11 @@
 //! The pending queue: jobs that have tasks to place.
 //!
 //! It has three parts, as in other schedulers: *active* jobs may be tried at once, jobs in
-//! *backoff* after their wait, and *unschedulable* (parked) jobs when an event in the cluster may
-//! help them. The tasks of one job are identical, so one entry represents all of a job's waiting
+//! *backoff* after a delay, and *parked* (unschedulable) jobs when an event in the cluster may help
+//! them. The tasks of one job are identical, so one entry represents all of a job's waiting
 //! tasks; a cycle still places one task.
 //!
-//! The queue decides the order alone. The controller says which jobs are in it, and places them.
+//! The queue only decides the order. The controller decides which jobs are queued, and places them.
 
 mod active;
 mod key;
@@ -23,11 +23,11 @@
 pub use key::{QueueKey, QueueRank};
 pub use reason::{Check, ClusterEvent, WaitReason};
 
-/// Failures after which the doubling stops: the shift must not overflow, and the longest backoff
-/// is reached far earlier.
+/// Maximum number of times that the backoff is doubled: the shift must not overflow, and the longest
+/// backoff is reached far earlier.
 const MAX_DOUBLINGS: u32 = 20;
-/// A random part of the backoff, up to one divided by this, is added so that jobs that failed
-/// together are not retried together.
+/// The jitter is a random time of at most the backoff divided by this. It is added so that jobs that
+/// failed together are not retried together.
 const JITTER_DIVISOR: u64 = 10;
 
 /// The part of the queue that a job is in.
@@ -37,11 +37,11 @@
     Backoff {
         until: Millis,
     },
-    /// Unschedulable until an event helps one of `checks`, or until the flush.
+    /// Unschedulable until an event that may make one of `checks` pass, or until the flush.
     Parked {
         checks: BTreeSet<Check>,
         since: Millis,
-        /// A job that is released earlier first waits for the end of its backoff.
+        /// A job that is released before this time first moves to the backoff part.
         backoff_until: Millis,
     },
 }
@@ -62,12 +62,12 @@
     flush_after: Millis,
 }
 
-/// A job that was taken out of the queue for a cycle.
+/// A job that was removed from the queue for a cycle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoppedJob {
     /// The job.
     pub id: JobId,
-    /// Its failed cycles since it was queued.
+    /// Number of its failed cycles since it was queued.
     pub failures: u32,
 }
 
@@ -86,8 +86,8 @@
 }
 
 impl Queue {
-    /// An empty queue. The backoff is `first_backoff` after the first failure and doubles up to
-    /// `max_backoff`; a job is parked for `flush_after` at most.
+    /// An empty queue. The backoff is `first_backoff` after the first failure and doubles with each
+    /// further one up to `max_backoff`; a job is parked for `flush_after` at most.
     pub fn new(first_backoff: Millis, max_backoff: Millis, flush_after: Millis) -> Self {
         Self {
             backoff_policy: BackoffPolicy {
@@ -131,8 +131,8 @@
         self.attach(job.clone(), Part::Active(key), failures, key);
     }
 
-    /// Gives every job its present key: what teams are entitled to has changed. A job without a
-    /// present key keeps the one it has.
+    /// Replaces the keys of all jobs after the teams' entitlements have changed. A job for which
+    /// `key` returns `None` keeps its key.
     pub fn reorder(&mut self, key: impl Fn(&JobId) -> Option<QueueKey>) {
         for (job, entry) in &mut self.entries {
             let Some(key) = key(job).filter(|key| *key != entry.key) else {
@@ -147,26 +147,26 @@
         }
     }
 
-    /// Takes a job out of the queue.
+    /// Removes a job, whichever part it is in.
     pub fn remove(&mut self, job: &JobId) {
         self.detach(job);
     }
 
-    /// Takes the first active job. It leaves the queue; [`Self::push`] or
-    /// [`Self::requeue_after_failure`] bring it back.
+    /// Removes and returns the first active job. [`Self::push`] or
+    /// [`Self::requeue_after_failure`] queue it again.
     pub fn pop(&mut self) -> Option<PoppedJob> {
         let (_, job) = self.active.first()?.clone();
         self.take(job)
     }
 
-    /// Takes this job if it is active.
+    /// Removes and returns this job if it is active.
     pub fn pop_job(&mut self, job: &JobId) -> Option<PoppedJob> {
         let active = matches!(self.entries.get(job)?.part, Part::Active(_));
         active.then(|| self.take(job.clone()))?
     }
 
-    /// Takes the first active job of the class and team that are furthest behind their floors;
-    /// where none is behind, the first of all.
+    /// Removes and returns the first active job of the class and team that are furthest behind their
+    /// floors; where none is behind, the first of all.
     pub fn pop_by_floors(&mut self) -> Option<PoppedJob> {
         let job = self.active.first_by_floors()?.clone();
         self.take(job)
@@ -182,9 +182,9 @@
         self.active.first().map(|(key, _)| *key)
     }
 
-    /// Brings back a job after a failed cycle. With `checks`, every machine was rejected by one of
-    /// them, and the job is parked until an event helps one; without, it only backs off.
-    /// `failures` counts the failed cycles before this one.
+    /// Queues a job again after a failed cycle. If there are `checks`, every machine was rejected by
+    /// one of them, and the job is parked until an event may make one pass; otherwise it only backs
+    /// off. `failures` counts the failed cycles before this one.
     pub fn requeue_after_failure(
         &mut self,
         job: &JobId,
@@ -216,8 +216,8 @@
     }
 
     /// Parks a job that was nominated for machines on which tasks are being preempted. It becomes
-    /// active as soon as their resources are released: the wait is no failure, so no backoff
-    /// applies.
+    /// active as soon as the resources of those tasks are released: the wait is not a failure, so no
+    /// backoff applies.
     pub fn park_nominated(&mut self, job: &JobId, failures: u32, key: QueueKey, now: Millis) {
         self.detach(job);
         let part = Part::Parked {
@@ -263,7 +263,7 @@
 }
 
 impl BackoffPolicy {
-    /// The backoff after `failures` failures in a row, with jitter.
+    /// The backoff after `failures` failed cycles, with jitter.
     fn backoff_after(&self, failures: u32, rng: &mut impl Rng) -> Millis {
         let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let doubled = self.first.0.saturating_mul(1 << doublings);
--- a/src/queue/reason.rs
+++ b/src/queue/reason.rs
@@ -1,24 +1,25 @@
-//! Why a job is not placed yet, and which changes in the cluster may alter that.
+//! Why a job is not placed yet, and which changes in the cluster may make it placeable.
 
 use std::collections::BTreeSet;
 
 use crate::types::{JobId, MachineId, Millis, Team};
 
-/// A check that can reject a task. The queue keeps the checks that rejected a job, so that only
-/// these judge whether an event helps it.
+/// A check that can reject a task. The queue keeps the checks that rejected a job, so that an event
+/// wakes the job only if it may make one of these pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Check {
-    /// The job does not allow the machine's type, its zone, or spot machines.
+    /// The job does not allow the machine's type, its zone, or spot machines, or does not fit on the
+    /// machine even when the machine is empty.
     Machine,
     /// Too little of the machine's capacity is available.
     Resources,
-    /// The job wants one zone, or a spread over zones.
+    /// The job requires a single zone or a spread over zones, and the machine's zone violates that.
     Zones,
     /// The team's quota limit is used up.
     TeamQuota,
     /// The shard's allocation of the team's quota is used up.
     ShardQuota,
-    /// Tasks of an earlier attempt are not proven to have left their machines yet.
+    /// Tasks of an earlier attempt are not yet proven to have left their machines.
     EarlierAttempt,
 }
 
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -41,8 +41,8 @@
     assert_eq!(popped, ["job-4", "job-3", "job-2", "job-5", "job-1"]);
 }
 
-/// A burst of jobs at top priority took all cycles, so nothing else was placed although there was
-/// capacity.
+/// A burst of jobs of the highest priority took all cycles, so no other job was placed although there
+/// was capacity.
 #[test]
 fn under_a_tight_write_budget_every_class_and_team_has_its_floor() {
     let (mut queue, _) = queue();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn only_the_rejecting_checks_judge_an_event() {
+fn an_event_wakes_a_job_only_if_it_satisfies_a_rejecting_check() {
     let cases = [
         // rejecting check, check that the event satisfies, time of the event, when active
         (Check::Resources, Check::Resources, 500, Some(1_200)),
@@ -105,25 +105,29 @@
         (Check::Resources, Check::TeamQuota, 5_000, None),
         (Check::TeamQuota, Check::TeamQuota, 5_000, Some(5_000)),
     ];
-    for (rejected, satisfied, at, active) in cases {
+    for (rejecting, satisfied, at, active) in cases {
         let (mut queue, mut rng) = queue();
         let job = JobId::from("job-1");
         let key = key(PriorityClass::Normal, 0);
         queue.requeue_after_failure(
             &job,
             0,
-            BTreeSet::from([rejected]),
+            BTreeSet::from([rejecting]),
             key,
             Millis(0),
             &mut rng,
         );
         queue.wake(Millis(at), |_, check| check == satisfied);
         queue.tick(Millis(at));
-        let early = queue.pop().is_some();
-        assert_eq!(early, active == Some(at), "{rejected:?} {satisfied:?} {at}");
-        if let Some(active) = active.filter(|_| !early) {
+        let active_at_event = queue.pop().is_some();
+        assert_eq!(
+            active_at_event,
+            active == Some(at),
+            "{rejecting:?} {satisfied:?} {at}"
+        );
+        if let Some(active) = active.filter(|_| !active_at_event) {
             queue.tick(Millis(active));
-            assert!(queue.pop().is_some(), "{rejected:?} {satisfied:?} {at}");
+            assert!(queue.pop().is_some(), "{rejecting:?} {satisfied:?} {at}");
         }
     }
 }
--- a/src/queue/wake.rs
+++ b/src/queue/wake.rs
@@ -1,12 +1,12 @@
-//! How jobs leave the backoff and the unschedulable part: by events, by the end of their backoff,
-//! and by a flush of those that were parked for long.
+//! How jobs leave the backoff part and the parked part: by events, by the end of their backoff, and
+//! by a flush of jobs that have been parked for long.
 
 use super::{Check, Part, Queue};
 use crate::types::{JobId, Millis};
 
 impl Queue {
-    /// Asks the rejecting checks of each parked job whether an event helps, and releases the jobs
-    /// for which one says so.
+    /// Releases the parked jobs that an event may help: those for which `helps` is true of one of the
+    /// checks that rejected them.
     pub fn wake(&mut self, now: Millis, mut helps: impl FnMut(&JobId, Check) -> bool) {
         let woken: Vec<(JobId, Millis)> = self
             .entries
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Activates jobs whose backoff is over, and releases those that were parked for so long that
-    /// the event which they wait for may have been missed.
+    /// Activates jobs whose backoff is over, and releases jobs that were parked for so long that the
+    /// event which they wait for may have been missed.
     pub fn tick(&mut self, now: Millis) {
         self.activate_backed_off(now);
         self.flush_parked(now);
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Moves a parked job on: its backoff has to end before it is active.
+    /// Moves a parked job to the backoff part if its backoff has not ended, otherwise to the active
+    /// part.
     fn release_parked(&mut self, job: &JobId, backoff_until: Millis, now: Millis) {
         if let Some(entry) = self.detach(job) {
             let part = if backoff_until > now {
