--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -6,7 +6,7 @@
 
 use super::{CallPurpose, Controller, Effect};
 use crate::admission::shared::{AdmissionReport, PLAN_KEY, WriteAdmission};
-use crate::lease::{LEADER, OwnLease, controller_key};
+use crate::lease::{LEADER_KEY, OwnLease, controller_key};
 use crate::store::{CallClass, Transaction};
 use crate::types::{ControllerId, Revision};
 
@@ -14,7 +14,7 @@
     /// Follows the newest plan, reports the demand, and writes the next plan if this controller
     /// leads.
     pub(super) fn update_admission_plan(&mut self) {
-        let limit = WriteAdmission::limit(self.settings.deployment.state.write_rps);
+        let limit = WriteAdmission::limit_for_plans(self.settings.deployment.state.write_rps);
         self.follow_admission_plan(limit);
         let report = self.admission_report();
         self.commits
@@ -30,8 +30,8 @@
         let is_member = self.is_plan_member();
         let plan = &self.commits.admission.plan;
         let allowed = plan.allowance(self.me.as_str(), is_member, base);
-        if allowed != self.commits.admission.allowed {
-            self.commits.admission.allowed = allowed;
+        if allowed != self.commits.admission.allowed_rate {
+            self.commits.admission.allowed_rate = allowed;
             self.effects.push(Effect::SetWriteLimit {
                 writes_per_s: allowed,
             });
@@ -84,11 +84,11 @@
         let has_lease =
             |controller: &ControllerId| self.membership.leases.controllers.contains_key(controller);
         let admission = &self.commits.admission;
-        let next = admission.next(limit, controllers.iter().cloned(), has_lease, self.now);
+        let next = admission.next_plan(limit, controllers.iter().cloned(), has_lease, self.now);
         let Some(plan) = next else { return };
         tracing::debug!(shares = ?plan.shares, "writing admission plan");
         let mut txn = Transaction::default();
-        txn.require(LEADER.into(), leader_revision);
+        txn.require(LEADER_KEY.into(), leader_revision);
         txn.require(PLAN_KEY.into(), admission.version);
         // The write fails if a controller that this plan counts as absent returns in the meantime,
         // since that controller may follow a plan that includes it.
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -28,7 +28,7 @@
 use crate::jobs::cache::{CommitState, Job};
 use crate::jobs::completion_forwarding::CompletionForwarder;
 use crate::jobs::record::{encode_page, job_key, page_key};
-use crate::lease::{LEADER, shard_key};
+use crate::lease::{LEADER_KEY, shard_key};
 use crate::quota;
 use crate::settings::{Settings, TeamSettings};
 use crate::store::{CallClass, Transaction};
@@ -90,7 +90,7 @@
     /// are conditioned on versions that become outdated, so only a fraction of a second's worth is
     /// sent ahead.
     fn in_flight_limit(&self) -> usize {
-        let limit = (self.admission.allowed * IN_FLIGHT_S).ceil() as usize;
+        let limit = (self.admission.allowed_rate * IN_FLIGHT_S).ceil() as usize;
         limit.clamp(1, MAX_IN_FLIGHT)
     }
 }
@@ -193,7 +193,7 @@
         // placement were committed after its term, it would add to what the next leader has
         // allocated in the meantime.
         if let Some(leader_revision) = self.leading().filter(|_| placements.in_other_shards > 0) {
-            txn.require(LEADER.into(), leader_revision);
+            txn.require(LEADER_KEY.into(), leader_revision);
         }
         for page in planned.pages.keys() {
             txn.require(page_key(&job.id, *page), job.page_version(*page));
--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -98,7 +98,7 @@
                 from.clone(),
             )
         });
-        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        let token = self.membership.leases.held_token(&machine.shard, &self.me);
         if token.is_some() {
             return;
         }
@@ -132,7 +132,7 @@
                 .insert(machine_id, contact_at);
             return None;
         };
-        let token = self.membership.leases.holds(&machine.shard, &self.me);
+        let token = self.membership.leases.held_token(&machine.shard, &self.me);
         if token.is_some() {
             return None;
         }
--- a/src/controller/quota_allocation/tests.rs
+++ b/src/controller/quota_allocation/tests.rs
@@ -4,7 +4,7 @@
 use crate::jobs::api::{parse, tests::body};
 use crate::jobs::cache::TaskChange;
 use crate::jobs::{JobKind, Placement, Task};
-use crate::lease::LEADER;
+use crate::lease::LEADER_KEY;
 use crate::quota::allocation_key;
 use crate::settings::tests::settings;
 use crate::store::{Mutation as Write, StoreCall, StoreResponse, Transaction};
@@ -25,7 +25,7 @@
     spec.resources.gpus = task_gpus;
     let (mut controller, id) = controller_with(&settings, spec, tasks);
     let leader_record = r#"{"leader":"n0","permit":1}"#;
-    controller.apply(LEADER, Some(leader_record), Revision(9));
+    controller.apply(LEADER_KEY, Some(leader_record), Revision(9));
     controller.store_sync.applied = Revision(50);
     controller.effects.clear();
     (controller, id)
@@ -138,7 +138,7 @@
             _ => None,
         });
         let conditions = conditions.expect("the placement is sent");
-        let has_condition = conditions.contains(&(LEADER.to_string(), Revision(9)));
+        let has_condition = conditions.contains(&(LEADER_KEY.to_string(), Revision(9)));
         assert_eq!(has_condition, required, "held by {holder}: {conditions:?}");
     }
 }
--- a/src/cycle/index/mod.rs
+++ b/src/cycle/index/mod.rs
@@ -4,8 +4,8 @@
 //! the whole fleet.
 //!
 //! Machines of one class (group and level) are equivalent to a cycle, except for their images: those
-//! with a job's image are found by a second index. The index gives a shortlist only; the caller
-//! checks the machine itself.
+//! with a job's image are found by a second index. The index only narrows the search: the caller still
+//! has to filter each machine.
 
 mod level;
 
@@ -20,18 +20,18 @@
 /// Machines that a job either all allows or all excludes. The order of the fields is the order
 /// in which groups are visited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Group {
+pub struct MachineGroup {
     /// This controller holds the shard.
     pub own: bool,
     /// The shard of the machines.
     pub shard: ShardId,
-    /// Their type.
+    /// The type of the machines.
     pub machine_type: MachineTypeId,
     /// Whether they are spot machines.
     pub spot: bool,
 }
 
-impl Group {
+impl MachineGroup {
     /// The zone of the machines.
     pub fn zone(&self) -> &Zone {
         &self.shard.zone
@@ -40,22 +40,22 @@
 
 /// A machine's entry in the index.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct IndexEntry {
     /// The group that the machine belongs to.
-    pub group: Group,
-    /// What was available when it was entered.
+    pub group: MachineGroup,
+    /// The machine's capacity level when the entry was made.
     pub level: CapacityLevel,
     /// The images in its cache, sorted.
     pub images: Vec<Image>,
 }
 
 /// Machines by group and level.
-type MachinesByClass = BTreeMap<Group, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
+type MachinesByClass = BTreeMap<MachineGroup, BTreeMap<CapacityLevel, BTreeSet<MachineId>>>;
 
 fn insert_machine(
     by_class: &mut MachinesByClass,
     machine_id: &MachineId,
-    group: &Group,
+    group: &MachineGroup,
     level: CapacityLevel,
 ) {
     if !by_class.contains_key(group) {
@@ -69,7 +69,7 @@
 fn remove_machine(
     by_class: &mut MachinesByClass,
     machine_id: &MachineId,
-    group: &Group,
+    group: &MachineGroup,
     level: CapacityLevel,
 ) {
     let Some(levels) = by_class.get_mut(group) else {
@@ -90,14 +90,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MachineClass<'a> {
     /// The group of the machines.
-    pub group: &'a Group,
-    /// Their level.
+    pub group: &'a MachineGroup,
+    /// The capacity level of the machines.
     pub level: CapacityLevel,
     /// The machines, by id.
     pub machine_ids: &'a BTreeSet<MachineId>,
 }
 
-/// Whether a look-up asks for an image in the machines' caches.
+/// Which machines a lookup finds, by the images in their caches.
 #[derive(Clone, Copy, Debug)]
 pub enum ImageFilter<'a> {
     /// Machines with this image in their cache.
@@ -109,29 +109,29 @@
 /// The index of available capacity.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
-    entries: HashMap<MachineId, Entry>,
+    entries: HashMap<MachineId, IndexEntry>,
     all: MachinesByClass,
     by_image: HashMap<Image, MachinesByClass>,
 }
 
 impl CapacityIndex {
-    /// How many machines are entered.
+    /// Number of machines in the index.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no machine is entered.
+    /// Whether the index has no machines.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All machines that are entered, in no particular order.
+    /// All machines in the index, in no particular order.
     pub fn machine_ids(&self) -> impl Iterator<Item = &MachineId> {
         self.entries.keys()
     }
 
     /// All entries, in no particular order.
-    pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&MachineId, &IndexEntry)> {
         self.entries.iter()
     }
 
@@ -143,19 +143,19 @@
         own: bool,
         shard: &ShardId,
         level: CapacityLevel,
-        images: usize,
+        image_count: usize,
     ) -> bool {
         let entry = self.entries.get(machine_id);
         entry.is_some_and(|entry| {
             entry.group.own == own
                 && entry.group.shard == *shard
                 && entry.level == level
-                && entry.images.len() == images
+                && entry.images.len() == image_count
         })
     }
 
-    /// Enters a machine, or replaces its entry.
-    pub fn update(&mut self, machine_id: &MachineId, entry: Entry) {
+    /// Adds a machine, or replaces its entry.
+    pub fn update(&mut self, machine_id: &MachineId, entry: IndexEntry) {
         if self.entries.get(machine_id) == Some(&entry) {
             return;
         }
@@ -193,7 +193,7 @@
     }
 
     /// The groups that have machines, in their order.
-    pub fn groups(&self) -> impl Iterator<Item = &Group> {
+    pub fn groups(&self) -> impl Iterator<Item = &MachineGroup> {
         self.all.keys()
     }
 
@@ -201,7 +201,7 @@
     pub fn fitting<'a>(
         &'a self,
         image_filter: ImageFilter,
-        group: &'a Group,
+        group: &'a MachineGroup,
         resources: Resources,
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let by_class = self.machines_by_class(image_filter);
@@ -222,7 +222,7 @@
     }
 
     /// Whether a group has a machine on which these resources are not available.
-    pub fn any_too_full(&self, group: &Group, resources: Resources) -> bool {
+    pub fn any_too_full(&self, group: &MachineGroup, resources: Resources) -> bool {
         let levels = self.all.get(group);
         let mut levels = levels.into_iter().flat_map(|levels| levels.keys());
         levels.any(|level| !resources.fits_in(level.available()))
@@ -232,13 +232,13 @@
     /// first.
     pub fn too_full<'a>(
         &'a self,
-        group: &'a Group,
+        group: &'a MachineGroup,
         resources: Resources,
     ) -> impl Iterator<Item = MachineClass<'a>> + use<'a> {
         let levels = self.all.get(group).into_iter();
         let levels = levels.flat_map(|levels| levels.iter().rev());
-        let full = levels.filter(move |(level, _)| !resources.fits_in(level.available()));
-        full.map(move |(level, machine_ids)| MachineClass {
+        let too_full = levels.filter(move |(level, _)| !resources.fits_in(level.available()));
+        too_full.map(move |(level, machine_ids)| MachineClass {
             group,
             level: *level,
             machine_ids,
--- a/src/cycle/index/tests.rs
+++ b/src/cycle/index/tests.rs
@@ -11,12 +11,12 @@
     }
 }
 
-fn entry(rng: &mut SmallRng) -> Entry {
+fn entry(rng: &mut SmallRng) -> IndexEntry {
     let zone = Zone::from(["a", "b"][rng.random_range(0..2)]);
     let images = (0..4).filter(|_| rng.random_bool(0.4));
     let images = images.map(|i| Image::from(format!("img-{i}"))).collect();
-    Entry {
-        group: Group {
+    IndexEntry {
+        group: MachineGroup {
             own: rng.random_bool(0.5),
             shard: ShardId {
                 zone,
@@ -40,7 +40,7 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = CapacityIndex::default();
-        let mut all: BTreeMap<MachineId, Entry> = BTreeMap::new();
+        let mut all: BTreeMap<MachineId, IndexEntry> = BTreeMap::new();
         for _ in 0..400 {
             let machine_id = MachineId::from(format!("vm-{}", rng.random_range(0..60)));
             if rng.random_bool(0.3) {
@@ -53,8 +53,8 @@
             }
         }
         assert_eq!(index.len(), all.len());
-        let groups: BTreeSet<&Group> = index.groups().collect();
-        let expected: BTreeSet<&Group> = all.values().map(|entry| &entry.group).collect();
+        let groups: BTreeSet<&MachineGroup> = index.groups().collect();
+        let expected: BTreeSet<&MachineGroup> = all.values().map(|entry| &entry.group).collect();
         assert_eq!(groups, expected);
         for group in groups {
             for wanted in [
@@ -63,7 +63,7 @@
                 resources(5.0),
                 resources(8.0),
             ] {
-                let walk = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
+                let scan = |image: Option<&Image>, fits: bool| -> BTreeSet<&MachineId> {
                     let found = all.iter().filter(|(_, entry)| {
                         entry.group == *group
                             && image.is_none_or(|image| entry.images.contains(image))
@@ -75,18 +75,18 @@
                     .fitting(ImageFilter::Any, group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(any, walk(None, true));
+                assert_eq!(any, scan(None, true));
                 let image = Image::from("img-1");
                 let cached: BTreeSet<&MachineId> = index
                     .fitting(ImageFilter::Image(&image), group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(cached, walk(Some(&image), true));
+                assert_eq!(cached, scan(Some(&image), true));
                 let full: BTreeSet<&MachineId> = index
                     .too_full(group, wanted)
                     .flat_map(|class| class.machine_ids)
                     .collect();
-                assert_eq!(full, walk(None, false));
+                assert_eq!(full, scan(None, false));
                 assert_eq!(index.any_too_full(group, wanted), !full.is_empty());
             }
         }
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -159,12 +159,16 @@
         let mut victims = Vec::with_capacity(site.victims.len());
         for victim in &site.victims {
             let mut overuse = None;
-            if let Some(team) = victim.borrowing_team.as_ref().filter(|_| !victim.leaving) {
+            if let Some(team) = victim
+                .borrowing_team
+                .as_ref()
+                .filter(|_| !victim.already_stopping)
+            {
                 let stopped_before = stopped.entry(team).or_default();
                 overuse = self.reclaimable_overuse(team, victim.resources, *stopped_before);
                 *stopped_before += u32::from(overuse.is_some());
             }
-            if victim.leaving || victim.unconditional || overuse.is_some() {
+            if victim.already_stopping || victim.unconditional || overuse.is_some() {
                 victims.push(Victim {
                     overuse_steps: overuse,
                     ..victim.clone()
@@ -193,7 +197,11 @@
             .iter()
             .position(|site| site.machine_id == best.machine_id)?;
         let site = sites.swap_remove(position);
-        for victim in site.victims.iter().filter(|victim| !victim.leaving) {
+        for victim in site
+            .victims
+            .iter()
+            .filter(|victim| !victim.already_stopping)
+        {
             if let Some(team) = &victim.borrowing_team
                 && best.victims.contains(&victim.task)
             {
@@ -287,13 +295,13 @@
         let freed = site_with_victims
             .victims
             .iter()
-            .filter(|victim| victim.leaving || victim.overuse_steps.is_some());
+            .filter(|victim| victim.already_stopping || victim.overuse_steps.is_some());
         let available = freed
             .clone()
             .fold(site.available, |sum, victim| sum.plus(victim.resources));
         let available_fraction = available.dominant_share(resources).min(1.0);
         let victims: Vec<TaskId> = freed
-            .filter(|victim| !victim.leaving)
+            .filter(|victim| !victim.already_stopping)
             .map(|victim| victim.task.clone())
             .collect();
         let remaining_s = remaining_s(site, &victims)?;
