--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -65,7 +65,7 @@
     ) -> Self {
         // Unbounded, since the leader makes only a few calls a second, and repeats none in flight.
         let (inbox, mut calls) = mpsc::unbounded_channel::<(u64, CloudCall)>();
-        let client = HttpClient::new(settings.outside.cloud);
+        let client = HttpClient::new(settings.endpoints.cloud);
         let mut budget =
             TokenBucket::new(settings.deployment.cloud.rps * BUDGET_FRACTION, clock.now());
         tokio::spawn(async move {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -25,7 +25,8 @@
     /// The other controllers.
     pub members: Vec<Member>,
     /// The services that it calls.
-    pub outside: Endpoints,
+    #[serde(rename = "outside")]
+    pub endpoints: Endpoints,
     /// What is the same for all controllers.
     pub deployment: Deployment,
     /// The operator's settings; the defaults without a file.
@@ -59,7 +60,8 @@
     /// The cloud's API.
     pub cloud: SocketAddr,
     /// The store.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// What is the same for all controllers of a deployment.
--- a/src/settings/summary.rs
+++ b/src/settings/summary.rs
@@ -37,8 +37,8 @@
             let value = format!("{} ({}) {}", member.label, member.zone, member.address);
             line(out, "member", value)?;
         }
-        line(out, "state service", self.outside.state)?;
-        line(out, "cloud", self.outside.cloud)
+        line(out, "state service", self.endpoints.store)?;
+        line(out, "cloud", self.endpoints.cloud)
     }
 
     fn write_deployment(&self, out: &mut impl fmt::Write) -> fmt::Result {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -66,7 +66,7 @@
         // Bounded by the calls in flight.
         let (rate_limited, rejections) = mpsc::unbounded_channel();
         let actor = Actor {
-            client: HttpClient::new(settings.outside.state),
+            client: HttpClient::new(settings.endpoints.store),
             lanes: Lanes::new(
                 &settings.deployment.state,
                 settings.controllers(),
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -107,7 +107,7 @@
     let given = cases.iter().map(|(name, ..)| answers.text(name).into());
     let (address, mut asked) = service(given.collect()).await;
     let mut settings = settings();
-    settings.outside.cloud = address;
+    settings.endpoints.cloud = address;
     // A rate limit high enough that no call waits.
     settings.deployment.cloud.rps = 1e6;
     let (tell, mut told) = mpsc::unbounded_channel();
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -23,8 +23,8 @@
         .map(|m| format!("{} {} {}", m.label, m.zone, m.address))
         .collect();
     assert_eq!(members, ["n1 b 10.0.0.2:8082", "n2 c 10.0.0.3:8083"]);
-    assert_eq!(read.outside.cloud.to_string(), "10.2.0.2:8084");
-    assert_eq!(read.outside.state.to_string(), "10.2.0.1:8085");
+    assert_eq!(read.endpoints.cloud.to_string(), "10.2.0.2:8084");
+    assert_eq!(read.endpoints.store.to_string(), "10.2.0.1:8085");
     let deployment = &read.deployment;
     assert_eq!(deployment.count, 3);
     let zones: Vec<&str> = deployment.zones.iter().map(|z| z.as_str()).collect();
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -113,7 +113,7 @@
     let given = cases.iter().map(|(name, ..)| answers.text(name).into());
     let (address, mut asked) = service(given.collect()).await;
     let mut settings = settings();
-    settings.outside.state = address;
+    settings.endpoints.store = address;
     let (tell, mut told) = mpsc::unbounded_channel();
     let store = Store::start(&settings, Clock::start(), tell);
     for (tag, (name, call, expected)) in (0..).zip(cases) {
