--- a/crates/simulator/src/sim/process_faults.rs
+++ b/crates/simulator/src/sim/process_faults.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jaspertiller::settings::Operator;
+use jaspertiller::settings::OperatorSettings;
 use jaspertiller::types::{MachineId, Millis};
 
 use super::World;
@@ -18,7 +18,7 @@
     }
 
     /// Changes the operator's settings for all controllers that start from now on.
-    pub fn change_operator_settings(&mut self, change: fn(&mut Operator)) {
+    pub fn change_operator_settings(&mut self, change: fn(&mut OperatorSettings)) {
         for settings in &mut self.settings {
             change(&mut Arc::make_mut(settings).operator);
         }
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -9,7 +9,7 @@
 use super::nominations::Nominations;
 use crate::jobs::crash_loop::CrashLoopTracker;
 use crate::queue::Queue;
-use crate::settings::Operator;
+use crate::settings::OperatorSettings;
 use crate::types::{JobId, MachineId, Millis};
 use crate::workers::reconcile::Stops;
 
@@ -39,7 +39,7 @@
 
 impl Scheduler {
     /// The state of a controller that has no jobs yet.
-    pub(super) fn new(operator: &Operator) -> Self {
+    pub(super) fn new(operator: &OperatorSettings) -> Self {
         Self {
             queue: new_queue(operator),
             forwarded: HashSet::default(),
@@ -63,6 +63,6 @@
 }
 
 /// An empty queue with the operator's backoff settings.
-pub(super) fn new_queue(operator: &Operator) -> Queue {
+pub(super) fn new_queue(operator: &OperatorSettings) -> Queue {
     Queue::new(operator.backoff_first, operator.backoff_max, operator.flush)
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,7 +10,7 @@
 mod summary;
 
 pub use error::{SettingsError, problem, read_file};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use platform::{
     CloudLimits, Deployment, Endpoints, Member, Objective, ProcessLimits, Settings, StoreLimits,
     TeamSettings, WorkerTimings,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -9,7 +9,7 @@
 
 /// What an operator may tune. The compiled defaults suffice without a file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Back-off of a job that can't be placed, at first.
     pub backoff_first: Millis,
     /// Upper bound of the back-off, which doubles.
@@ -32,7 +32,7 @@
     pub tree: Option<PathBuf>,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
             backoff_first: Millis(1_000),
@@ -55,14 +55,14 @@
     key: &'static str,
     min: f64,
     max: f64,
-    set: fn(&mut Operator, f64),
+    set: fn(&mut OperatorSettings, f64),
 }
 
 impl NumberKey {
     const fn new(
         (section, key): (&'static str, &'static str),
         (min, max): (f64, f64),
-        set: fn(&mut Operator, f64),
+        set: fn(&mut OperatorSettings, f64),
     ) -> Self {
         Self {
             section,
@@ -116,7 +116,7 @@
     }),
 ];
 
-impl Operator {
+impl OperatorSettings {
     /// Reads and checks the file. The path of a quota tree is relative to the file's directory.
     ///
     /// # Errors
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use super::error::{SettingsError, problem};
-use super::operator::Operator;
+use super::operator::OperatorSettings;
 use crate::types::{ControllerId, Team, Zone};
 
 /// All settings of a controller. Fields of the file that are not listed here are ignored.
@@ -31,7 +31,7 @@
     pub deployment: Deployment,
     /// The operator's settings; the defaults without a file.
     #[serde(skip)]
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// The tree of nested quotas, from the file that the operator's settings name.
     #[serde(skip)]
     pub tree: Option<TreeSpec>,
--- a/src/settings/summary.rs
+++ b/src/settings/summary.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Display};
 
-use super::{Operator, Settings};
+use super::{OperatorSettings, Settings};
 
 /// Width of the names, so that the values are in a column.
 const NAME_WIDTH: usize = 24;
@@ -75,7 +75,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     fn write_summary(&self, out: &mut impl fmt::Write) -> fmt::Result {
         let (first, most) = (self.backoff_first.secs(), self.backoff_max.secs());
         line(out, "back-off", format!("{first} s doubling to {most} s"))?;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -58,8 +58,11 @@
 #[test]
 fn the_operators_file_is_checked() {
     let shipped = include_str!("../../deploy/jaspertiller.ini");
-    assert_eq!(Operator::parse("f", shipped).unwrap(), Operator::default());
-    let flush = Operator::parse("f", "[queue]\nflush_s = 45\n")
+    assert_eq!(
+        OperatorSettings::parse("f", shipped).unwrap(),
+        OperatorSettings::default()
+    );
+    let flush = OperatorSettings::parse("f", "[queue]\nflush_s = 45\n")
         .unwrap()
         .flush;
     assert_eq!(flush, Millis(45_000));
@@ -75,7 +78,9 @@
         ("[quota]\nforest = x\n", "[quota] forest"),
     ];
     for (text, field) in cases {
-        let error = Operator::parse("f.ini", text).unwrap_err().to_string();
+        let error = OperatorSettings::parse("f.ini", text)
+            .unwrap_err()
+            .to_string();
         assert!(error.starts_with(&format!("f.ini: {field}: ")), "{error}");
     }
 }
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -7,7 +7,9 @@
 use hierarchical_quota::{NodeSpec, Tree, TreeSpec};
 
 use crate::quota::hierarchical;
-use crate::settings::{Operator, Settings, SettingsError, TeamSettings, problem, read_file};
+use crate::settings::{
+    OperatorSettings, Settings, SettingsError, TeamSettings, problem, read_file,
+};
 
 /// Longest name of a node, in bytes: it is the key of the node's allocation in each shard's record.
 const MAX_NODE_NAME_BYTES: usize = 1_000;
@@ -26,7 +28,7 @@
         let text = read_file(config)?;
         let mut settings = Self::parse(&config.display().to_string(), &text)?;
         if let Some(path) = operator {
-            settings.operator = Operator::read(path)?;
+            settings.operator = OperatorSettings::read(path)?;
         }
         if let Some(path) = settings.operator.tree.clone() {
             let text = read_file(&path)?;
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use hierarchical_quota::TreeSpec;
-use jaspertiller::settings::{Operator, Settings};
+use jaspertiller::settings::{OperatorSettings, Settings};
 use jaspertiller::types::Millis;
 
 /// The platform's settings with every field set, each to a different number.
@@ -82,7 +82,7 @@
     );
     assert_eq!(deployment.quota.sockets, 1_800);
     assert_eq!(deployment.clock_error_ms, 1_000.5);
-    assert_eq!(read.operator, Operator::default());
+    assert_eq!(read.operator, OperatorSettings::default());
     assert!(read.tree.is_none());
 }
 
@@ -90,7 +90,7 @@
 #[test]
 fn operators_settings() {
     let text = include_str!("fixtures/operator.ini");
-    let expected = Operator {
+    let expected = OperatorSettings {
         backoff_first: Millis(2_500),
         backoff_max: Millis(41_000),
         flush: Millis(45_500),
@@ -102,7 +102,10 @@
         partitioned_zone_hold: Millis(91_000),
         tree: Some("trees/quota.ini".into()),
     };
-    assert_eq!(Operator::parse("operator.ini", text).unwrap(), expected);
+    assert_eq!(
+        OperatorSettings::parse("operator.ini", text).unwrap(),
+        expected
+    );
 }
 
 /// The shipped file states the compiled defaults. They are repeated here, because settings that no
@@ -110,7 +113,7 @@
 #[test]
 fn shipped_settings_are_the_defaults() {
     let text = include_str!("../../deploy/jaspertiller.ini");
-    let expected = Operator {
+    let expected = OperatorSettings {
         backoff_first: Millis(1_000),
         backoff_max: Millis(10_000),
         flush: Millis(30_000),
@@ -122,8 +125,8 @@
         partitioned_zone_hold: Millis(180_000),
         tree: None,
     };
-    assert_eq!(Operator::parse("f", text).unwrap(), expected);
-    assert_eq!(Operator::default(), expected);
+    assert_eq!(OperatorSettings::parse("f", text).unwrap(), expected);
+    assert_eq!(OperatorSettings::default(), expected);
 }
 
 /// Paths in the operator's file are relative to its folder.
