--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -4,7 +4,9 @@
 use std::path::Path;
 
 use ini::Ini;
-use jaspertiller::settings::{ProcessLimits, SettingsError, TeamSettings, problem, read_file};
+use jaspertiller::settings::{
+    ProcessLimits, SettingsError, TeamSettings, read_file, settings_error,
+};
 use jaspertiller::types::{MachineTypeId, Millis, Resources, Zone};
 use serde_json::{Value, json};
 
@@ -192,7 +194,7 @@
     /// # Errors
     /// If the text is not INI, a key is unknown, or a value is not in its range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let problem = |field: &str, reason: String| problem(file, field, reason);
+        let problem = |field: &str, reason: String| settings_error(file, field, reason);
         let ini = Ini::load_from_str(text).map_err(|e| problem("file", e.to_string()))?;
         let mut config = Self::default();
         if ini
--- a/crates/simulator/src/live/faults/plan.rs
+++ b/crates/simulator/src/live/faults/plan.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use ini::{Ini, Properties};
-use jaspertiller::settings::{SettingsError, problem, read_file};
+use jaspertiller::settings::{SettingsError, read_file, settings_error};
 use jaspertiller::types::Millis;
 
 use super::Fault;
@@ -39,7 +39,7 @@
     text: &str,
     controllers: usize,
 ) -> Result<Plan, SettingsError> {
-    let ini = Ini::load_from_str(text).map_err(|error| problem(file, "file", error))?;
+    let ini = Ini::load_from_str(text).map_err(|error| settings_error(file, "file", error))?;
     let mut plan = Plan::new();
     for (section, entries) in ini.iter() {
         let section = section.unwrap_or("");
@@ -47,7 +47,11 @@
             continue;
         }
         if !section.starts_with("fault") {
-            return Err(problem(file, &format!("[{section}]"), "unknown section"));
+            return Err(settings_error(
+                file,
+                &format!("[{section}]"),
+                "unknown section",
+            ));
         }
         plan.push(parse_fault(file, section, entries, controllers)?);
     }
@@ -71,19 +75,19 @@
             "target" => target = text.trim().into(),
             "kind" => {
                 let known = serde_json::from_value(text.trim().into());
-                kind = Some(known.map_err(|error| problem(file, &field, error))?);
+                kind = Some(known.map_err(|error| settings_error(file, &field, error))?);
             }
-            _ => return Err(problem(file, &field, "unknown key")),
+            _ => return Err(settings_error(file, &field, "unknown key")),
         }
     }
-    let missing = |key: &str| problem(file, &format!("[{section}] {key}"), "is missing");
+    let missing = |key: &str| settings_error(file, &format!("[{section}] {key}"), "is missing");
     let fault = Fault {
         kind: kind.ok_or_else(|| missing("kind"))?,
         target,
         for_s,
     };
     let checked = fault.check(controllers);
-    checked.map_err(|error| problem(file, &format!("[{section}]"), error))?;
+    checked.map_err(|error| settings_error(file, &format!("[{section}]"), error))?;
     let at = Millis::from_secs(at_s.ok_or_else(|| missing("at_s"))?);
     Ok(PlannedFault { at, fault })
 }
@@ -91,6 +95,6 @@
 fn parse_seconds(file: &str, field: &str, text: &str) -> Result<f64, SettingsError> {
     match text.trim().parse::<f64>() {
         Ok(seconds) if PLAN_S.contains(&seconds) => Ok(seconds),
-        _ => Err(problem(file, field, "must be a number of seconds")),
+        _ => Err(settings_error(file, field, "must be a number of seconds")),
     }
 }
--- a/crates/simulator/src/scale/settings.rs
+++ b/crates/simulator/src/scale/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use ini::Ini;
-use jaspertiller::settings::{SettingsError, TeamSettings, problem, read_file};
+use jaspertiller::settings::{SettingsError, TeamSettings, read_file, settings_error};
 use jaspertiller::types::{Millis, Resources, Zone};
 
 use crate::config::{Config, StateLimits, team};
@@ -169,16 +169,18 @@
     /// # Errors
     /// The text is no INI, or has an unknown key or an invalid value.
     pub fn apply_ini(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
-        let ini = Ini::load_from_str(text).map_err(|e| problem(file, "file", e.to_string()))?;
+        let ini =
+            Ini::load_from_str(text).map_err(|e| settings_error(file, "file", e.to_string()))?;
         for (section, entries) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, text) in entries.iter() {
                 let field = format!("[{section}] {key}");
                 if section != SECTION || !KEYS.iter().any(|known| known.name == key) {
-                    return Err(problem(file, &field, "unknown key"));
+                    return Err(settings_error(file, &field, "unknown key"));
                 }
                 let value = text.trim().parse();
-                let value = value.map_err(|_| problem(file, &field, "must be a whole number"))?;
+                let value =
+                    value.map_err(|_| settings_error(file, &field, "must be a whole number"))?;
                 self.set(file, key, value)?;
             }
         }
@@ -192,11 +194,11 @@
     pub fn set(&mut self, file: &str, key: &str, value: u64) -> Result<(), SettingsError> {
         let field = format!("[{SECTION}] {key}");
         let known = KEYS.iter().find(|known| known.name == key);
-        let known = known.ok_or_else(|| problem(file, &field, "unknown key"))?;
+        let known = known.ok_or_else(|| settings_error(file, &field, "unknown key"))?;
         let (min, max) = (known.min, known.max);
         if !(min..=max).contains(&value) {
             let reason = format!("must lie between {min} and {max}");
-            return Err(problem(file, &field, reason));
+            return Err(settings_error(file, &field, reason));
         }
         *(known.field)(self) = value;
         Ok(())
@@ -207,8 +209,9 @@
     /// # Errors
     /// There are too many processes, too many tasks for the machines, or a zone is smaller than the gang.
     pub fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let refuse =
-            |key: &str, reason: String| Err(problem(file, &format!("[{SECTION}] {key}"), reason));
+        let refuse = |key: &str, reason: String| {
+            Err(settings_error(file, &format!("[{SECTION}] {key}"), reason))
+        };
         let processes = self.controllers + 1;
         if processes > MAX_PROCESSES {
             let reason = format!("{processes} processes; {MAX_PROCESSES} at most");
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -20,12 +20,12 @@
 
 impl From<TreeError> for SettingsError {
     fn from(error: TreeError) -> Self {
-        problem(&error.file, &error.field, error.reason)
+        settings_error(&error.file, &error.field, error.reason)
     }
 }
 
 /// The error that a field of a file is wrong for a reason.
-pub fn problem(file: &str, field: &str, reason: impl ToString) -> SettingsError {
+pub fn settings_error(file: &str, field: &str, reason: impl ToString) -> SettingsError {
     SettingsError {
         file: file.into(),
         field: field.into(),
@@ -38,6 +38,6 @@
 /// # Errors
 /// The file can't be read, or is not UTF-8.
 pub fn read_file(path: &Path) -> Result<String, SettingsError> {
-    let unreadable = |error| problem(&path.display().to_string(), "file", error);
+    let unreadable = |error| settings_error(&path.display().to_string(), "file", error);
     std::fs::read_to_string(path).map_err(unreadable)
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -9,7 +9,7 @@
 mod platform;
 mod summary;
 
-pub use error::{SettingsError, problem, read_file};
+pub use error::{SettingsError, read_file, settings_error};
 pub use operator::OperatorSettings;
 pub use platform::{
     CloudLimits, Deployment, Endpoints, Member, Objective, ProcessLimits, Settings, StoreLimits,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -4,7 +4,7 @@
 
 use ini::Ini;
 
-use super::error::{SettingsError, problem, read_file};
+use super::error::{SettingsError, read_file, settings_error};
 use crate::types::Millis;
 
 /// What an operator may tune. The compiled defaults suffice without a file.
@@ -135,12 +135,16 @@
     /// # Errors
     /// The text is no INI, or holds an unknown key or a value that is out of range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let ini = Ini::load_from_str(text).map_err(|error| problem(file, "file", error))?;
+        let ini = Ini::load_from_str(text).map_err(|error| settings_error(file, "file", error))?;
         let mut operator = Self::default();
         for (section, entries) in ini.iter() {
             let section = section.unwrap_or("");
             if !is_known_section(section) {
-                return Err(problem(file, &format!("[{section}]"), "unknown section"));
+                return Err(settings_error(
+                    file,
+                    &format!("[{section}]"),
+                    "unknown section",
+                ));
             }
             for (key, text) in entries.iter() {
                 operator.set(file, section, key, text)?;
@@ -161,20 +165,20 @@
         let text = text.trim();
         if (section, key) == (TREE_SECTION, TREE_KEY) {
             if text.is_empty() {
-                return Err(problem(file, &field, "must name a file"));
+                return Err(settings_error(file, &field, "must name a file"));
             }
             self.tree = Some(text.into());
             return Ok(());
         }
-        let known =
-            NumberKey::find(section, key).ok_or_else(|| problem(file, &field, "unknown key"))?;
+        let known = NumberKey::find(section, key)
+            .ok_or_else(|| settings_error(file, &field, "unknown key"))?;
         let value: f64 = text
             .parse()
-            .map_err(|_| problem(file, &field, "must be a number"))?;
+            .map_err(|_| settings_error(file, &field, "must be a number"))?;
         let NumberKey { min, max, .. } = known;
         if !(*min..=*max).contains(&value) {
             let reason = format!("must lie between {min} and {max}");
-            return Err(problem(file, &field, reason));
+            return Err(settings_error(file, &field, reason));
         }
         (known.set)(self, value);
         Ok(())
@@ -184,11 +188,11 @@
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         if self.backoff_max < self.backoff_first {
             let reason = "must not be below backoff_first_s";
-            return Err(problem(file, "[queue] backoff_most_s", reason));
+            return Err(settings_error(file, "[queue] backoff_most_s", reason));
         }
         if self.stop_before.0 * 2 > self.lease.0 {
             let reason = "must be at most half of lease_s";
-            return Err(problem(file, "[lease] stop_before_s", reason));
+            return Err(settings_error(file, "[lease] stop_before_s", reason));
         }
         Ok(())
     }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap as HashMap;
 use serde::Deserialize;
 
-use super::error::{SettingsError, problem};
+use super::error::{SettingsError, settings_error};
 use super::operator::OperatorSettings;
 use crate::types::{ControllerId, Team, Zone};
 
@@ -210,15 +210,19 @@
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         self.deployment.check_positive(file)?;
         if self.deployment.zones.is_empty() {
-            return Err(problem(file, "deployment.zones", "must not be empty"));
+            return Err(settings_error(
+                file,
+                "deployment.zones",
+                "must not be empty",
+            ));
         }
         if self.deployment.state.txn_ops < MIN_TRANSACTION_OPS {
             let reason = format!("must be at least {MIN_TRANSACTION_OPS}");
-            return Err(problem(file, "deployment.state.txn_ops", reason));
+            return Err(settings_error(file, "deployment.state.txn_ops", reason));
         }
         if self.members.iter().any(|member| member.label == self.label) {
             let reason = "must list the other controllers only";
-            return Err(problem(file, "members", reason));
+            return Err(settings_error(file, "members", reason));
         }
         self.deployment.check_teams(file)
     }
@@ -249,7 +253,7 @@
         for (field, value) in positive {
             if !value.is_finite() || value <= 0.0 {
                 let field = format!("deployment.{field}");
-                return Err(problem(file, &field, "must be a positive number"));
+                return Err(settings_error(file, &field, "must be a positive number"));
             }
         }
         Ok(())
@@ -260,7 +264,7 @@
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
             if amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
                 let field = format!("deployment.teams[{index}]");
-                return Err(problem(file, &field, "amounts must not be negative"));
+                return Err(settings_error(file, &field, "amounts must not be negative"));
             }
         }
         Ok(())
@@ -275,8 +279,8 @@
         .strip_prefix("missing field `")
         .and_then(|rest| rest.split('`').next());
     match missing {
-        Some(name) if path == "." => problem(file, name, "is missing"),
-        Some(name) => problem(file, &format!("{path}.{name}"), "is missing"),
-        None => problem(file, &path, reason),
+        Some(name) if path == "." => settings_error(file, name, "is missing"),
+        Some(name) => settings_error(file, &format!("{path}.{name}"), "is missing"),
+        None => settings_error(file, &path, reason),
     }
 }
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -8,7 +8,7 @@
 
 use crate::quota::hierarchical;
 use crate::settings::{
-    OperatorSettings, Settings, SettingsError, TeamSettings, problem, read_file,
+    OperatorSettings, Settings, SettingsError, TeamSettings, read_file, settings_error,
 };
 
 /// Longest name of a node, in bytes: it is the key of the node's allocation in each shard's record.
@@ -70,7 +70,11 @@
         "the shares of all teams and nodes with a limit take {bytes} bytes in a record of \
          {max_bytes} at the most: leave limits out"
     );
-    Err(problem(file, "[node ...] gpus_max, cpus_max", reason))
+    Err(settings_error(
+        file,
+        "[node ...] gpus_max, cpus_max",
+        reason,
+    ))
 }
 
 fn check_node_names(file: &str, nodes: &[NodeSpec]) -> Result<(), SettingsError> {
@@ -80,7 +84,11 @@
     };
     let shown: String = node.name.chars().take(SHOWN_NAME_CHARS).collect();
     let field = format!("[node {shown}...]");
-    Err(problem(file, &field, "the name is longer than 1,000 bytes"))
+    Err(settings_error(
+        file,
+        &field,
+        "the name is longer than 1,000 bytes",
+    ))
 }
 
 /// A team's name must not be taken for a node's.
@@ -90,5 +98,5 @@
         return Ok(());
     };
     let reason = "a tree can't be used beside team names that start with #";
-    Err(problem(file, &format!("team {}", team.name), reason))
+    Err(settings_error(file, &format!("team {}", team.name), reason))
 }
