--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -40,7 +40,7 @@
 /// Sets the quota tree that a controller loads at its next start.
 fn load_tree(world: &mut World, controller: usize, tree: Option<&str>) {
     let mut settings: Settings = (*world.settings[controller]).clone();
-    settings.tree = None;
+    settings.quota_tree = None;
     if let Some(text) = tree {
         settings.load_quota_tree("tree.ini", text).unwrap();
     }
--- a/src/controller/quota_allocation/mod.rs
+++ b/src/controller/quota_allocation/mod.rs
@@ -59,7 +59,7 @@
             allocations: QuotaAllocations::default(),
             hierarchy: HierarchicalQuota::new(
                 &settings.deployment.teams,
-                settings.tree.as_ref(),
+                settings.quota_tree.as_ref(),
                 settings.deployment.state.value_kb,
             ),
             tree_publication: TreePublication::default(),
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -29,7 +29,7 @@
     /// How long the leader leaves the machines of a partitioned zone alone.
     pub partitioned_zone_hold: Millis,
     /// The file with the tree of nested quotas.
-    pub tree: Option<PathBuf>,
+    pub quota_tree_file: Option<PathBuf>,
 }
 
 impl Default for OperatorSettings {
@@ -44,7 +44,7 @@
             idle_return: Millis(20_000),
             partition_lease_keep: Millis(900_000),
             partitioned_zone_hold: Millis(180_000),
-            tree: None,
+            quota_tree_file: None,
         }
     }
 }
@@ -126,7 +126,7 @@
         let text = read_file(path)?;
         let mut operator = Self::parse(&file, &text)?;
         let directory = path.parent().unwrap_or(Path::new(""));
-        operator.tree = operator.tree.map(|tree| directory.join(tree));
+        operator.quota_tree_file = operator.quota_tree_file.map(|tree| directory.join(tree));
         Ok(operator)
     }
 
@@ -167,7 +167,7 @@
             if text.is_empty() {
                 return Err(settings_error(file, &field, "must name a file"));
             }
-            self.tree = Some(text.into());
+            self.quota_tree_file = Some(text.into());
             return Ok(());
         }
         let known = NumberKey::find(section, key)
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -34,7 +34,7 @@
     pub operator: OperatorSettings,
     /// The tree of nested quotas, from the file that the operator's settings name.
     #[serde(skip)]
-    pub tree: Option<TreeSpec>,
+    pub quota_tree: Option<TreeSpec>,
     /// Findings in the tree that the operator should know of, but that do not keep it from being used.
     #[serde(skip)]
     pub tree_notes: Vec<TreeNote>,
--- a/src/settings/summary.rs
+++ b/src/settings/summary.rs
@@ -62,7 +62,7 @@
     }
 
     fn write_tree(&self, out: &mut impl fmt::Write) -> fmt::Result {
-        if let Some(tree) = &self.tree {
+        if let Some(tree) = &self.quota_tree {
             let state = if tree.enabled { "" } else { ", switched off" };
             let (nodes, revision) = (tree.nodes.len(), tree.revision);
             let value = format!("revision {revision}, {nodes} nodes{state}");
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -30,7 +30,7 @@
         if let Some(path) = operator {
             settings.operator = OperatorSettings::read(path)?;
         }
-        if let Some(path) = settings.operator.tree.clone() {
+        if let Some(path) = settings.operator.quota_tree_file.clone() {
             let text = read_file(&path)?;
             settings.load_quota_tree(&path.display().to_string(), &text)?;
         }
@@ -49,7 +49,7 @@
         check_record_size(file, teams, &tree, max_bytes)?;
         check_node_names(file, &spec.nodes)?;
         check_team_names(file, teams)?;
-        self.tree = Some(spec);
+        self.quota_tree = Some(spec);
         self.tree_notes = notes;
         Ok(())
     }
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -83,7 +83,7 @@
     assert_eq!(deployment.quota.sockets, 1_800);
     assert_eq!(deployment.clock_error_ms, 1_000.5);
     assert_eq!(read.operator, OperatorSettings::default());
-    assert!(read.tree.is_none());
+    assert!(read.quota_tree.is_none());
 }
 
 /// Each key, set to a value other than its default.
@@ -100,7 +100,7 @@
         idle_return: Millis(33_000),
         partition_lease_keep: Millis(601_000),
         partitioned_zone_hold: Millis(91_000),
-        tree: Some("trees/quota.ini".into()),
+        quota_tree_file: Some("trees/quota.ini".into()),
     };
     assert_eq!(
         OperatorSettings::parse("operator.ini", text).unwrap(),
@@ -123,7 +123,7 @@
         idle_return: Millis(20_000),
         partition_lease_keep: Millis(900_000),
         partitioned_zone_hold: Millis(180_000),
-        tree: None,
+        quota_tree_file: None,
     };
     assert_eq!(OperatorSettings::parse("f", text).unwrap(), expected);
     assert_eq!(OperatorSettings::default(), expected);
@@ -140,7 +140,7 @@
     );
     let read = Settings::read(&platform, Some(&operator)).unwrap();
     assert_eq!(read.operator.flush, Millis(45_000));
-    let tree = read.tree.expect("a tree of quotas");
+    let tree = read.quota_tree.expect("a tree of quotas");
     assert_eq!((tree.revision, tree.nodes.len()), (7, 3));
 }
 
