--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -82,7 +82,8 @@
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
     /// Limits of this process.
-    pub quota: ProcessLimits,
+    #[serde(rename = "quota")]
+    pub process_limits: ProcessLimits,
     /// Bound on the error of clocks between controllers and workers, in milliseconds.
     pub clock_error_ms: f64,
 }
@@ -234,7 +235,7 @@
             workers,
             state,
             cloud,
-            quota,
+            process_limits,
             ..
         } = self;
         let positive = [
@@ -247,8 +248,8 @@
             ("state.write_rps", state.write_rps),
             ("state.value_kb", state.value_kb),
             ("cloud.rps", cloud.rps),
-            ("quota.cores", quota.cores),
-            ("quota.mem_mb", quota.mem_mb),
+            ("quota.cores", process_limits.cores),
+            ("quota.mem_mb", process_limits.mem_mb),
         ];
         for (field, value) in positive {
             if !value.is_finite() || value <= 0.0 {
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -77,10 +77,13 @@
         [5.25, 10.25]
     );
     assert_eq!(
-        [deployment.quota.cores, deployment.quota.mem_mb],
+        [
+            deployment.process_limits.cores,
+            deployment.process_limits.mem_mb
+        ],
         [0.24, 136.5]
     );
-    assert_eq!(deployment.quota.sockets, 1_800);
+    assert_eq!(deployment.process_limits.sockets, 1_800);
     assert_eq!(deployment.clock_error_ms, 1_000.5);
     assert_eq!(read.operator, OperatorSettings::default());
     assert!(read.quota_tree.is_none());
