--- a/crates/simulator/src/live/users.rs
+++ b/crates/simulator/src/live/users.rs
@@ -88,7 +88,7 @@
         let first = rand::rng().random_range(0..self.controllers.len());
         for offset in 0..self.controllers.len() {
             let address = self.controllers[(first + offset) % self.controllers.len()];
-            let client = self.client.at(address);
+            let client = self.client.with_address(address);
             match client
                 .call(method.clone(), path, body.clone(), timeout)
                 .await
@@ -110,7 +110,7 @@
 
     /// Whether a controller answers that it is ready.
     pub async fn is_ready(&self, index: usize) -> bool {
-        let client = self.client.at(self.controllers[index]);
+        let client = self.client.with_address(self.controllers[index]);
         let call = client.call(Method::GET, "/ready", Vec::new(), POLL_TIMEOUT);
         call.await.is_ok_and(|(status, _)| status == 200)
     }
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -97,7 +97,7 @@
         region.controllers[outgoing.controller]
     };
     let body = heartbeat_body(&outgoing.heartbeat).to_string().into_bytes();
-    let client = client.at(address);
+    let client = client.with_address(address);
     let sent = body.len();
     let call = client.call(Method::POST, "/v1/report", body, RESPONSE_TIMEOUT);
     let call = call.await;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -104,7 +104,7 @@
     let (inbox, requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
     let deployment = &settings.deployment;
     let budget = Budget::new(deployment.process_limits.sockets, settings.members.len());
-    let worker_client = HttpClient::without_idle(settings.public_addr);
+    let worker_client = HttpClient::without_idle_connections(settings.public_addr);
     let daemon = Daemon {
         controller: Controller::new(settings.clone(), rand::random()),
         clock,
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -55,7 +55,7 @@
 
     /// A client that has no more connections than requests in flight.
     #[must_use]
-    pub fn without_idle(address: SocketAddr) -> Self {
+    pub fn without_idle_connections(address: SocketAddr) -> Self {
         Self::with_max_idle(address, 0)
     }
 
@@ -75,7 +75,7 @@
 
     /// A client for another address that shares the connections and the settings of this one.
     #[must_use]
-    pub fn at(&self, address: SocketAddr) -> Self {
+    pub fn with_address(&self, address: SocketAddr) -> Self {
         Self {
             inner: self.inner.clone(),
             base: format!("http://{address}"),
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -40,7 +40,7 @@
     };
     let body = serde_json::to_vec(&body).ok()?;
     let (status, body) = client
-        .at(address)
+        .with_address(address)
         .call(Method::POST, "/do", body, RESPONSE_TIMEOUT)
         .await
         .ok()?;
@@ -53,7 +53,7 @@
 /// Whether a worker answers.
 pub async fn inspect(client: HttpClient, address: SocketAddr) -> bool {
     let response = client
-        .at(address)
+        .with_address(address)
         .call(Method::GET, "/inspect", Vec::new(), RESPONSE_TIMEOUT)
         .await;
     response.is_ok_and(|(status, _)| status == 200)
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -199,7 +199,7 @@
     ];
     let answers = cases.iter().map(|(_, answer, ..)| answer.clone()).collect();
     let (address, mut asked) = service(answers).await;
-    let http = HttpClient::without_idle(address);
+    let http = HttpClient::without_idle_connections(address);
     for (name, _, commands, expected) in cases {
         let sent = client::send(
             http.clone(),
