--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -63,8 +63,8 @@
             biased;
             ended = inputs.server.join() => return Ok(ended??),
             _ = inputs.ticks.tick() => daemon.handle(Event::Tick),
-            Some(StoreReply { tag, answer }) = inputs.store.recv() => {
-                daemon.handle(Event::Store { tag, answer });
+            Some(StoreReply { tag, response }) = inputs.store.recv() => {
+                daemon.handle(Event::Store { tag, answer: response });
             }
             Some(CloudReply { tag, answer }) = inputs.cloud.recv() => {
                 daemon.handle(Event::Cloud { tag, answer });
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -24,7 +24,7 @@
     /// The tag under which the call was sent.
     pub tag: u64,
     /// The outcome of the call.
-    pub answer: StoreResponse,
+    pub response: StoreResponse,
 }
 
 /// A request to the actor.
@@ -53,12 +53,12 @@
 }
 
 impl Store {
-    /// Starts the actor. Each call gets one reply through `answers`, in the order in which they complete.
+    /// Starts the actor. Each call gets one reply through `replies`, in the order in which they complete.
     #[must_use]
     pub fn start(
         settings: &Settings,
         clock: Clock,
-        answers: mpsc::UnboundedSender<StoreReply>,
+        replies: mpsc::UnboundedSender<StoreReply>,
     ) -> Self {
         // Unbounded, since the controller bounds what it asks for: one call each for a lease, watch, list or read
         // barrier, three transactions of jobs, and one for each user who waits. Users' calls are refused after a while.
@@ -73,7 +73,7 @@
                 clock.now(),
             ),
             clock,
-            answers,
+            replies,
             rate_limited,
             in_flight: JoinSet::new(),
         };
@@ -107,7 +107,7 @@
     client: HttpClient,
     lanes: Lanes<TaggedCall>,
     clock: Clock,
-    answers: mpsc::UnboundedSender<StoreReply>,
+    replies: mpsc::UnboundedSender<StoreReply>,
     rate_limited: mpsc::UnboundedSender<QueuedCall<TaggedCall>>,
     in_flight: JoinSet<()>,
 }
@@ -153,7 +153,7 @@
             match self.lanes.next(now) {
                 NextCall::Start(call) => self.start_call(call, now),
                 NextCall::Refuse(call) => {
-                    send_reply(&self.answers, call.tag, StoreResponse::Refused);
+                    send_reply(&self.replies, call.tag, StoreResponse::Refused);
                 }
                 NextCall::Wait(wait) => return wait,
                 NextCall::Nothing => return IDLE_PAUSE,
@@ -167,11 +167,11 @@
             let class = call.class;
             tracing::debug!(?class, waited, "store call delayed by rate limit");
         }
-        let (client, answers) = (self.client.clone(), self.answers.clone());
+        let (client, replies) = (self.client.clone(), self.replies.clone());
         let rate_limited = self.rate_limited.clone();
         self.in_flight.spawn(async move {
-            let answer = match perform(&client, &call.payload.call).await {
-                Outcome::Response(answer) => answer,
+            let response = match perform(&client, &call.payload.call).await {
+                Outcome::Response(response) => response,
                 // A lease can't be queued again: its owner must know now, and asks again by itself.
                 Outcome::RateLimited if call.class == CallClass::Leases => StoreResponse::Refused,
                 Outcome::RateLimited => {
@@ -180,12 +180,12 @@
                     return;
                 }
             };
-            send_reply(&answers, call.payload.tag, answer);
+            send_reply(&replies, call.payload.tag, response);
         });
     }
 }
 
-fn send_reply(answers: &mpsc::UnboundedSender<StoreReply>, tag: u64, answer: StoreResponse) {
+fn send_reply(replies: &mpsc::UnboundedSender<StoreReply>, tag: u64, response: StoreResponse) {
     // Fails only while the daemon shuts down, when the reply is no longer needed.
-    let _ = answers.send(StoreReply { tag, answer });
+    let _ = replies.send(StoreReply { tag, response });
 }
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -10,8 +10,8 @@
 use crate::settings::settings;
 
 /// A text form of a decoded response, for the fixtures.
-fn show(answer: &StoreResponse) -> String {
-    match answer {
+fn show(response: &StoreResponse) -> String {
+    match response {
         StoreResponse::Granted(lease_id) => format!("lease {}", lease_id.0),
         StoreResponse::Renewed => "renewed".into(),
         StoreResponse::Revoked => "ended".into(),
@@ -120,9 +120,9 @@
         // Lease calls bypass the write budget.
         store.send(tag, CallClass::Leases, call);
         requests.writes(name, &asked.recv().await.unwrap());
-        let answer = told.recv().await.unwrap();
-        answers.check(name, "tag", answer.tag, tag);
-        let shown = show(&answer.answer);
+        let reply = told.recv().await.unwrap();
+        answers.check(name, "tag", reply.tag, tag);
+        let shown = show(&reply.response);
         answers.check(name, "is read differently", shown.as_str(), expected);
     }
     requests.finish();
