--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,6 +1,6 @@
-//! The command line: reads the settings, starts the log, and runs the daemon or the check.
+//! The command line: starts logging, reads the settings, and runs the daemon or the check of the settings.
 //!
-//! Exit status 2 means that the settings can't be used; any other failure is 1.
+//! The exit status is 2 if the settings are invalid, and 1 for any other failure.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -41,12 +41,11 @@
     config: PathBuf,
 }
 
-/// Exit status for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
-/// Environment variable that sets the log's level.
-const LOG_LEVEL: &str = "LOG_LEVEL";
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Environment variable with the log level: `error` (the default), `info` or `debug`.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-fn log_level(text: &str) -> Option<LevelFilter> {
+fn parse_log_level(text: &str) -> Option<LevelFilter> {
     match text {
         "error" => Some(LevelFilter::ERROR),
         "info" => Some(LevelFilter::INFO),
@@ -56,32 +55,37 @@
 }
 
 fn start_logging() {
-    let text = std::env::var(LOG_LEVEL).unwrap_or_default();
-    let level = log_level(&text).unwrap_or(LevelFilter::ERROR);
-    // The HTTP libraries log an error for every connection that its client or a partition ends early.
+    let text = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_default();
+    let level = parse_log_level(&text).unwrap_or(LevelFilter::ERROR);
+    // The HTTP libraries log an error for every connection that a client closes early or a partition interrupts.
     let targets = Targets::new()
         .with_default(level)
         .with_target("warp::server", LevelFilter::OFF)
         .with_target("hyper", LevelFilter::OFF)
         .with_target("hyper_util", LevelFilter::OFF);
-    let lines = tracing_subscriber::fmt::layer()
+    let stderr_layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false);
     tracing_subscriber::registry()
-        .with(lines)
+        .with(stderr_layer)
         .with(targets)
         .init();
-    if !text.is_empty() && log_level(&text).is_none() {
-        tracing::error!(text, "LOG_LEVEL must be error, info or debug");
+    if !text.is_empty() && parse_log_level(&text).is_none() {
+        tracing::error!(
+            text,
+            "invalid LOG_LEVEL, using error: must be error, info or debug"
+        );
     }
 }
 
-/// Runs the command line of this process.
+/// Runs the command line of this process, and returns its exit status.
 pub fn main() -> ExitCode {
     run(std::env::args_os())
 }
 
-/// Runs the command line given, the program's name first.
+/// Runs the given command line, whose first argument is the name of the program.
+///
+/// Exits the process if the arguments are invalid, or ask for the help or the version.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = Cli::parse_from(args);
     start_logging();
@@ -90,7 +94,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("jaspertiller: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if matches!(cli.command, Command::Check(_)) {
@@ -98,14 +102,14 @@
         return ExitCode::SUCCESS;
     }
     if let Err(error) = serve(settings) {
-        tracing::error!(%error, "HTTP server failed");
+        tracing::error!(%error, "daemon failed, exiting");
         eprintln!("jaspertiller: {error:#}");
     }
-    // A daemon runs until it is killed, so any end is a failure.
+    // The daemon runs until it is killed, so a return is a failure even without an error.
     ExitCode::FAILURE
 }
 
-/// The controller is one actor, and the I/O around it is light: one thread suffices.
+/// Runs the daemon on a single thread: the controller is one actor, and the I/O around it is light.
 fn serve(settings: Settings) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,5 +1,5 @@
-//! The HTTP client for the store, the cloud and workers: bounded bodies, and a failure that tells whether the request
-//! may have been executed.
+//! The HTTP client for the store, the cloud and workers. It bounds response bodies and request times, and its errors
+//! tell whether a failed request may have been executed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use hyper_util::client::legacy::{Client, Error as ClientError};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// Largest body of a response, in bytes: more than any of the services sends.
+/// Largest response body that is accepted, in bytes; larger than any response of the services.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// A connection must be made within this time; less than any caller's limit, so that the failure is known to be
-/// [`Failure::NotSent`].
+/// Timeout for establishing a connection. Shorter than the timeout of any caller, so that a connection that can't be
+/// established is reported as [`Failure::NotSent`].
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why there is no response.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// No connection was made, so nothing was executed.
+    /// No connection was established, so the request was not executed.
     #[error("the request was not sent")]
     NotSent,
-    /// The request may have been executed, or may be executed later.
+    /// The outcome is unknown: the request may have been executed, or may still be executed later.
     #[error("it is unknown whether the request was executed")]
     Unknown,
 }
@@ -39,21 +39,21 @@
     }
 }
 
-/// Connections to one address, which clones share.
+/// An HTTP client for one address. Clones share its connections.
 #[derive(Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
-    base: String,
+    base_url: String,
 }
 
 impl HttpClient {
-    /// A client that keeps connections for the next request.
+    /// Creates a client that keeps idle connections open for later requests.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self::with_max_idle(address, usize::MAX)
     }
 
-    /// A client that has no more connections than requests in flight.
+    /// Creates a client that keeps no idle connections, so that it has no more connections than requests in flight.
     #[must_use]
     pub fn without_idle_connections(address: SocketAddr) -> Self {
         Self::with_max_idle(address, 0)
@@ -69,33 +69,34 @@
             .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
-        let base = format!("http://{address}");
-        Self { inner, base }
+        let base_url = format!("http://{address}");
+        Self { inner, base_url }
     }
 
-    /// A client for another address that shares the connections and the settings of this one.
+    /// Returns a client for another address that shares the connection pool and its settings with this client.
     #[must_use]
     pub fn with_address(&self, address: SocketAddr) -> Self {
         Self {
             inner: self.inner.clone(),
-            base: format!("http://{address}"),
+            base_url: format!("http://{address}"),
         }
     }
 
-    /// Sends a JSON body, and returns the status and the body of the response.
+    /// Sends a request with a JSON body, and returns the status and the body of the response. A status that reports
+    /// an error is a response, too.
     ///
     /// # Errors
-    /// There is no complete response within `limit`.
+    /// The connection failed, the response body is too large, or there is no complete response within `timeout`.
     pub async fn call(
         &self,
         method: http::Method,
         path: &str,
         body: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u16, Bytes), Failure> {
         let request = http::Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.base))
+            .uri(format!("{}{path}", self.base_url))
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| Failure::NotSent)?;
@@ -108,7 +109,7 @@
                 .map_err(|_| Failure::Unknown)?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(limit, exchange)
+        tokio::time::timeout(timeout, exchange)
             .await
             .unwrap_or(Err(Failure::Unknown))
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
-//! jaspertiller, a cluster scheduler: see README.md, and docs/design.md for how it works.
+//! jaspertiller, a cluster scheduler. README.md is the introduction; docs/design.md describes the design.
 //!
-//! - Decisions, free of I/O: [`controller`], with the rules that it uses in [`admission`], [`cycle`], [`fleet`],
-//!   [`jobs`], [`lease`], [`preempt`], [`queue`], [`quota`], [`workers`] and [`zones`].
-//! - I/O: [`daemon`] owns the controller and starts the actors for the [`store`], the cloud ([`fleet::client`]), the
+//! - Scheduling decisions, without I/O: [`controller`], with the rules that the controller uses in [`admission`],
+//!   [`cycle`], [`fleet`], [`jobs`], [`lease`], [`preempt`], [`queue`], [`quota`], [`workers`] and [`zones`].
+//! - I/O: [`daemon`] owns the controller, and starts the actors for the [`store`], the cloud ([`fleet::client`]), the
 //!   other controllers ([`peers`]), direct commands ([`workers::direct`]) and the [`http_server`].
-//! - Between the two: [`requests`] and [`request_queue`]; [`sockets`] divides the connections.
-//! - Start: [`cli`], [`settings_loader`] and [`settings`].
+//! - Between the HTTP server and the controller: [`requests`] and [`request_queue`]. [`sockets`] divides the open
+//!   sockets among their uses.
+//! - Startup: [`cli`], [`settings_loader`] and [`settings`].
 
 pub mod admission;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `jaspertiller` program; everything it does is in the library.
+//! The `jaspertiller` binary, a wrapper around the command line of the library.
 
 use std::process::ExitCode;
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,20 +1,22 @@
-//! Errors of settings files.
+//! Errors in settings files.
 
 use std::path::Path;
 
 use hierarchical_quota::TreeError;
 
-/// A settings file that can't be used: which file, which field, and why.
+/// An error in a settings file: which file, which field, and why.
 ///
-/// The reason includes the text of its cause; there is no separate source, since operators read this line as it is.
+/// The reason includes the text of the underlying error; there is no separate source, since operators read this line
+/// as it is.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {field}: {reason}")]
 pub struct SettingsError {
-    /// The file, as its path was given.
+    /// The file, as the caller named it.
     pub file: String,
-    /// The field, as it is written in the file, such as `deployment.state.rps` or `[queue] flush_s`.
+    /// The field, as written in the file, such as `deployment.state.rps` or `[queue] flush_s`; `file` for the file as a
+    /// whole.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: String,
 }
 
@@ -24,7 +26,7 @@
     }
 }
 
-/// The error that a field of a file is wrong for a reason.
+/// Creates the error for a field of a file.
 pub fn settings_error(file: &str, field: &str, reason: impl ToString) -> SettingsError {
     SettingsError {
         file: file.into(),
@@ -33,7 +35,7 @@
     }
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
 /// The file can't be read, or is not UTF-8.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The settings of a controller, read into checked types: the platform's file (JSON), the operator's (INI), and
-//! the summary of what is in force.
+//! The settings of a controller, parsed into validated types: the platform's file (JSON) and the operator's file
+//! (INI). Also the summary of the effective settings.
 //!
-//! This module reads and checks each file by itself. [`crate::settings_loader`] reads all files of a controller,
-//! the quota tree among them, and checks them against each other.
+//! This module parses and validates each file by itself. [`crate::settings_loader`] reads all files of a controller,
+//! including the quota tree, and checks them against each other.
 
 mod error;
 mod operator;
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -7,28 +7,29 @@
 use super::error::{SettingsError, read_file, settings_error};
 use crate::types::Millis;
 
-/// What an operator may tune. The compiled defaults suffice without a file.
+/// The settings that an operator may tune. All of them have defaults, so the file is optional.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorSettings {
-    /// Back-off of a job that can't be placed, at first.
+    /// Initial back-off of a job that can't be placed.
     pub backoff_first: Millis,
-    /// Upper bound of the back-off, which doubles.
+    /// Upper bound of the back-off, which doubles with each failed attempt.
     pub backoff_max: Millis,
-    /// Jobs that can't be placed are all tried again after this time, whatever their back-off.
+    /// Time after which a job that can't be placed is tried again even if no event woke it. A back-off that is not over
+    /// yet still has to end first.
     pub flush: Millis,
     /// Time to live of a controller's lease in the store.
     pub lease: Millis,
-    /// A controller places nothing in the last part of its lease, this long.
+    /// A controller places no tasks when less than this time remains of its lease.
     pub stop_before: Millis,
-    /// Shards into which the machines of each zone are divided.
+    /// Number of shards into which the machines of each zone are divided.
     pub shards_per_zone: u32,
-    /// An idle machine is returned to the cloud after this time.
+    /// Time after which an idle machine is returned to the cloud.
     pub idle_return: Millis,
     /// How long a controller that can't reach the store keeps its workers' leases.
     pub partition_lease_keep: Millis,
-    /// How long the leader leaves the machines of a partitioned zone alone.
+    /// How long the leader deletes no machines of a partitioned zone.
     pub partitioned_zone_hold: Millis,
-    /// The file with the tree of nested quotas.
+    /// The file with the tree of nested quotas; none if teams have flat quotas only.
     pub quota_tree_file: Option<PathBuf>,
 }
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// A key with a number as its value.
+/// A key whose value is a number, with the accepted range, both ends included.
 struct NumberKey {
     section: &'static str,
     key: &'static str,
@@ -80,12 +81,12 @@
     }
 }
 
-/// The section of the key that names the file of the quota tree.
+/// Section of [`TREE_KEY`].
 const TREE_SECTION: &str = "quota";
-/// The key that names the file of the quota tree.
+/// Key whose value is the path of the quota tree's file.
 const TREE_KEY: &str = "tree";
 
-/// All keys with a number as their value, with the accepted range of each.
+/// All keys whose value is a number.
 const NUMBER_KEYS: &[NumberKey] = &[
     NumberKey::new(("queue", "backoff_first_s"), (0.1, 600.0), |o, seconds| {
         o.backoff_first = Millis::from_secs(seconds);
@@ -117,10 +118,10 @@
 ];
 
 impl OperatorSettings {
-    /// Reads and checks the file. The path of a quota tree is relative to the file's directory.
+    /// Reads and validates the file. A relative path of a quota tree is relative to the directory of this file.
     ///
     /// # Errors
-    /// The file can't be read, or holds an unknown key or a value that is out of range.
+    /// The file can't be read, or contains an unknown section or key or an invalid value.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = read_file(path)?;
@@ -130,10 +131,11 @@
         Ok(operator)
     }
 
-    /// Reads and checks the text of the file, which errors name as `file`.
+    /// Parses and validates the text of the file. Errors name the text as `file`; the path of a quota tree stays as it
+    /// is written.
     ///
     /// # Errors
-    /// The text is no INI, or holds an unknown key or a value that is out of range.
+    /// The text is not valid INI, or contains an unknown section or key or an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let ini = Ini::load_from_str(text).map_err(|error| settings_error(file, "file", error))?;
         let mut operator = Self::default();
@@ -184,7 +186,7 @@
         Ok(())
     }
 
-    /// What the values must be in relation to each other.
+    /// Checks the values against each other.
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         if self.backoff_max < self.backoff_first {
             let reason = "must not be below backoff_first_s";
@@ -198,7 +200,8 @@
     }
 }
 
-/// Keys before the first section are reported one by one, as unknown.
+/// Whether the section may appear in the file. The empty section, of keys before the first header, is accepted here so
+/// that its keys are reported one by one as unknown.
 fn is_known_section(section: &str) -> bool {
     section.is_empty()
         || section == TREE_SECTION
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings: a JSON file with the identity of this controller, the addresses of all other components,
+//! The platform's settings: a JSON file with the identity of this controller, the addresses of the other components,
 //! and the limits and objectives of the deployment.
 
 use std::net::SocketAddr;
@@ -11,95 +11,95 @@
 use super::operator::OperatorSettings;
 use crate::types::{ControllerId, Team, Zone};
 
-/// All settings of a controller. Fields of the file that are not listed here are ignored.
+/// All settings of a controller. Unknown fields of the platform's file are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// This controller.
+    /// The label of this controller, which identifies it among all controllers of the deployment.
     pub label: ControllerId,
-    /// The zone in which it runs.
+    /// The zone in which this controller runs.
     pub zone: Zone,
-    /// Where it serves users, workers and health checks.
+    /// The address on which this controller serves users, workers and health checks.
     pub public_addr: SocketAddr,
-    /// Where it accepts connections of the other controllers.
+    /// The address on which this controller accepts connections of the other controllers.
     pub peer_bind: SocketAddr,
-    /// The other controllers.
+    /// The other controllers, without this one.
     pub members: Vec<Member>,
-    /// The services that it calls.
+    /// The addresses of the services that this controller calls.
     #[serde(rename = "outside")]
     pub endpoints: Endpoints,
-    /// What is the same for all controllers.
+    /// The settings that all controllers share.
     pub deployment: Deployment,
-    /// The operator's settings; the defaults without a file.
+    /// The operator's settings; the defaults if there is no operator's file.
     #[serde(skip)]
     pub operator: OperatorSettings,
-    /// The tree of nested quotas, from the file that the operator's settings name.
+    /// The tree of nested quotas, from the file that the operator's settings name; none if they name no file.
     #[serde(skip)]
     pub quota_tree: Option<TreeSpec>,
-    /// Findings in the tree that the operator should know of, but that do not keep it from being used.
+    /// Warnings about the tree for the operator, which do not prevent its use.
     #[serde(skip)]
     pub tree_notes: Vec<TreeNote>,
-    /// Index of each team in the deployment's list.
+    /// The index of each team in the deployment's list.
     #[serde(skip)]
     team_positions: HashMap<Team, usize>,
 }
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its label.
+    /// The label of the controller.
     pub label: ControllerId,
-    /// The zone in which it runs.
+    /// The zone in which the controller runs.
     pub zone: Zone,
-    /// Where it accepts connections of controllers.
+    /// The address on which the controller accepts connections of other controllers.
     pub address: SocketAddr,
 }
 
 /// Addresses of the services that a controller calls.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's API.
+    /// The address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The store.
+    /// The address of the store.
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
 
-/// What is the same for all controllers of a deployment.
+/// The settings that all controllers of a deployment share.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Deployment {
     /// Number of controllers that the platform runs.
     pub count: u32,
     /// All zones; at least one.
     pub zones: Vec<Zone>,
-    /// All teams, with what they are guaranteed.
+    /// All teams, with their guarantees and limits.
     pub teams: Vec<TeamSettings>,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
-    /// Times of the workers' protocol.
+    /// Intervals and timeouts of the worker protocol.
     pub workers: WorkerTimings,
     /// Limits of the store.
     pub state: StoreLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// Limits of this process.
+    /// Limits of each controller process.
     #[serde(rename = "quota")]
     pub process_limits: ProcessLimits,
-    /// Bound on the error of clocks between controllers and workers, in milliseconds.
+    /// Upper bound of the clock error between controllers and workers, in milliseconds.
     pub clock_error_ms: f64,
 }
 
 /// A team's guarantees and limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamSettings {
-    /// The team, as jobs name it.
+    /// The name of the team, as jobs refer to it.
     pub name: Team,
-    /// Guaranteed CPUs.
+    /// Guaranteed CPU cores.
     pub cpus: f64,
-    /// Limit of CPUs; 0 for none.
+    /// Limit of CPU cores; 0 for no limit.
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     pub gpus: f64,
-    /// Limit of GPUs; 0 for none.
+    /// Limit of GPUs; 0 for no limit.
     pub gpus_max: f64,
 }
 
@@ -114,81 +114,81 @@
 /// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it measures.
+    /// The measure that the objective bounds, such as `first_start` or `cost`.
     pub kind: String,
-    /// The job class to which it applies, if to one only.
+    /// The job class to which the objective applies; none for all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time within which it is to be met, in seconds.
+    /// Time within which the objective is to be met, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Part of the cases in which it is to be met, 0 to 1.
+    /// Fraction of the cases in which the objective is to be met, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// Times of the workers' protocol, in seconds.
+/// Intervals and timeouts of the worker protocol, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerTimings {
     /// Time between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker stops its tasks after this time without a response from a controller.
+    /// Time without a response from a controller after which a worker stops its tasks.
     pub lease_s: f64,
-    /// A gang's task that was started waits this long for the others of its gang.
+    /// How long a started task of a gang waits for the other tasks of the gang.
     pub gang_wait_s: f64,
-    /// A gang's tasks must all be stopped within this time after one of them was lost.
+    /// Time after the loss of one task of a gang within which all of its tasks must be stopped.
     pub gang_peer_s: f64,
-    /// A cancelled task must be stopped within this time.
+    /// Time within which a cancelled task must be stopped.
     pub cancel_s: f64,
 }
 
 /// Limits of the store, for all controllers together.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most conditions and changes of a transaction.
+    /// Maximum number of conditions and changes together in a transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second, for all controllers together.
+    /// Requests per second, for all controllers together.
     pub rps: f64,
-    /// A list may be out of date by this much, in seconds.
+    /// Maximum staleness of a list response, in seconds.
     pub list_lag_s: f64,
 }
 
-/// Limits that the platform sets for this process.
+/// Limits that the platform sets for each controller process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ProcessLimits {
     /// CPU cores.
     pub cores: f64,
     /// Memory, in MB.
     pub mem_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// Least `txn_ops` that is accepted, in conditions and changes.
+/// Smallest accepted `txn_ops`, in conditions and changes together.
 const MIN_TRANSACTION_OPS: usize = 4;
 
 impl Settings {
-    /// Reads and checks the text of the platform's file, which errors name as `file`. The operator's settings are
-    /// the defaults, and there is no quota tree.
+    /// Parses and validates the text of the platform's file, which errors name as `file`. The result has the default
+    /// operator's settings and no quota tree.
     ///
     /// # Errors
-    /// The text is no JSON, or a field is missing, of the wrong type or out of range.
+    /// The text is not valid JSON, or a field is missing, of the wrong type or out of range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let mut settings: Self =
-            serde_path_to_error::deserialize(&mut json).map_err(|error| describe(file, &error))?;
+        let mut settings: Self = serde_path_to_error::deserialize(&mut json)
+            .map_err(|error| parse_error(file, &error))?;
         settings.check(file)?;
         let teams = settings.deployment.teams.iter().enumerate();
         settings.team_positions = teams.map(|(at, team)| (team.name.clone(), at)).collect();
@@ -201,7 +201,7 @@
         self.members.len() + 1
     }
 
-    /// The team of this name, if the platform's file lists it.
+    /// Returns the settings of a team; none if the platform's file does not list the team.
     #[must_use]
     pub fn team(&self, name: &Team) -> Option<&TeamSettings> {
         let position = self.team_positions.get(name)?;
@@ -272,14 +272,14 @@
     }
 }
 
-/// Names the field at which reading failed.
-fn describe(file: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> SettingsError {
+/// Creates the error for the field at which parsing failed.
+fn parse_error(file: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> SettingsError {
     let (path, reason) = (error.path().to_string(), error.inner().to_string());
-    // A missing field has no path of its own: the path is its parent's, and its name is in the message only.
-    let missing = reason
+    // For a missing field, the path is that of its parent, and the name of the field is only in the message.
+    let missing_field = reason
         .strip_prefix("missing field `")
         .and_then(|rest| rest.split('`').next());
-    match missing {
+    match missing_field {
         Some(name) if path == "." => settings_error(file, name, "is missing"),
         Some(name) => settings_error(file, &format!("{path}.{name}"), "is missing"),
         None => settings_error(file, &path, reason),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_invalid_field_is_named_in_the_error() {
+fn an_invalid_field_of_the_platform_file_is_named_in_the_error() {
     assert!(Settings::parse("f", &settings().to_string()).is_ok());
     let cases = [
         (
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_operators_file_is_checked() {
+fn an_invalid_field_of_the_operator_file_is_named_in_the_error() {
     let shipped = include_str!("../../deploy/jaspertiller.ini");
     assert_eq!(
         OperatorSettings::parse("f", shipped).unwrap(),
@@ -85,10 +85,10 @@
     }
 }
 
-/// The sample is checked against the teams that it names; a tree that does not fit the platform is rejected
-/// with its file and field.
+/// The sample in `deploy` is valid for the teams that it names. A tree that does not match the platform's teams or
+/// limits is rejected with an error that names the file and the field.
 #[test]
-fn the_tree_of_quotas_is_checked() {
+fn the_quota_tree_is_checked_against_the_platform() {
     let sample = include_str!("../../deploy/quota-tree.ini");
     let team = |name: &str, gpus: f64| json!({"name": name, "cpus": 0.0, "cpus_max": 0.0, "gpus": gpus, "gpus_max": 0.0});
     let names = ["kigali-slotting", "kigali-forecast", "huye-slotting"];
@@ -98,12 +98,13 @@
         changed["deployment"]["state"]["value_kb"] = json!(value_kb);
         Settings::parse("f", &changed.to_string()).unwrap()
     };
-    let fits = names.iter().map(|name| team(name, 0.0)).collect();
-    let mut good = platform(fits, 8.0);
-    good.load_quota_tree("tree.ini", sample).unwrap();
-    assert!(good.tree_notes.is_empty(), "{:?}", good.tree_notes);
+    let matching_teams = names.iter().map(|name| team(name, 0.0)).collect();
+    let mut valid = platform(matching_teams, 8.0);
+    valid.load_quota_tree("tree.ini", sample).unwrap();
+    assert!(valid.tree_notes.is_empty(), "{:?}", valid.tree_notes);
     assert!(
-        good.summary()
+        valid
+            .summary()
             .contains("tree of quotas           revision 1, 6 nodes")
     );
     let cases = [
--- a/src/settings_loader.rs
+++ b/src/settings_loader.rs
@@ -1,6 +1,6 @@
 //! Loads all settings files of a controller, and checks the quota tree against the platform's teams and limits.
 //!
-//! It is apart from [`crate::settings`], which most modules use, because it needs to know how quotas are stored.
+//! Separate from [`crate::settings`], which most modules use, because this module depends on how quotas are stored.
 
 use std::path::Path;
 
@@ -11,19 +11,20 @@
     OperatorSettings, Settings, SettingsError, TeamSettings, read_file, settings_error,
 };
 
-/// Longest name of a node, in bytes: it is the key of the node's allocation in each shard's record.
+/// Longest name of a node in the quota tree, in bytes. The name is the key of the node's allocation in the record of
+/// each shard, whose size is limited.
 const MAX_NODE_NAME_BYTES: usize = 1_000;
-/// Number of characters that an error shows of a name that is too long.
-const SHOWN_NAME_CHARS: usize = 20;
-/// Nodes are counted beside the teams under names with this prefix.
-const NODE_PREFIX: char = '#';
+/// Number of characters of a too long name that its error quotes.
+const QUOTED_NAME_CHARS: usize = 20;
+/// Prefix of the names under which the usage of nodes is counted beside that of teams.
+const NODE_USAGE_PREFIX: char = '#';
 
 impl Settings {
     /// Reads and checks the platform's file, the operator's file if there is one, and the file of the quota tree if
     /// the operator's file names one.
     ///
     /// # Errors
-    /// The first file that can't be read, or the first field that is wrong.
+    /// Names the first file that can't be read, or the first field that is invalid.
     pub fn read(config: &Path, operator: Option<&Path>) -> Result<Self, SettingsError> {
         let text = read_file(config)?;
         let mut settings = Self::parse(&config.display().to_string(), &text)?;
@@ -37,10 +38,11 @@
         Ok(settings)
     }
 
-    /// Reads the text of a quota tree, checks it against the platform's teams and limits, and keeps it.
+    /// Parses a quota tree, checks it against the platform's teams and limits, and stores it in the settings. Errors
+    /// name the text as `file`.
     ///
     /// # Errors
-    /// The text is no tree, or the tree does not fit the platform.
+    /// The text is not a valid tree, or the tree does not match the platform's teams and limits.
     pub fn load_quota_tree(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
         let spec = TreeSpec::parse(file, text)?;
         let teams = &self.deployment.teams;
@@ -55,7 +57,7 @@
     }
 }
 
-/// The allocations of all groups with a limit must fit into one record of a shard.
+/// Checks that the allocations of all teams and nodes with a limit fit into one record of a shard.
 fn check_record_size(
     file: &str,
     teams: &[TeamSettings],
@@ -82,8 +84,8 @@
     let Some(node) = nodes.iter().find(too_long) else {
         return Ok(());
     };
-    let shown: String = node.name.chars().take(SHOWN_NAME_CHARS).collect();
-    let field = format!("[node {shown}...]");
+    let quoted: String = node.name.chars().take(QUOTED_NAME_CHARS).collect();
+    let field = format!("[node {quoted}...]");
     Err(settings_error(
         file,
         &field,
@@ -91,10 +93,10 @@
     ))
 }
 
-/// A team's name must not be taken for a node's.
+/// Checks that no name of a team can be mistaken for that of a node.
 fn check_team_names(file: &str, teams: &[TeamSettings]) -> Result<(), SettingsError> {
-    let like_node = |team: &&TeamSettings| team.name.as_str().starts_with(NODE_PREFIX);
-    let Some(team) = teams.iter().find(like_node) else {
+    let has_node_prefix = |team: &&TeamSettings| team.name.as_str().starts_with(NODE_USAGE_PREFIX);
+    let Some(team) = teams.iter().find(has_node_prefix) else {
         return Ok(());
     };
     let reason = "a tree can't be used beside team names that start with #";
