--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,6 +1,6 @@
-//! The daemon: the actor that owns the controller, and starts the actors that do its I/O.
+//! The daemon: the actor that owns the controller and starts the actors for its I/O.
 //!
-//! Everything that happens becomes an [`Event`] for the controller, one after the other; the [`Effect`]s that it
+//! Every input becomes an [`Event`], which the controller handles one at a time. The [`Effect`]s that the controller
 //! returns go to the store, the cloud, the peers, the workers and the HTTP server.
 
 mod replies;
@@ -22,24 +22,24 @@
 use crate::peers::link::{PeerMessage, Peers};
 use crate::request_queue::RequestQueue;
 use crate::settings::Settings;
-use crate::sockets::{Budget, IdleTimeouts};
+use crate::sockets::{IdleTimeouts, SocketBudget};
 use crate::store::{Store, StoreReply};
 use crate::task::OwnedTask;
 use crate::types::Millis;
 use crate::workers::direct::{DirectClient, DirectRequest, DirectRequestKind, DirectResponse};
 use replies::{PendingReplies, PendingReply};
 
-/// Time between two ticks of the controller: bounds how late it notices that a deadline has passed.
+/// Time between two ticks of the controller, which bounds how late the controller notices a passed deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Capacity of the queue of messages from other controllers. While it is full, their connections are not read.
+/// Capacity of the queue of messages from other controllers. While the queue is full, their connections are not read.
 const MAX_QUEUED_PEER_MESSAGES: usize = 64;
-/// Most queued requests of each kind, so that an overload can't exhaust the memory.
+/// Maximum number of queued requests of each kind, so that an overload can't exhaust the memory.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// Why the daemon ended.
+/// Why the daemon stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// The HTTP server could not start.
+    /// The HTTP server could not be started.
     #[error(transparent)]
     Serve(#[from] ServeError),
     /// The HTTP server's task panicked.
@@ -47,10 +47,10 @@
     ServerTask(#[from] JoinError),
 }
 
-/// Runs a controller until its HTTP server ends.
+/// Runs a controller until its HTTP server ends, which it does only on an error.
 ///
 /// # Errors
-/// The HTTP server could not start, or panicked.
+/// The HTTP server could not be started, or its task panicked.
 pub async fn run(settings: Settings) -> Result<(), DaemonError> {
     let (mut daemon, mut inputs) = start(&Arc::new(settings));
     let mut queue = RequestQueue::new(MAX_QUEUED_REQUESTS);
@@ -58,7 +58,7 @@
         while let Ok(request) = inputs.requests.try_recv() {
             enqueue(&mut queue, request, daemon.clock.now());
         }
-        // What leases and replies depend on goes first when there is more to do than time.
+        // Biased, so that under overload the inputs that leases and replies depend on go first.
         tokio::select! {
             biased;
             ended = inputs.server.join() => return Ok(ended??),
@@ -72,7 +72,7 @@
             Some(PeerMessage { from, message }) = inputs.peers.recv() => {
                 daemon.handle(Event::Peer { from, message });
             }
-            Some(response) = inputs.workers.recv() => daemon.handle(event_of_worker(response)),
+            Some(response) = inputs.workers.recv() => daemon.handle(worker_event(response)),
             () = std::future::ready(()), if !queue.is_empty() => daemon.handle_next(&mut queue),
             Some(request) = inputs.requests.recv() => {
                 enqueue(&mut queue, request, daemon.clock.now());
@@ -81,7 +81,7 @@
     }
 }
 
-/// What the daemon waits for.
+/// The inputs that the daemon waits for.
 struct Inputs {
     server: OwnedTask<Result<(), ServeError>>,
     ticks: Interval,
@@ -92,33 +92,34 @@
     requests: mpsc::Receiver<Request>,
 }
 
-/// Creates the controller and starts the actors.
+/// Creates the controller, and starts the actors and the HTTP server.
 fn start(settings: &Arc<Settings>) -> (Daemon, Inputs) {
     let clock = Clock::start();
-    // Unbounded: there are no more replies than calls, and the controller bounds its calls.
+    // Unbounded: there is one reply for each call, and the controller bounds its calls.
     let (store_replies, store) = mpsc::unbounded_channel();
     let (cloud_replies, cloud) = mpsc::unbounded_channel();
     let (peer_messages, peers) = mpsc::channel(MAX_QUEUED_PEER_MESSAGES);
-    // Unbounded: there is at most one direct exchange for each machine.
+    // Unbounded: there is at most one direct request in flight to each machine.
     let (worker_responses, workers) = mpsc::unbounded_channel();
     let (inbox, requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
     let deployment = &settings.deployment;
-    let budget = Budget::new(deployment.process_limits.sockets, settings.members.len());
+    let socket_budget =
+        SocketBudget::new(deployment.process_limits.sockets, settings.members.len());
     let worker_client = HttpClient::without_idle_connections(settings.public_addr);
     let daemon = Daemon {
         controller: Controller::new(settings.clone(), rand::random()),
         clock,
         store: Store::start(settings, clock, store_replies),
         cloud: Cloud::start(settings, clock, cloud_replies),
-        peers: Peers::start(settings, budget.peers, peer_messages),
-        workers: DirectClient::start(worker_client, budget.direct, clock, worker_responses),
+        peers: Peers::start(settings, socket_budget.peers, peer_messages),
+        workers: DirectClient::start(worker_client, socket_budget.direct, clock, worker_responses),
         replies: PendingReplies::default(),
     };
     let heartbeat_interval = Millis::from_secs(deployment.workers.heartbeat_interval_s);
     let server = OwnedTask::spawn(http_server::serve(
         settings.public_addr,
         inbox,
-        budget.server,
+        socket_budget.server,
         IdleTimeouts::for_heartbeats_every(heartbeat_interval),
         clock,
     ));
@@ -137,18 +138,18 @@
 }
 
 fn enqueue(queue: &mut RequestQueue<Request>, request: Request, now: Millis) {
-    // A request that no longer fits is dropped, which its requester notices by the closed channel.
+    // A request that does not fit into the queue is dropped; its requester notices the closed channel.
     drop(queue.push(request.kind(), request, now));
 }
 
-fn event_of_worker(response: DirectResponse) -> Event {
+fn worker_event(response: DirectResponse) -> Event {
     match response {
         DirectResponse::Inspected(answered) => Event::Inspected { answered },
         DirectResponse::Commands(machine_id, answer) => Event::Direct { machine_id, answer },
     }
 }
 
-/// The state of the actor: the controller, and the addresses of the other actors.
+/// The state of the actor: the controller, and handles to the other actors.
 struct Daemon {
     controller: Controller,
     clock: Clock,
@@ -161,7 +162,7 @@
 
 impl Daemon {
     fn handle_next(&mut self, queue: &mut RequestQueue<Request>) {
-        // Requests that expired in the queue are dropped: their requesters have timed out.
+        // Requests that expired in the queue are dropped, since their requesters have timed out.
         let mut expired = Vec::new();
         if let Some(request) = queue.pop(self.clock.now(), &mut expired)
             && !request.is_abandoned()
@@ -206,7 +207,7 @@
     fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Store { tag, class, call } => self.store.send(tag, class, call),
-            Effect::Allow { writes } => self.store.allow(writes),
+            Effect::Allow { writes } => self.store.set_write_rate(writes),
             Effect::Cloud { tag, call } => self.cloud.send(tag, call),
             Effect::Peer { to, message } => self.peers.send(&to, message),
             Effect::Inspect {
--- a/src/daemon/replies.rs
+++ b/src/daemon/replies.rs
@@ -1,4 +1,4 @@
-//! Pending replies: requests that the controller has not answered yet.
+//! Pending replies: the channels of requests that the controller has not answered yet.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::types::ReplyId;
 use crate::workers::wire::HeartbeatResponse;
 
-/// Where a reply goes, by the kind of its request.
+/// The channel for a reply, by the kind of its request.
 pub(super) enum PendingReply {
     /// To a user.
     User(oneshot::Sender<Response>),
@@ -18,7 +18,7 @@
     Ready(oneshot::Sender<bool>),
 }
 
-/// All pending replies; each is removed when it is sent.
+/// All pending replies. An entry is removed when its reply is sent.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     pending: HashMap<ReplyId, PendingReply>,
@@ -26,7 +26,7 @@
 }
 
 impl PendingReplies {
-    /// Stores where a reply goes, and returns the id by which the controller refers to it.
+    /// Adds a pending reply, and returns the id by which the controller refers to it.
     pub(super) fn insert(&mut self, reply: PendingReply) -> ReplyId {
         self.last_id += 1;
         let id = ReplyId(self.last_id);
@@ -34,21 +34,21 @@
         id
     }
 
-    /// Sends a reply to a user.
+    /// Sends the reply to a user; ignored if the id is of no pending reply to a user.
     pub(super) fn send_to_user(&mut self, id: ReplyId, response: Response) {
         if let Some(PendingReply::User(sender)) = self.pending.remove(&id) {
             deliver(sender, response);
         }
     }
 
-    /// Sends a reply to a worker.
+    /// Sends the reply to a worker; ignored if the id is of no pending reply to a worker.
     pub(super) fn send_to_worker(&mut self, id: ReplyId, response: HeartbeatResponse) {
         if let Some(PendingReply::Worker(sender)) = self.pending.remove(&id) {
             deliver(sender, response);
         }
     }
 
-    /// Replies to a health check.
+    /// Sends the reply to a health check; ignored if the id is of no pending reply to a health check.
     pub(super) fn send_readiness(&mut self, id: ReplyId, ready: bool) {
         if let Some(PendingReply::Ready(sender)) = self.pending.remove(&id) {
             deliver(sender, ready);
@@ -57,6 +57,6 @@
 }
 
 fn deliver<T>(sender: oneshot::Sender<T>, reply: T) {
-    // The requester may have disconnected meanwhile; its reply is dropped then.
+    // The requester may have disconnected meanwhile; then the reply is dropped.
     let _ = sender.send(reply);
 }
--- a/src/http_server/body.rs
+++ b/src/http_server/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, bounded in size and in time.
+//! Request bodies, bounded in size and time.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use futures_util::{Stream, StreamExt};
 use warp::Filter;
 
-/// A body must be complete within this time: a client that sends a byte a second would occupy its connection for
-/// hours.
+/// Time within which a body must be complete. Without it, a client that sends one byte per second would occupy its
+/// connection for hours.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The body is too large, too slow, or ended early.
+/// A body that is too large, is not complete in time, or ended early.
 #[derive(Debug)]
 struct UnreadableBody;
 
 impl warp::reject::Reject for UnreadableBody {}
 
-/// Extracts a body of at most `max_bytes`, whether its length was announced or not.
+/// Extracts a body of at most `max_bytes`, with or without a `Content-Length` header.
 pub(super) fn bounded(
     max_bytes: usize,
 ) -> impl Filter<Extract = (Bytes,), Error = warp::Rejection> + Clone + Send + Sync + 'static {
@@ -29,17 +29,17 @@
 ) -> Result<Bytes, warp::Rejection> {
     let mut stream = std::pin::pin!(stream);
     let mut body = BytesMut::new();
-    let complete = async {
-        while let Some(part) = stream.next().await {
-            let part = part.ok()?;
-            if body.len() + part.remaining() > max_bytes {
+    let read_all = async {
+        while let Some(chunk) = stream.next().await {
+            let chunk = chunk.ok()?;
+            if body.len() + chunk.remaining() > max_bytes {
                 return None;
             }
-            body.put(part);
+            body.put(chunk);
         }
         Some(())
     };
-    match tokio::time::timeout(BODY_TIMEOUT, complete).await {
+    match tokio::time::timeout(BODY_TIMEOUT, read_all).await {
         Ok(Some(())) => Ok(body.freeze()),
         _ => Err(warp::reject::custom(UnreadableBody)),
     }
--- a/src/http_server/mod.rs
+++ b/src/http_server/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP server for users, workers and health checks: routes, and what each asks of the controller.
+//! The HTTP server for users, workers and health checks: the routes, and the request that each sends to the controller.
 //!
-//! It owns no state: a request goes to the daemon through the [`Inbox`], and the response comes back on a channel of
-//! its own. Connections are owned by [`connection_acceptor`].
+//! The server has no state: a request goes to the daemon through the [`Inbox`], and its reply comes back through a
+//! oneshot channel. [`connection_acceptor`] owns the connections.
 
 mod body;
 mod responses;
@@ -26,22 +26,22 @@
 use crate::workers::wire::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES};
 use body::bounded;
 
-/// The controller must reply within this time. Workers wait 4 s and users 5: they should get a response that asks
-/// them to retry rather than time out.
+/// Time within which the controller must reply. Workers time out after 4 s and users after 5 s: instead of timing out,
+/// they should get a response that asks them to retry.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3_800);
 
-/// The HTTP server can't start.
+/// Why the HTTP server could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The address can't be listened on.
+    /// Binding the listening socket failed.
     #[error(transparent)]
     Listen(#[from] std::io::Error),
 }
 
-/// Serves at most `max_connections` at a time, until the process ends.
+/// Listens on `address`, and serves at most `max_connections` at a time until the process ends.
 ///
 /// # Errors
-/// The address can't be listened on.
+/// Binding the listening socket failed.
 pub async fn serve(
     address: SocketAddr,
     inbox: Inbox,
@@ -65,12 +65,12 @@
     Ok(())
 }
 
-/// A route, which rejects requests that it does not match.
+/// A route. It rejects requests that do not match, so that the next route is tried.
 type Route = BoxedFilter<(HttpResponse,)>;
-/// Passes the channel to the controller to a route.
+/// A filter that extracts the channel to the controller.
 type WithInbox = BoxedFilter<(Arc<Inbox>,)>;
 
-/// All routes; the frequent ones first, since they are tried in turn.
+/// Combines all routes, the most frequently used first, since they are tried in order.
 fn routes(inbox: Inbox) -> Route {
     let inbox = Arc::new(inbox);
     let inbox = warp::any().map(move || Arc::clone(&inbox)).boxed();
@@ -93,7 +93,7 @@
         .and(bounded(api::LARGEST_BODY))
         .and_then(|inbox: Arc<Inbox>, body: Bytes| {
             let submission = api::parse(&body);
-            ask_for_user(inbox, |reply| Request::Submit { submission, reply })
+            request_for_user(inbox, |reply| Request::Submit { submission, reply })
         })
         .boxed()
 }
@@ -104,7 +104,7 @@
         .and(inbox.clone())
         .and_then(|job: String, inbox: Arc<Inbox>| {
             let job = job.as_str().into();
-            ask_for_user(inbox, |reply| Request::Poll { job, reply })
+            request_for_user(inbox, |reply| Request::Poll { job, reply })
         })
         .boxed()
 }
@@ -115,7 +115,7 @@
         .and(inbox.clone())
         .and_then(|job: String, inbox: Arc<Inbox>| {
             let job = job.as_str().into();
-            ask_for_user(inbox, |reply| Request::Abort { job, reply })
+            request_for_user(inbox, |reply| Request::Abort { job, reply })
         })
         .boxed()
 }
@@ -125,7 +125,7 @@
         .and(warp::post())
         .and(inbox.clone())
         .and(bounded(MAX_HEARTBEAT_BYTES))
-        .and_then(heartbeat)
+        .and_then(handle_heartbeat)
         .boxed()
 }
 
@@ -134,44 +134,47 @@
         .and(warp::get())
         .and(inbox.clone())
         .and_then(|inbox: Arc<Inbox>| async move {
-            let ready = ask(&inbox, |reply| Request::Ready { reply }).await;
+            let ready = send_request(&inbox, |reply| Request::Ready { reply }).await;
             Ok::<_, Infallible>(responses::to_probe(ready.unwrap_or(false)))
         })
         .boxed()
 }
 
-async fn heartbeat(inbox: Arc<Inbox>, body: Bytes) -> Result<HttpResponse, Infallible> {
+async fn handle_heartbeat(inbox: Arc<Inbox>, body: Bytes) -> Result<HttpResponse, Infallible> {
     let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
-            tracing::error!(%error, "heartbeat rejected");
+            tracing::error!(%error, "heartbeat rejected: invalid body");
             let text = error.to_string();
             return Ok(responses::error(StatusCode::BAD_REQUEST, &text));
         }
     };
-    let response = ask(&inbox, |reply| Request::Heartbeat { heartbeat, reply }).await;
+    let response = send_request(&inbox, |reply| Request::Heartbeat { heartbeat, reply }).await;
     let response = response.unwrap_or(HeartbeatResponse::RetryLater);
     Ok(responses::to_worker(response))
 }
 
-async fn ask_for_user(
+async fn request_for_user(
     inbox: Arc<Inbox>,
     request: impl FnOnce(oneshot::Sender<Response>) -> Request,
 ) -> Result<HttpResponse, Infallible> {
-    let response = ask(&inbox, request).await;
+    let response = send_request(&inbox, request).await;
     Ok(responses::to_user(response.unwrap_or_else(Response::later)))
 }
 
-/// Asks the controller and waits for its reply; none if too many requests are queued or the reply is not there in
-/// time.
-async fn ask<T>(inbox: &Inbox, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Option<T> {
+/// Sends a request to the controller and waits for the reply. Returns none if too many requests are queued, the request
+/// is dropped, or there is no reply in time.
+async fn send_request<T>(
+    inbox: &Inbox,
+    request: impl FnOnce(oneshot::Sender<T>) -> Request,
+) -> Option<T> {
     let (sender, receiver) = oneshot::channel();
     inbox.try_send(request(sender)).ok()?;
     let reply = tokio::time::timeout(REPLY_TIMEOUT, receiver).await;
     reply.ok()?.ok()
 }
 
-/// The response to a request that no route took.
+/// Creates the response to a request that every route rejected.
 async fn on_rejection(rejection: warp::Rejection) -> Result<HttpResponse, Infallible> {
     Ok(if rejection.is_not_found() {
         responses::error(StatusCode::NOT_FOUND, "no such path")
--- a/src/http_server/responses.rs
+++ b/src/http_server/responses.rs
@@ -1,4 +1,4 @@
-//! How the controller's responses look on the wire: status, headers and JSON body.
+//! Conversion of the controller's responses to HTTP: status, headers and JSON body.
 
 use serde::Serialize;
 use warp::Reply;
@@ -9,7 +9,7 @@
 use crate::types::{ControllerId, JobId, WorkerToken};
 use crate::workers::wire::{HeartbeatResponse, WorkerCommand};
 
-/// When a request that could not be handled now may be repeated, in seconds.
+/// Seconds after which a client may repeat a request that could not be handled now.
 const RETRY_AFTER_S: u32 = 1;
 
 /// The body of a response that reports an error.
@@ -25,7 +25,7 @@
     stage: api::JobStage,
 }
 
-/// The body of a response that names the controller to report to, if one is known.
+/// The body of a response that redirects a worker to another controller; an empty object if none is known.
 #[derive(Serialize)]
 struct RedirectBody {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -33,7 +33,7 @@
     redirect_to: Option<ControllerId>,
 }
 
-/// The body of a response that renews a worker's lease.
+/// The body of a response that renews a worker's lease and carries commands for the worker.
 #[derive(Serialize)]
 struct CommandsBody {
     #[serde(rename = "baton")]
@@ -46,12 +46,12 @@
     warp::reply::with_status(warp::reply::json(body), status).into_response()
 }
 
-/// An error with a text for the client.
+/// Creates a response that reports an error to the client.
 pub(super) fn error(status: StatusCode, error: &str) -> HttpResponse {
     json(status, &ErrorBody { error })
 }
 
-/// Asks the client to repeat the request soon.
+/// Creates a response that asks the client to repeat the request soon.
 pub(super) fn unavailable() -> HttpResponse {
     retry_after(RETRY_AFTER_S)
 }
@@ -61,7 +61,7 @@
     warp::reply::with_header(reply, "Retry-After", seconds.to_string()).into_response()
 }
 
-/// The response to a user.
+/// Converts the response to a user.
 pub(super) fn to_user(response: Response) -> HttpResponse {
     match response {
         Response::Accepted(id) => {
@@ -69,14 +69,14 @@
             json(StatusCode::CREATED, &AcceptedBody { id: &id, stage })
         }
         Response::State(state) => json(StatusCode::OK, &state),
-        Response::Malformed(why) => error(StatusCode::BAD_REQUEST, &why),
-        Response::NeverRuns(why) => error(StatusCode::UNPROCESSABLE_ENTITY, &why),
+        Response::Malformed(reason) => error(StatusCode::BAD_REQUEST, &reason),
+        Response::NeverRuns(reason) => error(StatusCode::UNPROCESSABLE_ENTITY, &reason),
         Response::Unknown => error(StatusCode::NOT_FOUND, "no such job"),
         Response::Later(seconds) => retry_after(seconds),
     }
 }
 
-/// The response to a worker's heartbeat.
+/// Converts the response to a worker's heartbeat.
 pub(super) fn to_worker(response: HeartbeatResponse) -> HttpResponse {
     match response {
         HeartbeatResponse::Commands {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The response to a health check.
+/// Creates the response to a health check.
 pub(super) fn to_probe(ready: bool) -> HttpResponse {
     if ready {
         StatusCode::OK.into_response()
--- a/src/sockets/budget.rs
+++ b/src/sockets/budget.rs
@@ -1,40 +1,44 @@
-//! How the platform's limit of open sockets is divided.
+//! Division of the platform's limit of open sockets among their uses.
 
-/// Fraction of the limit that is used; the rest is a margin, so that the system never refuses a socket.
+/// Fraction of the limit that is used. The rest is a margin, so that the operating system never refuses a socket.
 const USED_FRACTION: f64 = 0.88;
-/// Sockets for calls to the store and the cloud, and for the process itself.
-pub(super) const OWN_SOCKETS: usize = 24;
-/// Sockets kept free for each other controller.
-const SOCKETS_PER_MEMBER: usize = 4;
-/// Fraction of the limit for commands that are sent to workers directly.
+/// Sockets reserved for calls to the store and the cloud, and for the process itself.
+pub(super) const RESERVED_SOCKETS: usize = 24;
+/// Sockets reserved for each other controller.
+const SOCKETS_PER_PEER: usize = 4;
+/// Fraction of the limit that is for direct commands to workers.
 const DIRECT_FRACTION: f64 = 0.08;
-/// Least number of direct commands in flight, however small the limit.
-const MIN_DIRECT: usize = 4;
-/// Least number of connections to the server: a process that has next to no sockets still serves some requests.
-const MIN_SERVER: usize = 8;
+/// Minimum number of direct commands in flight, however small the limit.
+const MIN_DIRECT_COMMANDS: usize = 4;
+/// Minimum number of connections to the HTTP server, so that a process with very few sockets still serves some
+/// requests.
+const MIN_SERVER_CONNECTIONS: usize = 8;
 
-/// The parts of the platform's limit of open sockets.
+/// The number of open sockets for each use, as parts of the platform's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
-    /// Connections that other controllers may open to this one.
+pub struct SocketBudget {
+    /// Maximum number of connections from other controllers.
     pub peers: usize,
-    /// Direct commands to workers in flight.
+    /// Maximum number of direct commands to workers in flight.
     pub direct: usize,
-    /// Connections of workers, users and health checks to the server.
+    /// Maximum number of connections of workers, users and health checks to the HTTP server.
     pub server: usize,
 }
 
-impl Budget {
-    /// Divides `sockets` for a controller that has `members` others beside it.
+impl SocketBudget {
+    /// Divides a limit of `sockets` for a controller with `peers` other controllers. The minimums of direct commands
+    /// and server connections may exceed a very small limit.
     #[must_use]
-    pub fn new(sockets: usize, members: usize) -> Self {
+    pub fn new(sockets: usize, peers: usize) -> Self {
         let used = (sockets as f64 * USED_FRACTION) as usize;
-        let direct = ((sockets as f64 * DIRECT_FRACTION) as usize).max(MIN_DIRECT);
-        let core = OWN_SOCKETS + SOCKETS_PER_MEMBER * members;
+        let direct = ((sockets as f64 * DIRECT_FRACTION) as usize).max(MIN_DIRECT_COMMANDS);
+        let reserved = RESERVED_SOCKETS + SOCKETS_PER_PEER * peers;
         Self {
-            peers: 2 * members + 2,
+            peers: 2 * peers + 2,
             direct,
-            server: used.saturating_sub(core + direct).max(MIN_SERVER),
+            server: used
+                .saturating_sub(reserved + direct)
+                .max(MIN_SERVER_CONNECTIONS),
         }
     }
 }
--- a/src/sockets/connection_acceptor.rs
+++ b/src/sockets/connection_acceptor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the connections of the server: it accepts them within the budget and closes idle ones.
+//! The actor that owns the connections of the HTTP server: it accepts connections up to a limit and closes idle ones.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -16,19 +16,19 @@
 use super::{ConnectionClass, ConnectionPressure, ConnectionTable, IdleTimeouts};
 use crate::clock::Clock;
 
-/// The head of a request must be complete within this time, whatever the connection did before.
+/// Time within which the head of a request must be complete, also on a connection that served requests before.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// A connection that is closed for being idle may finish its response within this time.
+/// Time for a connection that is closed as idle to finish its response.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two searches for idle connections; short against the idle timeouts.
+/// Time between two checks for idle connections; short compared to the idle timeouts.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after the system refused a connection, which it does again at once while its sockets are used up.
+/// Pause after `accept` failed: while the process is out of sockets, it would fail again at once.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// Capacity of the queue of notices to the acceptor; while it is full, a connection's request waits.
-const NOTICE_BACKLOG: usize = 256;
+/// Capacity of the queue of events to the acceptor. While the queue is full, requests wait before they are handled.
+const EVENT_QUEUE_CAPACITY: usize = 256;
 
-/// A notice from a connection to the acceptor.
-enum Notice {
+/// An event that a connection reports to the acceptor.
+enum ConnectionEvent {
     RequestStarted(Id, ConnectionClass),
     RequestFinished(Id),
 }
@@ -37,17 +37,17 @@
 struct Acceptor {
     clock: Clock,
     table: ConnectionTable<Id>,
-    /// The signal for a connection to close.
+    /// The channel that tells a connection to close.
     shutdowns: HashMap<Id, oneshot::Sender<()>>,
-    /// The connections; they end with the acceptor.
+    /// The tasks of the connections, which are aborted when the acceptor is dropped.
     tasks: JoinSet<()>,
     pressure: watch::Sender<ConnectionPressure>,
-    /// Connections that were not accepted since the last idle check.
+    /// Number of connections rejected since the last idle check.
     rejected: u64,
 }
 
-/// Serves at most `max_connections` at a time, until the process ends. `busy` is the response while there is no
-/// capacity for users' requests.
+/// Serves at most `max_connections` at a time until the process ends. `busy` creates the response to requests of users
+/// that exceed their part of the connections.
 pub async fn serve<S, B>(
     listener: TcpListener,
     service: S,
@@ -66,7 +66,7 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let (sender, mut notices) = mpsc::channel(NOTICE_BACKLOG);
+    let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let mut acceptor = Acceptor::new(max_connections, idle_timeouts, clock);
     let mut idle_checks = tokio::time::interval(IDLE_CHECK_INTERVAL);
     idle_checks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -76,21 +76,21 @@
             Some(ended) = acceptor.tasks.join_next_with_id(), if !acceptor.tasks.is_empty() => {
                 acceptor.on_closed(&ended);
             }
-            Some(notice) = notices.recv() => acceptor.on_notice(notice),
+            Some(event) = events.recv() => acceptor.on_event(event),
             _ = idle_checks.tick() => acceptor.close_idle(),
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) if acceptor.table.admits() => {
                     let (shutdown, on_shutdown) = oneshot::channel();
-                    let link = acceptor.link(sender.clone());
+                    let handle = acceptor.new_handle(event_sender.clone());
                     let connection =
-                        serve_connection(stream, service.clone(), link, on_shutdown, busy);
+                        serve_connection(stream, service.clone(), handle, on_shutdown, busy);
                     let id = acceptor.tasks.spawn(connection).id();
                     acceptor.on_opened(id, shutdown);
                 }
-                // The client finds another controller sooner than a connection is free here.
+                // The connection is dropped: its client finds another controller sooner than this one has capacity.
                 Ok(_) => acceptor.rejected += 1,
                 Err(error) => {
-                    tracing::error!(%error, "connection accept failed");
+                    tracing::error!(%error, "accepting an HTTP connection failed, retrying");
                     tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             },
@@ -111,9 +111,9 @@
         }
     }
 
-    fn link(&self, notices: mpsc::Sender<Notice>) -> AcceptorLink {
-        AcceptorLink {
-            notices,
+    fn new_handle(&self, events: mpsc::Sender<ConnectionEvent>) -> AcceptorHandle {
+        AcceptorHandle {
+            events,
             pressure: self.pressure.subscribe(),
         }
     }
@@ -132,11 +132,13 @@
         self.shutdowns.remove(&id);
     }
 
-    fn on_notice(&mut self, notice: Notice) {
+    fn on_event(&mut self, event: ConnectionEvent) {
         let now = self.clock.now();
-        match notice {
-            Notice::RequestStarted(id, class) => self.table.request_started(id, class, now),
-            Notice::RequestFinished(id) => self.table.request_finished(id, now),
+        match event {
+            ConnectionEvent::RequestStarted(id, class) => {
+                self.table.request_started(id, class, now)
+            }
+            ConnectionEvent::RequestFinished(id) => self.table.request_finished(id, now),
         }
     }
 
@@ -152,28 +154,32 @@
     fn close_idle(&mut self) {
         for id in self.table.idle(self.clock.now()) {
             if let Some(shutdown) = self.shutdowns.remove(&id) {
-                // The connection may have ended just now.
+                // Fails if the connection has just ended by itself.
                 let _ = shutdown.send(());
             }
         }
         if self.rejected > 0 {
             let open = self.table.len();
-            tracing::info!(open, turned_away = self.rejected, "connections rejected");
+            tracing::info!(
+                open,
+                turned_away = self.rejected,
+                "HTTP connections rejected: connection limit reached"
+            );
             self.rejected = 0;
         }
     }
 }
 
-/// What connects a connection with the acceptor.
-struct AcceptorLink {
-    notices: mpsc::Sender<Notice>,
+/// A connection's handle to the acceptor.
+struct AcceptorHandle {
+    events: mpsc::Sender<ConnectionEvent>,
     pressure: watch::Receiver<ConnectionPressure>,
 }
 
-impl AcceptorLink {
-    async fn notify(&self, notice: Notice) {
-        // Can't fail: the acceptor owns the task of this connection.
-        let _ = self.notices.send(notice).await;
+impl AcceptorHandle {
+    async fn report(&self, event: ConnectionEvent) {
+        // Can't fail: the acceptor owns the task of this connection, and so outlives it.
+        let _ = self.events.send(event).await;
     }
 
     fn pressure(&self) -> ConnectionPressure {
@@ -184,7 +190,7 @@
 async fn serve_connection<S, B>(
     stream: TcpStream,
     service: S,
-    link: AcceptorLink,
+    acceptor: AcceptorHandle,
     on_shutdown: oneshot::Receiver<()>,
     busy: fn() -> Response<B>,
 ) where
@@ -193,26 +199,28 @@
     B: hyper::body::Body + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // Responses are small: with Nagle's algorithm they would wait for the client's acknowledgement. If it can't be
-    // turned off, they are only slower.
+    // Responses are small, and with Nagle's algorithm they would wait for the client's acknowledgement. An error is
+    // ignored, since it only makes responses slower.
     let _ = stream.set_nodelay(true);
     let id = tokio::task::id();
     let service = service_fn(|request: Request<Incoming>| {
         let class = ConnectionClass::of(request.uri().path());
-        let refused = class == ConnectionClass::User && link.pressure().users_full;
+        let refused = class == ConnectionClass::User && acceptor.pressure().users_full;
         let response = (!refused).then(|| service.call(request));
-        let link = &link;
+        let acceptor = &acceptor;
         async move {
-            link.notify(Notice::RequestStarted(id, class)).await;
+            acceptor
+                .report(ConnectionEvent::RequestStarted(id, class))
+                .await;
             let mut response = match response {
                 Some(response) => response.await?,
                 None => busy(),
             };
-            if refused || link.pressure().closes(class) {
+            if refused || acceptor.pressure().closes(class) {
                 let headers = response.headers_mut();
                 headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            link.notify(Notice::RequestFinished(id)).await;
+            acceptor.report(ConnectionEvent::RequestFinished(id)).await;
             Ok::<_, Infallible>(response)
         }
     });
@@ -222,7 +230,7 @@
             .header_read_timeout(HEAD_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service)
     );
-    // Errors of a connection are the client's: it closed early, or sent no HTTP.
+    // Errors of a connection are ignored: the client closed it early, or did not send valid HTTP.
     tokio::select! {
         _ = connection.as_mut() => {}
         _ = on_shutdown => {
--- a/src/sockets/connection_table.rs
+++ b/src/sockets/connection_table.rs
@@ -1,12 +1,12 @@
-//! The table of the server's connections: what each is for, how long it has been idle, and how many there are.
-//! Free of I/O; the [acceptor](super::connection_acceptor) owns the one table.
+//! The table of the HTTP server's connections: the class of each connection, how long it has been idle, and how many
+//! there are. Without I/O; the [acceptor](super::connection_acceptor) owns the only table.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::types::Millis;
 
-/// What a connection to the server is for, by its latest request.
+/// The class of a connection to the HTTP server, by its latest request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionClass {
     /// No request has arrived yet.
@@ -20,7 +20,7 @@
 }
 
 impl ConnectionClass {
-    /// The class of a request for this path.
+    /// Returns the class of a request by its path. All unknown paths count as requests of users.
     #[must_use]
     pub fn of(path: &str) -> Self {
         match path {
@@ -31,25 +31,26 @@
     }
 }
 
-/// Largest fraction of the connections that may have sent no request yet: half-open ones must not keep workers out.
+/// Largest fraction of the connection limit for connections without a request yet: half-open connections must not keep
+/// workers out.
 const MAX_NEW_FRACTION: f64 = 0.3;
-/// Largest fraction of the connections for users: the others are for workers.
+/// Largest fraction of the connection limit for users; the rest is for workers.
 const MAX_USER_FRACTION: f64 = 0.4;
-/// From this fraction of the connections on, a response to a user closes its connection.
+/// Fraction of the connection limit from which on a response to a user closes its connection.
 const CLOSE_USERS_FRACTION: f64 = 0.65;
-/// From this fraction on, a response to a worker closes its connection, too.
+/// Fraction of the connection limit from which on a response to a worker closes its connection, too.
 const CLOSE_HEARTBEATS_FRACTION: f64 = 0.75;
-/// From this fraction on, idle connections are closed earlier.
+/// Fraction of the connection limit from which on the idle timeouts of new connections and users are shortened.
 const SHORT_IDLE_FRACTION: f64 = 0.85;
-/// Idle timeouts are divided by this when they are shortened.
+/// Divisor of an idle timeout that is shortened.
 const SHORT_IDLE_DIVISOR: u64 = 5;
-/// Each fraction is of at least this many connections.
+/// Minimum number of connections that a fraction of the limit amounts to, however small the limit.
 const MIN_FRACTION_CONNECTIONS: usize = 2;
 
-/// What each connection needs to know of all the others.
+/// How full the connection table is, as each connection needs to know it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionPressure {
-    /// Users are asked to retry later.
+    /// Users have too many connections; their requests are answered with a request to retry later.
     pub users_full: bool,
     /// Responses to users close their connection.
     pub close_users: bool,
@@ -58,7 +59,7 @@
 }
 
 impl ConnectionPressure {
-    /// Whether a connection is closed with the response that it gets.
+    /// Whether the response to a request of this class closes its connection.
     #[must_use]
     pub fn closes(self, class: ConnectionClass) -> bool {
         match class {
@@ -69,20 +70,20 @@
     }
 }
 
-/// How long a connection may be idle, by what it is for.
+/// How long a connection may be idle, by its class.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleTimeouts {
-    /// Until the first request is complete.
+    /// Time from opening to the first complete request head.
     pub new: Millis,
-    /// Between two requests of a user.
+    /// Time between two requests of a user; also the limit for a request in progress, of any class.
     pub user: Millis,
-    /// Between two heartbeats or health checks.
+    /// Time between two heartbeats or health checks.
     pub heartbeat: Millis,
 }
 
 impl IdleTimeouts {
-    /// Timeouts for workers that send a heartbeat at this interval: one that misses three in a row may lose its
-    /// connection.
+    /// Creates timeouts for workers that send a heartbeat at this interval. A worker may lose its connection after it
+    /// misses three heartbeats in a row.
     #[must_use]
     pub fn for_heartbeats_every(interval: Millis) -> Self {
         Self {
@@ -97,13 +98,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     class: ConnectionClass,
-    /// Whether a request is being worked on.
+    /// Whether a request is being handled.
     busy: bool,
-    /// When the connection was opened, or its latest request or response was there.
-    since: Millis,
+    /// Time of the latest event: the connection was opened, a request arrived, or its response was ready.
+    active_at: Millis,
 }
 
-/// The connections of the server.
+/// The open connections of the HTTP server, which `K` identifies.
 #[derive(Debug)]
 pub struct ConnectionTable<K> {
     max_connections: usize,
@@ -114,7 +115,7 @@
 }
 
 impl<K: Copy + Eq + Hash> ConnectionTable<K> {
-    /// A table without connections.
+    /// Creates an empty table. The limits are fractions of `max_connections`.
     #[must_use]
     pub fn new(max_connections: usize, idle_timeouts: IdleTimeouts) -> Self {
         Self {
@@ -126,32 +127,32 @@
         }
     }
 
-    /// Whether one more connection is accepted.
+    /// Whether one more connection may be accepted.
     #[must_use]
     pub fn admits(&self) -> bool {
         self.connections.len() < self.max_connections
-            && self.new_count < self.fraction(MAX_NEW_FRACTION)
+            && self.new_count < self.connections_in(MAX_NEW_FRACTION)
     }
 
-    /// Adds a connection.
+    /// Adds a connection; to be called only if [`ConnectionTable::admits`] another one.
     pub fn opened(&mut self, key: K, now: Millis) {
         let connection = Connection {
             class: ConnectionClass::New,
             busy: false,
-            since: now,
+            active_at: now,
         };
         self.connections.insert(key, connection);
         self.new_count += 1;
     }
 
-    /// A request has arrived on a connection.
+    /// Records that a request arrived on a connection; ignored for an unknown connection.
     pub fn request_started(&mut self, key: K, class: ConnectionClass, now: Millis) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let previous = std::mem::replace(&mut connection.class, class);
         connection.busy = true;
-        connection.since = now;
+        connection.active_at = now;
         if let Some(count) = self.count_mut(previous) {
             *count -= 1;
         }
@@ -160,15 +161,15 @@
         }
     }
 
-    /// The response to a request is ready.
+    /// Records that the response to a request is ready; ignored for an unknown connection.
     pub fn request_finished(&mut self, key: K, now: Millis) {
         if let Some(connection) = self.connections.get_mut(&key) {
             connection.busy = false;
-            connection.since = now;
+            connection.active_at = now;
         }
     }
 
-    /// Removes a connection.
+    /// Removes a connection; ignored for an unknown one.
     pub fn closed(&mut self, key: K) {
         if let Some(connection) = self.connections.remove(&key)
             && let Some(count) = self.count_mut(connection.class)
@@ -177,22 +178,23 @@
         }
     }
 
-    /// How full the table is.
+    /// Returns which limits the connections have reached.
     #[must_use]
     pub fn pressure(&self) -> ConnectionPressure {
         ConnectionPressure {
-            users_full: self.user_count > self.fraction(MAX_USER_FRACTION),
-            close_users: self.len() >= self.fraction(CLOSE_USERS_FRACTION),
-            close_heartbeats: self.len() >= self.fraction(CLOSE_HEARTBEATS_FRACTION),
+            users_full: self.user_count > self.connections_in(MAX_USER_FRACTION),
+            close_users: self.len() >= self.connections_in(CLOSE_USERS_FRACTION),
+            close_heartbeats: self.len() >= self.connections_in(CLOSE_HEARTBEATS_FRACTION),
         }
     }
 
-    /// Connections that have been idle for too long.
+    /// Returns the connections that have exceeded their idle timeout.
     #[must_use]
     pub fn idle(&self, now: Millis) -> Vec<K> {
-        let full = self.len() >= self.fraction(SHORT_IDLE_FRACTION);
-        let is_idle =
-            |connection: &Connection| now.since(connection.since) > self.timeout(connection, full);
+        let shorten = self.len() >= self.connections_in(SHORT_IDLE_FRACTION);
+        let is_idle = |connection: &Connection| {
+            now.since(connection.active_at) > self.idle_timeout(connection, shorten)
+        };
         self.connections
             .iter()
             .filter(|(_, connection)| is_idle(connection))
@@ -212,24 +214,24 @@
         self.connections.is_empty()
     }
 
-    fn timeout(&self, connection: &Connection, full: bool) -> Millis {
-        let shortened = |timeout: Millis| {
-            if full {
+    fn idle_timeout(&self, connection: &Connection, shorten: bool) -> Millis {
+        let maybe_shortened = |timeout: Millis| {
+            if shorten {
                 Millis(timeout.0 / SHORT_IDLE_DIVISOR)
             } else {
                 timeout
             }
         };
         match connection.class {
-            // Work on a request is bounded by itself, but a client that does not read the response is not.
+            // The handling of a request has a timeout of its own, but a client that does not read its response has not.
             _ if connection.busy => self.idle_timeouts.user,
-            ConnectionClass::New => shortened(self.idle_timeouts.new),
-            ConnectionClass::User => shortened(self.idle_timeouts.user),
+            ConnectionClass::New => maybe_shortened(self.idle_timeouts.new),
+            ConnectionClass::User => maybe_shortened(self.idle_timeouts.user),
             ConnectionClass::Probe | ConnectionClass::Heartbeat => self.idle_timeouts.heartbeat,
         }
     }
 
-    fn fraction(&self, fraction: f64) -> usize {
+    fn connections_in(&self, fraction: f64) -> usize {
         ((self.max_connections as f64 * fraction) as usize).max(MIN_FRACTION_CONNECTIONS)
     }
 
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -1,8 +1,11 @@
 use super::*;
 use crate::types::Millis;
 
-fn table(most: usize) -> ConnectionTable<u32> {
-    ConnectionTable::new(most, IdleTimeouts::for_heartbeats_every(Millis(5_000)))
+fn table(max_connections: usize) -> ConnectionTable<u32> {
+    ConnectionTable::new(
+        max_connections,
+        IdleTimeouts::for_heartbeats_every(Millis(5_000)),
+    )
 }
 
 fn open(table: &mut ConnectionTable<u32>, keys: std::ops::Range<u32>, class: ConnectionClass) {
@@ -14,14 +17,15 @@
     }
 }
 
-/// Sockets were unbounded: a controller that held all shards reached the process limit, and the system
-/// refused connections of workers, users and the store alike.
+/// Without a bound on all sockets together, a controller that holds all shards reaches the limit of the process, and
+/// the operating system refuses connections of workers, users and the store alike.
 #[test]
 fn all_socket_limits_together_stay_below_the_platform_limit() {
-    for (sockets, members) in [(40, 0), (64, 2), (300, 2), (1_800, 2), (3_352, 8)] {
-        let budget = Budget::new(sockets, members);
-        // Outgoing connections to peers, and calls in flight to the store and the cloud.
-        let all = budget.server + budget.direct + budget.peers + members + budget::OWN_SOCKETS / 2;
+    for (sockets, peers) in [(40, 0), (64, 2), (300, 2), (1_800, 2), (3_352, 8)] {
+        let budget = SocketBudget::new(sockets, peers);
+        // Adds outgoing connections to peers, and calls in flight to the store and the cloud.
+        let all =
+            budget.server + budget.direct + budget.peers + peers + budget::RESERVED_SOCKETS / 2;
         assert!(all * 10 <= sockets * 9, "{sockets}: {budget:?}");
     }
 }
@@ -45,7 +49,8 @@
     assert!(!table.pressure().users_full);
 }
 
-/// Half-open connections, and some that send one byte a second.
+/// Half-open connections, and clients that send one byte per second, must not occupy all connections or keep theirs for
+/// long.
 #[test]
 fn connections_without_a_request_are_bounded_in_number_and_time() {
     let mut table = table(100);
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,28 +1,28 @@
 //! Client-side rate limits: a token bucket, and two policies that adjust its rate.
 //!
-//! [`Allowance`] uses a rate that the admission plan assigned to this controller; [`AdaptiveShare`] finds its rate
-//! by itself where no plan divides the limit. Both are free of I/O and take the time as an argument.
+//! [`AssignedRate`] uses the rate that the admission plan assigned to this controller. [`AdaptiveRate`] adapts its rate
+//! where no plan divides the limit. Both are without I/O and take the current time as an argument.
 
 use crate::types::Millis;
 
-/// Capacity of a bucket, in tokens, even if its rate is below one token a second: otherwise a single call
-/// would never pass.
+/// Minimum capacity of a bucket, in tokens. A bucket with a rate below one token per second could otherwise never pass
+/// a single call.
 const MIN_CAPACITY: f64 = 1.0;
-/// Tokens that may be missing for a call to pass: rounding errors of the refill must not delay it.
+/// Shortage of tokens that is ignored, so that rounding errors of the refill do not delay a call.
 const TOKEN_TOLERANCE: f64 = 1e-9;
 
-/// A token bucket that holds one second's worth of its rate.
+/// A token bucket whose capacity is one second of its rate.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Rate of the refill, in tokens per second.
     rate: f64,
-    /// Tokens now; negative after a call that took more than there were.
+    /// Tokens at `refilled_at`; negative after a call that took more tokens than there were.
     level: f64,
     refilled_at: Millis,
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `rate` tokens a second.
+    /// Creates a full bucket that is refilled with `rate` tokens per second.
     pub fn new(rate: f64, now: Millis) -> Self {
         Self {
             rate,
@@ -37,8 +37,8 @@
         self.refilled_at = now;
     }
 
-    /// How long until `amount` may be taken; zero if it may be now. An amount above the capacity may be
-    /// taken once the bucket is full.
+    /// Returns how long until `amount` tokens may be taken; zero if they may be taken now. An amount above the capacity
+    /// may be taken once the bucket is full. Takes no tokens itself.
     pub fn time_until_available(&mut self, amount: f64, now: Millis) -> Millis {
         self.refill(now);
         let missing = amount.min(self.rate.max(MIN_CAPACITY)) - self.level;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes `amount` tokens, whether they are there or not: a later caller waits the longer.
+    /// Takes `amount` tokens, even if there are fewer: then the level becomes negative, and later callers wait longer.
     pub fn take(&mut self, amount: f64) {
         self.level -= amount;
     }
@@ -60,107 +60,110 @@
     }
 }
 
-/// Least rate that a plan can assign, in tokens a second: at zero no call would ever pass.
-const MIN_ALLOWED_RATE: f64 = 0.1;
-/// Least fraction of the assigned rate that is used however often the service rejects calls: enough to notice
-/// that it accepts them again.
+/// Minimum assigned rate, in tokens per second: with a rate of zero no call would ever pass.
+const MIN_ASSIGNED_RATE: f64 = 0.1;
+/// Minimum fraction of the assigned rate that is used, however often the service rejects calls; enough to notice when
+/// the service accepts calls again.
 const MIN_FRACTION: f64 = 0.2;
-/// Added to the fraction for each `INCREASE_INTERVAL` without a rejection.
+/// Increase of the used fraction for each `INCREASE_INTERVAL` without a rejection.
 const FRACTION_INCREASE: f64 = 0.04;
-/// Factor on the fraction for each rejection.
+/// Factor by which a rejection reduces the used fraction.
 const FRACTION_DECREASE: f64 = 0.8;
 /// Time between two increases of a rate.
 const INCREASE_INTERVAL: Millis = Millis(500);
-/// Time after a decrease in which the rate stays: several calls in flight meet the same excess.
+/// Time after a decrease during which further rejections do not decrease the rate again, since several calls in flight
+/// are rejected for the same excess.
 const DECREASE_INTERVAL: Millis = Millis(300);
 
-/// The rate that the admission plan assigns to this controller. If the service rejects calls all the same, its
-/// limit is lower than configured or has another user: then only a fraction of the assigned rate is used, which
-/// grows again while nothing is rejected.
+/// A rate limit with the rate that the admission plan assigns to this controller. If the service rejects calls all the
+/// same, its limit is lower than configured or is also used by others. Then only a fraction of the assigned rate is
+/// used, which grows again while no call is rejected.
 #[derive(Clone, Debug)]
-pub struct Allowance {
-    /// What paces the calls.
+pub struct AssignedRate {
+    /// The bucket that paces the calls.
     pub bucket: TokenBucket,
-    /// Assigned rate, in tokens a second.
-    allowed: f64,
-    /// Fraction of the assigned rate that is used.
-    fraction: f64,
-    /// When the fraction changed last; after a decrease in the future, by `DECREASE_INTERVAL`.
+    /// The assigned rate, in tokens per second.
+    assigned_rate: f64,
+    /// The fraction of the assigned rate that is used.
+    used_fraction: f64,
+    /// When the fraction last changed; after a decrease, `DECREASE_INTERVAL` later than that.
     adjusted_at: Millis,
 }
 
-impl Allowance {
-    /// Starts with the whole of the `allowed` rate, in tokens a second.
-    pub fn new(allowed: f64, now: Millis) -> Self {
+impl AssignedRate {
+    /// Creates a limit that uses the whole assigned rate, in tokens per second.
+    pub fn new(assigned_rate: f64, now: Millis) -> Self {
         Self {
-            bucket: TokenBucket::new(allowed, now),
-            allowed,
-            fraction: 1.0,
+            bucket: TokenBucket::new(assigned_rate, now),
+            assigned_rate,
+            used_fraction: 1.0,
             adjusted_at: now,
         }
     }
 
     fn update_rate(&mut self, now: Millis) {
         self.bucket.refill(now);
-        self.bucket.rate = self.allowed * self.fraction;
+        self.bucket.rate = self.assigned_rate * self.used_fraction;
     }
 
-    /// The plan assigns another rate, in tokens a second.
-    pub fn allow(&mut self, allowed: f64, now: Millis) {
-        self.allowed = allowed.max(MIN_ALLOWED_RATE);
+    /// Sets the assigned rate, in tokens per second.
+    pub fn assign(&mut self, rate: f64, now: Millis) {
+        self.assigned_rate = rate.max(MIN_ASSIGNED_RATE);
         self.update_rate(now);
     }
 
-    /// Increases the fraction if it is time to; called before [`TokenBucket::time_until_available`].
+    /// Increases the used fraction if its last change is long enough ago. To be called before each
+    /// [`TokenBucket::time_until_available`].
     pub fn increase(&mut self, now: Millis) {
-        if self.fraction < 1.0 && now.since(self.adjusted_at) >= INCREASE_INTERVAL {
+        if self.used_fraction < 1.0 && now.since(self.adjusted_at) >= INCREASE_INTERVAL {
             self.adjusted_at = now;
-            self.fraction = (self.fraction + FRACTION_INCREASE).min(1.0);
+            self.used_fraction = (self.used_fraction + FRACTION_INCREASE).min(1.0);
             self.update_rate(now);
         }
     }
 
-    /// The service rejected a call because its limit is exceeded.
+    /// Reduces the rate after the service rejected a call because its limit is exceeded.
     pub fn on_rejection(&mut self, now: Millis) {
         self.bucket.refill(now);
         self.bucket.drain();
         if self.adjusted_at <= now {
-            self.fraction = (self.fraction * FRACTION_DECREASE).max(MIN_FRACTION);
+            self.used_fraction = (self.used_fraction * FRACTION_DECREASE).max(MIN_FRACTION);
             self.adjusted_at = now + DECREASE_INTERVAL;
             self.update_rate(now);
         }
     }
 }
 
-/// Largest fraction of the whole limit that one controller uses: the others must be able to get a call through
-/// before it reacts to them.
-const MAX_SHARE: f64 = 0.9;
-/// Steps in which the rate grows by one equal share.
+/// Maximum rate of one controller, as a fraction of the whole limit: the other controllers must be able to get calls
+/// through before this one reacts to them.
+const MAX_FRACTION_OF_LIMIT: f64 = 0.9;
+/// Number of increases by which the rate grows by one equal share.
 const INCREASES_PER_EQUAL_SHARE: f64 = 8.0;
-/// Factor on the rate for each rejection.
+/// Factor by which a rejection reduces the rate.
 const RATE_DECREASE: f64 = 0.7;
-/// Least rate, as a fraction of the equal share: several rejections in a row must not stop the controller.
-const MIN_OF_EQUAL_SHARE: f64 = 0.5;
+/// Minimum rate, as a fraction of the equal share: several rejections in a row must not stop the controller.
+const MIN_FRACTION_OF_EQUAL_SHARE: f64 = 0.5;
 
-/// This controller's share of a limit that no plan divides. The controllers do not know each other's demand: the
-/// rate grows by steps while no call is rejected, and falls by a factor when one is (additive increase,
-/// multiplicative decrease).
+/// A rate limit for a service whose limit no plan divides among the controllers. The controllers do not know each
+/// other's demand, so the rate grows in steps while no call is rejected, and falls by a factor when one is (additive
+/// increase, multiplicative decrease).
 #[derive(Clone, Debug)]
-pub struct AdaptiveShare {
-    /// What paces the calls.
+pub struct AdaptiveRate {
+    /// The bucket that paces the calls.
     pub bucket: TokenBucket,
-    /// The limit divided by the number of controllers, in tokens a second.
+    /// The limit divided by the number of controllers, in tokens per second.
     equal_share: f64,
     max_rate: f64,
-    /// When the rate changed last; after a decrease in the future, by `DECREASE_INTERVAL`.
+    /// When the rate last changed; after a decrease, `DECREASE_INTERVAL` later than that.
     adjusted_at: Millis,
 }
 
-impl AdaptiveShare {
-    /// Starts with an equal share of `limit`, in tokens a second for all `controllers` together.
+impl AdaptiveRate {
+    /// Creates a limit whose initial rate is an equal share of `limit`, in tokens per second for all `controllers`
+    /// together.
     pub fn new(limit: f64, controllers: usize, now: Millis) -> Self {
         let equal_share = limit / controllers.max(1) as f64;
-        let max_rate = limit * MAX_SHARE;
+        let max_rate = limit * MAX_FRACTION_OF_LIMIT;
         Self {
             bucket: TokenBucket::new(equal_share.min(max_rate), now),
             equal_share,
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Increases the rate if it is time to; called before [`TokenBucket::time_until_available`].
+    /// Increases the rate if its last change is long enough ago. To be called before each
+    /// [`TokenBucket::time_until_available`].
     pub fn increase(&mut self, now: Millis) {
         if now.since(self.adjusted_at) >= INCREASE_INTERVAL {
             self.adjusted_at = now;
@@ -179,13 +183,13 @@
         }
     }
 
-    /// The service rejected a call because its limit is exceeded.
+    /// Reduces the rate after the service rejected a call because its limit is exceeded.
     pub fn on_rejection(&mut self, now: Millis) {
         self.bucket.refill(now);
         self.bucket.drain();
         if self.adjusted_at <= now {
-            let floor = self.equal_share * MIN_OF_EQUAL_SHARE;
-            self.bucket.rate = (self.bucket.rate * RATE_DECREASE).max(floor);
+            let min_rate = self.equal_share * MIN_FRACTION_OF_EQUAL_SHARE;
+            self.bucket.rate = (self.bucket.rate * RATE_DECREASE).max(min_rate);
             self.adjusted_at = now + DECREASE_INTERVAL;
         }
     }
--- a/src/store/call.rs
+++ b/src/store/call.rs
@@ -1,17 +1,17 @@
-//! Calls to the store and their responses, apart from how they look on the wire.
+//! Calls to the store and their responses, independent of their encoding.
 
 use serde_json::value::RawValue;
 
 use super::Transaction;
 use crate::types::{LeaseId, Revision};
 
-/// What a call is for; the order is that of urgency. Leases go at once; each of the others is guaranteed a part
-/// of the write rate when that is short.
+/// The priority class of a call, ordered from the most to the least urgent. Calls for leases are never delayed. Each
+/// class with a [weight](CallClass::weight) is guaranteed a part of the write rate when the rate is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallClass {
-    /// Leases, and what depends on their time: membership, elections, the watch.
+    /// Leases, and calls that are as time-critical: membership, elections, the watch.
     Leases,
-    /// Read barriers, which polls wait for. They write nothing, and do not queue behind calls that do.
+    /// Read barriers, which polls wait for. They write nothing, and so do not queue behind calls that write.
     ReadBarriers,
     /// Cancellations by users.
     Cancellations,
@@ -19,14 +19,15 @@
     Submissions,
     /// Starts and ends of tasks.
     Jobs,
-    /// What other controllers depend on: quota allocations, and transactions that resolve an unknown outcome.
+    /// Calls that other controllers depend on: quota allocations, and transactions that resolve an unknown outcome.
     Coordination,
-    /// Everything that can wait.
+    /// Calls that can wait.
     Background,
 }
 
 impl CallClass {
-    /// All classes, the most urgent first.
+    /// All classes, the most urgent first. The position is that of the variant, which [`super::lanes`] uses as an
+    /// index.
     pub const ALL: [CallClass; 7] = [
         CallClass::Leases,
         CallClass::ReadBarriers,
@@ -37,7 +38,8 @@
         CallClass::Background,
     ];
 
-    /// Whether a user waits for the call, and can be asked to retry later.
+    /// Whether a user waits for the call. Such a call is refused rather than delayed for long, since the user can be
+    /// asked to retry.
     #[must_use]
     pub fn is_for_user(self) -> bool {
         matches!(
@@ -46,7 +48,8 @@
         )
     }
 
-    /// The class's weight among the guaranteed parts of the write rate; zero for classes that are not queued by it.
+    /// Returns the weight by which this class shares the guaranteed part of the write rate. Zero for classes that do
+    /// not queue for the write rate.
     #[must_use]
     pub fn weight(&self) -> f64 {
         match self {
@@ -74,24 +77,24 @@
     Revoke(LeaseId),
     /// A compare-and-swap on several keys.
     Transaction(Transaction),
-    /// Reads the store's revision; a linearizable read, which makes it a read barrier.
+    /// Reads the store's revision. The read is linearizable, and so serves as a read barrier.
     ReadRevision,
-    /// Reads a page of all entries.
+    /// Reads one page of all entries, in the order of their keys.
     List {
         /// The key after which the page starts; none for the first page.
         after: Option<String>,
     },
-    /// Waits for changes (long poll).
+    /// Waits for changes with a long poll.
     Watch {
-        /// Changes after this revision.
+        /// The revision after which changes are reported.
         from: Revision,
-        /// The response comes after so long even if nothing changed.
+        /// Time after which the store responds even if nothing changed, in milliseconds.
         wait_ms: u64,
     },
 }
 
 impl StoreCall {
-    /// Puts and deletes, which count against the store's write limit.
+    /// Returns the number of puts and deletes, which count against the store's write limit.
     #[must_use]
     pub fn writes(&self) -> f64 {
         match self {
@@ -104,9 +107,9 @@
 /// A key with its value.
 #[derive(Debug)]
 pub struct Entry {
-    /// The whole key, prefix included.
+    /// The full key, prefix included.
     pub key: String,
-    /// The value, as JSON.
+    /// The value, as JSON text.
     pub data: Box<RawValue>,
     /// The revision that last wrote the key.
     pub version: Revision,
@@ -119,9 +122,9 @@
     Put(Entry),
     /// The key was deleted, or its lease expired.
     Deleted {
-        /// The whole key, prefix included.
+        /// The full key, prefix included.
         key: String,
-        /// The revision that deleted it.
+        /// The revision at which the key was deleted.
         version: Revision,
     },
 }
@@ -133,9 +136,9 @@
     Granted(LeaseId),
     /// The lease is renewed.
     Renewed,
-    /// The lease is revoked, or had expired before.
+    /// The lease is revoked, or had already expired.
     Revoked,
-    /// The lease has expired.
+    /// The lease of the call, or a lease in the transaction, has expired. A transaction was not executed.
     LeaseExpired,
     /// The transaction is committed at this revision.
     Committed(Revision),
@@ -152,17 +155,18 @@
         /// The revision at which the page was read.
         revision: Revision,
     },
-    /// What a watch saw.
+    /// The changes that a watch saw; may be none.
     Updates {
         /// In the order in which they happened.
         updates: Vec<Update>,
         /// All changes up to this revision are included.
         revision: Revision,
     },
-    /// The changes that the watch asked for are compacted away.
+    /// The store no longer has the changes after the revision that the watch asked for; the caller must list all
+    /// entries again.
     Compacted,
-    /// The call was not executed.
+    /// The call was not executed, so repeating it is safe.
     Refused,
-    /// The call may have been executed, or may still be.
+    /// The outcome is unknown: the call may have been executed, or may still be executed later.
     Unknown,
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The actor that makes the calls to the store: it owns the priority lanes and the calls in flight.
+//! The actor that makes the calls to the store. It owns the priority lanes and the calls in flight.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use crate::task::OwnedTask;
 use crate::types::Millis;
 
-/// Calls that the rate limits delayed for longer are logged, in milliseconds.
+/// Delay by the rate limits above which a call is logged, in milliseconds.
 const LOGGED_DELAY_MS: u64 = 500;
-/// The actor looks at its lanes at least this often, even if nothing is queued.
-const IDLE_PAUSE: Millis = Millis(60_000);
+/// Maximum time between two looks at the lanes while nothing is queued.
+const IDLE_POLL_INTERVAL: Millis = Millis(60_000);
 
 /// The response to a call.
 pub struct StoreReply {
@@ -32,9 +32,9 @@
     Call {
         class: CallClass,
         call: TaggedCall,
-        asked: Millis,
+        enqueued_at: Millis,
     },
-    /// Sets the write rate, in writes a second.
+    /// Sets the write rate, in writes per second.
     SetWriteRate(f64),
 }
 
@@ -45,7 +45,7 @@
     call: StoreCall,
 }
 
-/// The owner of the store actor: the actor and its calls in flight end when it is dropped.
+/// The handle to the store actor, which owns it: the actor and its calls in flight are aborted when it is dropped.
 pub struct Store {
     commands: mpsc::UnboundedSender<Command>,
     clock: Clock,
@@ -53,17 +53,20 @@
 }
 
 impl Store {
-    /// Starts the actor. Each call gets one reply through `replies`, in the order in which they complete.
+    /// Starts the actor. Each call gets one reply through `replies`, in the order in which the calls complete.
+    ///
+    /// # Panics
+    /// If called outside of a Tokio runtime.
     #[must_use]
     pub fn start(
         settings: &Settings,
         clock: Clock,
         replies: mpsc::UnboundedSender<StoreReply>,
     ) -> Self {
-        // Unbounded, since the controller bounds what it asks for: one call each for a lease, watch, list or read
-        // barrier, three transactions of jobs, and one for each user who waits. Users' calls are refused after a while.
-        let (commands, received) = mpsc::unbounded_channel();
-        // Bounded by the calls in flight.
+        // Unbounded, since the controller bounds its calls: one each for a lease, watch, list or read barrier, three
+        // transactions of jobs, and one for each waiting user. Users' calls are refused once they are queued too long.
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        // Unbounded, but never holds more than the calls in flight.
         let (rate_limited, rejections) = mpsc::unbounded_channel();
         let actor = Actor {
             client: HttpClient::new(settings.endpoints.store),
@@ -80,24 +83,28 @@
         Self {
             commands,
             clock,
-            _actor: OwnedTask::spawn(actor.run(received, rejections)),
+            _actor: OwnedTask::spawn(actor.run(command_receiver, rejections)),
         }
     }
 
-    /// Sets the write rate that the admission plan assigns to this controller, in writes a second.
-    pub fn allow(&self, writes: f64) {
-        self.send_command(Command::SetWriteRate(writes));
+    /// Sets the write rate that the admission plan assigns to this controller, in writes per second.
+    pub fn set_write_rate(&self, rate: f64) {
+        self.send_command(Command::SetWriteRate(rate));
     }
 
     /// Queues a call; its reply carries `tag`.
     pub fn send(&self, tag: u64, class: CallClass, call: StoreCall) {
         let call = TaggedCall { tag, call };
-        let asked = self.clock.now();
-        self.send_command(Command::Call { class, call, asked });
+        let enqueued_at = self.clock.now();
+        self.send_command(Command::Call {
+            class,
+            call,
+            enqueued_at,
+        });
     }
 
     fn send_command(&self, command: Command) {
-        // Can't fail while this owner exists: the actor runs as long.
+        // Can't fail: the actor runs as long as this handle exists.
         let _ = self.commands.send(command);
     }
 }
@@ -126,7 +133,7 @@
                     None => return,
                 },
                 Some(call) = rejections.recv() => {
-                    tracing::debug!(call.writes, ?call.class, "store rate limit exceeded");
+                    tracing::debug!(call.writes, ?call.class, "store rate limit exceeded, call queued again");
                     self.lanes.requeue_rate_limited(call, self.clock.now());
                 }
                 () = tokio::time::sleep(Duration::from_millis(pause.0)) => {}
@@ -136,17 +143,21 @@
 
     fn execute(&mut self, command: Command) {
         match command {
-            Command::Call { class, call, asked } => {
+            Command::Call {
+                class,
+                call,
+                enqueued_at,
+            } => {
                 let writes = call.call.writes();
-                self.lanes.push(class, writes, call, asked);
+                self.lanes.push(class, writes, call, enqueued_at);
             }
-            Command::SetWriteRate(writes) => self.lanes.set_write_rate(writes, self.clock.now()),
+            Command::SetWriteRate(rate) => self.lanes.set_write_rate(rate, self.clock.now()),
         }
     }
 
-    /// Starts every call that the rate limits allow; returns how long until the next.
+    /// Starts every call that the rate limits allow, and returns how long to wait for the next one.
     fn dispatch(&mut self) -> Millis {
-        // Calls that are done have sent their reply; this only frees what is left of their tasks.
+        // Finished calls have sent their replies; this only frees their tasks.
         while self.in_flight.try_join_next().is_some() {}
         loop {
             let now = self.clock.now();
@@ -156,7 +167,7 @@
                     send_reply(&self.replies, call.tag, StoreResponse::Refused);
                 }
                 NextCall::Wait(wait) => return wait,
-                NextCall::Nothing => return IDLE_PAUSE,
+                NextCall::Nothing => return IDLE_POLL_INTERVAL,
             }
         }
     }
@@ -165,17 +176,17 @@
         let waited = now.since(call.enqueued_at).0;
         if waited > LOGGED_DELAY_MS {
             let class = call.class;
-            tracing::debug!(?class, waited, "store call delayed by rate limit");
+            tracing::debug!(?class, waited, "store call was delayed by the rate limit");
         }
         let (client, replies) = (self.client.clone(), self.replies.clone());
         let rate_limited = self.rate_limited.clone();
         self.in_flight.spawn(async move {
             let response = match perform(&client, &call.payload.call).await {
                 Outcome::Response(response) => response,
-                // A lease can't be queued again: its owner must know now, and asks again by itself.
+                // A lease call is not queued again: its caller must learn of the failure now, and retries by itself.
                 Outcome::RateLimited if call.class == CallClass::Leases => StoreResponse::Refused,
                 Outcome::RateLimited => {
-                    // The actor owns this task, so it still receives.
+                    // Can't fail: the actor owns this task, and so outlives it.
                     let _ = rate_limited.send(call);
                     return;
                 }
--- a/src/store/exchange.rs
+++ b/src/store/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with the store: a call becomes a request, the status and the body become a response.
+//! One HTTP exchange with the store: encodes a call as a request, and decodes the status and the body of the response.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use crate::http_client::{Failure, HttpClient};
 
 /// Prefix of all keys of a deployment.
-const PREFIX: &str = "jt/";
+const KEY_PREFIX: &str = "jt/";
 /// A key that never exists: reading it returns the store's revision and no value.
 const ABSENT_KEY: &str = "jt/nowhere";
-/// Entries in a page of a list; bounds the size of a response.
-const PAGE_ENTRIES: usize = 500;
-/// A call without a response after this long has an unknown outcome. Shorter than the leases, so that a lost
+/// Maximum number of entries in a page of a list, which bounds the size of a response.
+const LIST_PAGE_SIZE: usize = 500;
+/// Time without a response after which the outcome of a call is unknown. Shorter than the leases, so that a lost
 /// renewal can be repeated in time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Added to the time that a watch waits in the store, for the round trip.
-const WATCH_MARGIN_MS: u64 = 3_000;
+/// Added to the time that the store holds a watch open, to allow for the round trip.
+const WATCH_TIMEOUT_MARGIN_MS: u64 = 3_000;
 
 /// The outcome of an exchange.
 pub(super) enum Outcome {
@@ -33,7 +33,7 @@
     RateLimited,
 }
 
-/// The HTTP request of a call.
+/// The HTTP request that a call is encoded as.
 struct HttpRequest {
     method: Method,
     path: String,
@@ -62,12 +62,12 @@
     }
 }
 
-/// Makes one call.
+/// Makes one call. Errors are part of the outcome.
 pub(super) async fn perform(client: &HttpClient, call: &StoreCall) -> Outcome {
     let request = match encode(call) {
         Ok(request) => request,
         Err(error) => {
-            tracing::error!(%error, "transaction serialization failed");
+            tracing::error!(%error, "store call not sent: encoding failed");
             return Outcome::Response(StoreResponse::Refused);
         }
     };
@@ -87,8 +87,8 @@
 
 fn encode(call: &StoreCall) -> serde_json::Result<HttpRequest> {
     Ok(match call {
-        StoreCall::Grant { ttl_ms: life_ms } => {
-            let body = serde_json::to_vec(&GrantRequest { life_ms: *life_ms })?;
+        StoreCall::Grant { ttl_ms } => {
+            let body = serde_json::to_vec(&GrantRequest { ttl_ms: *ttl_ms })?;
             HttpRequest::new(Method::POST, "/leases").body(body)
         }
         StoreCall::Renew(lease_id) => {
@@ -108,12 +108,15 @@
                 .as_ref()
                 .map(|after| format!("&from={after}"))
                 .unwrap_or_default();
-            let path = format!("/store?starts={PREFIX}{from}&most={PAGE_ENTRIES}");
+            let path = format!("/store?starts={KEY_PREFIX}{from}&most={LIST_PAGE_SIZE}");
             HttpRequest::new(Method::GET, path)
         }
         StoreCall::Watch { from, wait_ms } => {
-            let path = format!("/follow?starts={PREFIX}&from={}&waitMs={wait_ms}", from.0);
-            let timeout = Duration::from_millis(wait_ms + WATCH_MARGIN_MS);
+            let path = format!(
+                "/follow?starts={KEY_PREFIX}&from={}&waitMs={wait_ms}",
+                from.0
+            );
+            let timeout = Duration::from_millis(wait_ms + WATCH_TIMEOUT_MARGIN_MS);
             HttpRequest::new(Method::GET, path).timeout(timeout)
         }
     })
@@ -128,19 +131,22 @@
         (StoreCall::Renew(_), 200) => StoreResponse::Renewed,
         (StoreCall::Renew(_), 404) => StoreResponse::LeaseExpired,
         (StoreCall::Revoke(_), 200 | 204 | 404) => StoreResponse::Revoked,
-        (StoreCall::Transaction(_), 200) => parse(body, |at: RevisionResponse| {
-            StoreResponse::Committed(at.revision)
+        (StoreCall::Transaction(_), 200) => parse(body, |response: RevisionResponse| {
+            StoreResponse::Committed(response.revision)
         }),
-        (StoreCall::Transaction(_), 409) => parse(body, |at: RevisionResponse| {
-            StoreResponse::Conflict(at.revision)
+        (StoreCall::Transaction(_), 409) => parse(body, |response: RevisionResponse| {
+            StoreResponse::Conflict(response.revision)
         }),
-        // What is well-formed is rejected with this status if a lease in it has expired.
+        // The store rejects a well-formed transaction with this status if a lease in it has expired.
         (StoreCall::Transaction(_), 400) => {
-            tracing::info!(body = %String::from_utf8_lossy(body), "transaction refused");
+            tracing::info!(
+                body = %String::from_utf8_lossy(body),
+                "store rejected a transaction, taken as an expired lease"
+            );
             StoreResponse::LeaseExpired
         }
-        (StoreCall::ReadRevision, 404) => parse(body, |at: RevisionResponse| {
-            StoreResponse::Revision(at.revision)
+        (StoreCall::ReadRevision, 404) => parse(body, |response: RevisionResponse| {
+            StoreResponse::Revision(response.revision)
         }),
         (StoreCall::List { .. }, 200) => parse(body, |list: ListResponse| StoreResponse::Page {
             entries: list.entries.into_iter().map(Into::into).collect(),
@@ -150,7 +156,7 @@
         (StoreCall::Watch { .. }, 200) => {
             parse(body, |watch: WatchResponse| StoreResponse::Updates {
                 updates: watch
-                    .items
+                    .changes
                     .into_iter()
                     .filter_map(WatchItem::into_update)
                     .collect(),
@@ -159,13 +165,17 @@
         }
         (StoreCall::Watch { .. }, 410) => StoreResponse::Compacted,
         (_, status) => {
-            tracing::error!(status, path, "unexpected store response status");
+            tracing::error!(
+                status,
+                path,
+                "unexpected status in store response, outcome of the call unknown"
+            );
             StoreResponse::Unknown
         }
     }
 }
 
-/// A body that can't be read leaves the call's outcome unknown: it may have been executed.
+/// Decodes a body. An invalid body leaves the outcome of the call unknown, since the call may have been executed.
 fn parse<T: DeserializeOwned>(
     body: &[u8],
     convert: impl FnOnce(T) -> StoreResponse,
@@ -173,7 +183,7 @@
     match serde_json::from_slice(body) {
         Ok(value) => convert(value),
         Err(error) => {
-            tracing::error!(%error, "store response is invalid");
+            tracing::error!(%error, "invalid body in store response, outcome of the call unknown");
             StoreResponse::Unknown
         }
     }
--- a/src/store/lanes/tests.rs
+++ b/src/store/lanes/tests.rs
@@ -12,31 +12,35 @@
     lanes
 }
 
-/// Simulates some seconds; `asks` pushes the calls of each tenth of a second. Returns the calls made.
-fn play(seconds: u64, mut asks: impl FnMut(&mut Lanes<u32>, Millis)) -> Vec<(CallClass, Millis)> {
+/// Simulates some seconds in steps of a tenth; `enqueue` pushes the calls of each step. Returns the class of each call
+/// made, and how long it was queued.
+fn simulate(
+    seconds: u64,
+    mut enqueue: impl FnMut(&mut Lanes<u32>, Millis),
+) -> Vec<(CallClass, Millis)> {
     let mut lanes = lanes();
-    let mut made = Vec::new();
+    let mut started = Vec::new();
     for tenth in 0..seconds * 10 {
         let now = Millis(tenth * 100);
-        asks(&mut lanes, now);
+        enqueue(&mut lanes, now);
         loop {
             match lanes.next(now) {
                 NextCall::Start(call) => {
-                    made.push((call.class, Millis(now.0 - call.enqueued_at.0)))
+                    started.push((call.class, Millis(now.0 - call.enqueued_at.0)))
                 }
                 NextCall::Refuse(_) => {}
                 NextCall::Wait(_) | NextCall::Nothing => break,
             }
         }
     }
-    made
+    started
 }
 
-/// During a burst of submissions nothing was placed, because users' calls preceded all others; and a quota
-/// allocation, which is several changes at once, waited for 15 s.
+/// When calls of users always precede the others, no job is placed during a burst of submissions, and a quota
+/// allocation, which is several writes at once, waits for 15 s.
 #[test]
-fn a_burst_of_one_lane_class_leaves_the_others_their_floor() {
-    let made = play(20, |lanes, now| {
+fn a_burst_of_one_class_leaves_the_others_their_guaranteed_part() {
+    let started = simulate(20, |lanes, now| {
         for n in 0..10 {
             lanes.push(CallClass::Submissions, 1.0, n, now);
         }
@@ -45,28 +49,33 @@
             lanes.push(CallClass::Coordination, 6.0, 0, now);
         }
     });
-    let count = |class| made.iter().filter(|(c, _)| *c == class).count();
+    let count = |class| started.iter().filter(|(c, _)| *c == class).count();
     assert!(count(CallClass::Jobs) > 110, "{}", count(CallClass::Jobs));
     assert!(count(CallClass::Submissions) > 100);
-    let duties = made.iter().filter(|(c, _)| *c == CallClass::Coordination);
-    let waited: Vec<Millis> = duties.map(|(_, waited)| *waited).collect();
+    let coordination = started
+        .iter()
+        .filter(|(c, _)| *c == CallClass::Coordination);
+    let waited: Vec<Millis> = coordination.map(|(_, waited)| *waited).collect();
     assert!(
         waited.len() == 5 && waited.iter().all(|w| w.0 < 3_500),
         "{waited:?}"
     );
 }
 
-/// The read barrier of a poll queued behind submissions that waited for a write budget it does not need.
+/// The read barrier of a poll must not queue behind submissions that wait for the write rate, which it does not need.
 #[test]
 fn read_barriers_do_not_wait_for_writes() {
-    let made = play(5, |lanes, now| {
+    let started = simulate(5, |lanes, now| {
         for n in 0..20 {
             lanes.push(CallClass::Submissions, 1.0, n, now);
         }
         lanes.push(CallClass::ReadBarriers, 0.0, 0, now);
     });
-    let proofs = made
+    let read_barriers = started
         .iter()
         .filter(|(class, _)| *class == CallClass::ReadBarriers);
-    assert_eq!(proofs.filter(|(_, waited)| waited.0 == 0).count(), 50);
+    assert_eq!(
+        read_barriers.filter(|(_, waited)| waited.0 == 0).count(),
+        50
+    );
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! The store, a consensus-backed key-value service that holds all state that must outlive a controller: its calls
-//! and responses, and the actor that makes the calls within the rate limits.
+//! The client of the store, a consensus-backed key-value service that holds all state that must outlive a controller:
+//! the calls and responses, and the actor that makes the calls within the rate limits.
 //!
-//! The daemon owns the one [`Store`]; [`lanes`] and [`budget`] are free of I/O, so that the simulator
-//! runs the same code. The JSON of the protocol is in `wire` alone.
+//! The daemon owns the only [`Store`]. [`lanes`] and [`budget`] are without I/O, so that the simulator runs the same
+//! code. Only `wire` knows the JSON of the protocol.
 
 pub mod budget;
 mod call;
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON bodies of the store's protocol, and their conversions from and to the types of this module.
+//! The JSON bodies of the store's protocol, and conversions between them and the types of calls and responses.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -6,23 +6,23 @@
 use super::{Entry, Mutation, Transaction, Update};
 use crate::types::{LeaseId, Revision};
 
-/// Asks for a lease.
+/// The request for a lease.
 #[derive(Serialize)]
 pub(super) struct GrantRequest {
     /// Time to live without a renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
-    pub life_ms: u64,
+    pub ttl_ms: u64,
 }
 
-/// A granted lease.
+/// The response with a granted lease.
 #[derive(Deserialize)]
 pub(super) struct GrantResponse {
-    /// The lease, by which it is renewed and attached to keys.
+    /// The id by which the lease is renewed, and keys are attached to it.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
 }
 
-/// The part of a response that tells the store's revision; all that is read of some.
+/// The store's revision, which is part of most responses; some responses are read for it only.
 #[derive(Deserialize)]
 pub(super) struct RevisionResponse {
     /// The revision at which the call was executed.
@@ -53,7 +53,7 @@
     version: Revision,
 }
 
-/// What a watch saw.
+/// The response to a watch.
 #[derive(Deserialize)]
 pub(super) struct WatchResponse {
     /// All changes up to this revision are included.
@@ -61,15 +61,17 @@
     pub revision: Revision,
     /// The changes, in the order in which they happened.
     #[serde(default, rename = "news")]
-    pub items: Vec<WatchItem>,
+    pub changes: Vec<WatchItem>,
 }
 
-/// A change: either `put` with `data`, or `drop`.
+/// A change in the response to a watch: either `put_key` with `data`, or `deleted_key`.
 #[derive(Deserialize)]
 pub(super) struct WatchItem {
-    put: Option<String>,
+    #[serde(rename = "put")]
+    put_key: Option<String>,
     data: Option<Box<RawValue>>,
-    drop: Option<String>,
+    #[serde(rename = "drop")]
+    deleted_key: Option<String>,
     #[serde(rename = "stamp")]
     version: Revision,
 }
@@ -85,10 +87,10 @@
 }
 
 impl WatchItem {
-    /// The change, or none for a kind of change that this version does not know.
+    /// Converts the change; none for a kind of change that this version does not know.
     pub(super) fn into_update(self) -> Option<Update> {
         let version = self.version;
-        match (self.put, self.data, self.drop) {
+        match (self.put_key, self.data, self.deleted_key) {
             (Some(key), Some(data), _) => Some(Update::Put(Entry { key, data, version })),
             (_, _, Some(key)) => Some(Update::Deleted { key, version }),
             _ => None,
@@ -109,14 +111,16 @@
 #[serde(untagged)]
 enum ChangeBody<'a> {
     Put {
-        put: &'a str,
+        #[serde(rename = "put")]
+        key: &'a str,
         data: &'a RawValue,
         #[serde(skip_serializing_if = "Option::is_none")]
         #[serde(rename = "permit")]
         lease_id: Option<LeaseId>,
     },
-    Drop {
-        drop: &'a str,
+    Delete {
+        #[serde(rename = "drop")]
+        key: &'a str,
     },
 }
 
@@ -130,11 +134,11 @@
                 data,
                 lease_id,
             } => ChangeBody::Put {
-                put: key,
+                key,
                 data: serde_json::from_str(data)?,
                 lease_id: *lease_id,
             },
-            Mutation::Delete { key } => ChangeBody::Drop { drop: key },
+            Mutation::Delete { key } => ChangeBody::Delete { key },
         })
     }
 }
@@ -144,13 +148,14 @@
 struct TransactionBody<'a> {
     #[serde(rename = "if")]
     conditions: Vec<ConditionBody<'a>>,
-    then: Vec<ChangeBody<'a>>,
+    #[serde(rename = "then")]
+    changes: Vec<ChangeBody<'a>>,
 }
 
-/// The body of a transaction.
+/// Encodes the body of a transaction.
 ///
 /// # Errors
-/// A value that is not JSON.
+/// A value is not valid JSON.
 pub(super) fn encode_transaction(transaction: &Transaction) -> serde_json::Result<Vec<u8>> {
     let conditions = transaction
         .conditions
@@ -160,12 +165,15 @@
             version: *version,
         })
         .collect();
-    let then = transaction
+    let changes = transaction
         .changes
         .iter()
         .map(ChangeBody::try_from)
         .collect::<serde_json::Result<_>>()?;
-    serde_json::to_vec(&TransactionBody { conditions, then })
+    serde_json::to_vec(&TransactionBody {
+        conditions,
+        changes,
+    })
 }
 
 #[cfg(test)]
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -6,7 +6,7 @@
         {"drop":"c/d","stamp":432},{"stamp":1}]}"#;
     let response: WatchResponse = serde_json::from_str(text).unwrap();
     let shown: Vec<String> = response
-        .items
+        .changes
         .into_iter()
         .filter_map(WatchItem::into_update)
         .map(|update| match update {
