--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,31 +1,33 @@
-//! Errors of settings files.
+//! Errors in settings files.
 
 use std::path::Path;
 
 use hierarchical_quota::TreeError;
 
-/// A settings file that can't be used: which file, which field, and why.
+/// An error in a settings file: which file, which field, and why.
 ///
-/// The reason includes the text of its cause; there is no separate source, since operators read this line as it is.
+/// The reason includes the text of the underlying error; there is no separate source, since operators read this line
+/// as it is.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {field}: {reason}")]
 pub struct SettingsError {
-    /// The file, as its path was given.
+    /// The file, as the caller named it.
     pub file: String,
-    /// The field, as it is written in the file, such as `deployment.state.rps` or `[queue] flush_s`.
+    /// The field, as written in the file, such as `deployment.state.rps` or `[queue] flush_s`; `file` for the file as a
+    /// whole.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: String,
 }
 
 impl From<TreeError> for SettingsError {
     fn from(error: TreeError) -> Self {
-        problem(&error.file, &error.field, error.reason)
+        settings_error(&error.file, &error.field, error.reason)
     }
 }
 
-/// The error that a field of a file is wrong for a reason.
-pub fn problem(file: &str, field: &str, reason: impl ToString) -> SettingsError {
+/// Creates the error for a field of a file.
+pub fn settings_error(file: &str, field: &str, reason: impl ToString) -> SettingsError {
     SettingsError {
         file: file.into(),
         field: field.into(),
@@ -33,11 +35,11 @@
     }
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
 /// The file can't be read, or is not UTF-8.
 pub fn read_file(path: &Path) -> Result<String, SettingsError> {
-    let unreadable = |error| problem(&path.display().to_string(), "file", error);
+    let unreadable = |error| settings_error(&path.display().to_string(), "file", error);
     std::fs::read_to_string(path).map_err(unreadable)
 }
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -41,7 +41,7 @@
     };
     let body = serde_json::to_vec(&body).ok()?;
     let (status, body) = client
-        .at(address)
+        .with_address(address)
         .call(Method::POST, "/do", body, RESPONSE_TIMEOUT)
         .await
         .ok()?;
@@ -54,7 +54,7 @@
 /// Whether the worker at `address` responds with its state within the time limit.
 pub async fn inspect(client: HttpClient, address: SocketAddr) -> bool {
     let response = client
-        .at(address)
+        .with_address(address)
         .call(Method::GET, "/inspect", Vec::new(), RESPONSE_TIMEOUT)
         .await;
     response.is_ok_and(|(status, _)| status == 200)
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use hierarchical_quota::TreeSpec;
-use jaspertiller::settings::{Operator, Settings};
+use jaspertiller::settings::{OperatorSettings, Settings};
 use jaspertiller::types::Millis;
 
 /// The platform's settings with every field set, each to a different number.
@@ -23,8 +23,8 @@
         .map(|m| format!("{} {} {}", m.label, m.zone, m.address))
         .collect();
     assert_eq!(members, ["n1 b 10.0.0.2:8082", "n2 c 10.0.0.3:8083"]);
-    assert_eq!(read.outside.cloud.to_string(), "10.2.0.2:8084");
-    assert_eq!(read.outside.state.to_string(), "10.2.0.1:8085");
+    assert_eq!(read.endpoints.cloud.to_string(), "10.2.0.2:8084");
+    assert_eq!(read.endpoints.store.to_string(), "10.2.0.1:8085");
     let deployment = &read.deployment;
     assert_eq!(deployment.count, 3);
     let zones: Vec<&str> = deployment.zones.iter().map(|z| z.as_str()).collect();
@@ -77,20 +77,23 @@
         [5.25, 10.25]
     );
     assert_eq!(
-        [deployment.quota.cores, deployment.quota.mem_mb],
+        [
+            deployment.process_limits.cores,
+            deployment.process_limits.mem_mb
+        ],
         [0.24, 136.5]
     );
-    assert_eq!(deployment.quota.sockets, 1_800);
+    assert_eq!(deployment.process_limits.sockets, 1_800);
     assert_eq!(deployment.clock_error_ms, 1_000.5);
-    assert_eq!(read.operator, Operator::default());
-    assert!(read.tree.is_none());
+    assert_eq!(read.operator, OperatorSettings::default());
+    assert!(read.quota_tree.is_none());
 }
 
 /// Each key, set to a value other than its default.
 #[test]
 fn operators_settings() {
     let text = include_str!("fixtures/operator.ini");
-    let expected = Operator {
+    let expected = OperatorSettings {
         backoff_first: Millis(2_500),
         backoff_max: Millis(41_000),
         flush: Millis(45_500),
@@ -100,9 +103,12 @@
         idle_return: Millis(33_000),
         partition_lease_keep: Millis(601_000),
         partitioned_zone_hold: Millis(91_000),
-        tree: Some("trees/quota.ini".into()),
+        quota_tree_file: Some("trees/quota.ini".into()),
     };
-    assert_eq!(Operator::parse("operator.ini", text).unwrap(), expected);
+    assert_eq!(
+        OperatorSettings::parse("operator.ini", text).unwrap(),
+        expected
+    );
 }
 
 /// The shipped file states the compiled defaults. They are repeated here, because settings that no
@@ -110,7 +116,7 @@
 #[test]
 fn shipped_settings_are_the_defaults() {
     let text = include_str!("../../deploy/jaspertiller.ini");
-    let expected = Operator {
+    let expected = OperatorSettings {
         backoff_first: Millis(1_000),
         backoff_max: Millis(10_000),
         flush: Millis(30_000),
@@ -120,10 +126,10 @@
         idle_return: Millis(20_000),
         partition_lease_keep: Millis(900_000),
         partitioned_zone_hold: Millis(180_000),
-        tree: None,
+        quota_tree_file: None,
     };
-    assert_eq!(Operator::parse("f", text).unwrap(), expected);
-    assert_eq!(Operator::default(), expected);
+    assert_eq!(OperatorSettings::parse("f", text).unwrap(), expected);
+    assert_eq!(OperatorSettings::default(), expected);
 }
 
 /// Paths in the operator's file are relative to its folder.
@@ -137,7 +143,7 @@
     );
     let read = Settings::read(&platform, Some(&operator)).unwrap();
     assert_eq!(read.operator.flush, Millis(45_000));
-    let tree = read.tree.expect("a tree of quotas");
+    let tree = read.quota_tree.expect("a tree of quotas");
     assert_eq!((tree.revision, tree.nodes.len()), (7, 3));
 }
 
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -10,8 +10,8 @@
 use crate::settings::settings;
 
 /// A text form of a decoded response, for the fixtures.
-fn show(answer: &StoreResponse) -> String {
-    match answer {
+fn show(response: &StoreResponse) -> String {
+    match response {
         StoreResponse::Granted(lease_id) => format!("lease {}", lease_id.0),
         StoreResponse::Renewed => "renewed".into(),
         StoreResponse::Revoked => "ended".into(),
@@ -113,16 +113,16 @@
     let given = cases.iter().map(|(name, ..)| answers.text(name).into());
     let (address, mut asked) = service(given.collect()).await;
     let mut settings = settings();
-    settings.outside.state = address;
+    settings.endpoints.store = address;
     let (tell, mut told) = mpsc::unbounded_channel();
     let store = Store::start(&settings, Clock::start(), tell);
     for (tag, (name, call, expected)) in (0..).zip(cases) {
         // Lease calls bypass the write budget.
         store.send(tag, CallClass::Leases, call);
         requests.writes(name, &asked.recv().await.unwrap());
-        let answer = told.recv().await.unwrap();
-        answers.check(name, "tag", answer.tag, tag);
-        let shown = show(&answer.answer);
+        let reply = told.recv().await.unwrap();
+        answers.check(name, "tag", reply.tag, tag);
+        let shown = show(&reply.response);
         answers.check(name, "is read differently", shown.as_str(), expected);
     }
     requests.finish();
