--- a/crates/hierarchical-quota/benches/decisions.rs
+++ b/crates/hierarchical-quota/benches/decisions.rs
@@ -52,7 +52,7 @@
 
 fn leaves(tree: &Tree) -> Vec<NodeIndex> {
     let leaf = |ix: &NodeIndex| tree.node(*ix).team.is_some();
-    tree.all().filter(leaf).collect()
+    tree.node_indices().filter(leaf).collect()
 }
 
 fn loaded(tree: &Arc<Tree>, waiting: u32) -> Entitlements {
@@ -82,7 +82,7 @@
                 let mut at = 0;
                 b.iter(|| {
                     at = (at + 7) % leaves.len();
-                    shares.within(leaves[at], black_box(used(leaves[at])), one)
+                    shares.is_within_entitlement(leaves[at], black_box(used(leaves[at])), one)
                 });
             });
             group.bench_with_input(BenchmarkId::new("may_reclaim", count), &count, |b, _| {
--- a/crates/hierarchical-quota/src/entitlements.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -54,7 +54,7 @@
     pub fn new(tree: Arc<Tree>) -> Self {
         let nodes = vec![NodeState::default(); tree.nodes.len()];
         let governed = tree
-            .all()
+            .node_indices()
             .map(|ix| {
                 let guarantee = tree.node(tree.root(ix)).guarantee.to_array();
                 guarantee.map(|amount| amount > 0.0)
@@ -131,11 +131,11 @@
     /// to more than before.
     pub fn refresh(&mut self) -> Vec<NodeIndex> {
         let tree = self.tree.clone();
-        for ix in tree.all().rev() {
+        for ix in tree.node_indices().rev() {
             self.sum_up(&tree, ix);
         }
         let mut raised = Vec::new();
-        for ix in tree.all() {
+        for ix in tree.node_indices() {
             self.divide_among_children(&tree, ix, &mut raised);
         }
         raised
@@ -222,7 +222,12 @@
     /// A node that uses nothing may have one task that is larger than its whole entitlement, which
     /// otherwise would never run.
     #[must_use]
-    pub fn within(&self, ix: NodeIndex, used: Amount, wanted: ResourceRequest) -> bool {
+    pub fn is_within_entitlement(
+        &self,
+        ix: NodeIndex,
+        used: Amount,
+        wanted: ResourceRequest,
+    ) -> bool {
         let entitled = self.entitled(ix).to_array();
         let (used, total, task) = (
             used.to_array(),
@@ -285,7 +290,7 @@
         let Some((branch_of_by, branch_of_from)) = self.tree.branches(by, from) else {
             return false;
         };
-        self.within(branch_of_by, used(branch_of_by), wanted)
+        self.is_within_entitlement(branch_of_by, used(branch_of_by), wanted)
             && (branch_of_from == from
                 || self.can_spare(branch_of_from, used(branch_of_from), task, conceded))
     }
--- a/crates/hierarchical-quota/src/tree/build.rs
+++ b/crates/hierarchical-quota/src/tree/build.rs
@@ -32,7 +32,11 @@
     /// # Errors
     ///
     /// As [`TreeSpec::build`], but not for contradictions.
-    pub fn adopt(&self, file: &str, platform: &[PlatformTeam]) -> Result<Tree, TreeError> {
+    pub fn build_resolving_conflicts(
+        &self,
+        file: &str,
+        platform: &[PlatformTeam],
+    ) -> Result<Tree, TreeError> {
         let builder = self.builder(file, Contradictions::Resolve);
         builder.build(platform).map(|(tree, _)| tree)
     }
--- a/crates/hierarchical-quota/src/tree/mod.rs
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// All nodes, parents before their children.
-    pub fn all(&self) -> impl DoubleEndedIterator<Item = NodeIndex> + use<> {
+    pub fn node_indices(&self) -> impl DoubleEndedIterator<Item = NodeIndex> + use<> {
         (0..self.nodes.len() as u32).map(NodeIndex)
     }
 
--- a/crates/hierarchical-quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -54,7 +54,7 @@
 
 fn leaves(tree: &Tree) -> Vec<NodeIndex> {
     let leaf = |ix: &NodeIndex| tree.node(*ix).team.is_some();
-    tree.all().filter(leaf).collect()
+    tree.node_indices().filter(leaf).collect()
 }
 
 fn amount(gpus: f64, two: bool) -> Amount {
@@ -81,7 +81,7 @@
             shares.set_demand(leaf, amount(*want, two), 0);
         }
         shares.refresh();
-        for ix in tree.all() {
+        for ix in tree.node_indices() {
             let (node, mine) = (tree.node(ix), shares.entitled(ix));
             // No node is entitled to more than its limit or its demand.
             for ((got, limit), demand) in mine.to_array().iter().zip(node.limit.to_array())
@@ -133,7 +133,7 @@
         }
         one.refresh();
         other.refresh();
-        for ix in tree.all() {
+        for ix in tree.node_indices() {
             let (a, b) = (one.entitled(ix), other.entitled(ix));
             prop_assert!((a.gpus - b.gpus).abs() < NEAR, "{}: {a:?} {b:?}", tree.node(ix).name);
         }
@@ -166,7 +166,7 @@
                 let task = one(*b);
                 let unmet = shares.demand(**by).gpus - used[by.0 as usize];
                 by != from && unmet >= task.gpus
-                    && shares.within(**by, at(&used, **by), ResourceRequest { total: task, task })
+                    && shares.is_within_entitlement(**by, at(&used, **by), ResourceRequest { total: task, task })
                     && shares.may_reclaim(**from, one(*f), **by, ResourceRequest { total: task, task },
                         |ix| at(&used, ix))
             });
@@ -217,7 +217,9 @@
         ..outer("known")
     };
     assert!(spec.build("f", std::slice::from_ref(&more)).is_err());
-    let tree = spec.adopt("f", std::slice::from_ref(&more)).unwrap();
+    let tree = spec
+        .build_resolving_conflicts("f", std::slice::from_ref(&more))
+        .unwrap();
     let known = tree.leaf("known").unwrap();
     assert_eq!(tree.node(known).guarantee.gpus, 9.0);
     assert_eq!(tree.node(tree.root(known)).guarantee.gpus, 13.0);
--- a/crates/simulator/src/contention/levels.rs
+++ b/crates/simulator/src/contention/levels.rs
@@ -99,7 +99,7 @@
 
 /// The levels of all nodes of the tree, from each node's samples in the order of the nodes.
 pub(super) fn evaluate_levels(tree: &Tree, samples: Vec<Vec<Sample>>) -> Vec<Level> {
-    tree.all()
+    tree.node_indices()
         .zip(samples)
         .map(|(index, samples)| level(tree, index, samples))
         .collect()
--- a/crates/simulator/src/contention/run.rs
+++ b/crates/simulator/src/contention/run.rs
@@ -27,7 +27,7 @@
         let team_use = mean_team_use(&mut world, at_s);
         used += team_use.values().sum::<f64>();
         let entitlements = current_entitlements(&world, &tree);
-        for index in tree.all() {
+        for index in tree.node_indices() {
             samples[index.0 as usize].push(Sample {
                 at_s,
                 share: node_use(&tree, index, &team_use),
--- a/src/controller/hierarchical_quota/mod.rs
+++ b/src/controller/hierarchical_quota/mod.rs
@@ -77,7 +77,8 @@
         };
         tree.leaf(name).is_some_and(|leaf| {
             let used = self.jobs.observed_usage(name).into();
-            tree.entitlements.within(leaf, used, wanted(job))
+            tree.entitlements
+                .is_within_entitlement(leaf, used, wanted(job))
         })
     }
 
--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -59,7 +59,7 @@
             enabled: true,
             nodes,
         };
-        let tree = spec.adopt(TREE_HEAD_KEY, &platform_teams(teams))?;
+        let tree = spec.build_resolving_conflicts(TREE_HEAD_KEY, &platform_teams(teams))?;
         Ok(Some(Self::new(Arc::new(tree), teams)))
     }
 
@@ -119,7 +119,10 @@
         demands: &HashMap<&Team, Resources>,
     ) -> Vec<Team> {
         let tree = self.entitlements.tree().clone();
-        for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
+        for ix in tree
+            .node_indices()
+            .filter(|ix| tree.node(*ix).team.is_some())
+        {
             let demand = demands
                 .get(self.usage_name(ix))
                 .copied()
@@ -136,7 +139,7 @@
 
 /// The names under which the nodes' usage is counted: a leaf's team, or the group of a node.
 fn node_names(tree: &Tree) -> Vec<Team> {
-    tree.all()
+    tree.node_indices()
         .map(|ix| match &tree.node(ix).team {
             Some(team) => team.as_str().into(),
             None => group_name(&tree.node(ix).name),
--- a/src/quota/reclaim.rs
+++ b/src/quota/reclaim.rs
@@ -112,7 +112,9 @@
     /// Whether one more task is within the team's entitlement.
     fn within_entitlement(&self) -> bool {
         let used = self.used(self.leaf, &[]);
-        self.tree.entitlements.within(self.leaf, used, self.wanted)
+        self.tree
+            .entitlements
+            .is_within_entitlement(self.leaf, used, self.wanted)
     }
 
     /// How far a team is over its entitlement, in steps, if one of its tasks may be stopped after
