--- a/crates/admission-control/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -33,7 +33,7 @@
         group.bench_function(BenchmarkId::from_parameter(teams), |bencher| {
             bencher.iter(|| {
                 let next = floors.next(flows.iter().map(|flow| (*flow, *flow)));
-                floors.served(&next.unwrap_or(0), 1.0, flows.iter().copied());
+                floors.record_served(&next.unwrap_or(0), 1.0, flows.iter().copied());
                 black_box(next)
             });
         });
--- a/crates/admission-control/src/floors.rs
+++ b/crates/admission-control/src/floors.rs
@@ -67,7 +67,12 @@
     }
 
     /// Records that units of a flow were served while the flows in `waiting`, itself included, waited.
-    pub fn served(&mut self, flow: &Flow, units: f64, waiting: impl IntoIterator<Item = Flow>) {
+    pub fn record_served(
+        &mut self,
+        flow: &Flow,
+        units: f64,
+        waiting: impl IntoIterator<Item = Flow>,
+    ) {
         let waiting: Vec<Flow> = waiting.into_iter().collect();
         let weights: f64 = waiting.iter().map(self.weight).sum();
         self.decay_idle(&waiting);
--- a/crates/admission-control/src/floors/tests.rs
+++ b/crates/admission-control/src/floors/tests.rs
@@ -15,7 +15,7 @@
             continue;
         };
         served[usize::from(next)] += 1;
-        floors.served(&next, 1.0, waiting);
+        floors.record_served(&next, 1.0, waiting);
     }
     served
 }
@@ -59,7 +59,7 @@
         // The first flow's requests are large.
         let size = if next == 0 { 4.0 } else { 1.0 };
         units[usize::from(next)] += size;
-        floors.served(&next, size, [0, 1]);
+        floors.record_served(&next, size, [0, 1]);
     }
     let part = units[1] / (units[0] + units[1]);
     assert!((0.6..0.8).contains(&part), "{part}");
--- a/crates/admission-control/src/gate.rs
+++ b/crates/admission-control/src/gate.rs
@@ -116,7 +116,7 @@
         self.measure(request.allowed, now_s);
         let asking = self.asking_classes(class, now_s);
         if request.pending < self.max_pending(&request) {
-            self.floors.served(&class, 1.0, asking);
+            self.floors.record_served(&class, 1.0, asking);
             self.accepted += 1;
             return Ok(());
         }
--- a/crates/admission-control/src/plan.rs
+++ b/crates/admission-control/src/plan.rs
@@ -84,7 +84,7 @@
 }
 
 /// The base share: what a controller may use without having read any plan.
-pub fn base(limit: Rate, controllers: usize) -> Rate {
+pub fn base_share(limit: Rate, controllers: usize) -> Rate {
     limit * BASE_PART / controllers.max(1) as f64
 }
 
@@ -111,7 +111,7 @@
     /// The plan that follows this one. Shares rise only out of what no controller may be using.
     #[must_use]
     pub fn next(&self, limit: Rate, controllers: &[ControllerDemand]) -> Plan {
-        let base = base(limit, controllers.len());
+        let base = base_share(limit, controllers.len());
         let wanted = divide(limit, base, controllers);
         let in_use: Vec<Rate> = controllers
             .iter()
@@ -136,7 +136,7 @@
     }
 
     /// Whether this plan differs enough from `old` to be written.
-    pub fn matters(&self, old: &Plan, limit: Rate) -> bool {
+    pub fn differs_significantly(&self, old: &Plan, limit: Rate) -> bool {
         let fair = limit / self.shares.len().max(1) as f64;
         let changed = |(label, share): (&String, &Rate)| {
             let before = old.shares.get(label).copied().unwrap_or(0.0);
--- a/crates/admission-control/src/plan/tests.rs
+++ b/crates/admission-control/src/plan/tests.rs
@@ -89,7 +89,14 @@
         ])
     };
     let plan = Plan::default().next(30.0, &row(0.0));
-    assert!(plan.matters(&Plan::default(), 30.0));
-    assert!(!plan.next(30.0, &row(6.0)).matters(&plan, 30.0));
-    assert!(plan.next(30.0, &row(60.0)).matters(&plan, 30.0));
+    assert!(plan.differs_significantly(&Plan::default(), 30.0));
+    assert!(
+        !plan
+            .next(30.0, &row(6.0))
+            .differs_significantly(&plan, 30.0)
+    );
+    assert!(
+        plan.next(30.0, &row(60.0))
+            .differs_significantly(&plan, 30.0)
+    );
 }
--- a/crates/admission-control/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashSet;
 
-use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, base};
+use admission_control::plan::{ControllerDemand, ControllerStatus, Demand, Plan, base_share};
 
 const LIMIT: f64 = 30.0;
 const LABELS: [&str; 2] = ["a", "b"];
@@ -99,7 +99,7 @@
     }
 
     fn uses(&self, controller: usize, without: Without) -> f64 {
-        let base = base(LIMIT, LABELS.len());
+        let base = base_share(LIMIT, LABELS.len());
         let state = &self.controllers[controller];
         let member = match state.lease {
             Some(at) => state.seen > at || without == Without::ReadPlanAfterRejoin,
--- a/src/admission/backlog.rs
+++ b/src/admission/backlog.rs
@@ -175,7 +175,7 @@
         let floors = &mut self.class_floors[lane as usize];
         let class = floors.next(queue.due_classes(now))?;
         let due_classes = queue.due_classes(now).map(|(class, _)| class);
-        floors.served(&class, 1.0, due_classes);
+        floors.record_served(&class, 1.0, due_classes);
         let (_, id) = queue.classes.get(&class)?.first()?.clone();
         self.remove(&id);
         Some(id)
@@ -190,7 +190,7 @@
         let lane = self
             .lane_floors
             .next(due.iter().map(|lane| (*lane, *lane)))?;
-        self.lane_floors.served(&lane, 1.0, due);
+        self.lane_floors.record_served(&lane, 1.0, due);
         Some(lane)
     }
 }
--- a/src/admission/shared.rs
+++ b/src/admission/shared.rs
@@ -105,7 +105,8 @@
             .map(|controller| self.demand_of(&controller, has_lease(&controller)))
             .collect();
         let plan = self.plan.next(limit, &demands);
-        plan.matters(&self.plan, limit).then_some(plan)
+        plan.differs_significantly(&self.plan, limit)
+            .then_some(plan)
     }
 
     fn demand_of(&self, controller: &ControllerId, has_lease: bool) -> ControllerDemand {
--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -25,7 +25,7 @@
 
     /// Sets the write budget to this controller's allowance.
     fn follow_admission_plan(&mut self, limit: f64) {
-        let base = admission_control::plan::base(limit, self.settings.controllers());
+        let base = admission_control::plan::base_share(limit, self.settings.controllers());
         let is_member = self.obeys_plan();
         let plan = &self.commits.admission.plan;
         let allowed = plan.allowance(self.me.as_str(), is_member, base);
--- a/src/queue/active.rs
+++ b/src/queue/active.rs
@@ -71,7 +71,7 @@
     pub(super) fn record_served(&mut self, flow: Flow) {
         let mut classes: BTreeSet<Slot> = self.first_key_by_class().into_keys().collect();
         classes.insert(flow.class);
-        self.class_floors.served(&flow.class, 1.0, classes);
+        self.class_floors.record_served(&flow.class, 1.0, classes);
         let mut teams: BTreeSet<Slot> = self
             .first_key_by_team(flow.class)
             .map(|(team, _)| team)
@@ -79,7 +79,7 @@
         teams.insert(flow.team);
         let floors = self.team_floors.entry(flow.class);
         let floors = floors.or_insert_with(|| Floors::equal(FLOOR_SHARE));
-        floors.served(&flow.team, 1.0, teams);
+        floors.record_served(&flow.team, 1.0, teams);
     }
 
     /// Each class that has active jobs, with the least key of any of them.
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -56,7 +56,7 @@
         Self {
             requests: AdaptiveShare::new(limits.rps, controllers, now),
             writes: Allowance::new(
-                admission_control::plan::base(limits.write_rps, controllers),
+                admission_control::plan::base_share(limits.write_rps, controllers),
                 now,
             ),
             queues: Default::default(),
@@ -127,7 +127,7 @@
             if !waiting.contains(&call.class) {
                 waiting.push(call.class);
             }
-            self.floors.served(&call.class, call.writes, waiting);
+            self.floors.record_served(&call.class, call.writes, waiting);
         }
     }
 
