--- a/crates/admission-control/benches/decisions.rs
+++ b/crates/admission-control/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of a decision of admission control, by the number of teams and of controllers.
+//! Duration of admission decisions by the number of teams and of controllers.
 
 #![allow(
     missing_docs,
@@ -15,14 +15,14 @@
 const TEAMS: [usize; 3] = [4, 50, 1_000];
 const CONTROLLERS: [usize; 3] = [3, 5, 9];
 
-/// The slots of this many teams, as a controller has them: names beyond its bound share some.
+/// The distinct slots of this many teams; names beyond the bound on known names share slots.
 fn slots(teams: usize) -> Vec<u16> {
     let names = || (0..teams).map(|n| format!("team-{n}"));
     let slots = Slots::new(names());
-    let mut of: Vec<u16> = names().map(|name| slots.of(&name)).collect();
-    of.sort_unstable();
-    of.dedup();
-    of
+    let mut distinct: Vec<u16> = names().map(|name| slots.of(&name)).collect();
+    distinct.sort_unstable();
+    distinct.dedup();
+    distinct
 }
 
 fn decisions(criterion: &mut Criterion) {
@@ -48,7 +48,7 @@
                     waiting: 10.0,
                 };
                 ControllerDemand {
-                    label: format!("tiller-{n}"),
+                    label: format!("controller-{n}"),
                     status: ControllerStatus::Current,
                     demand,
                 }
--- a/crates/admission-control/src/floors.rs
+++ b/crates/admission-control/src/floors.rs
@@ -1,7 +1,7 @@
 //! Floors: every waiting flow is served at a guaranteed rate, and the rest is served by priority.
 //!
 //! This is the guaranteed rate of a hierarchical token bucket, measured in units served instead of
-//! time: each unit that is served gives every waiting flow credit for its part of the floors, and a
+//! time: each unit that is served gives every waiting flow credit in proportion to its floor, and a
 //! flow with credit for a whole unit is served before flows of higher priority. The guaranteed rate of
 //! a flow with nothing to serve is lent to the others at once, and the flow earns no credit meanwhile.
 
@@ -21,24 +21,25 @@
 /// The credits of flows that share a resource.
 #[derive(Clone, Debug)]
 pub struct Floors<Flow> {
-    /// The fraction of the served units that the floors divide, from 0 to 1.
-    floored_part: f64,
+    /// The fraction of the served units that is divided among the floors, from 0 to 1.
+    guaranteed_fraction: f64,
     weight: Weight<Flow>,
     /// The credit of each flow, in units.
     credit: BTreeMap<Flow, f64>,
 }
 
 impl<Flow: Ord + Clone> Floors<Flow> {
-    /// Equal floors for all flows. `floored_part` is the fraction of the served units that they divide,
-    /// from 0 to 1.
-    pub fn equal(floored_part: f64) -> Self {
-        Self::weighted(floored_part, |_| 1.0)
+    /// Equal floors for all flows. `guaranteed_fraction` is the fraction of the served units that is
+    /// divided among them, from 0 to 1.
+    pub fn equal(guaranteed_fraction: f64) -> Self {
+        Self::weighted(guaranteed_fraction, |_| 1.0)
     }
 
-    /// Floors that are divided in proportion to weights.
-    pub fn weighted(floored_part: f64, weight: Weight<Flow>) -> Self {
+    /// Floors in proportion to weights. `guaranteed_fraction` is the fraction of the served units
+    /// that is divided among them, from 0 to 1.
+    pub fn weighted(guaranteed_fraction: f64, weight: Weight<Flow>) -> Self {
         Self {
-            floored_part,
+            guaranteed_fraction,
             weight,
             credit: BTreeMap::new(),
         }
@@ -47,22 +48,31 @@
     /// Returns the waiting flow to serve next: the one with the most credit, if that is at least one
     /// unit, otherwise the one whose first request has the highest priority (the least `P`).
     pub fn next<P: Ord>(&self, waiting: impl IntoIterator<Item = (Flow, P)>) -> Option<Flow> {
-        let mut first: Option<(P, Flow)> = None;
-        let mut due: Option<(f64, Flow)> = None;
+        let mut highest_priority: Option<(P, Flow)> = None;
+        let mut most_credited: Option<(f64, Flow)> = None;
         for (flow, priority) in waiting {
             let credit = self.credit.get(&flow).copied().unwrap_or(0.0);
-            if credit >= 1.0 && due.as_ref().is_none_or(|(most, _)| credit > *most) {
-                due = Some((credit, flow.clone()));
+            if credit >= 1.0
+                && most_credited
+                    .as_ref()
+                    .is_none_or(|(most, _)| credit > *most)
+            {
+                most_credited = Some((credit, flow.clone()));
             }
-            if first.as_ref().is_none_or(|(least, _)| priority < *least) {
-                first = Some((priority, flow));
+            if highest_priority
+                .as_ref()
+                .is_none_or(|(least, _)| priority < *least)
+            {
+                highest_priority = Some((priority, flow));
             }
         }
-        due.map(|(_, flow)| flow).or(first.map(|(_, flow)| flow))
+        most_credited
+            .map(|(_, flow)| flow)
+            .or(highest_priority.map(|(_, flow)| flow))
     }
 
     /// Whether a flow has credit for at least one unit.
-    pub fn is_due(&self, flow: &Flow) -> bool {
+    pub fn has_credit(&self, flow: &Flow) -> bool {
         self.credit.get(flow).is_some_and(|credit| *credit >= 1.0)
     }
 
@@ -78,14 +88,15 @@
         self.decay_idle(&waiting);
         for waiting_flow in waiting {
             let weight = (self.weight)(&waiting_flow);
-            let gained = units * self.floored_part * weight / weights.max(f64::MIN_POSITIVE);
-            let paid = if waiting_flow == *flow { units } else { 0.0 };
+            let earned = units * self.guaranteed_fraction * weight / weights.max(f64::MIN_POSITIVE);
+            let spent = if waiting_flow == *flow { units } else { 0.0 };
             let credit = self.credit.entry(waiting_flow).or_insert(0.0);
-            *credit = (*credit + gained - paid).clamp(0.0, MAX_CREDIT);
+            *credit = (*credit + earned - spent).clamp(0.0, MAX_CREDIT);
         }
     }
 
-    /// Reduces the credit of idle flows step by step, so that one that is idle only briefly keeps most of it.
+    /// Reduces the credit of idle flows step by step, so that one that is idle only briefly keeps
+    /// most of it.
     fn decay_idle(&mut self, waiting: &[Flow]) {
         for (flow, credit) in &mut self.credit {
             if !waiting.contains(flow) {
--- a/crates/admission-control/src/floors/tests.rs
+++ b/crates/admission-control/src/floors/tests.rs
@@ -1,15 +1,18 @@
 use super::*;
 
-/// Serves `steps` units; a flow has requests while `asks` returns true. Returns the units served to each flow.
-fn play(
+/// Serves `steps` units; a flow has requests while `has_requests` returns true. Returns the units
+/// served to each flow.
+fn simulate(
     floors: &mut Floors<u8>,
     steps: usize,
     flows: u8,
-    asks: impl Fn(usize, u8) -> bool,
+    has_requests: impl Fn(usize, u8) -> bool,
 ) -> Vec<usize> {
     let mut served = vec![0; usize::from(flows)];
     for step in 0..steps {
-        let waiting: Vec<u8> = (0..flows).filter(|flow| asks(step, *flow)).collect();
+        let waiting: Vec<u8> = (0..flows)
+            .filter(|flow| has_requests(step, *flow))
+            .collect();
         // The lowest number has the highest priority.
         let Some(next) = floors.next(waiting.iter().map(|flow| (*flow, *flow))) else {
             continue;
@@ -23,16 +26,16 @@
 #[test]
 fn a_burst_at_top_priority_leaves_other_flows_their_floor() {
     let cases: [(f64, u8, [usize; 4]); 4] = [
-        // share, flows, minimum served of 1,000
+        // guaranteed fraction, flows, minimum served of 1,000
         (0.0, 4, [1_000, 0, 0, 0]),
         (0.5, 4, [600, 120, 120, 120]),
         (0.5, 2, [740, 245, 0, 0]),
         (1.0, 4, [240, 240, 240, 240]),
     ];
-    for (part, flows, least) in cases {
-        let served = play(&mut Floors::equal(part), 1_000, flows, |_, _| true);
+    for (fraction, flows, minimum) in cases {
+        let served = simulate(&mut Floors::equal(fraction), 1_000, flows, |_, _| true);
         for (flow, count) in served.iter().enumerate() {
-            assert!(*count >= least[flow], "{part}: {served:?}");
+            assert!(*count >= minimum[flow], "{fraction}: {served:?}");
         }
     }
 }
@@ -40,13 +43,16 @@
 #[test]
 fn unused_capacity_is_lent_and_returned_on_demand() {
     // The second flow is idle in the first half.
-    let asks = |step: usize, flow: u8| flow != 1 || step >= 500;
+    let has_requests = |step: usize, flow: u8| flow != 1 || step >= 500;
     let mut floors = Floors::equal(0.6);
-    let half = play(&mut floors, 500, 3, asks);
-    assert!(half[1] == 0 && half[0] + half[2] == 500, "{half:?}");
-    let soon = play(&mut floors, 20, 3, |_, _| true);
+    let first_half = simulate(&mut floors, 500, 3, has_requests);
+    assert!(
+        first_half[1] == 0 && first_half[0] + first_half[2] == 500,
+        "{first_half:?}"
+    );
+    let after_return = simulate(&mut floors, 20, 3, |_, _| true);
     // It gets its floor and no credit for the time when it was idle.
-    assert!((3..=5).contains(&soon[1]), "{soon:?}");
+    assert!((3..=5).contains(&after_return[1]), "{after_return:?}");
 }
 
 #[test]
@@ -61,6 +67,6 @@
         units[usize::from(next)] += size;
         floors.record_served(&next, size, [0, 1]);
     }
-    let part = units[1] / (units[0] + units[1]);
-    assert!((0.6..0.8).contains(&part), "{part}");
+    let fraction = units[1] / (units[0] + units[1]);
+    assert!((0.6..0.8).contains(&fraction), "{fraction}");
 }
--- a/crates/admission-control/src/gate.rs
+++ b/crates/admission-control/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: whether a submission is accepted now, and after how long a rejected user should retry.
+//! Accepts or rejects submissions, and computes how long a rejected user should wait before a retry.
 //!
 //! A submission that can't be written within `MAX_WAIT_S` is rejected at once. A rejected user is
 //! asked to retry after the time that accepting the earlier rejected submissions takes at the present
@@ -13,10 +13,11 @@
 
 /// Submissions that would wait longer than this, in seconds, are rejected.
 const MAX_WAIT_S: f64 = 1.0;
-/// The fraction of the allowed changes that submissions are guaranteed.
-const SUBMISSION_PART: f64 = 0.7;
-/// The fraction of the accepted submissions that the floors of classes divide while some are rejected.
-const CLASS_FLOORS: f64 = 0.5;
+/// The fraction of the allowed changes that is guaranteed to submissions.
+const SUBMISSION_FRACTION: f64 = 0.7;
+/// The fraction of the accepted submissions that is divided among the floors of the classes while
+/// some are rejected.
+const CLASS_FLOOR_FRACTION: f64 = 0.5;
 /// Additional pending submissions that are allowed for an urgent job, or for a class behind its floor.
 const EXTRA_PENDING: usize = 2;
 /// A class counts as waiting for this long, in seconds, after one of its submissions was rejected.
@@ -38,7 +39,7 @@
 pub enum Urgency {
     /// Accepted if it can be written within `MAX_WAIT_S`.
     Normal,
-    /// Accepted slightly beyond that bound.
+    /// Accepted slightly beyond that bound, by `EXTRA_PENDING` submissions.
     Urgent,
 }
 
@@ -95,7 +96,7 @@
 impl Default for Gate {
     fn default() -> Self {
         Self {
-            floors: Floors::equal(CLASS_FLOORS),
+            floors: Floors::equal(CLASS_FLOOR_FRACTION),
             rejected_classes: BTreeMap::new(),
             measured_at_s: 0.0,
             accepted: 0,
@@ -114,9 +115,9 @@
     pub fn admit(&mut self, request: SubmissionRequest) -> Result<(), Rejected> {
         let SubmissionRequest { class, now_s, .. } = request;
         self.measure(request.allowed, now_s);
-        let asking = self.asking_classes(class, now_s);
+        let waiting = self.waiting_classes(class, now_s);
         if request.pending < self.max_pending(&request) {
-            self.floors.record_served(&class, 1.0, asking);
+            self.floors.record_served(&class, 1.0, waiting);
             self.accepted += 1;
             return Ok(());
         }
@@ -128,23 +129,24 @@
         })
     }
 
-    /// The waiting classes: this one, and those with a rejection in the last
+    /// The classes that count as waiting: the given one, and those with a rejection in the last
     /// `REJECTED_CLASS_MEMORY_S` seconds.
-    fn asking_classes(&mut self, class: Slot, now_s: f64) -> Vec<Slot> {
+    fn waiting_classes(&mut self, class: Slot, now_s: f64) -> Vec<Slot> {
         self.rejected_classes
             .retain(|_, rejected_at| now_s - *rejected_at < REJECTED_CLASS_MEMORY_S);
-        let mut asking: Vec<Slot> = self.rejected_classes.keys().copied().collect();
-        if !asking.contains(&class) {
-            asking.push(class);
+        let mut waiting: Vec<Slot> = self.rejected_classes.keys().copied().collect();
+        if !waiting.contains(&class) {
+            waiting.push(class);
         }
-        asking
+        waiting
     }
 
-    /// The number of pending submissions from which on this one is rejected.
+    /// The number of pending submissions from which on the request is rejected.
     fn max_pending(&self, request: &SubmissionRequest) -> usize {
-        let bound = request.allowed * SUBMISSION_PART * MAX_WAIT_S;
+        let bound = request.allowed * SUBMISSION_FRACTION * MAX_WAIT_S;
         let bound = bound.ceil().max(1.0) as usize;
-        let is_preferred = self.floors.is_due(&request.class) || request.urgency == Urgency::Urgent;
+        let is_preferred =
+            self.floors.has_credit(&request.class) || request.urgency == Urgency::Urgent;
         bound + if is_preferred { EXTRA_PENDING } else { 0 }
     }
 
@@ -160,8 +162,8 @@
         self.measured_at_s = now_s;
         (self.accepted, self.rejected) = (0, 0);
         self.accept_rate += (accepted / elapsed_s - self.accept_rate) * SMOOTHING;
-        let returning = rejected / elapsed_s * self.retry_s;
-        let retry_s = returning / self.accept_rate.max(allowed).max(MIN_ACCEPT_RATE);
+        let retrying = rejected / elapsed_s * self.retry_s;
+        let retry_s = retrying / self.accept_rate.max(allowed).max(MIN_ACCEPT_RATE);
         self.retry_s += (retry_s.clamp(MIN_RETRY_S, MAX_RETRY_S) - self.retry_s) * SMOOTHING;
     }
 }
--- a/crates/admission-control/src/plan.rs
+++ b/crates/admission-control/src/plan.rs
@@ -1,23 +1,25 @@
-//! A limit that several controllers share: a plan of how much of it each may use.
+//! Divides a limit among several controllers by a plan of how much of it each may use.
 //!
 //! The plan is one record that the leader writes, and each controller follows the newest version that
 //! it has read. Some read it late, so a share rises only as far as the shares that may still be in use
 //! leave capacity.
 //!
-//! **Why the sum holds.** The record has for each controller its share, and the most that it may be
-//! using: the greatest share of any plan that it may still follow. [`Plan::next`] keeps the sum of
-//! these within the limit. The most that a controller may be using falls only when it reports that it
-//! follows the newest plan (it never returns to an earlier one), or when its lease has expired (then it
-//! uses its base share, by its own clock, and follows a plan again only once it has read everything
-//! that was written before it regained a lease). A plan that counts a controller as absent is written
-//! on condition that the controller is still absent.
+//! **Why the sum of the shares stays within the limit.** The record has for each controller its
+//! share, and the most that it may be using: the greatest share of any plan that it may still
+//! follow. [`Plan::next`] keeps the sum of these within the limit. The most that a controller may
+//! be using falls only when it reports that it follows the newest plan (it never returns to an
+//! earlier one), or when its lease has expired (then it uses its base share, by its own clock, and
+//! follows a plan again only once it has read everything that was written before it regained a
+//! lease). A plan that counts a controller as absent is written on condition that the controller is
+//! still absent.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The fraction of the limit that is always divided evenly, so that no controller has to wait for a plan.
-const BASE_PART: f64 = 0.3;
+/// The fraction of the limit that is always divided evenly, so that no controller has to wait for a
+/// plan.
+const BASE_FRACTION: f64 = 0.3;
 /// A plan that changes no share by more than this fraction of the fair share is not written.
 const MIN_SHARE_CHANGE: f64 = 0.15;
 /// Target time, in seconds, in which the waiting units are to be served.
@@ -33,9 +35,9 @@
 /// The demand of a controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Its recent usage.
+    /// Recent usage, in units a second.
     pub used: Rate,
-    /// Number of waiting units.
+    /// Units that wait to be served.
     pub waiting: f64,
 }
 
@@ -50,9 +52,9 @@
 pub enum ControllerStatus {
     /// The newest, by its own report.
     Current,
-    /// Perhaps an earlier one.
+    /// Possibly an earlier one.
     Stale,
-    /// None: it has no lease.
+    /// None, because it has no lease.
     Absent,
 }
 
@@ -63,7 +65,7 @@
     pub label: String,
     /// Which plan it follows.
     pub status: ControllerStatus,
-    /// Its demand.
+    /// The controller's demand; ignored if it is absent.
     pub demand: Demand,
 }
 
@@ -83,9 +85,10 @@
     pub upper_bounds: BTreeMap<String, Rate>,
 }
 
-/// The base share: what a controller may use without having read any plan.
+/// The base share: what a controller may use without having read any plan. `controllers` counts all
+/// that share the limit, absent ones included.
 pub fn base_share(limit: Rate, controllers: usize) -> Rate {
-    limit * BASE_PART / controllers.max(1) as f64
+    limit * BASE_FRACTION / controllers.max(1) as f64
 }
 
 impl Plan {
@@ -100,33 +103,33 @@
 
     /// The most that a controller may be using now.
     fn in_use(&self, label: &str, status: ControllerStatus, base: Rate) -> Rate {
-        let known = match status {
+        let bound = match status {
             ControllerStatus::Current => self.shares.get(label),
             ControllerStatus::Stale => self.upper_bounds.get(label),
             ControllerStatus::Absent => None,
         };
-        known.copied().unwrap_or(base).max(base)
+        bound.copied().unwrap_or(base).max(base)
     }
 
-    /// The plan that follows this one. Shares rise only out of what no controller may be using.
+    /// The successor of this plan. Shares rise only by capacity that no controller may be using.
     #[must_use]
     pub fn next(&self, limit: Rate, controllers: &[ControllerDemand]) -> Plan {
         let base = base_share(limit, controllers.len());
-        let wanted = divide(limit, base, controllers);
+        let targets = target_shares(limit, base, controllers);
         let in_use: Vec<Rate> = controllers
             .iter()
             .map(|controller| self.in_use(&controller.label, controller.status, base))
             .collect();
         let spare = (limit - in_use.iter().sum::<Rate>()).max(0.0);
-        let raises = wanted.iter().zip(&in_use);
-        let asked: Rate = raises.map(|(wanted, used)| (wanted - used).max(0.0)).sum();
-        let granted_part = (spare / asked.max(MIN_DIVISOR)).min(1.0) * ROUNDING_MARGIN;
+        let raises = targets.iter().zip(&in_use);
+        let requested: Rate = raises.map(|(target, used)| (target - used).max(0.0)).sum();
+        let granted_fraction = (spare / requested.max(MIN_DIVISOR)).min(1.0) * ROUNDING_MARGIN;
         let mut plan = Plan::default();
-        for ((controller, wanted), used) in controllers.iter().zip(wanted).zip(in_use) {
-            let share = if wanted > used {
-                used + (wanted - used) * granted_part
+        for ((controller, target), used) in controllers.iter().zip(targets).zip(in_use) {
+            let share = if target > used {
+                used + (target - used) * granted_fraction
             } else {
-                wanted
+                target
             };
             let label = &controller.label;
             plan.shares.insert(label.clone(), share);
@@ -146,10 +149,10 @@
     }
 }
 
-/// Divides the limit: each controller gets its base share, and those that are present divide the rest by
-/// demand, and evenly what exceeds the demand.
-fn divide(limit: Rate, base: Rate, controllers: &[ControllerDemand]) -> Vec<Rate> {
-    let asked_beyond_base: Vec<Rate> = controllers
+/// The share of each controller if all followed the new plan at once: each gets its base share, and
+/// those that are present divide the remainder by demand, and evenly what exceeds the demand.
+fn target_shares(limit: Rate, base: Rate, controllers: &[ControllerDemand]) -> Vec<Rate> {
+    let excess_demands: Vec<Rate> = controllers
         .iter()
         .map(|controller| {
             if controller.is_present() {
@@ -159,17 +162,17 @@
             }
         })
         .collect();
-    let rest = limit - base * controllers.len() as f64;
-    let asked: Rate = asked_beyond_base.iter().sum();
-    let granted_part = (rest / asked.max(MIN_DIVISOR)).min(1.0);
+    let remainder = limit - base * controllers.len() as f64;
+    let requested: Rate = excess_demands.iter().sum();
+    let granted_fraction = (remainder / requested.max(MIN_DIVISOR)).min(1.0);
     let present = controllers.iter().filter(|c| c.is_present()).count();
-    let evenly = (rest - asked * granted_part) / present.max(1) as f64;
+    let evenly = (remainder - requested * granted_fraction) / present.max(1) as f64;
     controllers
         .iter()
-        .zip(asked_beyond_base)
-        .map(|(controller, asked)| {
+        .zip(excess_demands)
+        .map(|(controller, excess)| {
             if controller.is_present() {
-                base + asked * granted_part + evenly
+                base + excess * granted_fraction + evenly
             } else {
                 base
             }
--- a/crates/admission-control/src/plan/tests.rs
+++ b/crates/admission-control/src/plan/tests.rs
@@ -60,23 +60,23 @@
 #[test]
 fn a_share_rises_only_by_capacity_that_no_controller_can_use() {
     use ControllerStatus::{Absent, Current, Stale};
-    let hungry = |standings: [ControllerStatus; 2]| {
-        controllers(&[(standings[0], 0.0, 0.0), (standings[1], 10.0, 500.0)])
+    let one_with_demand = |statuses: [ControllerStatus; 2]| {
+        controllers(&[(statuses[0], 0.0, 0.0), (statuses[1], 10.0, 500.0)])
     };
-    // The first controller has most of the capacity and no more demand.
-    let rich = [("n0", 24.0), ("n1", 6.0)].map(|(n, share)| (n.to_string(), share));
+    // The first controller has most of the capacity and no demand.
+    let uneven = [("n0", 24.0), ("n1", 6.0)].map(|(n, share)| (n.to_string(), share));
     let plan = Plan {
-        shares: rich.clone().into(),
-        upper_bounds: rich.into(),
+        shares: uneven.clone().into(),
+        upper_bounds: uneven.into(),
     };
     for (first, after) in [(Stale, 6.0), (Current, 6.0), (Absent, 25.5)] {
-        let next = plan.next(30.0, &hungry([first, Current]));
+        let next = plan.next(30.0, &one_with_demand([first, Current]));
         assert_eq!(shares(&next)[1], after, "{first:?}");
-        // It releases capacity after reading the new plan.
-        let then = next.next(30.0, &hungry([Current, Current]));
-        assert_eq!(shares(&then)[1], 25.5, "{first:?}");
-        let late = next.next(30.0, &hungry([Stale, Current]));
-        assert_eq!(shares(&late)[1], after, "{first:?}");
+        // The first controller releases capacity after reading the new plan.
+        let released = next.next(30.0, &one_with_demand([Current, Current]));
+        assert_eq!(shares(&released)[1], 25.5, "{first:?}");
+        let unreported = next.next(30.0, &one_with_demand([Stale, Current]));
+        assert_eq!(shares(&unreported)[1], after, "{first:?}");
     }
 }
 
--- a/crates/admission-control/src/slots.rs
+++ b/crates/admission-control/src/slots.rs
@@ -1,23 +1,26 @@
-//! Numbers for classes and teams, so that names which users invent take no memory.
+//! Maps the names of classes and teams to a bounded number of slots, so that arbitrary names from
+//! users take no memory.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// The number of a class or a team.
 pub type Slot = u16;
 
-/// Unknown names share this many slots, as in stochastic fairness queueing.
+/// Number of slots that unknown names share by hash, as in stochastic fairness queueing.
 const UNKNOWN_SLOTS: u16 = 16;
-/// The most names that get a slot of their own.
+/// Upper bound on the number of names that get a slot of their own.
 const MAX_KNOWN_NAMES: usize = 256;
 
-/// The names with slots of their own, in the order of their slots.
+/// The assignment of names to slots.
 #[derive(Clone, Debug, Default)]
 pub struct Slots {
+    /// The names with slots of their own, sorted; the slot is the index.
     known: Vec<String>,
 }
 
 impl Slots {
-    /// Gives each of these names a slot of its own, up to `MAX_KNOWN_NAMES`, in the order given.
+    /// Gives each of these names a slot of its own: the first `MAX_KNOWN_NAMES` in alphabetical
+    /// order; repeated names count once.
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         let mut known: Vec<String> = names.into_iter().collect();
         known.sort();
@@ -41,7 +44,7 @@
         }
     }
 
-    /// The name that has this slot to itself.
+    /// The name that has this slot to itself; `None` for the slots that unknown names share.
     pub fn name(&self, slot: Slot) -> Option<&str> {
         self.known.get(usize::from(slot)).map(String::as_str)
     }
--- a/crates/admission-control/src/slots/tests.rs
+++ b/crates/admission-control/src/slots/tests.rs
@@ -7,7 +7,7 @@
     let known: Vec<Slot> = ["a", "b", "c"].map(|name| slots.of(name)).to_vec();
     assert_eq!(known, [0, 1, 2]);
     assert_eq!((slots.name(1), slots.name(3)), (Some("b"), None));
-    let made_up: std::collections::BTreeSet<Slot> =
+    let unknown: std::collections::BTreeSet<Slot> =
         (0..10_000).map(|n| slots.of(&format!("x{n}"))).collect();
-    assert!(made_up.len() <= usize::from(UNKNOWN_SLOTS) && made_up.iter().all(|slot| *slot > 2));
+    assert!(unknown.len() <= usize::from(UNKNOWN_SLOTS) && unknown.iter().all(|slot| *slot > 2));
 }
--- a/crates/admission-control/tests/plan_model.rs
+++ b/crates/admission-control/tests/plan_model.rs
@@ -1,6 +1,7 @@
-//! All orders in which two controllers can read, apply and report plans, lose their leases and rejoin,
-//! while the leader writes new plans from its possibly stale view: the sum of their allowances stays
-//! within the limit. Each condition of the argument is removed once, and then the limit is exceeded.
+//! Explores all orders in which two controllers can read, apply and report plans, lose their leases
+//! and rejoin, while the leader writes new plans from its possibly stale view, and checks that the
+//! sum of their allowances stays within the limit. Each condition that `plan` relies on is removed
+//! once, and then the limit is exceeded.
 
 use std::collections::HashSet;
 
@@ -12,7 +13,7 @@
 const MAX_PLANS: usize = 3;
 const MAX_LEASE_CHANGES: usize = 2;
 
-/// The condition that is removed.
+/// The condition of the safety argument that is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Without {
     Nothing,
@@ -45,16 +46,16 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     written: Vec<StoredRecord>,
     controllers: [Controller; 2],
     /// Number of records that the leader has read.
     leader: usize,
 }
 
-impl World {
+impl ModelState {
     fn start() -> Self {
-        let at = |n| Controller {
+        let joined = |n| Controller {
             seen: 3,
             lease: Some(n),
             reported_plan: 2,
@@ -71,7 +72,7 @@
                 StoredRecord::Joined(1),
                 StoredRecord::Plan(plan),
             ],
-            controllers: [at(0), at(1)],
+            controllers: [joined(0), joined(1)],
             leader: 3,
         }
     }
@@ -111,8 +112,9 @@
         })
     }
 
-    /// The leader writes a plan in which one controller demands everything; `None` if its conditions fail.
-    fn write_plan(&self, demanding: usize, without: Without) -> Option<World> {
+    /// The leader writes a plan in which one controller demands everything; `None` if the conditions
+    /// of the write fail.
+    fn write_plan(&self, demanding: usize, without: Without) -> Option<ModelState> {
         let (newest, old) = self.plan(self.leader)?;
         if self.plan(self.written.len())?.0 != newest {
             return None;
@@ -120,9 +122,9 @@
         let mut rows = Vec::new();
         for (controller, label) in LABELS.iter().enumerate() {
             let lease = self.lease_start(controller, self.leader);
-            let back =
+            let rejoined =
                 lease.is_none() && self.lease_start(controller, self.written.len()).is_some();
-            if back && without != Without::CheckStillAbsent {
+            if rejoined && without != Without::CheckStillAbsent {
                 return None;
             }
             let status = match lease {
@@ -152,9 +154,9 @@
         Some(next)
     }
 
-    fn steps(&self, without: Without) -> Vec<World> {
+    fn steps(&self, without: Without) -> Vec<ModelState> {
         let mut steps = Vec::new();
-        let mut step = |change: &dyn Fn(&mut World)| {
+        let mut step = |change: &dyn Fn(&mut ModelState)| {
             let mut next = self.clone();
             change(&mut next);
             steps.push(next);
@@ -202,21 +204,21 @@
 
 /// The number of states, and the maximum total usage in any of them.
 fn explore(without: Without) -> (usize, f64) {
-    let mut known = HashSet::new();
-    let mut open = vec![World::start()];
+    let mut visited = HashSet::new();
+    let mut pending = vec![ModelState::start()];
     let mut max_used: f64 = 0.0;
-    while let Some(world) = open.pop() {
-        if !known.insert(format!("{world:?}")) {
+    while let Some(state) = pending.pop() {
+        if !visited.insert(format!("{state:?}")) {
             continue;
         }
-        let used = (0..LABELS.len()).map(|n| world.uses(n, without)).sum();
+        let used = (0..LABELS.len()).map(|n| state.uses(n, without)).sum();
         max_used = max_used.max(used);
         if max_used > LIMIT + 1e-6 {
             break;
         }
-        open.extend(world.steps(without));
+        pending.extend(state.steps(without));
     }
-    (known.len(), max_used)
+    (visited.len(), max_used)
 }
 
 #[test]
