--- a/crates/hierarchical-quota/benches/decisions.rs
+++ b/crates/hierarchical-quota/benches/decisions.rs
@@ -1,5 +1,6 @@
-//! What decisions cost: by depth, whatever the number of teams; working shares out anew, by what
-//! changed. Prints the memory of a tree's shares per leaf, too.
+//! Duration of decisions, which depends on the depth of the tree and not on the number of teams, and
+//! of recomputing entitlements, which depends on what changed. Also prints the estimated memory of a
+//! tree and its entitlements per leaf.
 
 #![allow(
     missing_docs,
@@ -17,7 +18,7 @@
 const LEAVES: [usize; 3] = [10, 1_000, 10_000];
 const WAITING: [u32; 3] = [100, 10_000, 100_000];
 
-/// Three levels: members of the square root of all, teams below them.
+/// Three levels: a root, as many members as the square root of the number of leaves, and the leaves.
 fn tree(leaves: usize) -> Arc<Tree> {
     let members = (leaves as f64).sqrt().ceil() as usize;
     let node = |name: String, parent: Option<String>, gpus: f64| NodeSpec {
@@ -56,14 +57,14 @@
 }
 
 fn loaded(tree: &Arc<Tree>, waiting: u32) -> Entitlements {
-    let mut shares = Entitlements::new(tree.clone());
+    let mut entitlements = Entitlements::new(tree.clone());
     let leaves = leaves(tree);
     for (index, leaf) in leaves.iter().enumerate() {
         let tasks = f64::from(waiting) / leaves.len() as f64 * (index % 3) as f64;
-        shares.set_demand(*leaf, Amount::new(tasks * 8.0, tasks), 0);
+        entitlements.set_demand(*leaf, Amount::new(tasks * 8.0, tasks), 0);
     }
-    shares.refresh();
-    shares
+    entitlements.refresh();
+    entitlements
 }
 
 fn decisions(c: &mut Criterion) {
@@ -75,14 +76,14 @@
         let mut group = c.benchmark_group(format!("{waiting} waiting tasks"));
         for count in LEAVES {
             let tree = tree(count);
-            let shares = loaded(&tree, waiting);
+            let entitlements = loaded(&tree, waiting);
             let leaves = leaves(&tree);
             let used = |ix: NodeIndex| Amount::new(0.0, f64::from(ix.0 % 7));
             group.bench_with_input(BenchmarkId::new("within", count), &count, |b, _| {
                 let mut at = 0;
                 b.iter(|| {
                     at = (at + 7) % leaves.len();
-                    shares.is_within_entitlement(leaves[at], black_box(used(leaves[at])), one)
+                    entitlements.is_within_entitlement(leaves[at], black_box(used(leaves[at])), one)
                 });
             });
             group.bench_with_input(BenchmarkId::new("may_reclaim", count), &count, |b, _| {
@@ -90,10 +91,10 @@
                 b.iter(|| {
                     at = (at + 7) % leaves.len();
                     let by = leaves[(at * 31 + 1) % leaves.len()];
-                    shares.may_reclaim(leaves[at], one.task, by, one, used)
+                    entitlements.may_reclaim(leaves[at], one.task, by, one, used)
                 });
             });
-            let mut changing = shares.clone();
+            let mut changing = entitlements.clone();
             group.bench_with_input(BenchmarkId::new("refresh one", count), &count, |b, _| {
                 let (mut at, mut now) = (0, 1);
                 b.iter(|| {
@@ -110,8 +111,8 @@
 
 fn memory(_: &mut Criterion) {
     for count in LEAVES {
-        let shares = loaded(&tree(count), 1_000);
-        let bytes = shares.bytes() as f64 / count as f64;
+        let entitlements = loaded(&tree(count), 1_000);
+        let bytes = entitlements.estimated_bytes() as f64 / count as f64;
         println!("memory: {count} leaves, {bytes:.0} bytes a leaf");
     }
 }
--- a/crates/hierarchical-quota/src/amount.rs
+++ b/crates/hierarchical-quota/src/amount.rs
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The sum of both.
+    /// Adds another amount.
     #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
         self.zip(other, |a, b| a + b)
     }
 
-    /// What is left of it after `other` is taken away, at least zero.
+    /// Subtracts another amount; each kind of resource is at least 0 in the result.
     #[must_use]
     pub fn minus(self, other: Amount) -> Amount {
         self.zip(other, |a, b| (a - b).max(0.0))
@@ -64,13 +64,13 @@
         self.zip(other, f64::min)
     }
 
-    /// Whether there are neither CPUs nor GPUs.
+    /// Whether the amount has neither CPUs nor GPUs; negative numbers count as none.
     #[must_use]
     pub fn is_zero(self) -> bool {
         self.cpus <= 0.0 && self.gpus <= 0.0
     }
 
-    /// The smaller of the amount and a limit, of which 0 means no limit.
+    /// The amount reduced to a limit for each kind of resource; 0 in `limit` means no limit.
     #[must_use]
     pub fn capped(self, limit: Amount) -> Amount {
         self.zip(limit, |amount, limit| {
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The tighter of two limits, of which 0 means no limit.
+    /// The tighter of two limits for each kind of resource; 0 means no limit.
     #[must_use]
     pub fn tighter(self, other: Amount) -> Amount {
         self.zip(other, |a, b| match (a > 0.0, b > 0.0) {
--- a/crates/hierarchical-quota/src/divide/tests.rs
+++ b/crates/hierarchical-quota/src/divide/tests.rs
@@ -45,14 +45,14 @@
     ];
     for (pool, claims, expected) in cases {
         let got = divide(Amount::new(0.0, pool), [false, true], &claims);
-        let near = got.iter().zip(&expected);
-        let near = near.into_iter().all(|(a, b)| (a.gpus - b).abs() < 1e-6);
+        let pairs = got.iter().zip(&expected);
+        let near = pairs.into_iter().all(|(a, b)| (a.gpus - b).abs() < 1e-6);
         assert!(near, "{claims:?}: {got:?}, not {expected:?}");
     }
 }
 
-/// The standard example of dominant-resource fairness: 9 CPUs and 18 units of the other resource, tasks
-/// of (1, 4) and of (3, 1): three tasks of the first kind and two of the second.
+/// The standard example of dominant-resource fairness: 9 CPUs and 18 units of the other resource.
+/// Tasks of (1, 4) and of (3, 1) get three of the first kind and two of the second.
 #[test]
 fn dominant_shares_are_equal() {
     let claim = |cpus: f64, gpus: f64| Claim {
--- a/crates/hierarchical-quota/src/entitlements.rs
+++ b/crates/hierarchical-quota/src/entitlements.rs
@@ -1,7 +1,8 @@
 //! What each node of a tree is entitled to at present, and which teams may reclaim from which.
 //!
-//! Demands are summed up the tree, and entitlements divided down it. Both are recomputed only where
-//! something changed, a few times a second at most; a decision looks at a single path of the tree.
+//! Demands are aggregated from the leaves up, and entitlements divided from the roots down. Both are
+//! recomputed only where something changed, a few times a second at most. A decision reads a single
+//! path of the tree.
 
 use std::sync::Arc;
 
@@ -9,19 +10,19 @@
 use crate::divide::{Claim, divide};
 use crate::tree::{NodeIndex, Tree};
 
-/// About how many bytes an entry of the index of leaves takes besides the team's name.
+/// Estimated size of an entry of the index of leaves, in bytes, without the team's name.
 const INDEX_ENTRY_BYTES: usize = 40;
 
 /// The state of a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeState {
-    /// What the teams below could use, within the limits.
+    /// What the teams below the node could use, within the limits.
     demand: Amount,
-    /// What guarantees give it, regardless of the others' demand.
+    /// What guarantees give the node, regardless of the demand of its siblings.
     floor: Amount,
-    /// What it is entitled to: its floor and its part of what others leave unused.
+    /// The entitlement: the floor, and a share of what other nodes leave unused.
     entitled: Amount,
-    /// Its children's claims, or its own entitlement, have changed since it was last divided.
+    /// Whether the children's claims or the entitlement have changed since it was last divided.
     dirty: bool,
     /// Since when a leaf's actual demand is less than `demand`, in milliseconds.
     lower_since: Option<u64>,
@@ -35,21 +36,22 @@
     tree: Arc<Tree>,
     /// By node.
     nodes: Vec<NodeState>,
-    /// By node: whether CPUs and GPUs are governed, that is, whether its root is guaranteed any.
+    /// By node: whether CPUs and GPUs are governed, that is, whether the root above it has a
+    /// guarantee of them.
     governed: Vec<[bool; 2]>,
 }
 
-/// The amounts that work would use if it were placed.
+/// The resources of work that asks to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceRequest {
-    /// All of it: one task, or all tasks of a gang.
+    /// The sum over the work: one task, or all tasks of a gang.
     pub total: Amount,
-    /// One task of it.
+    /// The amount of a single task.
     pub task: Amount,
 }
 
 impl Entitlements {
-    /// Entitlements without any demand.
+    /// Entitlements without any demand, so all are zero.
     #[must_use]
     pub fn new(tree: Arc<Tree>) -> Self {
         let nodes = vec![NodeState::default(); tree.nodes.len()];
@@ -67,16 +69,16 @@
         }
     }
 
-    /// The tree.
+    /// The tree to which the entitlements belong.
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
 
-    /// About how many bytes the tree and its entitlements take in memory, names included.
-    pub fn bytes(&self) -> usize {
+    /// Estimated memory of the tree and its entitlements, in bytes, names included.
+    pub fn estimated_bytes(&self) -> usize {
         let node = size_of::<NodeState>() + size_of::<crate::tree::Node>() + size_of::<[bool; 2]>();
         let names = self.tree.nodes.iter().map(|node| {
-            // A team's name is kept twice: in its node and in the index of leaves.
+            // A team's name is stored twice: in its node and in the index of leaves.
             let team = node.team.as_ref();
             let team = team.map_or(0, |team| 2 * team.len() + INDEX_ENTRY_BYTES);
             node.name.len() + team + node.children.len() * size_of::<NodeIndex>()
@@ -84,26 +86,27 @@
         self.nodes.len() * node + names.sum::<usize>()
     }
 
-    /// What a node is entitled to at present.
+    /// The entitlement of a node, as of the last [`Entitlements::refresh`].
     pub fn entitled(&self, ix: NodeIndex) -> Amount {
         self.nodes[ix.index()].entitled
     }
 
-    /// What the teams below a node could use, within the limits.
+    /// What the teams below a node could use, within the limits. For inner nodes it is as of the last
+    /// [`Entitlements::refresh`].
     pub fn demand(&self, ix: NodeIndex) -> Amount {
         self.nodes[ix.index()].demand
     }
 
-    /// Sets what a leaf could use at the time `now`. A higher demand counts at once, a lower one
-    /// after it has been lower for the tree's hold time: a team whose jobs come one after the other
-    /// keeps its entitlement in between.
+    /// Sets what a leaf could use at the time `now`. A higher demand counts at once. A lower one
+    /// counts after it has been lower for the tree's hold time, so that a team that runs one job
+    /// after another keeps its entitlement in between.
     pub fn set_demand(&mut self, leaf: NodeIndex, amount: Amount, now: u64) {
         let hold = self.tree.hold_ms;
         let limit = self.tree.node(leaf).limit;
         let state = &mut self.nodes[leaf.index()];
         let amount = amount.capped(limit);
         let is_higher = amount.cpus >= state.demand.cpus && amount.gpus >= state.demand.gpus;
-        let counted = if is_higher {
+        let effective = if is_higher {
             state.lower_since = None;
             amount
         } else {
@@ -121,18 +124,18 @@
             state.lower_since = None;
             std::mem::take(&mut state.highest_since)
         };
-        if counted != state.demand {
-            state.demand = counted;
+        if effective != state.demand {
+            state.demand = effective;
             state.dirty = true;
         }
     }
 
-    /// Recomputes the entitlements where something changed. Returns the leaves that are entitled
+    /// Recomputes the entitlements where a demand changed. Returns the leaves that are entitled
     /// to more than before.
     pub fn refresh(&mut self) -> Vec<NodeIndex> {
         let tree = self.tree.clone();
         for ix in tree.node_indices().rev() {
-            self.sum_up(&tree, ix);
+            self.aggregate(&tree, ix);
         }
         let mut raised = Vec::new();
         for ix in tree.node_indices() {
@@ -141,8 +144,8 @@
         raised
     }
 
-    /// Recomputes a node's demand and floor from its children, whose own are up to date.
-    fn sum_up(&mut self, tree: &Tree, ix: NodeIndex) {
+    /// Recomputes a node's demand and floor from those of its children, which must be up to date.
+    fn aggregate(&mut self, tree: &Tree, ix: NodeIndex) {
         if !self.nodes[ix.index()].dirty {
             return;
         }
@@ -189,12 +192,12 @@
             weight: tree.node(*child).weight,
         };
         let claims: Vec<Claim> = node.children.iter().map(claim).collect();
-        let given = divide(
+        let allocations = divide(
             self.nodes[ix.index()].entitled,
             self.governed[ix.index()],
             &claims,
         );
-        for (child, amount) in node.children.iter().zip(given) {
+        for (child, amount) in node.children.iter().zip(allocations) {
             let state = &mut self.nodes[child.index()];
             let before = state.entitled;
             if before == amount {
@@ -216,25 +219,26 @@
         [0, 1].into_iter().filter(move |kind| governed[*kind])
     }
 
-    /// Whether work is within what a node is entitled to, rounded to the nearest task. Such work of
-    /// a team goes first, and may reclaim what others borrowed.
+    /// Whether a node stays within its entitlement, rounded to the nearest task, when the requested
+    /// work is added to its usage. Such work of a team has precedence, and may reclaim what others
+    /// borrowed.
     ///
-    /// A node that uses nothing may have one task that is larger than its whole entitlement, which
-    /// otherwise would never run.
+    /// A node that uses nothing may run one task that is larger than its whole entitlement, because
+    /// the task would otherwise never run.
     #[must_use]
     pub fn is_within_entitlement(
         &self,
         ix: NodeIndex,
         used: Amount,
-        wanted: ResourceRequest,
+        request: ResourceRequest,
     ) -> bool {
         let entitled = self.entitled(ix).to_array();
         let (used, total, task) = (
             used.to_array(),
-            wanted.total.to_array(),
-            wanted.task.to_array(),
+            request.total.to_array(),
+            request.task.to_array(),
         );
-        let is_single_task = wanted.total == wanted.task;
+        let is_single_task = request.total == request.task;
         let mut any_governed = false;
         let all_within = self
             .governed_kinds(ix)
@@ -249,9 +253,9 @@
         any_governed && all_within
     }
 
-    /// Whether a node is still at its entitlement, rounded to the nearest task, or beyond it after
-    /// one of its tasks is stopped. `conceded` is what it has to give up beyond that, for a task
-    /// that is larger than the whole entitlement of its team.
+    /// Whether a node still uses its entitlement, rounded to the nearest task, or more after one of
+    /// its tasks is stopped. `conceded` is added to its usage, so that the node gives up that much
+    /// more for a task that is larger than the whole entitlement of the reclaiming team.
     fn can_spare(&self, ix: NodeIndex, used: Amount, task: Amount, conceded: Amount) -> bool {
         let entitled = self.entitled(ix).to_array();
         let (used, task, conceded) = (used.to_array(), task.to_array(), conceded.to_array());
@@ -265,38 +269,40 @@
             })
     }
 
-    /// Whether a task of the leaf `from` may be stopped for work of the leaf `by`. `used` returns
-    /// what the teams below a node use at present.
+    /// Whether a task of the leaf `victim` may be preempted for work of the leaf `reclaimer`. `used`
+    /// returns what the teams below a node use at present.
     ///
-    /// Below the lowest common ancestor of both, the branch of `by` must be within its entitlement
-    /// and that of `from` beyond its own; so must the leaf `from` itself.
+    /// Below the lowest common ancestor of both, the branch of the reclaimer must be within its
+    /// entitlement, and that of the victim beyond its own; so must the victim itself.
     #[must_use]
     pub fn may_reclaim(
         &self,
-        from: NodeIndex,
+        victim: NodeIndex,
         task: Amount,
-        by: NodeIndex,
-        wanted: ResourceRequest,
+        reclaimer: NodeIndex,
+        request: ResourceRequest,
         used: impl Fn(NodeIndex) -> Amount,
     ) -> bool {
-        let conceded = if used(by).is_zero() && wanted.total == wanted.task {
-            wanted.task.minus(self.entitled(by))
+        let conceded = if used(reclaimer).is_zero() && request.total == request.task {
+            request.task.minus(self.entitled(reclaimer))
         } else {
             Amount::ZERO
         };
-        if !self.can_spare(from, used(from), task, conceded) {
+        if !self.can_spare(victim, used(victim), task, conceded) {
             return false;
         }
-        let Some((branch_of_by, branch_of_from)) = self.tree.branches(by, from) else {
+        let Some((reclaimer_branch, victim_branch)) =
+            self.tree.diverging_branches(reclaimer, victim)
+        else {
             return false;
         };
-        self.is_within_entitlement(branch_of_by, used(branch_of_by), wanted)
-            && (branch_of_from == from
-                || self.can_spare(branch_of_from, used(branch_of_from), task, conceded))
+        self.is_within_entitlement(reclaimer_branch, used(reclaimer_branch), request)
+            && (victim_branch == victim
+                || self.can_spare(victim_branch, used(victim_branch), task, conceded))
     }
 
-    /// How far a leaf with the usage `used` is beyond its entitlement, as a part of what its root is
-    /// guaranteed: the largest part of any kind of resource, at least 0.
+    /// How far the usage of a leaf exceeds its entitlement, as a fraction of the guarantee of its
+    /// root: the largest fraction of any governed kind of resource, at least 0.
     #[must_use]
     pub fn overuse(&self, leaf: NodeIndex, used: Amount) -> f64 {
         let root = self.tree.node(self.tree.root(leaf)).guarantee.to_array();
@@ -307,7 +313,7 @@
     }
 }
 
-/// The point on the way from `base` to `demand` that the guarantee reaches.
+/// The point on the line from `base` to `demand` up to which the guarantee suffices.
 fn guaranteed_part(base: Amount, demand: Amount, guarantee: Amount, governed: [bool; 2]) -> Amount {
     if guarantee.is_zero() {
         return base;
--- a/crates/hierarchical-quota/src/entitlements/tests.rs
+++ b/crates/hierarchical-quota/src/entitlements/tests.rs
@@ -10,7 +10,7 @@
     [node w1]\nparent = west\nteam = w1\ngpus = 12\n\
     [node w2]\nparent = west\nteam = w2\n";
 
-fn shares() -> Entitlements {
+fn new_entitlements() -> Entitlements {
     let spec = TreeSpec::parse("f", TREE).unwrap();
     Entitlements::new(Arc::new(spec.build("f", &[]).unwrap().0))
 }
@@ -19,23 +19,27 @@
     Amount::new(0.0, gpus)
 }
 
-fn leaf(shares: &Entitlements, team: &str) -> NodeIndex {
-    shares.tree.leaf(team).unwrap()
+fn leaf(entitlements: &Entitlements, team: &str) -> NodeIndex {
+    entitlements.tree.leaf(team).unwrap()
 }
 
-fn set(shares: &mut Entitlements, demands: &[(&str, f64)], now: u64) {
+fn set(entitlements: &mut Entitlements, demands: &[(&str, f64)], now: u64) {
     for (team, demand) in demands {
-        let leaf = leaf(shares, team);
-        shares.set_demand(leaf, gpus(*demand), now);
+        let leaf = leaf(entitlements, team);
+        entitlements.set_demand(leaf, gpus(*demand), now);
     }
-    shares.refresh();
+    entitlements.refresh();
 }
 
 #[test]
 fn unused_share_is_lent_and_returned_on_demand() {
     type Case<'a> = (&'a str, &'a [(&'a str, f64)], &'a [(&'a str, f64)]);
     let cases: &[Case] = &[
-        ("alone, a team has all", &[("e1", 99.0)], &[("e1", 32.0)]),
+        (
+            "a team without competition has all",
+            &[("e1", 99.0)],
+            &[("e1", 32.0)],
+        ),
         (
             "a sibling takes its own share back, by weight beyond guarantees",
             &[("e1", 99.0), ("e2", 99.0)],
@@ -59,22 +63,22 @@
         ),
     ];
     for (name, demands, expected) in cases {
-        let mut shares = shares();
-        set(&mut shares, demands, 0);
+        let mut entitlements = new_entitlements();
+        set(&mut entitlements, demands, 0);
         for (team, amount) in *expected {
-            let got = shares.entitled(leaf(&shares, team)).gpus;
+            let got = entitlements.entitled(leaf(&entitlements, team)).gpus;
             assert!((got - amount).abs() < 1e-6, "{name}: {team} has {got}");
         }
     }
 }
 
-/// A borrower that runs one job after another has no demand in between. Without the hold time its
-/// share was lost and regained with each job.
+/// A borrower that runs one job after another has no demand in between. Without the hold time it
+/// lost and regained its share with each job.
 #[test]
 fn falling_demand_counts_until_the_hold_time_is_over() {
-    let mut shares = shares();
-    let (e1, w1) = (leaf(&shares, "e1"), leaf(&shares, "w1"));
-    set(&mut shares, &[("e1", 32.0), ("w1", 32.0)], 0);
+    let mut entitlements = new_entitlements();
+    let (e1, w1) = (leaf(&entitlements, "e1"), leaf(&entitlements, "w1"));
+    set(&mut entitlements, &[("e1", 32.0), ("w1", 32.0)], 0);
     let steps = [
         // time, demand of e1, entitlement of w1
         (1_000, 0.0, 16.0),
@@ -85,11 +89,11 @@
         (9_100, 32.0, 16.0),
     ];
     for (now, demand, expected) in steps {
-        set(&mut shares, &[("e1", demand)], now);
-        let got = shares.entitled(w1).gpus;
+        set(&mut entitlements, &[("e1", demand)], now);
+        let got = entitlements.entitled(w1).gpus;
         assert!((got - expected).abs() < 1e-6, "{got} at {now}");
     }
-    assert_eq!(shares.demand(e1).gpus, 32.0);
+    assert_eq!(entitlements.demand(e1).gpus, 32.0);
 }
 
 #[test]
@@ -98,7 +102,7 @@
         total: gpus(1.0),
         task: gpus(1.0),
     };
-    let of = |total: f64, task: f64| ResourceRequest {
+    let resource_request = |total: f64, task: f64| ResourceRequest {
         total: gpus(total),
         task: gpus(task),
     };
@@ -123,7 +127,15 @@
             one,
             true,
         ),
-        ("a borrower beside it", all, "e1", 1.0, "e2", one, true),
+        (
+            "a borrower in the same member",
+            all,
+            "e1",
+            1.0,
+            "e2",
+            one,
+            true,
+        ),
         (
             "not from one within its share",
             all,
@@ -148,12 +160,12 @@
             "e1",
             4.0,
             "w1",
-            of(8.0, 4.0),
+            resource_request(8.0, 4.0),
             false,
         ),
         // w2 exceeds its share of 4 but its member does not: only w1 may reclaim from it.
         (
-            "beside it, over inside its member",
+            "a sibling over its share inside a member that is within its own",
             all,
             "w2",
             1.0,
@@ -179,14 +191,22 @@
             one,
             false,
         ),
-        ("a whole gang", all, "w2", 4.0, "w1", of(8.0, 4.0), true),
+        (
+            "a whole gang",
+            all,
+            "w2",
+            4.0,
+            "w1",
+            resource_request(8.0, 4.0),
+            true,
+        ),
         (
             "not a gang that is too large",
             all,
             "w2",
             4.0,
             "w1",
-            of(12.0, 4.0),
+            resource_request(12.0, 4.0),
             false,
         ),
         (
@@ -195,20 +215,20 @@
             "e1",
             1.0,
             "e2",
-            of(16.0, 16.0),
+            resource_request(16.0, 16.0),
             true,
         ),
         (
-            "but not two of them",
+            "not a second task larger than the share",
             &[("e1", 20.0), ("e2", 1.0)],
             "e1",
             1.0,
             "e2",
-            of(16.0, 16.0),
+            resource_request(16.0, 16.0),
             false,
         ),
         (
-            "nor is a team's only task stopped for it",
+            "not the only task of a team",
             &[("w2", 16.0)],
             "w2",
             16.0,
@@ -217,19 +237,19 @@
             false,
         ),
     ];
-    for (name, uses, from, task, by, wanted, allowed) in cases {
-        let mut shares = shares();
+    for (name, uses, victim, task, reclaimer, request, allowed) in cases {
+        let mut entitlements = new_entitlements();
         let demands = [("e1", 99.0), ("e2", 8.0), ("w1", 99.0), ("w2", 99.0)];
-        set(&mut shares, &demands, 0);
+        set(&mut entitlements, &demands, 0);
         let used = |ix: NodeIndex| {
             let team = |(team, _): &&(&str, f64)| {
-                let leaf = leaf(&shares, team);
-                shares.tree.path(leaf).any(|at| at == ix)
+                let leaf = leaf(&entitlements, team);
+                entitlements.tree.path(leaf).any(|at| at == ix)
             };
             gpus(uses.iter().filter(team).map(|(_, used)| used).sum())
         };
-        let (from, by) = (leaf(&shares, from), leaf(&shares, by));
-        let got = shares.may_reclaim(from, gpus(*task), by, *wanted, used);
+        let (victim, reclaimer) = (leaf(&entitlements, victim), leaf(&entitlements, reclaimer));
+        let got = entitlements.may_reclaim(victim, gpus(*task), reclaimer, *request, used);
         assert_eq!(got, *allowed, "{name}");
     }
 }
--- a/crates/hierarchical-quota/src/lib.rs
+++ b/crates/hierarchical-quota/src/lib.rs
@@ -1,9 +1,11 @@
-//! Nested quotas: a tree of organisations, members and teams, each with a guarantee, a limit and a
-//! weight. What a node leaves unused is lent to the others and reclaimed when it is needed again.
+//! Hierarchical quotas: a tree of organisations, members and teams, each with a guarantee, a limit
+//! and a weight. What a node leaves unused is lent to the others and reclaimed when it is needed
+//! again.
 //!
-//! - `tree`: the tree as an operator writes it, and as it is checked,
+//! - `tree`: the operator's file, its validation, and the traversal of the validated tree,
 //! - `divide`: how a node's entitlement is divided among its children,
-//! - `entitlements`: what each node is entitled to at present, and which teams may reclaim from which.
+//! - `entitlements`: what each node is entitled to at present, and which teams may reclaim
+//!   capacity from which.
 //!
 //! All of these are pure functions of their input: no I/O, no clock, no randomness. Controllers
 //! with the same tree and demands come to the same decisions.
--- a/crates/hierarchical-quota/src/tree/build.rs
+++ b/crates/hierarchical-quota/src/tree/build.rs
@@ -1,4 +1,4 @@
-//! Building a checked [`Tree`] from what an operator wrote and the platform's teams.
+//! Builds a validated [`Tree`] from an operator's [`TreeSpec`] and the platform's teams.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,27 +7,28 @@
 };
 use crate::amount::{Amount, TOLERANCE};
 
-/// The most levels below a root. A deeper tree is a mistake.
+/// Maximum number of levels below a root. A deeper tree is rejected as a mistake.
 const MAX_DEPTH: usize = 16;
 
 impl TreeSpec {
-    /// Builds the tree and checks it against itself and the platform's teams. The file's name is
-    /// for errors only.
+    /// Builds the tree, and validates it in itself and against the platform's teams. The file's
+    /// name is for errors only.
     ///
     /// # Errors
     ///
     /// If a parent does not exist, the nodes form a cycle or are too deep, a team has two leaves, a
-    /// leaf has no team, or guarantees and limits contradict each other or the platform's.
+    /// leaf has no team, or guarantees and limits contradict each other or those of the platform.
     pub fn build(
         &self,
         file: &str,
         platform: &[PlatformTeam],
     ) -> Result<(Tree, Vec<TreeNote>), TreeError> {
-        self.builder(file, Contradictions::Reject).build(platform)
+        self.builder(file, ConflictPolicy::Reject).build(platform)
     }
 
-    /// Builds a tree that was checked when it was written, against a platform that may have changed
-    /// since: where the two contradict each other, the platform's guarantees and limits apply.
+    /// Builds a tree that was validated when it was written, against a platform whose settings may
+    /// have changed since. Where the two contradict each other, the platform's guarantees and
+    /// limits apply.
     ///
     /// # Errors
     ///
@@ -37,33 +38,33 @@
         file: &str,
         platform: &[PlatformTeam],
     ) -> Result<Tree, TreeError> {
-        let builder = self.builder(file, Contradictions::Resolve);
+        let builder = self.builder(file, ConflictPolicy::Resolve);
         builder.build(platform).map(|(tree, _)| tree)
     }
 
-    fn builder<'a>(&'a self, file: &'a str, contradictions: Contradictions) -> Builder<'a> {
+    fn builder<'a>(&'a self, file: &'a str, conflicts: ConflictPolicy) -> Builder<'a> {
         Builder {
             file,
             spec: self,
-            contradictions,
+            conflicts,
         }
     }
 }
 
 /// What to do if guarantees and limits contradict each other.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Contradictions {
+enum ConflictPolicy {
     /// Refuse the tree.
     Reject,
-    /// Let the platform's values apply, and raise the guarantees above them as needed.
+    /// Apply the platform's values, and raise the guarantees of ancestors as needed.
     Resolve,
 }
 
-/// Builds one tree.
+/// The inputs of building one tree.
 struct Builder<'a> {
     file: &'a str,
     spec: &'a TreeSpec,
-    contradictions: Contradictions,
+    conflicts: ConflictPolicy,
 }
 
 /// A node of the spec and its depth in the tree.
@@ -74,7 +75,7 @@
 }
 
 impl Builder<'_> {
-    fn problem(&self, node: &str, key: &str, reason: TreeProblem) -> TreeError {
+    fn node_error(&self, node: &str, key: &str, reason: TreeProblem) -> TreeError {
         TreeError {
             file: self.file.into(),
             field: format!("[node {node}] {key}"),
@@ -85,7 +86,7 @@
     fn build(&self, platform: &[PlatformTeam]) -> Result<(Tree, Vec<TreeNote>), TreeError> {
         let teams: BTreeMap<&str, &PlatformTeam> = platform
             .iter()
-            .map(|outer| (outer.team.as_str(), outer))
+            .map(|platform_team| (platform_team.team.as_str(), platform_team))
             .collect();
         let mut tree = Tree {
             revision: self.spec.revision,
@@ -108,18 +109,21 @@
             }
             indices.insert(&spec.name, ix);
         }
-        // Children come before their parents, so their guarantees are known.
+        // In reverse order children precede their parents, so the guarantees of children are final.
         for index in (0..tree.nodes.len()).rev() {
             self.check_node(&mut tree, index)?;
         }
-        let outside = platform
+        let not_in_tree = platform
             .iter()
-            .filter(|outer| !tree.leaves.contains_key(&outer.team));
-        notes.extend(outside.map(|outer| TreeNote::TeamOutside(outer.team.clone())));
+            .filter(|platform_team| !tree.leaves.contains_key(&platform_team.team));
+        notes.extend(
+            not_in_tree.map(|platform_team| TreeNote::TeamNotInTree(platform_team.team.clone())),
+        );
         Ok((tree, notes))
     }
 
-    /// The nodes with their depths, parents before children, in the order of the file among equals.
+    /// The nodes with their depths, parents before children, and in the order of the file within a
+    /// depth.
     fn parents_first(&self) -> Result<Vec<PlacedSpec>, TreeError> {
         let nodes = &self.spec.nodes;
         let by_name: HashMap<&str, usize> = nodes
@@ -136,25 +140,25 @@
         Ok(order)
     }
 
-    /// The number of nodes above a node.
+    /// The number of ancestors of a node.
     fn depth_of(&self, index: usize, by_name: &HashMap<&str, usize>) -> Result<u32, TreeError> {
         let nodes = &self.spec.nodes;
         let node = &nodes[index];
-        let (mut depth, mut at, mut above) = (0, node, vec![index]);
+        let (mut depth, mut at, mut visited) = (0, node, vec![index]);
         while let Some(parent) = &at.parent {
             let Some(next) = by_name.get(parent.as_str()) else {
                 let reason = TreeProblem::UnknownParent(parent.clone());
-                return Err(self.problem(&at.name, "parent", reason));
+                return Err(self.node_error(&at.name, "parent", reason));
             };
             depth += 1;
             at = &nodes[*next];
-            if above.contains(next) {
-                return Err(self.problem(&at.name, "parent", TreeProblem::Cycle));
+            if visited.contains(next) {
+                return Err(self.node_error(&at.name, "parent", TreeProblem::Cycle));
             }
-            above.push(*next);
+            visited.push(*next);
             if depth as usize > MAX_DEPTH {
                 let reason = TreeProblem::TooDeep(MAX_DEPTH);
-                return Err(self.problem(&node.name, "parent", reason));
+                return Err(self.node_error(&node.name, "parent", reason));
             }
         }
         Ok(depth)
@@ -171,22 +175,22 @@
     ) -> Result<NodeIndex, TreeError> {
         let ix = NodeIndex(tree.nodes.len() as u32);
         if let Some(parent) = parent {
-            let above = &mut tree.nodes[parent.index()];
-            if above.team.is_some() {
-                let reason = TreeProblem::ParentIsLeaf(above.name.clone());
-                return Err(self.problem(&spec.name, "parent", reason));
+            let parent_node = &mut tree.nodes[parent.index()];
+            if parent_node.team.is_some() {
+                let reason = TreeProblem::ParentIsLeaf(parent_node.name.clone());
+                return Err(self.node_error(&spec.name, "parent", reason));
             }
-            above.children.push(ix);
+            parent_node.children.push(ix);
         }
         let (mut guarantee, mut limit) = (spec.guarantee, spec.limit);
         if let Some(team) = &spec.team {
             if tree.leaves.insert(team.clone(), ix).is_some() {
                 let reason = TreeProblem::DuplicateTeam(team.clone());
-                return Err(self.problem(&spec.name, "team", reason));
+                return Err(self.node_error(&spec.name, "team", reason));
             }
-            if let Some(outer) = teams.get(team.as_str()) {
-                guarantee = self.leaf_guarantee(spec, outer)?;
-                limit = limit.tighter(outer.limit);
+            if let Some(platform_team) = teams.get(team.as_str()) {
+                guarantee = self.leaf_guarantee(spec, platform_team)?;
+                limit = limit.tighter(platform_team.limit);
             }
         }
         tree.nodes.push(Node {
@@ -203,12 +207,17 @@
         Ok(ix)
     }
 
-    /// A leaf's guarantee is the platform's unless the file states more.
-    fn leaf_guarantee(&self, spec: &NodeSpec, outer: &PlatformTeam) -> Result<Amount, TreeError> {
-        let (stated, platform, limit) = (spec.guarantee, outer.guarantee, outer.limit);
+    /// The guarantee of a leaf: the platform's, unless the file states more.
+    fn leaf_guarantee(
+        &self,
+        spec: &NodeSpec,
+        platform_team: &PlatformTeam,
+    ) -> Result<Amount, TreeError> {
+        let (stated, platform, limit) =
+            (spec.guarantee, platform_team.guarantee, platform_team.limit);
         let guarantee = |key: &str, stated: f64, platform: f64, limit: f64| {
             self.leaf_guarantee_of(stated, platform, limit)
-                .map_err(|reason| self.problem(&spec.name, key, reason))
+                .map_err(|reason| self.node_error(&spec.name, key, reason))
         };
         Ok(Amount {
             cpus: guarantee("cpus", stated.cpus, platform.cpus, limit.cpus)?,
@@ -216,15 +225,15 @@
         })
     }
 
-    /// The same for one kind of resource, of which the file states `stated`, the platform
-    /// guarantees `platform`, and allows `limit` at most; 0 means none.
+    /// A leaf's guarantee for one kind of resource, of which the file states `stated`, and the
+    /// platform guarantees `platform` and allows `limit` at most; 0 means none.
     fn leaf_guarantee_of(
         &self,
         stated: f64,
         platform: f64,
         limit: f64,
     ) -> Result<f64, TreeProblem> {
-        if self.contradictions == Contradictions::Resolve {
+        if self.conflicts == ConflictPolicy::Resolve {
             let larger = stated.max(platform);
             return Ok(if limit > 0.0 {
                 larger.min(limit)
@@ -241,11 +250,11 @@
         Ok(if stated > 0.0 { stated } else { platform })
     }
 
-    /// Checks a node against its children, and raises its guarantee to theirs if it has none.
+    /// Checks a node against its children. A node without a guarantee gets the sum of theirs.
     fn check_node(&self, tree: &mut Tree, index: usize) -> Result<(), TreeError> {
         let node = &tree.nodes[index];
         if node.children.is_empty() && node.team.is_none() {
-            return Err(self.problem(&node.name, "team", TreeProblem::LeafWithoutTeam));
+            return Err(self.node_error(&node.name, "team", TreeProblem::LeafWithoutTeam));
         }
         let guarantee = self.node_guarantee(tree, node)?;
         for child in &node.children {
@@ -268,7 +277,8 @@
         })
     }
 
-    /// The guarantee of a node for one kind of resource: its own, or that of its children.
+    /// The guarantee of a node for one kind of resource: its own, or the sum of its children's if it
+    /// states none.
     fn node_guarantee_of(
         &self,
         node: &Node,
@@ -278,7 +288,7 @@
         limit: f64,
     ) -> Result<f64, TreeError> {
         let guarantee = if own == 0.0 { children } else { own };
-        if self.contradictions == Contradictions::Resolve {
+        if self.conflicts == ConflictPolicy::Resolve {
             return Ok(guarantee.max(children));
         }
         if children > guarantee + TOLERANCE {
@@ -286,11 +296,11 @@
                 guarantee,
                 children,
             };
-            return Err(self.problem(&node.name, key, reason));
+            return Err(self.node_error(&node.name, key, reason));
         }
         if limit > 0.0 && guarantee > limit + TOLERANCE {
             let reason = TreeProblem::LimitBelowGuarantee { limit, guarantee };
-            return Err(self.problem(&node.name, &format!("{key}_max"), reason));
+            return Err(self.node_error(&node.name, &format!("{key}_max"), reason));
         }
         Ok(guarantee)
     }
@@ -307,7 +317,7 @@
                     parent_limit,
                     parent: node.name.clone(),
                 };
-                return Err(self.problem(&child.name, key, reason));
+                return Err(self.node_error(&child.name, key, reason));
             }
         }
         Ok(())
--- a/crates/hierarchical-quota/src/tree/error.rs
+++ b/crates/hierarchical-quota/src/tree/error.rs
@@ -1,6 +1,6 @@
 //! Errors of reading and checking a quota tree.
 
-/// A quota tree that can't be used: which file, which field, and why.
+/// Why a quota tree can't be used, with the file and the field at fault.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}: {field}: {reason}")]
 pub struct TreeError {
@@ -15,7 +15,7 @@
 /// What is wrong with a field of a quota tree.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TreeProblem {
-    /// The text is not INI, or the stored record is not JSON. The parser's own message.
+    /// The text is not INI, or the stored record is not JSON; with the message of the parser.
     #[error("{0}")]
     Syntax(String),
     /// A section or a key occurs more than once.
@@ -30,7 +30,7 @@
     /// The value is not a number.
     #[error("must be a number")]
     NotANumber,
-    /// The number is outside of what is allowed.
+    /// The number is outside the allowed range.
     #[error("must lie between {min} and {max}")]
     OutOfRange {
         /// The smallest number allowed.
@@ -47,7 +47,7 @@
     /// The value is empty.
     #[error("must not be empty")]
     Empty,
-    /// The tree has no revision, or 0.
+    /// The revision is missing or 0.
     #[error("must be there, at least 1, and rise with every change")]
     MissingRevision,
     /// An enabled tree has no nodes.
@@ -71,7 +71,7 @@
     /// A node without children names no team.
     #[error("a node without children must name its team")]
     LeafWithoutTeam,
-    /// The platform guarantees the team this amount, which is more than the tree does.
+    /// The platform guarantees the team this amount, which is more than the tree guarantees it.
     #[error("the platform guarantees the team {0}, which is more")]
     BelowPlatformGuarantee(f64),
     /// The platform limits the team to this amount, which is less than the tree guarantees.
@@ -103,7 +103,7 @@
         /// The parent's name.
         parent: String,
     },
-    /// The stored nodes do not have the hash that their head record names.
-    #[error("the pages are not those that were written")]
+    /// The stored nodes do not match the hash in their head record.
+    #[error("the stored pages do not match the hash in the head record")]
     HashMismatch,
 }
--- a/crates/hierarchical-quota/src/tree/mod.rs
+++ b/crates/hierarchical-quota/src/tree/mod.rs
@@ -1,7 +1,7 @@
-//! The checked tree of quotas, and its traversal.
+//! The validated quota tree and its traversal.
 //!
-//! An operator's file is read into a [`TreeSpec`], and built into a [`Tree`] that is consistent
-//! with itself and with the platform's teams.
+//! An operator's file is parsed into a [`TreeSpec`], from which a [`Tree`] is built that is
+//! consistent in itself and with the platform's teams.
 
 mod build;
 mod error;
@@ -19,46 +19,47 @@
 pub struct NodeIndex(pub u32);
 
 impl NodeIndex {
-    /// Its position in [`Tree::nodes`].
+    /// The position in [`Tree::nodes`].
     pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// A node of a checked tree.
+/// A node of a validated tree.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name, unique in the tree.
+    /// The name, unique in the tree.
     pub name: String,
-    /// The node above it; a root has none.
+    /// The parent node; a root has none.
     pub parent: Option<NodeIndex>,
-    /// The nodes below it, in the order of the file.
+    /// The direct children, in the order of the file.
     pub children: Vec<NodeIndex>,
-    /// The platform's team that a leaf represents.
+    /// The platform's team that the node represents, if it is a leaf.
     pub team: Option<String>,
-    /// What it is guaranteed: for a leaf at least what the platform guarantees its team, for others
-    /// at least the sum of the children's.
+    /// The guaranteed amount: for a leaf at least what the platform guarantees its team, for other
+    /// nodes at least the sum of the children's guarantees.
     pub guarantee: Amount,
-    /// What it may use at most, for a leaf also by the platform's limit; 0 means no limit.
+    /// The most that the node may use; for a leaf, the platform's limit applies too. 0 means no
+    /// limit.
     pub limit: Amount,
-    /// The limit by the tree alone, without the platform's; 0 means no limit.
+    /// The limit that the tree states, without the platform's; 0 means no limit.
     pub own_limit: Amount,
-    /// Its weight among its siblings.
+    /// The weight among its siblings when surplus is divided.
     pub weight: f64,
-    /// Number of nodes above it.
+    /// Number of ancestors.
     pub depth: u32,
 }
 
-/// A checked tree, or several beside each other.
+/// A validated tree. It may have several roots; entitlements are divided within each root separately.
 #[derive(Clone, Debug, Default)]
 pub struct Tree {
-    /// Of two trees the one with the higher revision is active.
+    /// Of two trees, the one with the higher revision is in force.
     pub revision: u64,
-    /// How long demand that falls still counts, in milliseconds.
+    /// How long the previous demand of a team still counts after its demand falls, in milliseconds.
     pub hold_ms: u64,
     /// All nodes; parents come before their children.
     pub nodes: Vec<Node>,
-    /// The leaves by the team that they stand for.
+    /// The leaves by the team that they represent.
     leaves: HashMap<String, NodeIndex>,
 }
 
@@ -68,17 +69,17 @@
         &self.nodes[ix.index()]
     }
 
-    /// The leaf that represents a team.
+    /// The leaf that represents a team; `None` if the team is not in the tree.
     pub fn leaf(&self, team: &str) -> Option<NodeIndex> {
         self.leaves.get(team).copied()
     }
 
-    /// All nodes, parents before their children.
+    /// The indices of all nodes, parents before their children.
     pub fn node_indices(&self) -> impl DoubleEndedIterator<Item = NodeIndex> + use<> {
         (0..self.nodes.len() as u32).map(NodeIndex)
     }
 
-    /// A node, its parent, and so on up to its root.
+    /// A node and its ancestors, from the node up to its root.
     pub fn path(&self, ix: NodeIndex) -> impl Iterator<Item = NodeIndex> + '_ {
         std::iter::successors(Some(ix), |at| self.node(*at).parent)
     }
@@ -88,9 +89,9 @@
         self.path(ix).last().unwrap_or(ix)
     }
 
-    /// The children of the lowest common ancestor of two nodes that are on the ways to them, or
-    /// the roots above them if they have no common ancestor. `None`: one is above the other.
-    pub fn branches(&self, a: NodeIndex, b: NodeIndex) -> Option<(NodeIndex, NodeIndex)> {
+    /// The children of the lowest common ancestor of two nodes that lead to them, or their roots if
+    /// they have no common ancestor. `None` if one node is the other or an ancestor of it.
+    pub fn diverging_branches(&self, a: NodeIndex, b: NodeIndex) -> Option<(NodeIndex, NodeIndex)> {
         let (mut a, mut b) = (a, b);
         while self.node(a).depth > self.node(b).depth {
             a = self.node(a).parent?;
--- a/crates/hierarchical-quota/src/tree/parse.rs
+++ b/crates/hierarchical-quota/src/tree/parse.rs
@@ -1,5 +1,5 @@
-//! Reading a tree from the operator's INI file: a `[tree]` section and a `[node NAME]` for each
-//! node.
+//! Parses a tree from the operator's INI file, which has a `[tree]` section and a `[node NAME]`
+//! section for each node.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,17 @@
 
 use super::{NodeSpec, TreeError, TreeProblem, TreeSpec};
 
-/// CPUs or GPUs beyond this are mistakes.
+/// Upper bound of an amount of CPUs or GPUs. Larger ones are rejected as mistakes.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// The longest hold time, in seconds. A longer one is a mistake: unused quota would hardly be lent.
+/// Upper bound of the hold time, in seconds. A longer one is rejected as a mistake, because unused
+/// quota would hardly be lent.
 const MAX_HOLD_S: f64 = 600.0;
 
-/// The hold time if the file names none, in seconds.
+/// The hold time if the file states none, in seconds.
 const DEFAULT_HOLD_S: f64 = 5.0;
 
-/// Weights outside of this range are mistakes.
+/// The allowed weights. Weights outside this range are rejected as mistakes.
 const WEIGHT_RANGE: (f64, f64) = (1e-3, 1e6);
 
 impl TreeSpec {
@@ -29,7 +30,7 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, TreeError> {
         let ini = Ini::load_from_str(text).map_err(|error| {
             let reason = TreeProblem::Syntax(error.to_string());
-            problem(file, "file", reason)
+            tree_error(file, "file", reason)
         })?;
         let mut parser = Parser::new(file);
         for (section, entries) in ini.iter() {
@@ -39,7 +40,7 @@
     }
 }
 
-fn problem(file: &str, field: &str, reason: TreeProblem) -> TreeError {
+fn tree_error(file: &str, field: &str, reason: TreeProblem) -> TreeError {
     TreeError {
         file: file.into(),
         field: field.into(),
@@ -47,7 +48,7 @@
     }
 }
 
-/// A tree that is being read.
+/// The state of parsing one file.
 struct Parser<'a> {
     file: &'a str,
     spec: TreeSpec,
@@ -79,13 +80,13 @@
             Some(("node", name)) if !name.trim().is_empty() => {
                 self.read_node(section, name.trim(), entries)
             }
-            _ => Err(self.section_problem(section, TreeProblem::UnknownSection)),
+            _ => Err(self.section_error(section, TreeProblem::UnknownSection)),
         }
     }
 
     fn read_tree(&mut self, section: &str, entries: &Properties) -> Result<(), TreeError> {
         if std::mem::replace(&mut self.has_tree_section, true) {
-            return Err(self.section_problem(section, TreeProblem::Duplicate));
+            return Err(self.section_error(section, TreeProblem::Duplicate));
         }
         for entry in self.entries(section, entries) {
             self.spec.set(&entry?)?;
@@ -104,13 +105,13 @@
             node.set(&entry?)?;
         }
         if !self.node_names.insert(node.name.clone()) {
-            return Err(self.section_problem(section, TreeProblem::Duplicate));
+            return Err(self.section_error(section, TreeProblem::Duplicate));
         }
         self.spec.nodes.push(node);
         Ok(())
     }
 
-    /// The entries of a section; an error for each repeated key.
+    /// The entries of a section, with an error in place of each repeated key.
     fn entries<'e>(
         &self,
         section: &'e str,
@@ -131,28 +132,28 @@
             if seen.insert(key) {
                 Ok(entry)
             } else {
-                Err(entry.problem(TreeProblem::Duplicate))
+                Err(entry.error(TreeProblem::Duplicate))
             }
         })
     }
 
-    fn section_problem(&self, section: &str, reason: TreeProblem) -> TreeError {
-        problem(self.file, &format!("[{section}]"), reason)
+    fn section_error(&self, section: &str, reason: TreeProblem) -> TreeError {
+        tree_error(self.file, &format!("[{section}]"), reason)
     }
 
     fn finish(self) -> Result<TreeSpec, TreeError> {
         if self.spec.revision == 0 {
             let reason = TreeProblem::MissingRevision;
-            return Err(problem(self.file, "[tree] revision", reason));
+            return Err(tree_error(self.file, "[tree] revision", reason));
         }
         if self.spec.nodes.is_empty() && self.spec.enabled {
-            return Err(problem(self.file, "[node ...]", TreeProblem::NoNodes));
+            return Err(tree_error(self.file, "[node ...]", TreeProblem::NoNodes));
         }
         Ok(self.spec)
     }
 }
 
-/// One line of a section.
+/// A key and its value in a section.
 struct Entry<'a> {
     file: &'a str,
     section: &'a str,
@@ -161,16 +162,16 @@
 }
 
 impl Entry<'_> {
-    fn problem(&self, reason: TreeProblem) -> TreeError {
+    fn error(&self, reason: TreeProblem) -> TreeError {
         let field = format!("[{}] {}", self.section, self.key);
-        problem(self.file, &field, reason)
+        tree_error(self.file, &field, reason)
     }
 
     fn number(&self, min: f64, max: f64) -> Result<f64, TreeError> {
         match self.text.parse::<f64>() {
             Ok(value) if (min..=max).contains(&value) => Ok(value),
-            Ok(_) => Err(self.problem(TreeProblem::OutOfRange { min, max })),
-            Err(_) => Err(self.problem(TreeProblem::NotANumber)),
+            Ok(_) => Err(self.error(TreeProblem::OutOfRange { min, max })),
+            Err(_) => Err(self.error(TreeProblem::NotANumber)),
         }
     }
 
@@ -181,20 +182,20 @@
 
     fn integer(&self) -> Result<u64, TreeError> {
         let parsed = self.text.parse();
-        parsed.map_err(|_| self.problem(TreeProblem::NotAnInteger))
+        parsed.map_err(|_| self.error(TreeProblem::NotAnInteger))
     }
 
     fn boolean(&self) -> Result<bool, TreeError> {
         match self.text {
             "yes" => Ok(true),
             "no" => Ok(false),
-            _ => Err(self.problem(TreeProblem::NotABoolean)),
+            _ => Err(self.error(TreeProblem::NotABoolean)),
         }
     }
 
     fn name(&self) -> Result<String, TreeError> {
         match self.text {
-            "" => Err(self.problem(TreeProblem::Empty)),
+            "" => Err(self.error(TreeProblem::Empty)),
             text => Ok(text.to_string()),
         }
     }
@@ -206,7 +207,7 @@
             "revision" => self.revision = entry.integer()?,
             "enabled" => self.enabled = entry.boolean()?,
             "hold_s" => self.hold_s = entry.number(0.0, MAX_HOLD_S)?,
-            _ => return Err(entry.problem(TreeProblem::UnknownKey)),
+            _ => return Err(entry.error(TreeProblem::UnknownKey)),
         }
         Ok(())
     }
@@ -222,7 +223,7 @@
             "cpus_max" => self.limit.cpus = entry.amount()?,
             "gpus_max" => self.limit.gpus = entry.amount()?,
             "weight" => self.weight = entry.number(WEIGHT_RANGE.0, WEIGHT_RANGE.1)?,
-            _ => return Err(entry.problem(TreeProblem::UnknownKey)),
+            _ => return Err(entry.error(TreeProblem::UnknownKey)),
         }
         Ok(())
     }
--- a/crates/hierarchical-quota/src/tree/spec.rs
+++ b/crates/hierarchical-quota/src/tree/spec.rs
@@ -1,4 +1,4 @@
-//! The tree as an operator wrote it, before it is checked.
+//! The tree as an operator wrote it, before validation.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,35 +7,35 @@
 /// A team of the platform, with its own guarantee and limit.
 #[derive(Clone, Debug)]
 pub struct PlatformTeam {
-    /// The team's name.
+    /// The team's name, by which leaves refer to it.
     pub team: String,
-    /// What the platform guarantees it.
+    /// What the platform guarantees the team.
     pub guarantee: Amount,
-    /// What the platform allows it at most; 0 means no limit.
+    /// The most that the platform allows the team; 0 means no limit.
     pub limit: Amount,
 }
 
-/// One node as it was written. The stored form, whose JSON is hashed.
+/// One node as it was written. This is also the stored form, whose JSON is hashed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSpec {
-    /// Its name, unique in the tree.
+    /// The name, unique in the tree.
     pub name: String,
-    /// The name of the node above it; a root has none.
+    /// The name of the parent node; a root has none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     /// The platform's team that this leaf represents.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// What it is guaranteed; 0 means what its children, or its team, are guaranteed.
+    /// The guaranteed amount; 0 means what the children, or the team of a leaf, are guaranteed.
     pub guarantee: Amount,
-    /// What it may use at most; 0 means no limit.
+    /// The most that the node may use; 0 means no limit.
     pub limit: Amount,
-    /// Its weight among its siblings.
+    /// The weight among its siblings when surplus is divided.
     pub weight: f64,
 }
 
 impl NodeSpec {
-    /// A root of this name without guarantee and limit.
+    /// A root without guarantee and limit, with weight 1.
     pub(super) fn named(name: &str) -> Self {
         Self {
             name: name.into(),
@@ -51,30 +51,31 @@
 /// A tree as it was written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TreeSpec {
-    /// Of two trees the one with the higher revision is active.
+    /// Of two trees, the one with the higher revision is in force.
     pub revision: u64,
-    /// How long demand that falls still counts, in seconds, so that entitlements do not oscillate.
+    /// How long the previous demand of a team still counts after its demand falls, in seconds, so
+    /// that entitlements do not oscillate.
     pub hold_s: f64,
-    /// If not, quotas are flat, as if there were no tree.
+    /// Whether the tree is in force. If not, quotas are flat, as if there were no tree.
     pub enabled: bool,
     /// The nodes, in the order of the file.
     pub nodes: Vec<NodeSpec>,
 }
 
-/// What an operator should know of a tree that is valid.
+/// A warning about a valid tree.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TreeNote {
-    /// The platform has this team and the tree does not: it keeps its flat quota.
-    TeamOutside(String),
+    /// The platform has this team and the tree does not, so the team keeps its flat quota.
+    TeamNotInTree(String),
     /// A leaf (the first name) represents a team (the second) that the platform does not have.
-    /// Nothing can use its guarantee, so it is lent.
+    /// Nothing can use the leaf's guarantee, so it is lent.
     LeafWithoutTeam(String, String),
 }
 
 impl std::fmt::Display for TreeNote {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            TreeNote::TeamOutside(team) => {
+            TreeNote::TeamNotInTree(team) => {
                 write!(f, "team {team} is not in the tree and keeps its flat quota")
             }
             TreeNote::LeafWithoutTeam(node, team) => write!(
