--- a/src/quota/hierarchical/active.rs
+++ b/src/quota/hierarchical/active.rs
@@ -60,7 +60,7 @@
             enabled: true,
             nodes,
         };
-        let tree = spec.adopt(TREE_HEAD_KEY, &platform_teams(teams))?;
+        let tree = spec.build_resolving_conflicts(TREE_HEAD_KEY, &platform_teams(teams))?;
         Ok(Some(Self::new(Arc::new(tree), teams)))
     }
 
@@ -121,7 +121,10 @@
         demands: &HashMap<&Team, Resources>,
     ) -> Vec<Team> {
         let tree = self.entitlements.tree().clone();
-        for ix in tree.all().filter(|ix| tree.node(*ix).team.is_some()) {
+        for ix in tree
+            .node_indices()
+            .filter(|ix| tree.node(*ix).team.is_some())
+        {
             let demand = demands
                 .get(self.usage_name(ix))
                 .copied()
@@ -139,7 +142,7 @@
 /// The names under which the nodes' usage is counted, by node index: the team of a leaf, or the
 /// group name of another node.
 fn usage_names(tree: &Tree) -> Vec<Team> {
-    tree.all()
+    tree.node_indices()
         .map(|ix| match &tree.node(ix).team {
             Some(team) => team.as_str().into(),
             None => group_name(&tree.node(ix).name),
--- a/src/store/lanes.rs
+++ b/src/store/lanes.rs
@@ -57,7 +57,7 @@
         Self {
             requests: AdaptiveRate::new(limits.rps, controllers, now),
             writes: AssignedRate::new(
-                admission_control::plan::base(limits.write_rps, controllers),
+                admission_control::plan::base_share(limits.write_rps, controllers),
                 now,
             ),
             queues: Default::default(),
@@ -128,7 +128,7 @@
             if !waiting.contains(&call.class) {
                 waiting.push(call.class);
             }
-            self.floors.served(&call.class, call.writes, waiting);
+            self.floors.record_served(&call.class, call.writes, waiting);
         }
     }
 
