--- a/crates/hierarchical-quota/tests/properties.rs
+++ b/crates/hierarchical-quota/tests/properties.rs
@@ -125,7 +125,7 @@
         }
         one.refresh();
         for (leaf, demand) in leaves.iter().zip(&demands) {
-            // Without a hold time, a lower demand counts from the second call on.
+            // The hold time is 0, so a lower demand counts at once and the repeated call has no effect.
             one.set_demand(*leaf, amount(*demand, false), 1);
             one.set_demand(*leaf, amount(*demand, false), 2);
         }
