--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -95,15 +95,15 @@
         ("seconds", args.seconds),
         ("seed", args.seed),
     ];
-    let asked = scale_report::Asked {
-        part: args.target,
+    let options = scale_report::Options {
+        target_fraction: args.target,
         config: args.config,
         flags,
         no_faults: args.no_faults,
         csv: args.csv,
         report: args.report,
     };
-    scale_report::play(asked).await
+    scale_report::play(options).await
 }
 
 fn run_slopes(args: SlopesArgs) -> anyhow::Result<ExitCode> {
--- a/crates/simulator/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -25,9 +25,9 @@
 const COMMAND_LINE: &str = "command line";
 
 /// The arguments of the command.
-pub(crate) struct Asked {
+pub(crate) struct Options {
     /// The part of the target that is played; none: the small default.
-    pub part: Option<f64>,
+    pub target_fraction: Option<f64>,
     /// A settings file, which overrides the counts of the target or the default.
     pub config: Option<PathBuf>,
     /// Settings by key that flags give, which override the file's.
@@ -40,13 +40,13 @@
     pub report: Option<PathBuf>,
 }
 
-impl Asked {
+impl Options {
     /// The settings of the run.
     ///
     /// # Errors
     /// The file can't be used, a value is out of bounds, or the counts don't fit each other.
     fn settings(&self) -> Result<ScaleSettings, SettingsError> {
-        let part = self.part.map(ScaleSettings::part_of_target);
+        let part = self.target_fraction.map(ScaleSettings::part_of_target);
         let mut settings = part.unwrap_or_default();
         if let Some(path) = &self.config {
             settings.read(path)?;
@@ -67,17 +67,17 @@
 ///
 /// # Errors
 /// The settings can't be used, a controller can't be started, or a file can't be written.
-pub(crate) async fn play(asked: Asked) -> anyhow::Result<ExitCode> {
-    let settings = asked.settings()?;
+pub(crate) async fn play(options: Options) -> anyhow::Result<ExitCode> {
+    let settings = options.settings()?;
     if !print_limits(&settings) {
         return Ok(ExitCode::from(STATUS_INSUFFICIENT_LIMITS));
     }
     let outcome = run_with_progress(&settings).await?;
     print_outcome(&settings, &outcome);
-    if let Some(path) = &asked.csv {
+    if let Some(path) = &options.csv {
         write(path, &csv(&outcome)?)?;
     }
-    if let Some(path) = &asked.report {
+    if let Some(path) = &options.report {
         write(path, &page(&settings, &outcome)?.into_string())?;
     }
     if let Some(reason) = &outcome.stopped_early {
