--- a/crates/simulator/src/scale/faults.rs
+++ b/crates/simulator/src/scale/faults.rs
@@ -1,12 +1,12 @@
-//! The schedule of a scale run's faults, and of the restarts of the controllers that they kill.
+//! The schedule of the faults of a scale run and of the restarts of killed controllers.
 
 use std::time::Duration;
 
-/// How long a killed controller stays down.
+/// Time between the kill of a controller and its restart.
 const RESTART_DELAY: Duration = Duration::from_secs(4);
 
-/// Faults, and at which part of the run's time each is injected: late enough that the load stands, and far
-/// enough apart to recover from each.
+/// Faults, each with the fraction of the run's length at which it is injected: late enough for the base load to
+/// be running, and far enough apart for the region to recover from each.
 const SCHEDULE: [(f64, FaultKind); 4] = [
     (0.60, FaultKind::KillOther),
     (0.70, FaultKind::KillLeader),
@@ -14,16 +14,16 @@
     (0.88, FaultKind::KillAll),
 ];
 
-/// A fault of a scale run. The names are printed with the run's events.
+/// A fault of a scale run. The variants' names are printed with the run's events.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum FaultKind {
-    /// The first controller that does not lead is killed.
+    /// Kills the follower with the lowest index.
     KillOther,
-    /// The leader is killed.
+    /// Kills the leader.
     KillLeader,
-    /// All controllers are killed.
+    /// Kills all controllers.
     KillAll,
-    /// All machines of one zone stop.
+    /// Stops all machines of one zone.
     LoseZone,
 }
 
@@ -37,7 +37,7 @@
     controller: usize,
 }
 
-/// What is still to come. All times are from the beginning of the run.
+/// Pending faults and restarts. All times are relative to the start of the run.
 pub(super) struct FaultSchedule {
     faults: Vec<ScheduledFault>,
     restarts: Vec<ScheduledRestart>,
@@ -52,10 +52,10 @@
         }
     }
 
-    /// The schedule of a run of so many seconds.
-    pub(super) fn of_run(seconds: u64) -> Self {
-        let faults = SCHEDULE.into_iter().map(|(part, kind)| ScheduledFault {
-            at: Duration::from_secs_f64(seconds as f64 * part),
+    /// The schedule of a run with a length in seconds.
+    pub(super) fn for_run(seconds: u64) -> Self {
+        let faults = SCHEDULE.into_iter().map(|(fraction, kind)| ScheduledFault {
+            at: Duration::from_secs_f64(seconds as f64 * fraction),
             kind,
         });
         Self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes the faults that are due.
+    /// Removes and returns the faults that are due.
     pub(super) fn take_due_faults(&mut self, now: Duration) -> Vec<FaultKind> {
         let is_due = |fault: &ScheduledFault| fault.at <= now;
         let (due, pending) = std::mem::take(&mut self.faults)
@@ -75,7 +75,7 @@
         due.into_iter().map(|fault| fault.kind).collect()
     }
 
-    /// Takes the controllers that are to be started again.
+    /// Removes and returns the controllers whose restart is due.
     pub(super) fn take_due_restarts(&mut self, now: Duration) -> Vec<usize> {
         let is_due = |restart: &ScheduledRestart| restart.at <= now;
         let (due, pending) = std::mem::take(&mut self.restarts)
@@ -86,7 +86,7 @@
         due.into_iter().map(|restart| restart.controller).collect()
     }
 
-    /// Schedules the restart of a controller that was killed now.
+    /// Schedules the restart of a controller that was killed at `now`.
     pub(super) fn schedule_restart(&mut self, controller: usize, now: Duration) {
         let at = now + RESTART_DELAY;
         self.restarts.push(ScheduledRestart { at, controller });
--- a/crates/simulator/src/scale/load.rs
+++ b/crates/simulator/src/scale/load.rs
@@ -1,5 +1,5 @@
-//! The jobs of a scale run, by counts and a seed: a standing load of services, arrays and gangs, one burst
-//! of short tasks, and urgent single tasks throughout.
+//! Generates the jobs of a scale run from its settings and seed: a base load of services, arrays and gangs, one
+//! burst of short tasks, and urgent single-task jobs throughout.
 
 use std::ops::Range;
 
@@ -14,19 +14,19 @@
 /// The classes of the jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Class {
-    /// Services.
+    /// Long-running services of the base load.
     Serve,
-    /// Arrays of the standing load.
+    /// Arrays of the base load.
     Batch,
-    /// Gangs.
+    /// Gangs, including the largest one.
     Train,
-    /// The burst's short arrays.
+    /// Arrays of short tasks of the burst.
     Burst,
-    /// Single tasks.
+    /// Urgent jobs of one short task.
     Urgent,
 }
 
-/// All classes, in the order in which the deployment names them.
+/// All classes, in the order in which the deployment settings list them.
 pub(super) const CLASSES: [Class; 5] = [
     Class::Serve,
     Class::Batch,
@@ -36,7 +36,7 @@
 ];
 
 impl Class {
-    /// The class's name in the deployment.
+    /// The name of the class in the deployment settings.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Serve => "serve",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The priority class of its jobs, as the protocol names it.
+    /// The wire name of the priority class of its jobs.
     fn priority(self) -> &'static str {
         match self {
             Self::Serve => "critical",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Processors of a task.
+    /// CPUs of a task.
     fn cpus(self) -> f64 {
         match self {
             Self::Serve => REPLICA_CPUS,
@@ -72,68 +72,68 @@
     }
 }
 
-/// Processors of a service's replica.
+/// CPUs of a replica of a service.
 const REPLICA_CPUS: f64 = 5.0;
-/// Processors of another task of the standing load.
+/// CPUs of a task of an array or gang of the base load.
 const TASK_CPUS: f64 = 4.0;
-/// Processors of a task of the burst: small enough to run beside a full standing load.
+/// CPUs of a task of the burst: small enough to run beside a full base load.
 const BURST_CPUS: f64 = 0.25;
-/// Processors of an urgent task.
+/// CPUs of an urgent task.
 const URGENT_CPUS: f64 = 1.0;
-/// Mean processors of a task of the standing load.
+/// Mean number of CPUs of a task of the base load.
 pub(super) const MEAN_CPUS: f64 = SERVICE_SHARE * REPLICA_CPUS + (1.0 - SERVICE_SHARE) * TASK_CPUS;
-/// Memory of a task in GB for each processor.
+/// Memory of a task in GB per CPU.
 const MEMORY_GB_PER_CPU: f64 = 2.0;
-/// A task that uses GPUs asks for a machine's GPUs divided by this: five such tasks fit a machine.
+/// Tasks that fit the GPUs of a machine: a task that uses GPUs requests a machine's GPUs divided by this.
 const GPU_TASKS_PER_MACHINE: f64 = 5.0;
 /// Size of a job's image in GB.
 const IMAGE_GB: f64 = 0.3;
-/// Images that jobs share.
+/// Number of distinct images, which jobs share.
 const IMAGES: u64 = 60;
 
-/// Share of services among the running tasks of the standing load.
+/// Fraction of the running tasks of the base load that are replicas of services.
 const SERVICE_SHARE: f64 = 0.6;
-/// Share of arrays' tasks; the rest are gangs.
+/// Fraction of the running tasks of the base load that belong to arrays; the remaining ones belong to gangs.
 const ARRAY_SHARE: f64 = 0.3;
 /// Replicas of a service.
 const REPLICAS: u32 = 3;
-/// Tasks of an array of the standing load.
+/// Tasks of an array of the base load.
 const ARRAY_TASKS: u32 = 20;
-/// Tasks of a gang: one of these.
+/// Possible numbers of tasks of a gang, chosen with equal probability.
 const GANG_TASKS: [u32; 6] = [1, 2, 4, 8, 16, 32];
-/// Milliseconds that tasks of arrays run.
+/// Range of the run time of an array's tasks in milliseconds.
 const ARRAY_RUN_MS: Range<u64> = 30_000..90_000;
-/// Milliseconds that tasks of gangs run.
+/// Range of the run time of a gang's tasks in milliseconds.
 const GANG_RUN_MS: Range<u64> = 60_000..120_000;
-/// Milliseconds within which the standing load's first jobs arrive.
+/// Time in milliseconds within which the initial jobs of the base load arrive.
 const RAMP_MS: u64 = 15_000;
 
 /// Tasks of an array of the burst.
 const BURST_TASKS: u32 = 40;
-/// Milliseconds that the burst's tasks run.
+/// Run time of the burst's tasks in milliseconds.
 const BURST_RUN_MS: u64 = 5_000;
-/// Milliseconds between two urgent jobs.
+/// Time between two urgent jobs in milliseconds.
 const URGENT_INTERVAL_MS: u64 = 250;
-/// Milliseconds that urgent tasks run.
+/// Run time of urgent tasks in milliseconds.
 const URGENT_RUN_MS: u64 = 3_000;
-/// Milliseconds that the tasks of the largest gang run.
+/// Run time of the tasks of the largest gang in milliseconds.
 const LARGEST_GANG_RUN_MS: u64 = 20_000;
 
-/// Part of the run's time at which the burst begins.
+/// Fraction of the run's length at which the burst begins.
 const BURST_AT: f64 = 0.45;
-/// Part of the run's time at which the largest gang is sent: before the burst.
+/// Fraction of the run's length at which the largest gang is submitted: before the burst.
 const LARGEST_GANG_AT: f64 = 0.36;
 
-/// The load while it is made.
-struct Load<'a> {
+/// Collects the planned jobs.
+struct LoadGenerator<'a> {
     settings: &'a ScaleSettings,
     rng: SmallRng,
     plans: Vec<JobPlan>,
 }
 
-impl Load<'_> {
-    /// Adds a job of a random team with a random image. `kind` is the protocol's word for the job's kind,
-    /// `at_ms` the time at which it is sent.
+impl LoadGenerator<'_> {
+    /// Adds a job of a random team with a random image. `kind` is the wire name of the job's kind, `at_ms` the
+    /// time of its submission.
     fn add(&mut self, class: Class, kind: &str, tasks: u32, run_ms: u64, at_ms: u64) {
         let index = self.plans.len();
         let team = team_name(self.rng.random_range(0..self.settings.teams));
@@ -159,7 +159,7 @@
         self.settings.seconds * 1_000
     }
 
-    /// Services that run for the whole run.
+    /// Adds services, which run until the end of the run.
     fn add_services(&mut self) {
         let tasks = self.settings.tasks as f64;
         for _ in 0..(tasks * SERVICE_SHARE / f64::from(REPLICAS)) as u64 {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// As many arrays as keep their share of the tasks running.
+    /// Adds as many arrays as keep [`ARRAY_SHARE`] of the tasks running throughout.
     fn add_arrays(&mut self) {
         let (tasks, end_ms) = (self.settings.tasks as f64, self.run_ms());
         let running = tasks * ARRAY_SHARE / f64::from(ARRAY_TASKS);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// As many gangs as keep their share of the tasks running.
+    /// Adds as many gangs as keep the remaining share of the tasks running throughout.
     fn add_gangs(&mut self) {
         let (tasks, end_ms) = (self.settings.tasks as f64, self.run_ms());
         let mean_tasks = GANG_TASKS.iter().sum::<u32>() as f64 / GANG_TASKS.len() as f64;
@@ -196,8 +196,9 @@
         }
     }
 
-    /// When a job of the standing load is sent: the first fill of its class while the fleet is built, the rest
-    /// spread over the run. `fills` is how often the jobs before it fill the class's share.
+    /// Submission time of a job of the base load: the jobs that first fill the share of its class arrive while the
+    /// fleet scales up, later jobs at any time after that. `fills` is how many times the preceding jobs fill the
+    /// share.
     fn arrival_ms(&mut self, fills: f64, end_ms: u64) -> u64 {
         if fills < 1.0 {
             self.rng.random_range(0..RAMP_MS)
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Urgent tasks throughout, once the fleet is built.
+    /// Adds urgent jobs at regular intervals, once the fleet has scaled up.
     fn add_urgent_tasks(&mut self) {
         for at_ms in (RAMP_MS * 2..self.run_ms()).step_by(URGENT_INTERVAL_MS as usize) {
             self.add(Class::Urgent, "sweep", 1, URGENT_RUN_MS, at_ms);
@@ -235,9 +236,9 @@
     (range.start + range.end) as f64 / 2.0
 }
 
-/// All jobs of a run, each with the time at which it is meant to be sent. The same settings give the same jobs.
+/// All jobs of a run, each with its planned submission time. The same settings give the same jobs.
 pub(super) fn jobs(settings: &ScaleSettings) -> Vec<JobPlan> {
-    let mut load = Load {
+    let mut load = LoadGenerator {
         settings,
         rng: SmallRng::seed_from_u64(settings.seed),
         plans: Vec::new(),
--- a/crates/simulator/src/scale/measure.rs
+++ b/crates/simulator/src/scale/measure.rs
@@ -1,18 +1,18 @@
-//! What a scale run measures: histograms of times, one row a second, and the processes' use of processor, memory
-//! and sockets.
+//! The measurements of a scale run: latency histograms, one record per second, and the CPU time, memory and
+//! sockets of the processes.
 
 use std::collections::BTreeMap;
 use std::fs;
 
 use hdrhistogram::Histogram;
 
-/// Milliseconds of the longest time that histograms tell from longer ones: that of the longest run.
+/// The largest value of a histogram, in milliseconds: the length of the longest run. Longer times count as this.
 const MAX_TIME_MS: u64 = 600_000;
-/// Significant digits that histograms keep.
+/// Significant decimal digits of a histogram's values.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Clock ticks a second of the kernel's processor accounting: USER_HZ, which is 100 on Linux.
+/// Clock ticks per second of the kernel's CPU accounting: USER_HZ, which is 100 on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Kilobytes of a page, in which the kernel counts resident memory.
+/// Kilobytes of a memory page, the unit in which the kernel counts resident memory.
 const PAGE_KB: u64 = 4;
 
 /// An empty histogram of times in milliseconds.
@@ -21,30 +21,30 @@
         .unwrap_or_else(|error| unreachable!("constant bounds: {error}"))
 }
 
-/// Records a time; one beyond the longest counts as the longest.
+/// Records a time in milliseconds; one above [`MAX_TIME_MS`] is recorded as that.
 pub(super) fn record(histogram: &mut Histogram<u64>, ms: u64) {
     histogram.saturating_record(ms.min(MAX_TIME_MS));
 }
 
-/// A process's use of the machine, by the kernel's accounting.
+/// Resource usage of a process, as the kernel accounts for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessSample {
-    /// Seconds of processor time since the process began.
+    /// CPU time since the process started, in seconds.
     pub cpu_s: f64,
-    /// Megabytes of resident memory.
+    /// Resident memory in megabytes.
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
 impl ProcessSample {
-    /// Samples a process; none if it is gone.
+    /// Samples a process; `None` if it no longer exists or can't be inspected.
     pub(super) fn of(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The process's name may hold spaces and parentheses; the fields after its last parenthesis do not.
-        // Of them 11 and 12 are user and system time, 17 the threads, 21 the resident pages (proc(5)).
+        // The process's name may contain spaces and parentheses; the fields after its last parenthesis do not.
+        // Counted from 0 after it, 11 and 12 are user and system time, 17 threads, 21 resident pages (proc(5)).
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let number = |index: usize| fields.get(index)?.parse::<u64>().ok();
         let files = fs::read_dir(format!("/proc/{pid}/fd")).ok()?;
@@ -61,78 +61,78 @@
     }
 }
 
-/// One second of a run.
+/// Measurements of one second of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
-    /// Seconds from the beginning of the run to this second's end.
+    /// Seconds from the start of the run to the end of this second.
     pub at: u64,
-    /// Tasks that started.
+    /// Tasks that started during the second.
     pub starts: u64,
-    /// Tasks that run at its end.
+    /// Tasks running at the end of the second.
     pub running: usize,
-    /// Machines that are up at its end.
+    /// Healthy machines at the end of the second.
     pub machines: usize,
-    /// Changes that the store committed.
+    /// Changes that the store committed during the second.
     pub changes: u64,
-    /// Requests that the store received.
+    /// Requests that the store received during the second.
     pub requests: u64,
-    /// Bytes between all workers and the controllers, in both directions.
+    /// Bytes of message bodies between all workers and the controllers, in both directions.
     pub worker_bytes: u64,
-    /// Cores that each controller used; none while it is down.
+    /// CPU cores that each controller used; `None` while it is down and in its first sample after a start.
     pub cores: Vec<Option<f64>>,
-    /// Megabytes of each controller.
+    /// Resident memory of each controller in megabytes; 0 while it is down.
     pub memory_mb: Vec<f64>,
-    /// Open sockets of each controller.
+    /// Open sockets of each controller; 0 while it is down.
     pub sockets: Vec<usize>,
-    /// Cores that this program, which plays the stand-ins, used.
-    pub stand_in_cores: f64,
-    /// Open sockets of this program.
-    pub stand_in_sockets: usize,
-    /// Milliseconds of the longest step of the stand-ins: how late their answers may have been.
+    /// CPU cores that this process, the simulator, used.
+    pub simulator_cores: f64,
+    /// Open sockets of this process.
+    pub simulator_sockets: usize,
+    /// Milliseconds of the longest simulation step: the largest delay that it may have added to responses.
     pub longest_step_ms: u64,
-    /// The index of the leader, if there is one.
+    /// Index of the leading controller; `None` if the store names none.
     pub leader: Option<usize>,
 }
 
-/// Something that happened in a run.
+/// A notable event of a run, such as a fault.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// Seconds from the beginning of the run.
+    /// Seconds from the start of the run.
     pub at: u64,
     /// A description for the report.
-    pub what: String,
+    pub description: String,
 }
 
-/// Jobs of one class.
+/// Job counts of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobCounts {
-    /// Jobs of the load.
+    /// Jobs that the load plans, including those that an early end of the run left unsent.
     pub sent: usize,
-    /// Jobs of which at least one task ran.
+    /// Jobs of which at least one task started.
     pub started: usize,
 }
 
-/// The result of a run. All times are in milliseconds.
+/// The result of a run. All histograms are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The run's seconds, in order.
+    /// One record for each sampled second, in order.
     pub seconds: Vec<Second>,
-    /// From the planned time of a submission to its answer.
+    /// From the planned time of a submission to its response.
     pub submissions: Histogram<u64>,
-    /// From the planned time of a poll to its answer.
+    /// From the planned time of a poll to its response.
     pub polls: Histogram<u64>,
-    /// By class, from the planned time of a job's submission until its first task ran.
+    /// By class, from the planned time of a job's submission to the start of its first task.
     pub waits: BTreeMap<String, Histogram<u64>>,
-    /// By class, how many jobs were sent and started.
+    /// Job counts by class.
     pub jobs: BTreeMap<String, JobCounts>,
-    /// Submissions that were refused for good.
-    pub refused: u64,
-    /// The protocol's rules that were broken, and how.
+    /// Submissions that were rejected permanently.
+    pub rejected: u64,
+    /// Violations of the protocol's invariants; empty if there were none.
     pub violations: Vec<String>,
-    /// Controllers that exited without being killed.
+    /// Indices of controllers that exited without being killed, each once.
     pub exited: Vec<usize>,
-    /// Why the run ended before its time, if it did.
+    /// Why the run ended before its planned length; `None` if it did not.
     pub stopped_early: Option<String>,
-    /// Faults and what else happened, in order.
+    /// Faults and other notable events, in order.
     pub events: Vec<Event>,
 }
--- a/crates/simulator/src/scale/mod.rs
+++ b/crates/simulator/src/scale/mod.rs
@@ -1,8 +1,8 @@
-//! The scale run: real controller processes under load, with the workers, users, cloud and key-value store of
-//! this process, over sockets on loopback.
+//! The scale run: real controller processes under load. Workers, users, cloud and key-value store are simulated
+//! in this process and reached through sockets on loopback.
 //!
-//! `settings` says what is played, `limits` whether this machine can play it, `load` makes the jobs, `run`
-//! plays them with `users` and `faults`, and `sampling` takes the measurements of `measure`.
+//! `settings` holds the size of the run, `limits` checks whether this machine can host it, `load` generates the
+//! jobs, `run` drives them with `users` and `faults`, and `sampling` takes the measurements that `measure` defines.
 
 mod faults;
 mod limits;
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! Plays a scale run: starts everything, lets time pass, injects faults, and measures once a second.
+//! Performs a scale run: starts the controllers and the users, injects faults, and takes a sample every second.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,51 +10,51 @@
 use tokio::time::Instant;
 
 use super::faults::{FaultKind, FaultSchedule};
-use super::limits::memory_granted_mb;
+use super::limits::memory_limit_mb;
 use super::measure::{Event, JobCounts, Outcome, Second, histogram, record};
 use super::sampling::{Sample, Sampler};
-use super::users::{SharedUserTimes, follow};
+use super::users::{SharedUserLatencies, run_job};
 use super::{ScaleSettings, load};
 use crate::live::SharedRegion;
 use crate::live::controllers::Controllers;
 use crate::live::users::User;
 
-/// How long all controllers together may take to get ready.
+/// Time within which all controllers must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval at which a controller is asked whether it is ready.
+/// Interval between two readiness checks of a controller.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which rules are checked: checking all tasks in each step of the stand-ins would take a core.
+/// Interval of the invariant checks: checking all tasks in every simulation step would take a CPU core.
 const RULE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval of the samples; rates of a [`Second`] rely on it.
+/// Sampling interval. Rates of a [`Second`] are differences between samples, so it must be one second.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// The zone that is lost: the second, where there is one.
-const LOST_ZONE: &str = "zone-01";
+/// The zone that fails: the second one, if the region has several.
+const FAILED_ZONE: &str = "zone-01";
 
-/// Receives each second's measurements.
+/// Called with the measurements of each second.
 pub type Progress<'a> = &'a mut dyn FnMut(&Second);
 
-/// Plays a run. It ends by itself: early if it takes more memory than it may, or on Ctrl-C.
+/// Performs a run. It ends early on Ctrl-C, or if it uses more memory than [`memory_limit_mb`] allows.
 ///
 /// # Errors
-/// A controller can't be started or does not get ready.
+/// A controller can't be started or does not become ready.
 pub async fn run(settings: &ScaleSettings, progress: Progress<'_>) -> anyhow::Result<Outcome> {
     let config = settings.config();
     let (controllers, shared) = Controllers::prepare(&config, settings.seed, None)?;
     shared.lock().check_interval = RULE_CHECK_INTERVAL;
-    let stand_ins = tokio::spawn(shared.clone().run());
+    let simulation = tokio::spawn(shared.clone().run());
     let mut run = Run::new(settings, controllers, shared);
     run.controllers.start_all()?;
     run.wait_until_ready().await?;
-    let users = run.send_users();
-    run.play(progress).await?;
+    let users = run.spawn_users();
+    run.run_until_end(progress).await?;
     drop(users);
-    stand_ins.abort();
+    simulation.abort();
     Ok(run.outcome())
 }
 
-/// A job as it was planned.
+/// What the report needs of a planned job.
 struct PlannedJob {
-    /// When it is meant to be sent, from the beginning of the run.
+    /// Planned time of submission, from the start of the run.
     send_at: Duration,
     class: String,
 }
@@ -64,8 +64,8 @@
     controllers: Controllers,
     shared: SharedRegion,
     user: User,
-    times: SharedUserTimes,
-    began: Instant,
+    latencies: SharedUserLatencies,
+    started_at: Instant,
     planned: HashMap<JobId, PlannedJob>,
     largest_gang: Option<JobId>,
     faults: FaultSchedule,
@@ -79,18 +79,18 @@
 impl<'a> Run<'a> {
     fn new(settings: &'a ScaleSettings, controllers: Controllers, shared: SharedRegion) -> Self {
         let faults = if settings.faults {
-            FaultSchedule::of_run(settings.seconds)
+            FaultSchedule::for_run(settings.seconds)
         } else {
             FaultSchedule::empty()
         };
         Self {
             user: User::new(shared.clone(), controllers.addresses.clone()),
-            times: SharedUserTimes::new(),
+            latencies: SharedUserLatencies::new(),
             sampler: Sampler::new(settings.controllers as usize),
             settings,
             controllers,
             shared,
-            began: Instant::now(),
+            started_at: Instant::now(),
             planned: HashMap::new(),
             largest_gang: None,
             faults,
@@ -107,17 +107,19 @@
             while !self.user.is_ready(index).await {
                 if began.elapsed() > READY_TIMEOUT || !self.controllers.exited().is_empty() {
                     let log = self.controllers.log_tail(index);
-                    anyhow::bail!("n{index} does not get ready: {log}");
+                    anyhow::bail!(
+                        "controller n{index} did not become ready; end of its log: {log}"
+                    );
                 }
                 tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
-        self.began = Instant::now();
+        self.started_at = Instant::now();
         Ok(())
     }
 
-    /// Starts a user for each job, which sends it at its planned time whatever else is under way.
-    fn send_users(&mut self) -> JoinSet<()> {
+    /// Spawns a user for each job, which submits it at its planned time whatever the progress of other jobs.
+    fn spawn_users(&mut self) -> JoinSet<()> {
         let mut users = JoinSet::new();
         for plan in load::jobs(self.settings) {
             let send_at = Duration::from_millis(plan.at.unwrap_or(0));
@@ -127,23 +129,23 @@
             if plan.body["picks"] == self.settings.gang && plan.body["shape"] == "gang" {
                 self.largest_gang = Some(plan.id());
             }
-            let (user, times) = (self.user.clone(), self.times.clone());
-            users.spawn(follow(user, plan, self.began + send_at, times));
+            let (user, latencies) = (self.user.clone(), self.latencies.clone());
+            users.spawn(run_job(user, plan, self.started_at + send_at, latencies));
         }
         users
     }
 
-    async fn play(&mut self, progress: Progress<'_>) -> anyhow::Result<()> {
+    async fn run_until_end(&mut self, progress: Progress<'_>) -> anyhow::Result<()> {
         let end = Duration::from_secs(self.settings.seconds);
         let mut ticks = tokio::time::interval(SAMPLE_INTERVAL);
-        // The first tick of an interval is at once.
+        // The first tick of an interval completes immediately.
         ticks.tick().await;
         let mut interrupt = std::pin::pin!(tokio::signal::ctrl_c());
-        while self.began.elapsed() < end && self.stopped_early.is_none() {
+        while self.started_at.elapsed() < end && self.stopped_early.is_none() {
             tokio::select! {
                 _ = &mut interrupt => self.stopped_early = Some("interrupted".into()),
                 _ = ticks.tick() => {
-                    self.note_exits();
+                    self.record_exits();
                     self.advance_faults()?;
                     let second = self.sample();
                     progress(&second);
@@ -154,25 +156,27 @@
         Ok(())
     }
 
-    fn log_event(&mut self, what: String) {
-        let at = self.began.elapsed().as_secs();
-        self.events.push(Event { at, what });
+    fn log_event(&mut self, description: String) {
+        let at = self.started_at.elapsed().as_secs();
+        self.events.push(Event { at, description });
     }
 
-    /// Notes controllers that exited by themselves, each once.
-    fn note_exits(&mut self) {
+    /// Records controllers that exited without being killed, each once.
+    fn record_exits(&mut self) {
         for index in self.controllers.exited() {
             if !self.exited.contains(&index) {
                 self.exited.push(index);
                 let log = self.controllers.log_tail(index);
-                self.log_event(format!("n{index} ended by itself: {log}"));
+                self.log_event(format!(
+                    "controller n{index} exited unexpectedly; end of its log: {log}"
+                ));
             }
         }
     }
 
-    /// Starts the controllers and injects the faults that are due.
+    /// Restarts the killed controllers and injects the faults that are due.
     fn advance_faults(&mut self) -> anyhow::Result<()> {
-        let now = self.began.elapsed();
+        let now = self.started_at.elapsed();
         for index in self.faults.take_due_restarts(now) {
             self.controllers.start(index)?;
             self.sampler.reset(index);
@@ -191,12 +195,12 @@
             FaultKind::KillLeader => leader.into_iter().collect(),
             FaultKind::KillAll => all.collect(),
             FaultKind::LoseZone => {
-                let lost = self.shared.lock().lose_zone(&Zone::from(LOST_ZONE));
-                self.log_event(format!("{LOST_ZONE} lost with {lost} machines"));
+                let stopped = self.shared.lock().lose_zone(&Zone::from(FAILED_ZONE));
+                self.log_event(format!("{FAILED_ZONE} failed: {stopped} machines stopped"));
                 return;
             }
         };
-        let now = self.began.elapsed();
+        let now = self.started_at.elapsed();
         for index in &killed {
             self.controllers.kill(*index);
             self.faults.schedule_restart(*index, now);
@@ -204,7 +208,7 @@
         self.log_event(format!("{kind:?}: {killed:?} killed, leader {leader:?}"));
     }
 
-    /// The index of the leader, as the store has it.
+    /// Index of the leader according to the leader record in the store.
     fn leader(&self) -> Option<usize> {
         let region = self.shared.lock();
         let (text, _, _) = region.store.get(LEADER)?;
@@ -212,29 +216,29 @@
         record.leader.as_str().strip_prefix('n')?.parse().ok()
     }
 
-    /// Samples one second, and stops the run if it uses too much memory.
+    /// Samples one second, and ends the run early if it uses too much memory.
     fn sample(&mut self) -> Second {
         let leader = self.leader();
-        let at = self.began.elapsed().as_secs();
+        let at = self.started_at.elapsed().as_secs();
         let sample = self
             .sampler
             .sample(at, leader, &self.shared, &self.controllers);
         let Sample { second, memory_mb } = sample;
-        let granted = memory_granted_mb().unwrap_or(u64::MAX);
-        if memory_mb > granted as f64 {
-            let reason = format!("{memory_mb:.0} MB in use, {granted} granted");
+        let limit_mb = memory_limit_mb().unwrap_or(u64::MAX);
+        if memory_mb > limit_mb as f64 {
+            let reason = format!("{memory_mb:.0} MB of memory in use, the limit is {limit_mb} MB");
             self.stopped_early = Some(reason);
         }
         second
     }
 
-    /// Milliseconds from the planned time of a job until its first task ran, if one did.
+    /// Milliseconds from the planned submission of a job to the start of its first task; `None` if none started.
     fn wait_ms(&self, id: &JobId) -> Option<u64> {
         let planned = self.planned.get(id)?;
         let region = self.shared.lock();
         let start = region.rules.first_start.get(id)?;
-        // The region's clock began before the run's.
-        let offset = region.now().0 as i64 - self.began.elapsed().as_millis() as i64;
+        // The region's clock started before the run, when the controllers were prepared.
+        let offset = region.now().0 as i64 - self.started_at.elapsed().as_millis() as i64;
         let wait = start.0 as i64 - offset - planned.send_at.as_millis() as i64;
         Some(wait.max(0) as u64)
     }
@@ -243,8 +247,8 @@
         let gang = format!("a gang of {} tasks", self.settings.gang);
         let wait = self.largest_gang.as_ref().and_then(|id| self.wait_ms(id));
         self.log_event(match wait {
-            Some(ms) => format!("{gang} began {ms} ms after it was meant to be sent"),
-            None => format!("{gang} did not begin"),
+            Some(ms) => format!("{gang} started {ms} ms after its planned submission"),
+            None => format!("{gang} did not start"),
         });
     }
 
@@ -261,11 +265,11 @@
             }
         }
         let region = self.shared.lock();
-        let times = self.times.lock();
+        let latencies = self.latencies.lock();
         Outcome {
-            submissions: times.submissions.clone(),
-            polls: times.polls.clone(),
-            refused: times.refused,
+            submissions: latencies.submissions.clone(),
+            polls: latencies.polls.clone(),
+            rejected: latencies.rejected,
             waits,
             jobs,
             violations: region.rules.violations.iter().cloned().collect(),
--- a/crates/simulator/src/scale/sampling.rs
+++ b/crates/simulator/src/scale/sampling.rs
@@ -1,12 +1,12 @@
-//! Samples the stand-ins' counters and the processes once a second.
+//! Samples the simulator's counters and the processes once per second.
 //!
-//! [`Sampler`] owns the previous sample, from which the differences are taken.
+//! [`Sampler`] keeps the previous sample, because rates are differences between consecutive samples.
 
 use super::measure::{ProcessSample, Second};
 use crate::live::SharedRegion;
 use crate::live::controllers::Controllers;
 
-/// Counters of the stand-ins since the run began.
+/// Cumulative counters of the simulated region.
 #[derive(Clone, Copy, Default)]
 struct Counters {
     starts: u64,
@@ -15,18 +15,18 @@
     worker_bytes: u64,
 }
 
-/// One sample.
+/// The result of one sampling.
 pub(super) struct Sample {
-    /// What is reported.
+    /// The measurements to report.
     pub second: Second,
-    /// Megabytes that the controllers and this program use together.
+    /// Resident memory of the controllers and this process together, in megabytes.
     pub memory_mb: f64,
 }
 
-/// Takes samples, and keeps the last one of each process.
+/// Takes samples, and keeps the previous one of each process and of the counters.
 pub(super) struct Sampler {
     controllers: Vec<Option<ProcessSample>>,
-    own: ProcessSample,
+    simulator: ProcessSample,
     counters: Counters,
 }
 
@@ -35,17 +35,17 @@
     pub(super) fn new(controllers: usize) -> Self {
         Self {
             controllers: vec![None; controllers],
-            own: ProcessSample::default(),
+            simulator: ProcessSample::default(),
             counters: Counters::default(),
         }
     }
 
-    /// Forgets the last sample of a controller whose process is a new one.
+    /// Discards the previous sample of a controller that was restarted: CPU time starts from zero in a new process.
     pub(super) fn reset(&mut self, controller: usize) {
         self.controllers[controller] = None;
     }
 
-    /// Samples the second that ends `at` seconds after the run began.
+    /// Samples the second that ends `at` seconds after the start of the run.
     pub(super) fn sample(
         &mut self,
         at: u64,
@@ -58,12 +58,12 @@
             leader,
             ..Second::default()
         };
-        self.sample_stand_ins(&mut second, shared);
+        self.sample_region(&mut second, shared);
         let memory_mb = self.sample_processes(&mut second, controllers);
         Sample { second, memory_mb }
     }
 
-    fn sample_stand_ins(&mut self, second: &mut Second, shared: &SharedRegion) {
+    fn sample_region(&mut self, second: &mut Second, shared: &SharedRegion) {
         let counters = {
             let region = &mut *shared.lock();
             let now = region.now();
@@ -84,24 +84,26 @@
         self.counters = counters;
     }
 
-    /// Returns the megabytes that all processes use together.
+    /// Returns the resident memory of all processes together, in megabytes.
     fn sample_processes(&mut self, second: &mut Second, controllers: &Controllers) -> f64 {
         let mut memory_mb = 0.0;
-        for (index, last) in self.controllers.iter_mut().enumerate() {
+        for (index, previous) in self.controllers.iter_mut().enumerate() {
             let pid = controllers.pid(index);
             let sample = pid.and_then(ProcessSample::of);
-            let before = std::mem::replace(last, sample);
-            let core = sample.zip(before).map(|(now, then)| now.cpu_s - then.cpu_s);
-            second.cores.push(core);
+            let before = std::mem::replace(previous, sample);
+            let cores = sample
+                .zip(before)
+                .map(|(now, before)| now.cpu_s - before.cpu_s);
+            second.cores.push(cores);
             let sample = sample.unwrap_or_default();
             second.memory_mb.push(sample.memory_mb);
             second.sockets.push(sample.sockets);
             memory_mb += sample.memory_mb;
         }
-        let own = ProcessSample::of(std::process::id()).unwrap_or_default();
-        second.stand_in_cores = own.cpu_s - self.own.cpu_s;
-        second.stand_in_sockets = own.sockets;
-        self.own = own;
-        memory_mb + own.memory_mb
+        let simulator = ProcessSample::of(std::process::id()).unwrap_or_default();
+        second.simulator_cores = simulator.cpu_s - self.simulator.cpu_s;
+        second.simulator_sockets = simulator.sockets;
+        self.simulator = simulator;
+        memory_mb + simulator.memory_mb
     }
 }
--- a/crates/simulator/src/scale/settings.rs
+++ b/crates/simulator/src/scale/settings.rs
@@ -1,4 +1,4 @@
-//! What a scale run plays, read from INI and flags, and the region that it makes of it.
+//! Settings of a scale run, read from an INI file and flags, and the region configuration derived from them.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 
 use crate::config::{Config, StateLimits, team};
 
-/// The target of `docs/CAPACITY.md` in full.
+/// The full capacity target, as in `docs/CAPACITY.md`.
 const TARGET: ScaleSettings = ScaleSettings {
     machines: 6_900,
     accelerators: 15_000,
@@ -26,48 +26,48 @@
     state_value_kb: 16,
     faults: true,
 };
-/// The fewest controllers of a part of the target: a deployment has no fewer.
+/// Smallest number of controllers of a scaled target, because no deployment has fewer.
 const MIN_CONTROLLERS: u64 = 3;
-/// The fewest zones of a part of the target: one is lost in the run.
+/// Smallest number of zones of a scaled target, because one zone fails during the run.
 const MIN_ZONES: u64 = 2;
-/// Processors of a machine: they hold four tasks of the standing load, and a burst beside them.
+/// CPUs of a machine: enough for four tasks of the base load and, beside them, tasks of a burst.
 const MACHINE_CPUS: f64 = 20.0;
-/// Memory of a machine: beyond what its tasks ask for, so that processors are what is scarce.
+/// Memory of a machine: more than its tasks request, so that CPUs are the scarce resource.
 const MACHINE_MEMORY_GB: f64 = 128.0;
 
-/// Counts and rates of a scale run.
+/// Size, load and rate limits of a scale run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScaleSettings {
-    /// Machines that the cloud can rent out.
+    /// Number of machines that the cloud can provide.
     pub machines: u64,
-    /// GPUs of all machines together.
+    /// Total number of GPUs of all machines.
     pub accelerators: u64,
-    /// Controller processes.
+    /// Number of controller processes.
     pub controllers: u64,
-    /// Zones, over which machines and controllers are spread.
+    /// Number of zones over which machines and controllers are spread.
     pub zones: u64,
-    /// Teams that submit jobs.
+    /// Number of teams that submit jobs.
     pub teams: u64,
-    /// Tasks that run when nothing bursts.
+    /// Number of running tasks of the base load, without the burst.
     pub tasks: u64,
-    /// Task starts a second that a burst asks for.
+    /// Task starts per second that the burst requests.
     pub burst_starts: u64,
-    /// Seconds that a burst lasts.
+    /// Length of the burst in seconds.
     pub burst_s: u64,
-    /// Tasks of the largest gang.
+    /// Number of tasks of the largest gang, which must fit in one zone.
     pub gang: u64,
     /// Length of the run in seconds.
     pub seconds: u64,
-    /// Seed of the load and of the stand-ins.
+    /// Seed of the load and of the simulated region.
     pub seed: u64,
-    /// Requests a second that the store grants.
+    /// Rate limit of the store in requests per second.
     pub state_requests: u64,
-    /// Changes a second that the store grants.
+    /// Rate limit of the store in changes per second.
     pub state_changes: u64,
-    /// Kilobytes of the largest value that the store takes: the quota allocations of 230 teams with limits need
+    /// Largest value that the store accepts, in kilobytes: the quota allocations of 230 teams with limits need
     /// more than 8.
     pub state_value_kb: u64,
-    /// Whether controllers are killed and a zone is lost.
+    /// Whether controllers are killed and a zone fails during the run.
     pub faults: bool,
 }
 
@@ -131,14 +131,15 @@
 ];
 /// The only section of the file.
 const SECTION: &str = "scale";
-/// The controllers and this program: a run may have no more processes.
+/// Maximum number of processes of a run: its controllers and this process.
 const MAX_PROCESSES: u64 = 100;
 
 impl ScaleSettings {
-    /// The target with all counts multiplied by `part`, except the gang's tasks and times.
+    /// The target with its counts and store rates multiplied by `fraction`, each at least 1. Times are kept, and
+    /// the largest gang too, up to half of the machines.
     #[must_use]
-    pub fn part_of_target(part: f64) -> Self {
-        let scaled = |count: u64| ((count as f64 * part).round() as u64).max(1);
+    pub fn fraction_of_target(fraction: f64) -> Self {
+        let scaled = |count: u64| ((count as f64 * fraction).round() as u64).max(1);
         Self {
             machines: scaled(TARGET.machines),
             accelerators: scaled(TARGET.accelerators),
@@ -164,10 +165,10 @@
         self.apply_ini(&file, &text)
     }
 
-    /// Does the same with a file's text; `file` is its name in errors.
+    /// Overwrites the settings with those of an INI text; `file` is its name in errors.
     ///
     /// # Errors
-    /// The text is no INI, or has an unknown key or an invalid value.
+    /// The text is not valid INI, or has an unknown key or an invalid value.
     pub fn apply_ini(&mut self, file: &str, text: &str) -> Result<(), SettingsError> {
         let ini = Ini::load_from_str(text).map_err(|e| problem(file, "file", e.to_string()))?;
         for (section, entries) in ini.iter() {
@@ -185,10 +186,10 @@
         Ok(())
     }
 
-    /// Sets one key; `file` is where the value stands, for errors.
+    /// Sets one key; `file` names the source of the value in errors.
     ///
     /// # Errors
-    /// The key is unknown, or the value is out of the key's bounds.
+    /// The key is unknown, or the value is outside the key's bounds.
     pub fn set(&mut self, file: &str, key: &str, value: u64) -> Result<(), SettingsError> {
         let field = format!("[{SECTION}] {key}");
         let known = KEYS.iter().find(|known| known.name == key);
@@ -202,49 +203,51 @@
         Ok(())
     }
 
-    /// Checks that the counts fit each other; `file` is where they stand, for errors.
+    /// Checks that the counts are consistent with each other; `file` names their source in errors.
     ///
     /// # Errors
     /// There are too many processes, too many tasks for the machines, or a zone is smaller than the gang.
     pub fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let refuse =
+        let reject =
             |key: &str, reason: String| Err(problem(file, &format!("[{SECTION}] {key}"), reason));
         let processes = self.controllers + 1;
         if processes > MAX_PROCESSES {
             let reason = format!("{processes} processes; {MAX_PROCESSES} at most");
-            return refuse("controllers", reason);
+            return reject("controllers", reason);
         }
         let max_tasks = (self.machines as f64 * MACHINE_CPUS / super::load::MEAN_CPUS) as u64;
         if self.tasks > max_tasks {
             let reason = format!("{} machines have room for {max_tasks}", self.machines);
-            return refuse("tasks", reason);
+            return reject("tasks", reason);
         }
         let zone_machines = self.machines / self.zones;
         if self.gang > zone_machines {
             let reason = format!("must fit in one zone, which has {zone_machines} machines");
-            return refuse("gang", reason);
+            return reject("gang", reason);
         }
         Ok(())
     }
 
-    /// GPUs of one machine, as a mean.
+    /// Mean number of GPUs of a machine.
     pub(super) fn gpus_per_machine(&self) -> f64 {
         self.accelerators as f64 / self.machines as f64
     }
 
-    /// The teams: each has an equal part of the GPUs guaranteed, and every other one a limit well above that.
+    /// Settings of the teams: an equal share of the GPUs is guaranteed to each, and every other team has a limit
+    /// well above its guarantee.
     fn team_settings(&self) -> Vec<TeamSettings> {
         let guaranteed = self.accelerators as f64 / self.teams as f64;
         let limit = (guaranteed * 8.0).max(64.0);
         let teams = (0..self.teams).map(|index| {
-            // A limit of 0 is none.
+            // 0 means no limit.
             let limit = if index % 2 == 0 { 0.0 } else { limit };
             team(&team_name(index), guaranteed, limit)
         });
         teams.collect()
     }
 
-    /// The region that is played. Times are those of the target, quotas those of its controllers.
+    /// The configuration of the simulated region. Timing, and the resource quotas of a controller, are those of
+    /// the target.
     #[must_use]
     pub fn config(&self) -> Config {
         let zones = (0..self.zones).map(|zone| Zone::from(format!("zone-{zone:02}")));
@@ -284,7 +287,7 @@
     }
 }
 
-/// The name of a team by its index.
+/// The name of the team with an index, with leading zeros up to three digits.
 pub(super) fn team_name(index: u64) -> String {
     format!("team-{index:03}")
 }
--- a/crates/simulator/src/scale/settings/tests.rs
+++ b/crates/simulator/src/scale/settings/tests.rs
@@ -13,20 +13,20 @@
     ];
     for (text, key, reason) in cases {
         let mut settings = ScaleSettings::default();
-        let taken = settings.apply_ini("scale.ini", text);
-        let refused = taken.and_then(|()| settings.check("scale.ini"));
-        let refused = refused.expect_err(text).to_string();
-        assert!(refused.starts_with("scale.ini: "), "{refused}");
-        assert!(refused.contains(key), "{refused}");
-        assert!(refused.contains(reason), "{refused}");
+        let applied = settings.apply_ini("scale.ini", text);
+        let checked = applied.and_then(|()| settings.check("scale.ini"));
+        let error = checked.expect_err(text).to_string();
+        assert!(error.starts_with("scale.ini: "), "{error}");
+        assert!(error.contains(key), "{error}");
+        assert!(error.contains(reason), "{error}");
     }
 }
 
 #[test]
 fn a_fraction_of_the_target_can_be_simulated() {
-    for part in [0.1, 0.25, 0.5, 1.0] {
-        let settings = ScaleSettings::part_of_target(part);
-        assert!(settings.check("target").is_ok(), "{part}: {settings:?}");
+    for fraction in [0.1, 0.25, 0.5, 1.0] {
+        let settings = ScaleSettings::fraction_of_target(fraction);
+        assert!(settings.check("target").is_ok(), "{fraction}: {settings:?}");
         let config = settings.config();
         assert_eq!(config.capacity as u64, settings.machines);
     }
--- a/crates/simulator/src/scale/users.rs
+++ b/crates/simulator/src/scale/users.rs
@@ -1,5 +1,5 @@
-//! Users of a scale run: each sends one job at its planned time and polls it until it is over. The times that
-//! they see are measured from the planned times, so that a slow answer delays no later measurement.
+//! Simulated users of a scale run: each submits one job at its planned time and polls it until it ends. Latencies
+//! are measured from the planned times, so that a slow response delays no later measurement.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,41 +15,46 @@
 
 /// Time between two polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// Time until a submission without an answer is repeated.
+/// Delay before a submission without a definite response is repeated.
 const SUBMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Times that users saw, in milliseconds.
-pub(super) struct UserTimes {
-    /// From the planned time of a submission to its answer.
+/// Latencies that users observed, in milliseconds.
+pub(super) struct UserLatencies {
+    /// From the planned time of a submission to its response.
     pub submissions: Histogram<u64>,
-    /// From the planned time of a poll to its answer.
+    /// From the planned time of a poll to its response.
     pub polls: Histogram<u64>,
-    /// Submissions that were refused for good.
-    pub refused: u64,
+    /// Submissions that were rejected permanently.
+    pub rejected: u64,
 }
 
-/// The times of all users.
+/// The latencies of all users.
 #[derive(Clone)]
-pub(super) struct SharedUserTimes(Arc<Mutex<UserTimes>>);
+pub(super) struct SharedUserLatencies(Arc<Mutex<UserLatencies>>);
 
-impl SharedUserTimes {
-    /// No times yet.
+impl SharedUserLatencies {
+    /// Latencies without a recorded value.
     pub(super) fn new() -> Self {
-        Self(Arc::new(Mutex::new(UserTimes {
+        Self(Arc::new(Mutex::new(UserLatencies {
             submissions: histogram(),
             polls: histogram(),
-            refused: 0,
+            rejected: 0,
         })))
     }
 
-    /// Exclusive access to the times.
-    pub(super) fn lock(&self) -> MutexGuard<'_, UserTimes> {
+    /// Locks the latencies; a panic of another holder is ignored.
+    pub(super) fn lock(&self) -> MutexGuard<'_, UserLatencies> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Follows one job through its life: submits it at `send_at`, and polls it until it is over.
-pub(super) async fn follow(user: User, plan: JobPlan, send_at: Instant, times: SharedUserTimes) {
+/// Submits one job at `send_at` and polls it until it ends. Returns early if the job is rejected.
+pub(super) async fn run_job(
+    user: User,
+    plan: JobPlan,
+    send_at: Instant,
+    latencies: SharedUserLatencies,
+) {
     tokio::time::sleep_until(send_at).await;
     let Some((id, body)) = user.upload(&plan) else {
         return;
@@ -58,7 +63,7 @@
         match user.submit(&id, &body).await {
             JobResponse::State(_) => break,
             JobResponse::Refused(_) => {
-                times.lock().refused += 1;
+                latencies.lock().rejected += 1;
                 return;
             }
             JobResponse::Later | JobResponse::NotFound => {
@@ -66,17 +71,20 @@
             }
         }
     }
-    let took_ms = send_at.elapsed().as_millis() as u64;
-    record(&mut times.lock().submissions, took_ms);
+    let latency_ms = send_at.elapsed().as_millis() as u64;
+    record(&mut latencies.lock().submissions, latency_ms);
     let mut poll_at = Instant::now() + POLL_INTERVAL;
     loop {
         tokio::time::sleep_until(poll_at).await;
-        let told = user.poll(&id).await;
-        let took_ms = poll_at.elapsed().as_millis() as u64;
-        if !matches!(told, JobResponse::Later) {
-            record(&mut times.lock().polls, took_ms);
+        let response = user.poll(&id).await;
+        let latency_ms = poll_at.elapsed().as_millis() as u64;
+        if !matches!(response, JobResponse::Later) {
+            record(&mut latencies.lock().polls, latency_ms);
         }
-        if matches!(told, JobResponse::State(JobStage::Done | JobStage::Aborted)) {
+        if matches!(
+            response,
+            JobResponse::State(JobStage::Done | JobStage::Aborted)
+        ) {
             return;
         }
         poll_at += POLL_INTERVAL;
--- a/crates/simulator/src/scale_report.rs
+++ b/crates/simulator/src/scale_report.rs
@@ -1,4 +1,5 @@
-//! `cluster-simulator scale`: plays a scale run, and shows its progress, its table, its CSV and its page.
+//! `cluster-simulator scale`: performs a scale run, shows its progress and a summary table, and writes the
+//! CSV file and the HTML page.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -16,38 +17,38 @@
 
 use crate::report::{Line, STYLE, figure};
 
-/// Exit status: the run needs more of this machine than is granted.
+/// Exit status: the run needs more files, ports or memory than this machine allows.
 const STATUS_INSUFFICIENT_LIMITS: u8 = 2;
-/// Exit status: the run stopped itself, or was interrupted.
+/// Exit status: the run was interrupted, or stopped because it used too much memory.
 const STATUS_STOPPED_EARLY: u8 = 3;
 
-/// The place that errors name for a value of a flag.
+/// The source that errors name for a value that a flag set.
 const COMMAND_LINE: &str = "command line";
 
-/// The arguments of the command.
+/// Options of the command.
 pub(crate) struct Options {
-    /// The part of the target that is played; none: the small default.
+    /// The fraction of the target that is simulated; `None` selects the small default.
     pub target_fraction: Option<f64>,
     /// A settings file, which overrides the counts of the target or the default.
     pub config: Option<PathBuf>,
-    /// Settings by key that flags give, which override the file's.
+    /// Values of flags by settings key; they override the settings file.
     pub flags: Vec<(&'static str, Option<u64>)>,
-    /// Injects no faults.
+    /// Disables fault injection, whatever the settings say.
     pub no_faults: bool,
-    /// Where the CSV goes.
+    /// Path of the CSV file; `None` writes none.
     pub csv: Option<PathBuf>,
-    /// Where the HTML page goes.
+    /// Path of the HTML page; `None` writes none.
     pub report: Option<PathBuf>,
 }
 
 impl Options {
-    /// The settings of the run.
+    /// Resolves the settings of the run: default or target, then file, then flags.
     ///
     /// # Errors
-    /// The file can't be used, a value is out of bounds, or the counts don't fit each other.
+    /// The file can't be used, a value is out of bounds, or the counts are inconsistent.
     fn settings(&self) -> Result<ScaleSettings, SettingsError> {
-        let part = self.target_fraction.map(ScaleSettings::part_of_target);
-        let mut settings = part.unwrap_or_default();
+        let target = self.target_fraction.map(ScaleSettings::fraction_of_target);
+        let mut settings = target.unwrap_or_default();
         if let Some(path) = &self.config {
             settings.read(path)?;
         }
@@ -63,7 +64,8 @@
     }
 }
 
-/// Plays a run and reports it. The exit status is 1 if a rule was broken or a controller exited by itself.
+/// Performs a run and reports it. The exit status is 1 if an invariant was violated or a controller exited
+/// without being killed.
 ///
 /// # Errors
 /// The settings can't be used, a controller can't be started, or a file can't be written.
@@ -88,21 +90,21 @@
     Ok(ExitCode::from(u8::from(!succeeded)))
 }
 
-/// Prints what the run needs of this machine, and returns whether all of it is granted.
+/// Prints the resources that the run needs, and returns whether this machine provides all of them.
 fn print_limits(settings: &ScaleSettings) -> bool {
     let limits = check_limits(settings);
     for limit in &limits {
         let Limit {
-            what,
+            resource,
             needed,
-            granted,
+            available,
         } = limit;
-        let word = if limit.is_sufficient() {
-            "enough"
+        let verdict = if limit.is_sufficient() {
+            "sufficient"
         } else {
-            "TOO FEW"
+            "INSUFFICIENT"
         };
-        println!("{what}: {needed} needed, {granted} granted: {word}");
+        println!("{resource}: {needed} needed, {available} available: {verdict}");
     }
     limits.iter().all(Limit::is_sufficient)
 }
@@ -125,8 +127,8 @@
 
 fn print_outcome(settings: &ScaleSettings, outcome: &Outcome) {
     println!("{}", table(settings, outcome));
-    for Event { at, what } in &outcome.events {
-        println!("{at:>4} s  {what}");
+    for Event { at, description } in &outcome.events {
+        println!("{at:>4} s  {description}");
     }
     for violation in &outcome.violations {
         println!("BROKEN {violation}");
@@ -142,15 +144,15 @@
     Ok(())
 }
 
-/// The mean and the largest of values, as a cell.
-fn spread(values: impl Iterator<Item = f64>) -> String {
+/// Formats the mean and the maximum of values as a table cell.
+fn mean_and_max(values: impl Iterator<Item = f64>) -> String {
     let values: Vec<f64> = values.collect();
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let largest = values.iter().copied().fold(0.0, f64::max);
     format!("mean {mean:.2}, most {largest:.2}")
 }
 
-/// Quantiles of times in milliseconds, as a cell.
+/// Formats quantiles of times in milliseconds as a table cell, in seconds.
 fn quantiles(histogram: &hdrhistogram::Histogram<u64>) -> String {
     let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
     format!(
@@ -162,14 +164,15 @@
     )
 }
 
-/// What a controller does.
+/// The role of a controller within a second.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
     Leader,
     Follower,
 }
 
-/// Cores of the controllers with a role, second by second.
+/// CPU cores used by the controllers with a role, in the order of the seconds. Controllers that are down are
+/// left out.
 fn cores(seconds: &[Second], role: Role) -> impl Iterator<Item = f64> {
     seconds.iter().flat_map(move |second| {
         let role_of = |index: usize| match second.leader {
@@ -182,7 +185,7 @@
     })
 }
 
-/// A row of the table: a name and a value.
+/// A row of the summary table: label and value.
 type Row = (String, String);
 
 fn rows(outcome: &Outcome) -> Vec<Row> {
@@ -191,52 +194,55 @@
     rows.extend([
         ("submissions".into(), quantiles(&outcome.submissions)),
         ("polls".into(), quantiles(&outcome.polls)),
-        ("submissions refused".into(), outcome.refused.to_string()),
+        ("rejected submissions".into(), outcome.rejected.to_string()),
     ]);
     for (class, waits) in &outcome.waits {
         let counts = outcome.jobs.get(class).copied().unwrap_or_default();
         let JobCounts { sent, started } = counts;
         let cell = format!("{}; {started} of {sent} jobs started", quantiles(waits));
-        rows.push((format!("wait of {class}"), cell));
+        rows.push((format!("wait of class {class}"), cell));
     }
     rows
 }
 
-/// Rows on what the region did.
+/// Rows about the simulated region.
 fn region_rows(seconds: &[Second]) -> Vec<Row> {
-    let all = |value: fn(&Second) -> f64| spread(seconds.iter().map(value));
+    let all = |value: fn(&Second) -> f64| mean_and_max(seconds.iter().map(value));
     vec![
         ("machines".into(), all(|s| s.machines as f64)),
-        ("tasks running".into(), all(|s| s.running as f64)),
-        ("starts a second".into(), all(|s| s.starts as f64)),
-        ("changes a second".into(), all(|s| s.changes as f64)),
-        ("requests a second".into(), all(|s| s.requests as f64)),
+        ("running tasks".into(), all(|s| s.running as f64)),
+        ("task starts per second".into(), all(|s| s.starts as f64)),
+        ("store changes per second".into(), all(|s| s.changes as f64)),
         (
-            "KB a second and worker".into(),
+            "store requests per second".into(),
+            all(|s| s.requests as f64),
+        ),
+        (
+            "KB per second and worker".into(),
             all(|s| s.worker_bytes as f64 / 1e3 / (s.machines.max(1)) as f64),
         ),
     ]
 }
 
-/// Rows on what the processes used.
+/// Rows about the resources that the processes used.
 fn process_rows(seconds: &[Second]) -> Vec<Row> {
-    let all = |value: fn(&Second) -> f64| spread(seconds.iter().map(value));
+    let all = |value: fn(&Second) -> f64| mean_and_max(seconds.iter().map(value));
     let memory = seconds.iter().flat_map(|s| s.memory_mb.iter().copied());
     let sockets = seconds.iter().flat_map(|s| &s.sockets);
     let sockets = sockets.map(|sockets| *sockets as f64);
-    let of_role = |role| spread(cores(seconds, role));
+    let of_role = |role| mean_and_max(cores(seconds, role));
     vec![
-        ("core of the leader".into(), of_role(Role::Leader)),
-        ("core of each other".into(), of_role(Role::Follower)),
-        ("MB of a controller".into(), spread(memory)),
-        ("sockets of a controller".into(), spread(sockets)),
-        ("cores of the stand-ins".into(), all(|s| s.stand_in_cores)),
+        ("cores of the leader".into(), of_role(Role::Leader)),
+        ("cores of each follower".into(), of_role(Role::Follower)),
+        ("MB of a controller".into(), mean_and_max(memory)),
+        ("sockets of a controller".into(), mean_and_max(sockets)),
+        ("cores of the simulator".into(), all(|s| s.simulator_cores)),
         (
-            "sockets of the stand-ins".into(),
-            all(|s| s.stand_in_sockets as f64),
+            "sockets of the simulator".into(),
+            all(|s| s.simulator_sockets as f64),
         ),
         (
-            "longest step of the stand-ins, ms".into(),
+            "longest step of the simulator, ms".into(),
             all(|s| s.longest_step_ms as f64),
         ),
     ]
@@ -264,11 +270,11 @@
     table
 }
 
-/// Columns of the CSV. The first says that all figures are simulated.
+/// Columns of the CSV file. The first one marks every row as simulated.
 const CSV_HEAD: &str = "simulated,second,machines,running,starts,changes,requests,worker_bytes,leader,\
     stand_in_cores,stand_in_sockets,longest_step_ms,controller,core,memory_mb,sockets";
 
-/// One line for each second and controller.
+/// The CSV file, with one row for each second and controller.
 fn csv(outcome: &Outcome) -> Result<String, std::fmt::Error> {
     let mut text = format!("{CSV_HEAD}\n");
     for second in &outcome.seconds {
@@ -283,8 +289,8 @@
             second.requests,
             second.worker_bytes,
             leader.unwrap_or_default(),
-            second.stand_in_cores,
-            second.stand_in_sockets,
+            second.simulator_cores,
+            second.simulator_sockets,
             second.longest_step_ms,
         );
         for (index, core) in second.cores.iter().enumerate() {
@@ -301,10 +307,9 @@
 
 /// Space above the highest point of a plot, as a factor.
 const PLOT_HEADROOM: f64 = 1.05;
-/// The least height of a plot: one of height zero can't be drawn.
+/// The smallest height of a plot: a plot of height zero can't be drawn.
 const MIN_PLOT_HEIGHT: f64 = 1e-3;
 
-/// A plot's caption and its lines.
 struct Plot {
     caption: &'static str,
     lines: Vec<Line>,
@@ -320,22 +325,22 @@
         |second: &Second, role: Role| cores(std::slice::from_ref(second), role).fold(0.0, f64::max);
     vec![
         Plot {
-            caption: "starts a second",
+            caption: "task starts per second",
             lines: vec![line(BLUE, &|s| s.starts as f64)],
         },
         Plot {
-            caption: "changes (blue) and requests (red) a second",
+            caption: "store changes (blue) and requests (red) per second",
             lines: vec![
                 line(BLUE, &|s| s.changes as f64),
                 line(RED, &|s| s.requests as f64),
             ],
         },
         Plot {
-            caption: "tasks running",
+            caption: "running tasks",
             lines: vec![line(BLUE, &|s| s.running as f64)],
         },
         Plot {
-            caption: "cores: leader (red), busiest other (blue)",
+            caption: "cores: leader (red), busiest follower (blue)",
             lines: vec![
                 line(RED, &|s| busiest(s, Role::Leader)),
                 line(BLUE, &|s| busiest(s, Role::Follower)),
@@ -344,7 +349,7 @@
     ]
 }
 
-/// The page of a run, which needs no network.
+/// The HTML page of a run. The plots are inline SVG, so that the page opens without a network.
 fn page(settings: &ScaleSettings, outcome: &Outcome) -> anyhow::Result<Markup> {
     let mut figures = Vec::new();
     for Plot { caption, lines } in plots(&outcome.seconds) {
@@ -363,7 +368,7 @@
                 @for (caption, svg) in &figures {
                     figure { (PreEscaped(svg)) figcaption { (caption) } }
                 }
-                @for event in &outcome.events { p { (event.at) " s: " (event.what) } }
+                @for event in &outcome.events { p { (event.at) " s: " (event.description) } }
             }
         }
     })
