--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -33,7 +33,7 @@
 /// Called with the measurements of each second.
 pub type Progress<'a> = &'a mut dyn FnMut(&Second);
 
-/// Performs a run. It ends early on Ctrl-C, or if it uses more memory than [`memory_limit_mb`] allows.
+/// Performs a run. It ends early on Ctrl-C, or if it uses more memory than a run may.
 ///
 /// # Errors
 /// A controller can't be started or does not become ready.
