--- a/crates/simulator/src/live/control.rs
+++ b/crates/simulator/src/live/control.rs
@@ -1,7 +1,7 @@
-//! The region's control interface over HTTP: requests for faults, and users' uploads of job descriptions.
+//! The region's HTTP control interface, for fault requests and users' uploads of job descriptions.
 //!
-//! Uploads go into the shared region here. Faults go to whoever holds the controllers' processes, through
-//! the channel that [`serve`] returns.
+//! Uploads are stored in the shared region. Fault requests go through the channel that [`serve`] returns, because
+//! only the owner of the controller processes can inject every kind of fault.
 
 use std::net::SocketAddr;
 
@@ -17,23 +17,24 @@
 use super::http::{self, Request, Response};
 use crate::machines::JobDescription;
 
-/// The part of an uploaded description that controllers ignore.
+/// The field of an uploaded description that only the simulator reads; controllers ignore it.
 #[derive(Deserialize)]
 struct RunTimeBody {
-    /// Seconds that each task runs; left out: as long as the job's estimate.
+    /// Run time of each task in seconds; defaults to the job's estimate.
     #[serde(rename = "runS", default)]
     run_s: Option<f64>,
 }
 
-/// A request for a fault, with the channel for its outcome.
+/// A request to inject a fault, with the channel for its outcome.
 pub struct FaultRequest {
     /// The fault to inject.
     pub fault: Fault,
-    /// Receives the outcome, which is then answered over HTTP.
+    /// Takes the outcome, which becomes the HTTP response. Dropping it makes the request fail with 503.
     pub reply: oneshot::Sender<Result<(), FaultError>>,
 }
 
-/// Serves `POST /faults` and `POST /jobs` on an address of its own, which it returns with the requested faults.
+/// Serves `POST /faults` and `POST /jobs` on a new loopback address. Returns the address and the channel of fault
+/// requests.
 ///
 /// # Errors
 /// No listener can be opened.
@@ -62,14 +63,14 @@
     }
 }
 
-/// Passes a fault on and waits for its outcome.
+/// Forwards a fault request and waits for its outcome.
 async fn request_fault(sender: &mpsc::UnboundedSender<FaultRequest>, body: &[u8]) -> Response {
     let fault = match serde_json::from_slice::<Fault>(body) {
         Ok(fault) => fault,
         Err(error) => return Response::error(400, error),
     };
     let (reply, outcome) = oneshot::channel();
-    // A closed channel drops the reply, which is answered with 503 below.
+    // If the channel is closed, the reply sender is dropped and the request gets 503 below.
     let _ = sender.send(FaultRequest { fault, reply });
     match outcome.await {
         Ok(Ok(())) => Response::ok(json!({})),
@@ -78,7 +79,7 @@
     }
 }
 
-/// Stores a job's description: the workers fetch it when they start the job's tasks.
+/// Stores a job's description, which workers read when they start the job's tasks.
 fn upload(shared: &SharedRegion, body: &[u8]) -> Response {
     let run_time: RunTimeBody = match serde_json::from_slice(body) {
         Ok(run_time) => run_time,
@@ -92,12 +93,12 @@
     let region = &mut *shared.lock();
     let now = region.now();
     region.rules.submit(&id, now);
-    let answer = json!({"id": id, "runS": run.secs()});
+    let response = json!({"id": id, "runS": run.secs()});
     let description = JobDescription {
         spec,
         run_time: run,
         broken: false,
     };
     region.machines.jobs.insert(id, description);
-    Response::json(201, answer)
+    Response::json(201, response)
 }
--- a/crates/simulator/src/live/controllers.rs
+++ b/crates/simulator/src/live/controllers.rs
@@ -1,8 +1,8 @@
-//! The controllers of a live region: processes of the real daemon.
+//! The controllers of a live region, which are real daemon processes.
 //!
-//! [`Controllers`] owns the processes and a temporary folder with their settings and logs; both are gone when
-//! it is dropped. The processes run this program's own executable, whose `controller` subcommand is the
-//! daemon's command line.
+//! [`Controllers`] owns the processes and a temporary directory with their settings and logs; dropping it kills
+//! the processes and removes the directory. The processes run this program's own executable, whose `controller`
+//! subcommand is the daemon's command line.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use super::http::listen;
 use crate::config::Config;
 
-/// Lines of a controller's log that are shown when it fails.
+/// Number of log lines that are shown when a controller fails.
 const LOG_TAIL_LINES: usize = 5;
 
-/// The controllers' processes, by the controllers' indices.
+/// The controller processes, by index.
 pub struct Controllers {
     folder: PathBuf,
-    operator: Option<PathBuf>,
+    operator_settings: Option<PathBuf>,
     children: Vec<Option<Child>>,
-    /// Where each controller answers users and workers.
+    /// The address at which each controller serves users and workers.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// An address that was free when it was looked for.
+/// An address that was free when it was tried; another process may take it before it is used.
 fn free_address() -> std::io::Result<SocketAddr> {
     listen()?.local_addr()
 }
@@ -37,8 +37,8 @@
 }
 
 impl Controllers {
-    /// Serves store and cloud for each controller and writes the controllers' settings. No process is
-    /// started. `operator` is the path of the operator settings that all controllers get.
+    /// Serves store and cloud for each controller and writes the controllers' settings, without starting a
+    /// process. `operator` is the path of the operator settings passed to all controllers.
     ///
     /// # Errors
     /// An address can't be opened or a file can't be written.
@@ -65,14 +65,14 @@
         }
         let controllers = Self {
             folder,
-            operator: operator.map(Path::to_path_buf),
+            operator_settings: operator.map(Path::to_path_buf),
             children: (0..config.controllers).map(|_| None).collect(),
             addresses: public,
         };
         Ok((controllers, shared))
     }
 
-    /// The file with a controller's settings.
+    /// Path of a controller's settings file.
     #[must_use]
     pub fn settings_path(&self, index: usize) -> PathBuf {
         settings_path(&self.folder, index)
@@ -82,7 +82,7 @@
         self.folder.join(format!("n{index}.log"))
     }
 
-    /// Starts a controller's process, which appends to its log.
+    /// Starts a controller's process, which appends to its log. The previous process must be gone.
     ///
     /// # Errors
     /// The log can't be opened or the process can't be started.
@@ -94,42 +94,46 @@
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("controller").arg("serve").arg("--config");
         command.arg(self.settings_path(index));
-        if let Some(operator) = &self.operator {
+        if let Some(operator) = &self.operator_settings {
             command.arg("--operator").arg(operator);
         }
-        // The process exits when its end of the pipe closes, so that it never outlives this program.
+        // The controller exits when its standard input closes, so that it never outlives this process.
         command
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log);
-        self.children[index] = Some(command.spawn().context("a controller can't be started")?);
+        self.children[index] = Some(
+            command
+                .spawn()
+                .context("failed to start a controller process")?,
+        );
         Ok(())
     }
 
-    /// Starts the processes of all controllers.
+    /// Starts the processes of all controllers, in the order of their indices.
     ///
     /// # Errors
-    /// One of them can't be started.
+    /// A process can't be started; the controllers after it are not started.
     pub fn start_all(&mut self) -> anyhow::Result<()> {
         (0..self.children.len()).try_for_each(|index| self.start(index))
     }
 
-    /// Kills a controller's process, if it runs, and waits until it is gone.
+    /// Kills a controller's process, if there is one, and waits until it has exited.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.children[index].take() {
-            // Both fail only if the process has exited and was waited for.
+            // Both fail only if the process has already exited and been waited for.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// The process ID of a controller that was started and not killed.
+    /// Process ID of a controller; `None` if it was not started or was killed.
     #[must_use]
     pub fn pid(&self, index: usize) -> Option<u32> {
         self.children[index].as_ref().map(Child::id)
     }
 
-    /// Controllers whose processes exited without being killed.
+    /// Indices of controllers that exited without being killed, on every call until a restart or kill.
     pub fn exited(&mut self) -> Vec<usize> {
         let has_exited = |child: &mut Option<Child>| {
             let child = child.as_mut();
@@ -140,7 +144,7 @@
         exited.collect()
     }
 
-    /// The last lines of a controller's log.
+    /// The last few lines of a controller's log; empty if it can't be read.
     #[must_use]
     pub fn log_tail(&self, index: usize) -> String {
         let text = fs::read_to_string(self.log_path(index)).unwrap_or_default();
--- a/crates/simulator/src/live/faults/injector.rs
+++ b/crates/simulator/src/live/faults/injector.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a plan in time, and starts killed controllers again.
+//! Injects the faults of a plan at their times, and restarts killed controllers.
 
 use std::time::Duration;
 
@@ -8,28 +8,27 @@
 use crate::live::SharedRegion;
 use crate::live::controllers::Controllers;
 
-/// A killed controller that is to be started again.
+/// A pending restart of a killed controller.
 struct Restart {
     at: Duration,
     controller: usize,
 }
 
-/// The faults that are still to come, and the controllers that are down. All times are from the beginning
-/// of the run.
+/// Pending faults and restarts of controllers. All times are relative to the start of the run.
 pub struct FaultInjector {
     plan: Plan,
     restarts: Vec<Restart>,
 }
 
 impl FaultInjector {
-    /// Begins a plan.
+    /// An injector for a plan, whose faults must be sorted by time.
     #[must_use]
     pub fn new(plan: Plan) -> Self {
         let restarts = Vec::new();
         Self { plan, restarts }
     }
 
-    /// Injects the faults that are due, and starts the controllers whose time is over. A fault that can't
+    /// Injects the faults that are due, and restarts the controllers whose downtime is over. A fault that can't
     /// be injected is reported on standard error and skipped.
     ///
     /// # Errors
@@ -44,7 +43,7 @@
         while self.plan.first().is_some_and(|planned| planned.at <= time) {
             let planned = self.plan.remove(0);
             if let Err(error) = self.inject(&planned.fault, shared, controllers, now) {
-                eprintln!("a fault of the plan is passed over: {error}");
+                eprintln!("skipping a planned fault that can't be injected: {error}");
             }
         }
         let (due, pending): (Vec<Restart>, Vec<Restart>) = std::mem::take(&mut self.restarts)
@@ -55,10 +54,11 @@
             .try_for_each(|restart| controllers.start(restart.controller))
     }
 
-    /// Injects one fault now, and plans the restart of a controller that it killed.
+    /// Injects one fault immediately, and schedules the restart of a controller that it killed. A restart already
+    /// pending for that controller is replaced.
     ///
     /// # Errors
-    /// The fault's target does not exist, or its length is out of bounds.
+    /// The fault's target does not exist, or its duration is out of bounds.
     pub fn inject(
         &mut self,
         fault: &Fault,
--- a/crates/simulator/src/live/faults/mod.rs
+++ b/crates/simulator/src/live/faults/mod.rs
@@ -1,6 +1,6 @@
-//! Faults of the live region: what they are, and how one is injected.
+//! Faults of the live region: their kinds, their validation and their injection.
 //!
-//! `plan` reads faults from a file, `injector` injects them in time and restarts killed controllers.
+//! `plan` reads faults from a file, `injector` injects them at their times and restarts killed controllers.
 
 mod injector;
 mod plan;
@@ -19,53 +19,53 @@
 use plan::parse_plan;
 pub use plan::{Plan, PlannedFault, read_plan};
 
-/// Seconds that a fault may last.
+/// Range of a fault's duration in seconds.
 const DURATION_S: std::ops::RangeInclusive<f64> = 0.0..=3600.0;
-/// The delay of a slow store: half a second, which the daemon must bear without giving up its leases.
+/// Response delay of a slow store. The daemon must tolerate it without losing its leases.
 const STORE_DELAY: Duration = Duration::from_millis(500);
 
-/// What goes wrong.
+/// The kind of a fault. The comments of the variants are shown as command-line help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A controller (n0, n1, ...) is killed, and started again when the time is over
+    /// A controller (n0, n1, ...) is killed, and restarted at the end of the fault
     Kill,
     /// A controller is cut off from state service, cloud and workers' heartbeats
     Cut,
     /// The state service is down
     Outage,
-    /// The state service answers half a second late
+    /// The state service delays its responses by half a second
     Slow,
-    /// The cloud's interface is down
+    /// The cloud's API is down
     Cloud,
-    /// A machine (vm-000001, ...) does nothing, then goes on
+    /// A machine (vm-000001, ...) hangs, and resumes at the end of the fault
     Hang,
-    /// A machine stops for good
+    /// A machine stops permanently
     Stop,
 }
 
-/// A fault with its target and its length.
+/// A fault with its target and duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: Kind,
-    /// The controller or machine; empty where the kind has no target.
+    /// Name of the controller or ID of the machine; ignored by kinds without a target.
     #[serde(default)]
     pub target: String,
-    /// Seconds until it is over.
+    /// Duration in seconds; without effect on [`Kind::Stop`].
     pub for_s: f64,
 }
 
 /// Why a fault can't be injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultError {
-    /// The target is no controller of the region.
+    /// The region has no controller with the target's name.
     UnknownController(String),
-    /// The target is no machine that is up.
+    /// No machine with the target's ID is up.
     UnknownMachine(MachineId),
     /// The kind needs a machine, and the target is empty.
     MissingMachine,
-    /// The length is out of bounds.
+    /// The duration is out of bounds.
     Duration,
 }
 
@@ -86,7 +86,7 @@
 impl std::error::Error for FaultError {}
 
 impl Fault {
-    /// The index of the controller that is the target, of `count` controllers.
+    /// Index of the target controller in a region of `count` controllers.
     fn controller(&self, count: usize) -> Result<usize, FaultError> {
         let index = self.target.strip_prefix('n');
         let index = index.and_then(|index| index.parse().ok());
@@ -94,10 +94,11 @@
         known.ok_or_else(|| FaultError::UnknownController(self.target.clone()))
     }
 
-    /// Checks the length, and that the target can exist in a region of `controllers` controllers.
+    /// Checks the duration, and that the target can exist in a region of `controllers` controllers. Whether a
+    /// machine exists is only checked on injection.
     ///
     /// # Errors
-    /// The first of the two that is wrong.
+    /// The duration is out of bounds, the controller is unknown, or the machine is not named.
     pub fn check(&self, controllers: usize) -> Result<(), FaultError> {
         if !DURATION_S.contains(&self.for_s) {
             return Err(FaultError::Duration);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Injects the fault. Returns the controller that was killed, which the caller has to restart.
+    /// Injects the fault. Returns the index of a killed controller, which the caller must restart.
     ///
     /// # Errors
     /// The fault does not pass [`Fault::check`], or its machine is not up.
--- a/crates/simulator/src/live/faults/plan.rs
+++ b/crates/simulator/src/live/faults/plan.rs
@@ -1,4 +1,4 @@
-//! Reads a plan of faults from an INI file: one section `[fault NAME]` for each fault, with `at_s`, `kind`,
+//! Reads a fault plan from an INI file: one section `[fault NAME]` for each fault, with the keys `at_s`, `kind`,
 //! `target` and `for_s`.
 
 use std::path::Path;
@@ -9,25 +9,25 @@
 
 use super::Fault;
 
-/// Seconds that a plan may name: a day.
-const PLAN_S: std::ops::RangeInclusive<f64> = 0.0..=86_400.0;
+/// Range of a number of seconds in a plan: up to a day.
+const SECONDS: std::ops::RangeInclusive<f64> = 0.0..=86_400.0;
 
-/// A fault and when it is injected.
+/// A fault and the time of its injection.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// From the beginning of the run.
+    /// Time since the start of the run.
     pub at: Millis,
-    /// What is injected.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Faults in the order of their times.
+/// Planned faults, sorted by time.
 pub type Plan = Vec<PlannedFault>;
 
 /// Reads a plan for a region of `controllers` controllers.
 ///
 /// # Errors
-/// The file can't be read, or a section of it is no possible fault.
+/// The file can't be read, or a section is not a valid fault.
 pub fn read_plan(path: &Path, controllers: usize) -> Result<Plan, SettingsError> {
     let file = path.display().to_string();
     let text = read_file(path)?;
@@ -70,8 +70,8 @@
             "for_s" => for_s = parse_seconds(file, &field, text)?,
             "target" => target = text.trim().into(),
             "kind" => {
-                let known = serde_json::from_value(text.trim().into());
-                kind = Some(known.map_err(|error| problem(file, &field, error))?);
+                let parsed = serde_json::from_value(text.trim().into());
+                kind = Some(parsed.map_err(|error| problem(file, &field, error))?);
             }
             _ => return Err(problem(file, &field, "unknown key")),
         }
@@ -90,7 +90,7 @@
 
 fn parse_seconds(file: &str, field: &str, text: &str) -> Result<f64, SettingsError> {
     match text.trim().parse::<f64>() {
-        Ok(seconds) if PLAN_S.contains(&seconds) => Ok(seconds),
+        Ok(seconds) if SECONDS.contains(&seconds) => Ok(seconds),
         _ => Err(problem(file, field, "must be a number of seconds")),
     }
 }
--- a/crates/simulator/src/live/http.rs
+++ b/crates/simulator/src/live/http.rs
@@ -1,7 +1,6 @@
-//! A small HTTP server for JSON on loopback: one handler answers all paths.
+//! A small HTTP server for JSON on loopback, with one handler for all paths.
 //!
-//! The simulated store, the cloud, the workers and the control interface all serve through it. It owns no
-//! state.
+//! The simulated store, cloud and workers and the control interface are served by it. It keeps no state.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -13,7 +12,7 @@
 use warp::path::FullPath;
 use warp::{Filter, Reply};
 
-/// Bytes of the largest request body that is accepted: the daemon's own requests stay well below 1 MiB.
+/// Largest accepted request body in bytes. The daemon's requests stay well below 1 MiB.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// A received request.
@@ -24,25 +23,25 @@
     pub path: String,
     /// The query's parameters by name.
     pub query: HashMap<String, String>,
-    /// The body as it was received.
+    /// The unparsed body.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// A parameter of the query as a number; none if it is missing or no number.
+    /// A query parameter as a number; `None` if it is missing or not a number.
     pub(super) fn number(&self, key: &str) -> Option<u64> {
         self.query.get(key)?.parse().ok()
     }
 }
 
-/// What a handler answers.
+/// The response of a handler.
 pub(super) struct Response {
     status: u16,
     body: Option<Value>,
 }
 
 impl Response {
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub(super) fn json(status: u16, body: Value) -> Self {
         Self {
             status,
@@ -55,17 +54,17 @@
         Self::json(200, body)
     }
 
-    /// An answer without a body.
+    /// A response without a body.
     pub(super) fn empty(status: u16) -> Self {
         Self { status, body: None }
     }
 
-    /// A failure, with its reason in the body's `error`.
+    /// An error response, with the reason in the body's field `error`.
     pub(super) fn error(status: u16, reason: impl ToString) -> Self {
         Self::json(status, json!({"error": reason.to_string()}))
     }
 
-    /// An unknown status of the handler's becomes 400.
+    /// Converts the response; a status that is not valid in HTTP becomes 400.
     fn into_warp(self) -> warp::reply::Response {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_REQUEST);
         let body = self.body.map(|body| body.to_string()).unwrap_or_default();
@@ -83,7 +82,8 @@
     Ok(listener)
 }
 
-/// Answers the requests that arrive at `listener`, until the returned future is dropped.
+/// Serves requests that arrive at `listener` until the returned future is dropped. A larger body than
+/// [`MAX_BODY_BYTES`] gets 413.
 pub(super) async fn serve<F>(
     listener: TcpListener,
     handler: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
--- a/crates/simulator/src/live/mod.rs
+++ b/crates/simulator/src/live/mod.rs
@@ -1,8 +1,8 @@
-//! The region on loopback, in real time: the models of this package behind HTTP, round real controller
-//! processes.
+//! The live region: serves the models of this package to real controller processes over HTTP on loopback, in real
+//! time.
 //!
-//! [`SharedRegion`] owns the models. Controllers reach them through `services`, `workers` and `control`,
-//! [`users::User`] plays the users, and [`faults`] changes what works.
+//! [`SharedRegion`] owns the models. `services` and `workers` are their interfaces for controllers, `control` is
+//! the one for faults and uploads, [`users::User`] simulates users, and [`faults`] injects faults.
 
 pub mod control;
 pub mod controllers;
@@ -32,83 +32,87 @@
 use crate::rules::Rules;
 use crate::state::StateService;
 
-/// Time between two steps of the models: short against every timeout of the daemon.
+/// Time between two simulation steps: short compared with every timeout of the daemon.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A delay of the store's answers, until a time.
+/// A temporary delay of the store's responses.
 #[derive(Default)]
 pub struct Slowdown {
-    /// The delay ends.
+    /// End of the delay, in the region's time.
     pub until: Millis,
-    /// How long each answer is held back.
+    /// Delay of each response.
     pub delay: Duration,
 }
 
-/// The faults that are active, each with the time at which it ends.
+/// The end times of faults, in the region's time. A fault whose time has passed is not active.
 #[derive(Default)]
 pub struct ActiveFaults {
-    /// The store answers 503.
+    /// Until then the store responds with 503, and holds watches.
     pub store_down_until: Millis,
-    /// The cloud answers 503.
+    /// Until then the cloud responds with 503.
     pub cloud_down_until: Millis,
-    /// The store answers late.
+    /// The delay of the store's responses.
     pub store_slow: Slowdown,
-    /// By controller: it reaches neither store nor cloud, and gets no heartbeats of workers.
+    /// By controller index: until then it reaches neither store nor cloud, and receives no heartbeats.
     pub cut_off_until: Vec<Millis>,
 }
 
 impl ActiveFaults {
     /// Whether a controller is cut off from store, cloud and workers' heartbeats.
+    ///
+    /// # Panics
+    /// The region has no controller with this index.
     #[must_use]
     pub fn is_cut_off(&self, controller: usize, now: Millis) -> bool {
         now < self.cut_off_until[controller]
     }
 }
 
-/// All models of the region, and what was counted on them.
+/// All models of the region, and counters of their use.
 pub struct Region {
-    /// What the region is made of.
+    /// The configuration from which the region was created.
     pub config: Config,
-    /// Real time since the region began.
+    /// Real time since the region was created.
     pub clock: Clock,
     /// The key-value store.
     pub store: StateService,
     /// The cloud that machines are rented from.
     pub cloud: Cloud,
-    /// The machines with their workers.
+    /// The machines and their workers.
     pub machines: Machines,
-    /// The protocol's rules, checked on all that happens.
+    /// The protocol's invariants, which are checked while the region runs.
     pub rules: Rules,
-    /// The faults that are active.
+    /// Faults that were injected and when they end.
     pub faults: ActiveFaults,
-    /// Requests that the store received.
+    /// Number of requests that the store received.
     pub requests: u64,
-    /// Bytes of bodies between workers and controllers, in both directions.
+    /// Bytes of message bodies between workers and controllers: heartbeats, their responses, and requests to
+    /// workers.
     pub worker_bytes: u64,
-    /// Milliseconds of the longest step since the field was last reset.
+    /// Milliseconds of the longest simulation step since this field was last reset.
     pub longest_step_ms: u64,
-    /// Interval at which rules are checked on the tasks that started since and are still on their machine.
-    /// Zero: in each step, on all tasks that started.
+    /// Interval of the rule checks, which then cover the tasks that started since the previous check and are
+    /// still on their machine. If zero, every step checks all tasks that started.
     pub check_interval: Duration,
     last_check: Millis,
     unchecked_starts: Vec<(MachineId, TaskId)>,
     rng: SmallRng,
-    /// Watches of the store that wait for a change, by the store's id.
+    /// Watches that wait for a change, by the ID that the store assigned.
     watches: HashMap<u64, oneshot::Sender<StoreResponse>>,
-    /// The server of each machine that is up.
+    /// The server task of each machine that is up.
     listeners: HashMap<MachineId, JoinHandle<()>>,
-    /// Where each controller answers users and workers.
+    /// The address at which each controller serves users and workers.
     controllers: Vec<SocketAddr>,
 }
 
 impl Region {
-    /// The region's time.
+    /// Time since the region was created; never zero, because zero means "never" in many places.
     #[must_use]
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Stops every machine of a zone, and returns how many there were.
+    /// Stops all machines of a zone that are up, and returns their number.
     pub fn lose_zone(&mut self, zone: &Zone) -> usize {
         let now = self.now();
         let machines = self.machines.by_id.iter();
@@ -121,7 +125,7 @@
         in_zone.len()
     }
 
-    /// Advances the store and the machines to the present. Returns the heartbeats that are to be delivered.
+    /// Advances the store and the machines to the current time. Returns the heartbeats to deliver.
     fn step(&mut self) -> Vec<OutgoingHeartbeat> {
         let now = self.now();
         self.store.pass(now, now < self.faults.store_down_until);
@@ -130,7 +134,7 @@
         self.check_rules(now);
         for (id, response) in self.store.woken() {
             if let Some(watcher) = self.watches.remove(&id) {
-                // A watcher that hung up needs no answer.
+                // Sending fails only if the watch's request was dropped, so there is nobody to notify.
                 let _ = watcher.send(response);
             }
         }
@@ -138,7 +142,7 @@
         heartbeats
     }
 
-    /// Checks the rules on the tasks that started, if the interval is over.
+    /// Checks the rules on the tasks that started, if the check interval has elapsed.
     fn check_rules(&mut self, now: Millis) {
         if now.since(self.last_check).0 < self.check_interval.as_millis() as u64 {
             return;
@@ -146,19 +150,19 @@
         self.last_check = now;
         let mut started = std::mem::take(&mut self.unchecked_starts);
         if !self.check_interval.is_zero() {
-            // A task that left its machine since may run elsewhere by now without breaking a rule.
+            // A task that has left its machine since its start may already run elsewhere without violating a rule.
             started.retain(|(machine_id, task)| self.machines.is_on(machine_id, task));
         }
         self.rules.check(&started, &self.machines, now);
     }
 }
 
-/// A handle on the region for its servers, users and faults.
+/// A shared handle to the region for its servers, users and fault injection.
 #[derive(Clone)]
 pub struct SharedRegion(Arc<Mutex<Region>>);
 
 impl SharedRegion {
-    /// Makes a region whose controllers answer at `controllers`.
+    /// Creates a region whose controllers serve users and workers at the addresses `controllers`.
     #[must_use]
     pub fn new(config: Config, seed: u64, controllers: Vec<SocketAddr>) -> Self {
         let faults = ActiveFaults {
@@ -186,20 +190,20 @@
         })))
     }
 
-    /// Exclusive access to the region. A holder that panicked does not keep the others out: the models
-    /// stay usable for the report.
+    /// Locks the region. The lock stays usable after a panic of a holder, because the report still needs the
+    /// models.
     pub fn lock(&self) -> MutexGuard<'_, Region> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves one controller's addresses of the store and of the cloud.
+    /// Serves one controller's addresses of the store and the cloud until the runtime shuts down.
     pub fn serve_services(&self, controller: usize, store: TcpListener, cloud: TcpListener) {
         services::serve(self, controller, store, cloud);
     }
 
     /// Advances the models and delivers heartbeats until the returned future is dropped.
     pub async fn run(self) {
-        // Only a template: each call names its controller's address.
+        // The address is a placeholder: each heartbeat replaces it with that of its controller.
         let client = HttpClient::new(SocketAddr::from(([127, 0, 0, 1], 0)));
         let mut steps = tokio::time::interval(STEP_INTERVAL);
         loop {
--- a/crates/simulator/src/live/services/cloud_api.rs
+++ b/crates/simulator/src/live/services/cloud_api.rs
@@ -1,4 +1,4 @@
-//! The cloud's HTTP interface: its machine types, and renting, listing and deleting machines.
+//! The cloud's HTTP interface: machine types, and renting, listing and deleting machines.
 
 use jaspertiller::fleet::{CloudCall, CloudResponse, MachineStage, Offer};
 use jaspertiller::types::{MachineId, MachineTypeId, Zone};
@@ -11,7 +11,7 @@
 use crate::live::http::{Request, Response};
 use crate::machines::Machines;
 
-/// The body of a request for machines.
+/// The body of a request to rent machines.
 #[derive(Deserialize)]
 struct RentBody {
     #[serde(rename = "hire")]
@@ -32,7 +32,7 @@
     machine_ids: Vec<MachineId>,
 }
 
-/// Answers one request of a controller.
+/// Handles one request of a controller. A controller that is cut off gets no timely response.
 pub(super) async fn handle(shared: SharedRegion, controller: usize, request: Request) -> Response {
     let cut_off = {
         let region = shared.lock();
@@ -51,14 +51,14 @@
     }
     let call = match parse_call(&request) {
         Ok(call) => call,
-        Err(refusal) => return refusal,
+        Err(error_response) => return error_response,
     };
     let machines = &mut region.machines;
     let response = region.cloud.call(call, machines, now, &mut region.rng);
     encode(response, &region.machines)
 }
 
-/// The call that a request stands for, or the answer that refuses it.
+/// Parses a request into a call of the cloud model; fails with the response to send.
 fn parse_call(request: &Request) -> Result<CloudCall, Response> {
     let malformed = |_| Response::error(400, "malformed");
     match (&request.method, request.path.as_str()) {
@@ -108,7 +108,7 @@
     }
 }
 
-/// The word of the cloud's interface for a stage.
+/// The wire name of a machine stage.
 fn stage_name(stage: MachineStage) -> &'static str {
     match stage {
         MachineStage::Booting => "booting",
--- a/crates/simulator/src/live/services/mod.rs
+++ b/crates/simulator/src/live/services/mod.rs
@@ -1,6 +1,6 @@
-//! The key-value store and the cloud behind HTTP.
+//! HTTP servers of the simulated key-value store and cloud.
 //!
-//! Each controller gets an address of its own for each of the two, so that one controller can be cut off
+//! Each controller has its own address for each of the two services, so that a single controller can be cut off
 //! from them. The models are in the shared region.
 
 mod cloud_api;
@@ -12,11 +12,11 @@
 use super::SharedRegion;
 use super::http;
 
-/// A request of a controller that is cut off is held this long: longer than controllers wait for an answer,
-/// so that they time out, as they would without a network.
+/// Time for which a request is held that must go unanswered: longer than the request timeout of controllers, so
+/// that they time out as they would without a network.
 const UNANSWERED_DELAY: Duration = Duration::from_secs(15);
 
-/// Serves one controller's addresses of the store and of the cloud, as long as the runtime lives.
+/// Serves one controller's addresses of the store and the cloud until the runtime shuts down.
 pub(super) fn serve(
     shared: &SharedRegion,
     controller: usize,
--- a/crates/simulator/src/live/services/store_api.rs
+++ b/crates/simulator/src/live/services/store_api.rs
@@ -13,14 +13,14 @@
 use crate::live::http::{Request, Response};
 use crate::state::StateService;
 
-/// Milliseconds that a watch may wait for a change, at most.
+/// Longest time in milliseconds that a watch waits for a change.
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
-/// Entries of one page of a listing, at most and by default.
+/// Maximum and default number of entries in a page of a listing.
 const MAX_PAGE_ENTRIES: u64 = 1_000;
-/// Milliseconds that a lease may be granted for.
+/// Range of a lease's duration in milliseconds.
 const LEASE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
-/// A condition of a transaction: the version that a key must have.
+/// A condition of a transaction: the version that a key must have for the transaction to commit.
 #[derive(Deserialize)]
 struct ConditionBody {
     key: String,
@@ -38,7 +38,7 @@
     drop: Option<String>,
 }
 
-/// A transaction: its changes are made if all its conditions hold.
+/// A transaction: its changes are applied if all its conditions hold.
 #[derive(Deserialize)]
 struct TransactionBody {
     #[serde(default, rename = "if")]
@@ -54,7 +54,8 @@
     life_ms: u64,
 }
 
-/// Answers one request of a controller.
+/// Handles one request of a controller. All requests of a controller that is cut off, and watches during an outage,
+/// are held; other requests during an outage fail at once.
 pub(super) async fn handle(shared: SharedRegion, controller: usize, request: Request) -> Response {
     let (cut_off, down, delay) = {
         let mut region = shared.lock();
@@ -78,11 +79,11 @@
     if is_watch {
         watch(&shared, &request).await
     } else {
-        answer(&shared, &request)
+        handle_immediate(&shared, &request)
     }
 }
 
-/// Waits for changes of keys with a prefix.
+/// Waits for changes of keys with a prefix, and responds with the changes or with 410 if their history is gone.
 async fn watch(shared: &SharedRegion, request: &Request) -> Response {
     let prefix = request.query.get("starts").cloned().unwrap_or_default();
     let from = Revision(request.number("from").unwrap_or(0));
@@ -107,8 +108,8 @@
     }
 }
 
-/// Answers every request but watches, without waiting.
-fn answer(shared: &SharedRegion, request: &Request) -> Response {
+/// Handles every request except watches, without waiting.
+fn handle_immediate(shared: &SharedRegion, request: &Request) -> Response {
     let region = &mut *shared.lock();
     let now = region.now();
     let transaction = match request.path.as_str() {
@@ -171,7 +172,7 @@
 fn get(store: &StateService, key: &str) -> Response {
     match store.get(key) {
         Some((data, version, lease_id)) => Response::ok(json!({
-            "key": key, "data": value(data), "stamp": version, "permit": lease_id
+            "key": key, "data": parse_value(data), "stamp": version, "permit": lease_id
         })),
         None => Response::json(404, json!({"ledger": store.revision})),
     }
@@ -186,7 +187,7 @@
     }
 }
 
-/// `POST /leases/ID/renew` renews a lease, `DELETE /leases/ID` ends it.
+/// Handles `POST /leases/ID/renew`, which renews a lease, and `DELETE /leases/ID`, which ends it.
 fn renew_or_end_lease(
     store: &mut StateService,
     method: &Method,
@@ -227,19 +228,19 @@
     Some(transaction)
 }
 
-/// A stored text as JSON. All that is stored came in as JSON.
-fn value(data: &str) -> Value {
+/// Parses a stored value. Every stored value was received as JSON, so parsing doesn't fail.
+fn parse_value(data: &str) -> Value {
     serde_json::from_str(data).unwrap_or(Value::Null)
 }
 
 fn encode_entry(entry: &Entry) -> Value {
-    json!({"key": entry.key, "data": value(entry.data.get()), "stamp": entry.version})
+    json!({"key": entry.key, "data": parse_value(entry.data.get()), "stamp": entry.version})
 }
 
 fn encode_update(update: &Update) -> Value {
     match update {
         Update::Put(entry) => {
-            json!({"put": entry.key, "data": value(entry.data.get()), "stamp": entry.version})
+            json!({"put": entry.key, "data": parse_value(entry.data.get()), "stamp": entry.version})
         }
         Update::Deleted { key, version } => json!({"drop": key, "stamp": version}),
     }
--- a/crates/simulator/src/live/users.rs
+++ b/crates/simulator/src/live/users.rs
@@ -1,6 +1,6 @@
-//! Users of a live region: they upload descriptions, and submit, poll and cancel jobs over HTTP.
+//! Simulated users of a live region, who upload job descriptions and submit, poll and cancel jobs over HTTP.
 //!
-//! What they are told goes to the rules of the shared region.
+//! Each response is reported to the shared region's rules, which check it against the protocol's invariants.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,26 +18,27 @@
 use crate::rules::JobResponse;
 use crate::sim::JobPlan;
 
-/// How long a user waits for the answer to a submission or a cancellation.
+/// Timeout of a submission or a cancellation.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a user waits for the answer to a poll.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time until a submission without an answer is repeated.
+/// Delay before a submission without a definite response is repeated.
 const SUBMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// An ID that no job of a run has.
 const UNKNOWN_JOB: &str = "job-999999999999";
 
-/// The part of an answer about a job that users read.
+/// The field of a job's state that users read.
 #[derive(Deserialize)]
 struct StateBody {
     stage: String,
 }
 
-/// What an answer tells a user.
-fn told(status: u16, body: &[u8]) -> JobResponse {
+/// Classifies a controller's response to a request about a job. Statuses and bodies that can't be interpreted
+/// count as [`JobResponse::Later`].
+fn parse_response(status: u16, body: &[u8]) -> JobResponse {
     let state = || {
         let state = serde_json::from_slice::<StateBody>(body).ok()?;
         Some(match state.stage.as_str() {
@@ -56,7 +57,7 @@
     }
 }
 
-/// A user of the region's controllers.
+/// A client of the region's controllers. Clones share the region and the connections.
 #[derive(Clone)]
 pub struct User {
     shared: SharedRegion,
@@ -65,7 +66,10 @@
 }
 
 impl User {
-    /// A user of the controllers at these addresses, of which there must be one at least.
+    /// A user of the controllers at these addresses.
+    ///
+    /// # Panics
+    /// `controllers` is empty.
     #[must_use]
     pub fn new(shared: SharedRegion, controllers: Vec<SocketAddr>) -> Self {
         let client = HttpClient::new(controllers[0]);
@@ -76,8 +80,8 @@
         }
     }
 
-    /// Sends a request to the first controller that accepts the connection, from a random one on, as a load
-    /// balancer would. A request that may have arrived is not repeated.
+    /// Sends a request to a random controller, or to the next ones if it could not be sent, as a load balancer
+    /// would. A request that a controller may have received is not repeated.
     async fn call(
         &self,
         method: Method,
@@ -93,7 +97,7 @@
                 .call(method.clone(), path, body.clone(), timeout)
                 .await
             {
-                Ok((status, body)) => return told(status, &body),
+                Ok((status, body)) => return parse_response(status, &body),
                 Err(Failure::NotSent) => {}
                 Err(Failure::Unknown) => break,
             }
@@ -101,28 +105,28 @@
         JobResponse::Later
     }
 
-    /// Hands what a user was told to the rules.
-    fn record(&self, id: &JobId, told: &JobResponse) {
+    /// Reports a response to the rules.
+    fn check_response(&self, id: &JobId, response: &JobResponse) {
         let region = &mut *self.shared.lock();
         let now = region.now();
-        region.rules.told(id, told, &region.machines, now);
+        region.rules.told(id, response, &region.machines, now);
     }
 
-    /// Whether a controller answers that it is ready.
+    /// Whether the controller with an index reports that it is ready; false if it does not respond in time.
     pub async fn is_ready(&self, index: usize) -> bool {
         let client = self.client.at(self.controllers[index]);
         let call = client.call(Method::GET, "/ready", Vec::new(), POLL_TIMEOUT);
         call.await.is_ok_and(|(status, _)| status == 200)
     }
 
-    /// Polls a job that was never submitted: the rules demand an answer other than 200.
+    /// Polls a job that was never submitted; the rules require a response other than 200.
     pub async fn poll_unknown_job(&self) {
         let id = JobId::from(UNKNOWN_JOB);
         self.poll(&id).await;
     }
 
-    /// Stores a job's description, which workers fetch when they start its tasks. Returns the job's ID and
-    /// the body to submit; none if the plan is no valid job.
+    /// Stores a job's description, which workers read when they start its tasks. Returns the job's ID and the
+    /// body to submit; `None` if the plan is not a valid job.
     pub fn upload(&self, plan: &JobPlan) -> Option<(JobId, Vec<u8>)> {
         let body = plan.body.to_string().into_bytes();
         let (id, spec) = api::parse(&body).ok()?;
@@ -139,39 +143,39 @@
         Some((id, body))
     }
 
-    /// Submits a job once, without repeating it.
+    /// Submits a job once; repeating a failed submission is left to the caller.
     pub async fn submit(&self, id: &JobId, body: &[u8]) -> JobResponse {
-        let told = self
+        let response = self
             .call(Method::POST, "/api/jobs", body.to_vec(), SUBMIT_TIMEOUT)
             .await;
-        self.record(id, &told);
-        told
+        self.check_response(id, &response);
+        response
     }
 
-    /// Asks once for a job's stage.
+    /// Polls a job's state once.
     pub async fn poll(&self, id: &JobId) -> JobResponse {
         let path = format!("/api/jobs/{id}");
-        let told = self
+        let response = self
             .call(Method::GET, &path, Vec::new(), POLL_TIMEOUT)
             .await;
-        self.record(id, &told);
-        told
+        self.check_response(id, &response);
+        response
     }
 
-    /// Cancels a job once.
+    /// Requests a job's cancellation once.
     async fn cancel(&self, id: &JobId) -> JobResponse {
         let now = self.shared.lock().now();
         self.shared.lock().rules.wants_abort(id, now);
         let path = format!("/api/jobs/{id}/abort");
-        let told = self
+        let response = self
             .call(Method::POST, &path, Vec::new(), SUBMIT_TIMEOUT)
             .await;
-        self.record(id, &told);
-        told
+        self.check_response(id, &response);
+        response
     }
 
-    /// Follows one job through its life: submits it at the time of its plan, polls it until it is over, and
-    /// cancels it `cancel_after` its submission, if that is given.
+    /// Submits one job at its planned time and polls it until it ends or is rejected. If `cancel_after` is given,
+    /// polls that long after the accepted submission become cancellations.
     pub async fn follow(self, plan: JobPlan, cancel_after: Option<Duration>) {
         if let Some(at_ms) = plan.at {
             tokio::time::sleep(Duration::from_millis(at_ms)).await;
@@ -191,12 +195,15 @@
         let cancel_at = cancel_after.map(|after| Instant::now() + after);
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            let told = if cancel_at.is_some_and(|at| Instant::now() >= at) {
+            let response = if cancel_at.is_some_and(|at| Instant::now() >= at) {
                 self.cancel(&id).await
             } else {
                 self.poll(&id).await
             };
-            if matches!(told, JobResponse::State(JobStage::Done | JobStage::Aborted)) {
+            if matches!(
+                response,
+                JobResponse::State(JobStage::Done | JobStage::Aborted)
+            ) {
                 return;
             }
         }
--- a/crates/simulator/src/live/workers.rs
+++ b/crates/simulator/src/live/workers.rs
@@ -1,7 +1,7 @@
-//! The workers' side of the protocol on loopback.
+//! The worker side of the protocol over loopback.
 //!
-//! Heartbeats are delivered to the controllers, and each machine that is up serves an address at which
-//! controllers inspect it and send it commands. The machines themselves are in the shared region.
+//! This module delivers heartbeats to the controllers, and serves an address for each machine that is up, at
+//! which controllers inspect the worker and send it commands. The machine models are in the shared region.
 
 use std::time::Duration;
 
@@ -18,11 +18,10 @@
 use super::{Region, SharedRegion};
 use crate::machines::OutgoingHeartbeat;
 
-/// How long a worker waits for the answer to a heartbeat, and how long a command to an unreachable machine
-/// goes unanswered.
+/// Timeout of a heartbeat, and the time for which a request to an unreachable machine is held before it fails.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Commands as the protocol writes them: the answer to a heartbeat, and the body of a direct request.
+/// Commands in wire format: the response to a heartbeat, or the body of a direct request.
 #[derive(Deserialize)]
 struct CommandsBody {
     #[serde(rename = "baton")]
@@ -34,21 +33,21 @@
 }
 
 impl CommandsBody {
-    /// The commands that this version of the protocol knows.
+    /// The commands that this version of the protocol supports; others are ignored.
     fn commands(&self) -> Vec<WorkerCommand> {
-        let known = self.commands.iter().filter_map(WorkerCommandBody::command);
-        known.collect()
+        let supported = self.commands.iter().filter_map(WorkerCommandBody::command);
+        supported.collect()
     }
 }
 
-/// The answer of a controller that does not hold the machine's shard.
+/// The response of a controller that does not hold the machine's shard.
 #[derive(Deserialize)]
 struct RedirectBody {
     #[serde(rename = "foreman")]
     redirect_to: Option<ControllerId>,
 }
 
-/// The protocol's word for a stage.
+/// The wire name of a task stage.
 fn stage_name(stage: TaskStage) -> &'static str {
     match stage {
         TaskStage::Fetching => "pulling",
@@ -59,7 +58,7 @@
     }
 }
 
-/// The protocol's word for a cause.
+/// The wire name of an exit cause.
 fn cause_name(cause: ExitCause) -> &'static str {
     match cause {
         ExitCause::Done => "done",
@@ -73,7 +72,7 @@
     }
 }
 
-/// A heartbeat as the protocol writes it.
+/// Encodes a heartbeat in wire format.
 #[must_use]
 pub fn heartbeat_body(heartbeat: &Heartbeat) -> Value {
     let tasks = heartbeat.tasks.iter().map(|task| {
@@ -87,7 +86,8 @@
         "picks": tasks})
 }
 
-/// Delivers one heartbeat to its controller, and the controller's answer to the machine.
+/// Sends one heartbeat to its controller, and passes the response to the machine. Without a response the machine
+/// retries later.
 pub(super) async fn deliver(shared: SharedRegion, client: HttpClient, outgoing: OutgoingHeartbeat) {
     let address = {
         let region = shared.lock();
@@ -117,14 +117,14 @@
     }
 }
 
-/// Whether messages pass between a heartbeat's machine and its controller.
+/// Whether the machine and the controller of a heartbeat can reach each other.
 fn is_connected(region: &Region, outgoing: &OutgoingHeartbeat) -> bool {
     let now = region.now();
     !region.faults.is_cut_off(outgoing.controller, now)
         && region.machines.reachable(&outgoing.machine_id, now)
 }
 
-/// What a controller's answer to a heartbeat says; none if it can't be read.
+/// Parses a controller's response to a heartbeat; `None` if its body is malformed.
 fn parse_response(status: u16, body: &[u8]) -> Option<HeartbeatResponse> {
     match status {
         200 => {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Opens a server for each machine that came up, and closes those of machines that are gone.
+/// Starts a server for each machine that came up, and stops those of machines that stopped.
 pub(super) fn update_listeners(shared: &SharedRegion) {
     let region = &mut *shared.lock();
     for (machine_id, machine) in &mut region.machines.by_id {
@@ -167,7 +167,7 @@
     }
 }
 
-/// Answers a controller's request to a worker, with the worker's heartbeat as body.
+/// Handles a controller's request to a worker. The response body is the worker's heartbeat.
 async fn handle(shared: SharedRegion, machine_id: MachineId, request: Request) -> Response {
     let reachable = {
         let region = shared.lock();
@@ -190,8 +190,8 @@
     }
 }
 
-/// Executes the commands of a direct request. Returns the HTTP status: 409 if the worker's token or epoch
-/// refuses them.
+/// Executes the commands of a direct request. Returns the HTTP status: 400 if the body is malformed, 409 if the
+/// worker rejects the request's token or epoch.
 fn execute(region: &mut Region, machine_id: &MachineId, body: &[u8]) -> u16 {
     let Ok(body) = serde_json::from_slice::<CommandsBody>(body) else {
         return 400;
