--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,5 +1,6 @@
-//! The simulated cloud: one machine type. Rentals are idempotent by request ID, the list of machines lags behind, and
-//! deletion is final. It owns the rental requests; the machines themselves are in [`crate::machines`].
+//! The simulated cloud, which offers one machine type. Rentals are idempotent by request ID, the list of machines is
+//! stale by a fixed lag, and deletion is final. [`Cloud`] owns the rental requests; the state of the machines is in
+//! [`crate::machines`].
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -13,24 +14,24 @@
 use crate::config::Config;
 use crate::machines::{Machine, Machines};
 
-/// How long a machine that stopped by itself stays listed.
+/// How long a machine that stopped without being deleted stays listed.
 const STOPPED_LISTED: Millis = Millis(30_000);
 
-/// The simulated cloud.
+/// The simulated cloud: rental requests, deletions and the capacity for rent.
 pub struct Cloud {
     config: Config,
-    /// The machines that each rental request got, by request ID.
+    /// The machines rented by each request, by request ID.
     rental_requests: HashMap<String, Vec<MachineId>>,
-    /// Machines that were deleted.
+    /// Every machine that a controller has asked to delete.
     pub deleted: BTreeSet<MachineId>,
-    /// Machines rented so far; the last one's number.
+    /// Number of machines rented so far, which is also the number in the ID of the latest one.
     rented: u32,
-    /// Machines that were healthy, reachable and ran tasks when they were deleted.
+    /// Number of machines that were healthy, reachable and running tasks when they were deleted.
     pub deleted_at_work: u64,
 }
 
 impl Cloud {
-    /// A cloud that has rented nothing yet.
+    /// Creates a cloud without machines.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         Self {
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Sets how many machines the cloud can rent out in all.
+    /// Sets how many machines may be rented at a time. Machines above a lowered capacity keep running.
     pub fn offer(&mut self, capacity: u32) {
         self.config.capacity = capacity;
     }
 
-    /// The body that lists the machine types.
+    /// Returns the response body that lists the machine types, as the cloud's API writes it.
     #[must_use]
     pub fn type_specs(&self) -> Value {
         let machine_type = &self.config.machine_type;
@@ -101,7 +102,7 @@
         CloudResponse::Deleted
     }
 
-    /// All listed machines after an ID, on one page.
+    /// Returns all listed machines with an ID after `after` on one page.
     fn list(&self, after: Option<&MachineId>, machines: &Machines, now: Millis) -> CloudResponse {
         let is_after = |machine_id: &MachineId| after.is_none_or(|after| machine_id > after);
         let listed = machines
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Whether a machine is missing from the list: at once if it was deleted, after [`STOPPED_LISTED`] if it stopped.
+    /// Whether a machine is missing from the list: immediately once it was deleted, after [`STOPPED_LISTED`] once it
+    /// stopped.
     fn is_unlisted(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> bool {
         let stopped = machine
             .stopped_at
@@ -125,24 +127,24 @@
         self.deleted.contains(machine_id) || stopped
     }
 
-    /// A machine as the list shows it: its state `list_lag` ago.
+    /// Returns a machine's entry in the list, which shows its state `list_lag` ago.
     fn listed(&self, machine_id: &MachineId, machine: &Machine, now: Millis) -> ListedMachine {
-        let seen = now - self.config.list_lag;
+        let as_of = now - self.config.list_lag;
         ListedMachine {
             machine_id: machine_id.clone(),
             machine_type: self.config.machine_type.id.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            stage: if machine.up_at > seen {
+            stage: if machine.up_at > as_of {
                 MachineStage::Booting
             } else {
                 MachineStage::Running
             },
-            age: seen - machine.rented_at,
+            age: as_of - machine.rented_at,
         }
     }
 
-    /// Rents machines, or returns those that the request has got already.
+    /// Rents up to `count` machines, or returns those that an earlier request with this ID rented.
     fn rent(
         &mut self,
         request_id: String,
@@ -159,12 +161,12 @@
         if let Some(machine_ids) = self.rental_requests.get(&request_id) {
             return CloudResponse::Rented(machine_ids.clone());
         }
-        let alive = machines
+        let running = machines
             .by_id
             .values()
             .filter(|m| m.stopped_at.is_none())
             .count() as u32;
-        let count = count.min(self.config.capacity.saturating_sub(alive));
+        let count = count.min(self.config.capacity.saturating_sub(running));
         let is_offered =
             *machine_type == self.config.machine_type.id && self.config.zones.contains(zone);
         if count == 0 || !is_offered {
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of a simulated cluster, with its defaults, and the settings that its controllers get.
+//! Configuration of a simulated cluster, its defaults, and the settings that are generated from it for each controller.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,43 +10,43 @@
 use jaspertiller::types::{MachineTypeId, Millis, Resources, Zone};
 use serde_json::{Value, json};
 
-/// Configuration of a simulated cluster.
+/// Configuration of a simulated cluster; [`Config::default`] is a small one with two zones.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Number of controllers.
     pub controllers: usize,
-    /// Zones of machines and controllers.
+    /// Zones of machines and controllers, at least one; controllers are assigned to them in turn.
     pub zones: Vec<Zone>,
-    /// The classes of jobs that the deployment names.
+    /// Job classes for which the deployment gets a wait objective; empty means no objectives.
     pub classes: Vec<String>,
     /// Teams with their quotas.
     pub teams: Vec<TeamSettings>,
     /// Intervals and timeouts of workers.
     pub timing: Timing,
-    /// Type of all machines.
+    /// The only machine type that the cloud offers.
     pub machine_type: MachineType,
-    /// Machines that the cloud can rent out at a time.
+    /// Most machines that may be rented at a time.
     pub capacity: u32,
-    /// How old the cloud's list of machines is.
+    /// How far the cloud's list of machines lags behind its state.
     pub list_lag: Millis,
     /// Rate and size limits of the store.
     pub state: StateLimits,
     /// Rate limit of the cloud in calls per second.
     pub cloud_rps: f64,
-    /// Processor, memory and sockets that a controller may use.
+    /// CPU cores, memory and sockets that a controller process may use.
     pub quota: ProcessLimits,
 }
 
 /// Intervals and timeouts of workers and jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Interval of heartbeats.
+    /// Interval at which a worker sends heartbeats.
     pub heartbeat: Millis,
     /// A worker without a response for this long kills its tasks.
     pub lease: Millis,
-    /// How long a task of a gang waits for the others to start.
+    /// How long a started gang task waits for the other members before it exits.
     pub gang_wait: Millis,
-    /// How long tasks of a gang continue after one was asked to stop.
+    /// How long members of a gang may continue after one of them was asked to stop.
     pub gang_peer: Millis,
     /// How long tasks of a job may run after its user was told that it is cancelled.
     pub cancel: Millis,
@@ -55,30 +55,30 @@
 /// A machine type.
 #[derive(Clone, Debug)]
 pub struct MachineType {
-    /// Name of the type.
+    /// Name of the type, unique within the cloud.
     pub id: MachineTypeId,
     /// Capacity of a machine.
     pub resources: Resources,
-    /// Rate at which images are fetched, in GB per second.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Time from the rental until the machine is up.
+    /// Mean time from the rental until the machine is up.
     pub boot: Millis,
 }
 
-/// Limits of the store.
+/// Rate and size limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StateLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Puts and deletions per second.
     pub write_rps: f64,
-    /// Largest value in KiB.
+    /// Size of the largest value in KiB.
     pub value_kb: f64,
-    /// Most changes in one transaction.
+    /// Most puts and deletions in one transaction.
     pub txn_ops: usize,
 }
 
-/// A team with a GPU guarantee and a GPU limit; a limit of 0 means none.
+/// Returns a team with this GPU guarantee and GPU limit, without guarantee or limit for CPUs; a limit of 0 means none.
 pub fn team(name: &str, gpus: f64, gpus_max: f64) -> TeamSettings {
     TeamSettings {
         name: name.into(),
@@ -131,8 +131,9 @@
     }
 }
 
-/// The file's keys: section, key, smallest and largest value, and where it goes.
+/// Stores the value of a key in the configuration.
 type Setter = fn(&mut Config, f64);
+/// Numeric keys of the configuration file: section, key, smallest and largest value, and setter.
 const KEYS: &[(&str, &str, f64, f64, Setter)] = &[
     ("region", "controllers", 1.0, 9.0, |c, v| {
         c.controllers = v as usize
@@ -170,8 +171,10 @@
     }),
 ];
 
-type Amount = fn(&mut TeamSettings) -> &mut f64;
-const TEAM_KEYS: &[(&str, Amount)] = &[
+/// Selects the field of a team that a key sets.
+type TeamField = fn(&mut TeamSettings) -> &mut f64;
+/// Keys of a `[team NAME]` section.
+const TEAM_KEYS: &[(&str, TeamField)] = &[
     ("cpus", |t| &mut t.cpus),
     ("cpus_max", |t| &mut t.cpus_max),
     ("gpus", |t| &mut t.gpus),
@@ -182,20 +185,21 @@
     /// Reads a configuration file.
     ///
     /// # Errors
-    /// If the file cannot be read, or as `parse`.
+    /// If the file cannot be read, or for the same reasons as [`Config::parse`].
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = read_file(path)?;
         Self::parse(&file, &text)
     }
 
-    /// Parses the sections `[region]`, `[machines]`, `[workers]`, `[state]`, and a `[team NAME]` for each team.
+    /// Parses the sections `[region]`, `[machines]`, `[workers]`, `[state]`, and a `[team NAME]` for each team. Absent
+    /// keys keep their defaults; any team section replaces all default teams. `file` is only used in errors.
     ///
     /// # Errors
-    /// If the text is not INI, a key is unknown, or a value is not in its range.
+    /// If the text is not valid INI, a key is unknown, or a value is outside its range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let problem = |field: &str, reason: String| settings_error(file, field, reason);
-        let ini = Ini::load_from_str(text).map_err(|e| problem("file", e.to_string()))?;
+        let invalid = |field: &str, reason: String| settings_error(file, field, reason);
+        let ini = Ini::load_from_str(text).map_err(|e| invalid("file", e.to_string()))?;
         let mut config = Self::default();
         if ini
             .sections()
@@ -206,7 +210,7 @@
         }
         for (section, entries) in ini.iter() {
             let section = section.unwrap_or("");
-            let mut its_team = section
+            let mut section_team = section
                 .strip_prefix("team ")
                 .map(|name| team(name.trim(), 0.0, 0.0));
             for (key, text) in entries.iter() {
@@ -214,40 +218,38 @@
                 if section == "region" && key == "zones" {
                     config.zones = text.split_whitespace().map(Zone::from).collect();
                     if config.zones.is_empty() {
-                        return Err(problem(&field, "must name a zone".into()));
+                        return Err(invalid(&field, "must name a zone".into()));
                     }
                     continue;
                 }
                 let value: f64 = text
                     .trim()
                     .parse()
-                    .map_err(|_| problem(&field, "must be a number".into()))?;
-                if let Some(team) = &mut its_team {
+                    .map_err(|_| invalid(&field, "must be a number".into()))?;
+                if let Some(team) = &mut section_team {
                     let known = TEAM_KEYS.iter().find(|(name, _)| *name == key);
-                    let (_, slot) = known.ok_or_else(|| problem(&field, "unknown key".into()))?;
+                    let (_, team_field) =
+                        known.ok_or_else(|| invalid(&field, "unknown key".into()))?;
                     if !(0.0..=1e9).contains(&value) {
-                        return Err(problem(&field, "must lie between 0 and 1e9".into()));
+                        return Err(invalid(&field, "must lie between 0 and 1e9".into()));
                     }
-                    *slot(team) = value;
+                    *team_field(team) = value;
                     continue;
                 }
                 let known = KEYS.iter().find(|k| k.0 == section && k.1 == key);
-                let (_, _, least, most, set) =
-                    known.ok_or_else(|| problem(&field, "unknown key".into()))?;
-                if !(*least..=*most).contains(&value) {
-                    return Err(problem(
-                        &field,
-                        format!("must lie between {least} and {most}"),
-                    ));
+                let (_, _, min, max, set) =
+                    known.ok_or_else(|| invalid(&field, "unknown key".into()))?;
+                if !(*min..=*max).contains(&value) {
+                    return Err(invalid(&field, format!("must lie between {min} and {max}")));
                 }
                 set(&mut config, value);
             }
-            config.teams.extend(its_team);
+            config.teams.extend(section_team);
         }
         Ok(config)
     }
 
-    /// Label of a controller.
+    /// Returns the label of the controller with this index, counted from 0.
     pub fn label(index: usize) -> String {
         format!("n{index}")
     }
@@ -256,7 +258,8 @@
         &self.zones[index % self.zones.len()]
     }
 
-    /// Settings of one controller. `addresses` has for each controller the one for users and the one for peers.
+    /// Returns the settings JSON of one controller. `addresses` holds the public address and the peer address of each
+    /// controller, by index, and must have an entry for all of them.
     pub fn settings(
         &self,
         index: usize,
--- a/crates/simulator/src/machines/commands.rs
+++ b/crates/simulator/src/machines/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that workers execute: start, stop and forget tasks.
+//! Worker commands: starting, stopping and forgetting tasks.
 
 use jaspertiller::jobs::{JobKind, JobSpec};
 use jaspertiller::types::{AgentEpoch, Attempt, Image, MachineId, Millis, TaskId, WorkerToken};
@@ -9,13 +9,14 @@
 use super::{HEARTBEAT_AFTER_CHANGE, Machines, RETRY_DELAY, last_checkpoint};
 use crate::config::Config;
 
-/// A worker heartbeats this soon to a controller that it was redirected to.
+/// Delay of the heartbeat to a controller that the worker was redirected to.
 const REDIRECT_DELAY: Millis = Millis(100);
-/// A worker heartbeats this soon after direct commands.
+/// Longest delay of the next heartbeat after a direct command or the start of a task.
 const HEARTBEAT_AFTER_COMMAND: Millis = Millis(500);
 
 impl Machines {
-    /// Takes a controller's response to a heartbeat, if it reaches the machine and the machine still waits for it.
+    /// Handles a controller's response to a heartbeat. A response is dropped if it cannot reach the machine, or if the
+    /// machine no longer waits for it.
     pub fn receive_response(
         &mut self,
         outgoing: &OutgoingHeartbeat,
@@ -42,7 +43,7 @@
                 worker_token,
                 commands,
             } => {
-                // A fenced controller neither renews the lease nor commands the worker.
+                // A controller with an old token is fenced: it neither renews the lease nor commands the worker.
                 if worker_token < machine.worker_token {
                     return;
                 }
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Lets a worker execute direct commands, unless its token or agent epoch fences them off; whether it did.
+    /// Executes commands that a controller sent directly to a worker, and returns whether the worker accepted them. It
+    /// rejects a token lower than its own and any agent epoch but its current one.
     pub fn execute_direct(
         &mut self,
         machine_id: &MachineId,
@@ -108,8 +110,8 @@
         let Some(machine) = self.by_id.get_mut(machine_id) else {
             return;
         };
-        let is_over = |task: &Task| task.attempt == attempt && task.is_exited();
-        if machine.tasks.get(id).is_some_and(is_over) {
+        let is_exited_attempt = |task: &Task| task.attempt == attempt && task.is_exited();
+        if machine.tasks.get(id).is_some_and(is_exited_attempt) {
             machine.tasks.remove(id);
         }
     }
@@ -151,7 +153,7 @@
         }
     }
 
-    /// When an image is on a machine; fetches it unless the machine has it or fetches it already.
+    /// Returns when an image is available on a machine; starts to fetch it unless the machine has it or is fetching it.
     fn image_ready_at(
         &mut self,
         machine_id: &MachineId,
@@ -159,7 +161,7 @@
         size_gb: f64,
         now: Millis,
     ) -> Millis {
-        // Drawn for images that are there, too: the draws of other machines do not depend on it.
+        // Drawn even if the image is present, so that random draws of other machines do not depend on image caches.
         let duration_ms = match self.fetch_duration.clone() {
             Some(range) => self.rng.random_range(range) as f64,
             None => {
@@ -197,7 +199,7 @@
                 task.stop_requested_at = Some(now);
                 task.stage_ends_at = now + Millis::from_secs(spec.save_s);
             }
-            // It may go on with saving; only a stop without grace ends that.
+            // The task may continue saving; only a stop without a grace period aborts it.
             TaskStage::Saving if grace_s > 0.0 => {}
             TaskStage::Running | TaskStage::Saving => {
                 let ran = task.stop_requested_at.unwrap_or(now);
--- a/crates/simulator/src/machines/gangs.rs
+++ b/crates/simulator/src/machines/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs: their tasks start together, complete together, save together, and exit when a member is gone.
+//! Gang scheduling on the machines: the tasks of a gang start, complete and save together, and all exit when a member
+//! is lost.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -9,16 +10,16 @@
 use super::machine::{Machine, NEVER, Task};
 use super::{JobDescription, Machines, last_checkpoint};
 
-/// A machine with tasks sends its next heartbeat within this time.
+/// Longest interval between heartbeats of a machine that has tasks.
 const BUSY_HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// The run of a gang's attempt.
+/// One attempt of a gang, from the moment all its tasks started.
 pub(super) struct GangRun {
     attempt: Attempt,
     running_since: Millis,
     ends_at: Millis,
     stop_requested_at: Option<Millis>,
-    /// Its progress has been recorded.
+    /// The progress of this attempt has been recorded, so it must not be recorded again.
     saved: bool,
 }
 
@@ -30,10 +31,10 @@
     members.filter(|(_, task)| task.stage == stage).count()
 }
 
-/// What the runs of gangs depend on and change besides the tasks.
+/// State other than the tasks that advancing a gang reads and changes.
 struct GangRuns<'a> {
     now: Millis,
-    /// How long members may go on after one was asked to stop.
+    /// How long members may continue after one was asked to stop.
     peer_timeout: Millis,
     runs: &'a mut BTreeMap<JobId, GangRun>,
     completed: &'a mut HashSet<TaskId>,
@@ -80,7 +81,7 @@
         let is_member_gone = members.len() < tasks && requested_at.is_none();
         if is_late || is_member_gone {
             let ran = requested_at.unwrap_or(now).since(run.running_since);
-            // No attempt gets here with its progress saved.
+            // `saved` was false until here: an attempt with recorded progress returned above.
             run.saved = true;
             let checkpoint = last_checkpoint(ran, &job.spec);
             *self.broken_gangs += 1;
@@ -101,7 +102,7 @@
         };
         self.runs.insert(id, run);
         for (_, task) in members {
-            // The run ends for all members at once.
+            // No end per task: `GangRun::ends_at` ends all members at once.
             task.run(self.now, NEVER);
         }
     }
@@ -115,7 +116,8 @@
 }
 
 impl Machines {
-    /// Lets time pass for gangs.
+    /// Advances all gangs. Tasks on machines that have stopped, are suspended or lost their lease do not count as
+    /// members.
     pub(super) fn step_gangs(&mut self, now: Millis) {
         let lease = self.timing.lease;
         let mut attempts: BTreeMap<(JobId, Attempt), Members> = BTreeMap::new();
@@ -146,7 +148,7 @@
     }
 }
 
-/// Adds a machine's tasks of gangs that have not exited, or exited with their progress saved.
+/// Adds a machine's gang tasks to their attempts: those that have not exited, and those that exited with a checkpoint.
 fn collect_members<'a>(
     machine: &'a mut Machine,
     jobs: &HashMap<JobId, JobDescription>,
--- a/crates/simulator/src/machines/machine.rs
+++ b/crates/simulator/src/machines/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: its worker's state, the tasks on it, and the faults injected into it.
+//! A single machine: the state of its worker, its tasks, and the faults injected into it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,7 +9,7 @@
 
 use crate::config::MachineType;
 
-/// A stage of a task that no time ends.
+/// End of a stage that does not end by time.
 pub(super) const NEVER: Millis = Millis(u64::MAX);
 
 /// A task on a machine.
@@ -17,27 +17,26 @@
 pub struct Task {
     /// The attempt that the controller started.
     pub attempt: Attempt,
-    /// What the task does now.
+    /// The current stage, which the worker reports in its heartbeats.
     pub stage: TaskStage,
     pub(super) cause: Option<ExitCause>,
-    /// It saved its progress before it exited.
+    /// Whether the task saved its progress before it exited.
     pub(super) checkpointed: bool,
-    /// When the present stage ends.
+    /// When the current stage ends; [`NEVER`] if it does not end by time.
     pub(super) stage_ends_at: Millis,
-    /// When it began to run.
+    /// When the task entered the running stage; until then, when the worker received it.
     pub(super) running_since: Millis,
-    /// When it was first asked to stop.
+    /// When the task was first asked to stop.
     pub(super) stop_requested_at: Option<Millis>,
 }
 
 impl Task {
-    /// Whether its image is there and it has not exited.
+    /// Whether the task is waiting, running or saving: its image is fetched and it has not exited.
     pub fn on_machine(&self) -> bool {
         use TaskStage::{Running, Saving, Waiting};
         matches!(self.stage, Running | Saving | Waiting)
     }
 
-    /// Whether it has exited.
     pub(super) fn is_exited(&self) -> bool {
         self.stage == TaskStage::Exited
     }
@@ -64,56 +63,57 @@
     }
 }
 
-/// A worker machine.
+/// A worker machine, with the faults that are injected into it. Times are those of the simulation.
 pub struct Machine {
-    /// Zone that it is in.
+    /// Zone that the machine was rented in.
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: Millis,
-    /// When it has booted.
+    /// When the machine has booted; before that it neither sends nor receives.
     pub up_at: Millis,
-    /// Counts the starts of its agent and the expiries of its lease.
+    /// Starts at 1 and grows with each start of the agent and each lease expiry; a reboot that resets the agent sets
+    /// it back to 1.
     pub agent_epoch: u64,
     pub(super) heartbeat_sequence: u64,
-    /// The highest worker token that it has seen.
+    /// The highest worker token seen by the worker, which rejects commands with a lower one.
     pub worker_token: WorkerToken,
-    /// When its lease was renewed last: when the heartbeat was sent that got the response.
+    /// Start of the current lease: when the heartbeat was sent whose response last renewed it.
     pub(super) lease_start: Millis,
-    /// Index of the controller that it sends heartbeats to.
+    /// Index of the controller that the worker sends heartbeats to.
     pub controller: usize,
     pub(super) next_heartbeat: Millis,
-    /// The heartbeat that waits for its response: when it was sent, and its sequence number.
+    /// The heartbeat that awaits its response: when it was sent, and its sequence number.
     pub(super) in_flight: Option<(Millis, u64)>,
-    /// Its tasks, with those that exited and that no controller has let it forget.
+    /// Tasks of the worker, including exited tasks until a controller commands the worker to forget them.
     pub tasks: BTreeMap<TaskId, Task>,
-    /// When each image is, or will be, on the machine.
+    /// When each image was, or will be, completely fetched.
     pub(super) image_ready_at: HashMap<Image, Millis>,
-    /// When it stopped for good.
+    /// When the machine stopped permanently; `None` while it runs.
     pub stopped_at: Option<Millis>,
-    /// Tasks fail as they start on it.
+    /// Fault: every task fails once its image is fetched.
     pub faulty: bool,
-    /// Nothing reaches it and nothing that it sends arrives until then.
+    /// Fault: until then nothing reaches the machine and nothing it sends arrives.
     pub unreachable_until: Millis,
-    /// It is suspended until then.
+    /// Fault: the machine is suspended until then.
     pub hung_until: Millis,
-    /// Its heartbeats arrive, but nothing reaches it until then.
+    /// Fault: until then its heartbeats arrive, but no response or command reaches the machine.
     pub commands_lost_until: Millis,
-    /// Its heartbeats reach no controller until then, though direct commands reach it.
+    /// Fault: until then its heartbeats reach no controller, though direct commands reach the machine.
     pub heartbeats_lost_until: Millis,
-    /// Only this controller's responses and commands reach it until then.
+    /// Fault: only responses and commands of the controller with this index reach the machine until the given time.
     pub reached_only_by: Option<(usize, Millis)>,
-    /// The controller whose response renewed its lease last, and when.
+    /// Index of the controller whose response last renewed the lease, and when it arrived.
     pub last_renewal: Option<(usize, Millis)>,
-    /// When it last rebooted.
+    /// When the machine last rebooted; 0 if it never has.
     pub rebooted_at: Millis,
-    /// Address of its agent.
+    /// Address of the agent as reported in heartbeats.
     pub address: String,
 }
 
 impl Machine {
-    /// A machine that heartbeats to this controller once it has booted.
+    /// Creates a machine that sends heartbeats to this controller once it has booted.
     pub(super) fn new(
         zone: Zone,
         spot: bool,
@@ -148,23 +148,23 @@
         }
     }
 
-    /// Whether it has not stopped for good.
+    /// Whether the machine has not stopped permanently; true for a machine that still boots.
     pub(super) fn is_running(&self) -> bool {
         self.stopped_at.is_none()
     }
 
-    /// Whether its lease, of this length, has expired.
+    /// Whether the lease, of duration `lease`, has expired.
     pub(super) fn is_lease_expired(&self, lease: Millis, now: Millis) -> bool {
         now > self.lease_start + lease
     }
 
-    /// Stops it for good.
+    /// Stops the machine permanently.
     pub(super) fn stop(&mut self, now: Millis) {
         self.stopped_at.get_or_insert(now);
         self.tasks.clear();
     }
 
-    /// Starts a new agent epoch and kills its tasks, as a worker does when its lease expires.
+    /// Starts a new agent epoch and kills all tasks, as a worker does when its lease expires.
     pub(super) fn expire_lease(&mut self, now: Millis) {
         self.agent_epoch += 1;
         self.lease_start = now;
@@ -172,12 +172,12 @@
         self.in_flight = None;
     }
 
-    /// Has the next heartbeat sent at this time at the latest.
+    /// Schedules the next heartbeat for `at` at the latest.
     pub(super) fn heartbeat_by(&mut self, at: Millis) {
         self.next_heartbeat = self.next_heartbeat.min(at);
     }
 
-    /// Sends heartbeats to the next controller from `at` on.
+    /// Switches to the next controller and schedules the next heartbeat for `at`.
     pub(super) fn try_next_controller(&mut self, controllers: usize, at: Millis) {
         self.controller = (self.controller + 1) % controllers;
         self.next_heartbeat = at;
@@ -204,13 +204,13 @@
     }
 }
 
-/// A heartbeat on its way to a controller.
+/// A heartbeat to be delivered to a controller.
 #[derive(Clone, Debug)]
 pub struct OutgoingHeartbeat {
-    /// The machine that sends it.
+    /// The machine that sent the heartbeat.
     pub machine_id: MachineId,
-    /// Index of the controller.
+    /// Index of the controller that the heartbeat is addressed to.
     pub controller: usize,
-    /// What it says.
+    /// The message as the controller receives it.
     pub heartbeat: Heartbeat,
 }
--- a/crates/simulator/src/machines/mod.rs
+++ b/crates/simulator/src/machines/mod.rs
@@ -1,6 +1,6 @@
-//! Models of the worker machines: agent epochs, worker tokens, leases, images, tasks, gangs and checkpoints.
+//! Model of the worker machines: agent epochs, worker tokens, leases, images, tasks, gangs and checkpoints.
 //!
-//! `Machines` owns the state of all machines. Whoever drives it lets time pass in steps and carries the heartbeats,
+//! [`Machines`] owns the state of all machines. Its caller advances time in steps and delivers the heartbeats,
 //! responses and commands.
 
 mod commands;
@@ -25,61 +25,61 @@
 
 use gangs::GangRun;
 
-/// A worker heartbeats this soon after a change, so that controllers learn of it.
+/// Delay of the heartbeat after a change on a machine, so that controllers learn of the change early.
 const HEARTBEAT_AFTER_CHANGE: Millis = Millis(200);
-/// A worker tries the next controller this long after one did not take its heartbeat.
+/// Delay before a worker tries the next controller after one did not accept its heartbeat.
 const RETRY_DELAY: Millis = Millis(1_000);
 
-/// What users uploaded of a job.
+/// A job as its user submitted it, and how its tasks run in the simulation.
 #[derive(Clone, Debug)]
 pub struct JobDescription {
-    /// The job as submitted.
+    /// The specification as submitted.
     pub spec: JobSpec,
-    /// Run time of each of its tasks.
+    /// Run time of each task, before [`Machines::run_time_spread`] is applied.
     pub run_time: Millis,
-    /// It was submitted with a mistake: its tasks fail on every machine.
+    /// Whether the job was submitted with a mistake, so that its tasks fail on every machine.
     pub broken: bool,
 }
 
-/// Run time until the last checkpoint of a task that ran for `ran`.
+/// Returns the run time that the last checkpoint covers, of a task that ran for `ran`.
 fn last_checkpoint(ran: Millis, spec: &JobSpec) -> Millis {
     let interval = Millis::from_secs(spec.checkpoint_s);
-    // Without checkpoints the interval is 0, and all is lost.
+    // Without checkpoints the interval is 0, and the whole run time is lost.
     Millis(ran.0.checked_div(interval.0).unwrap_or(0) * interval.0)
 }
 
-/// All machines, and the jobs as their users described them.
+/// All machines, and the descriptions of the jobs that they run.
 pub struct Machines {
-    /// The machines, with those that have stopped.
+    /// All machines, including stopped ones.
     pub by_id: BTreeMap<MachineId, Machine>,
-    /// Descriptions of the jobs.
+    /// Job descriptions; a task whose job is missing here exits as unknown.
     pub jobs: HashMap<JobId, JobDescription>,
-    /// Tasks that ran to their end.
+    /// Tasks that completed, in any attempt.
     pub completed: HashSet<TaskId>,
     gangs: BTreeMap<JobId, GangRun>,
-    /// Saved progress by task; that of a gang under its first task.
+    /// Saved progress by task; the progress of a gang is kept under its first task.
     progress: HashMap<TaskId, Millis>,
     machine_type: MachineType,
     timing: Timing,
     /// Number of controllers.
     controllers: usize,
     rng: SmallRng,
-    /// How long any fetch of an image takes in milliseconds, instead of by its size.
+    /// Range of image fetch times in milliseconds; `None` derives the time from the image size.
     pub fetch_duration: Option<Range<u64>>,
-    /// Share by which run times deviate at most from their job's, from 0 to 1.
+    /// Largest relative deviation of a task's run time from that of its job, from 0 to 1.
     pub run_time_spread: f64,
     /// Disables a safeguard for tests: workers keep their tasks when their lease expires.
     pub ignore_lease_expiry: bool,
-    /// Attempts of gangs that ended because a member was gone.
+    /// Number of gang attempts that ended because a member was lost, or because not all saved in time.
     pub broken_gangs: u64,
-    /// Run time that was lost to stops and failures.
+    /// Run time lost to stops and failures, because no checkpoint covered it, and run time spent on saving.
     pub lost_run_time: Millis,
-    /// Tasks that their worker killed because its lease expired.
+    /// Number of started tasks that workers killed because the lease of the worker expired.
     pub killed_by_lease: u64,
 }
 
 impl Machines {
-    /// No machines yet; `seed` determines every random draw.
+    /// Creates a model without machines; `seed` determines every random draw.
     pub fn new(config: &Config, seed: u64) -> Self {
         Self {
             by_id: BTreeMap::new(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Adds a machine that was rented at one time and has booted at another.
+    /// Adds a machine rented at `rented_at` that is up from `up_at` on; its first controller is drawn at random.
     pub fn add(
         &mut self,
         machine_id: &MachineId,
@@ -114,7 +114,7 @@
         self.by_id.insert(machine_id.clone(), machine);
     }
 
-    /// Stops a machine as the cloud deletes it; whether it was healthy and had tasks.
+    /// Stops a machine that the cloud deletes; returns whether the machine was healthy and had started tasks.
     pub fn delete(&mut self, machine_id: &MachineId, now: Millis) -> bool {
         let Some(machine) = self.by_id.get_mut(machine_id) else {
             return false;
@@ -126,15 +126,16 @@
         is_at_work
     }
 
-    /// Stops a machine for good.
+    /// Stops a machine permanently, as a hardware failure would.
     pub fn kill(&mut self, machine_id: &MachineId, now: Millis) {
         if let Some(machine) = self.by_id.get_mut(machine_id) {
             machine.stop(now);
         }
     }
 
-    /// Restarts a machine at once, without its tasks. With `anew` its agent loses its counters, too.
-    pub fn reboot(&mut self, machine_id: &MachineId, anew: bool, now: Millis) {
+    /// Reboots a running machine immediately; its tasks are lost. With `reset_agent` the agent also loses its epoch,
+    /// heartbeat sequence and worker token.
+    pub fn reboot(&mut self, machine_id: &MachineId, reset_agent: bool, now: Millis) {
         let controller = self.rng.random_range(0..self.controllers);
         let machine = self.by_id.get_mut(machine_id);
         let Some(machine) = machine.filter(|machine| machine.is_running()) else {
@@ -146,7 +147,7 @@
         machine.lease_start = now;
         machine.next_heartbeat = now;
         machine.controller = controller;
-        if anew {
+        if reset_agent {
             machine.agent_epoch = 1;
             machine.heartbeat_sequence = 0;
             machine.worker_token = WorkerToken(0);
@@ -155,29 +156,29 @@
         }
     }
 
-    fn is_lease_over(&self, machine: &Machine, now: Millis) -> bool {
+    fn has_lost_lease(&self, machine: &Machine, now: Millis) -> bool {
         machine.is_lease_expired(self.timing.lease, now) && !self.ignore_lease_expiry
     }
 
-    /// Every task that a machine has now, in whatever state.
+    /// Returns every task, in any stage, on the running machines that hold their lease.
     fn tasks(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId, &Task)> {
-        let is_leased =
-            move |machine: &Machine| machine.is_running() && !self.is_lease_over(machine, now);
+        let holds_lease =
+            move |machine: &Machine| machine.is_running() && !self.has_lost_lease(machine, now);
         let machines = self.by_id.iter();
-        let machines = machines.filter(move |(_, machine)| is_leased(machine));
+        let machines = machines.filter(move |(_, machine)| holds_lease(machine));
         machines.flat_map(|(machine_id, machine)| {
             let tasks = machine.tasks.iter();
             tasks.map(move |(id, task)| (machine_id, id, task))
         })
     }
 
-    /// Every task that has its image and has not exited, with its machine.
+    /// Returns every task that has fetched its image and has not exited, with its machine.
     pub fn tasks_started(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now).filter(|(.., task)| task.on_machine());
         tasks.map(|(machine_id, id, _)| (machine_id, id))
     }
 
-    /// Whether a task has started and not exited on this machine.
+    /// Whether a task has started on this machine and not exited. Ignores whether the lease has expired.
     pub fn is_on(&self, machine_id: &MachineId, task: &TaskId) -> bool {
         let machine = self.by_id.get(machine_id);
         let machine = machine.filter(|machine| machine.is_running());
@@ -185,18 +186,19 @@
         task.is_some_and(Task::on_machine)
     }
 
-    /// Every task that resources of a machine are allocated to: those that fetch their image, too.
+    /// Returns every task that resources are allocated to, including tasks that are fetching their image.
     pub fn tasks_allocated(&self, now: Millis) -> impl Iterator<Item = &TaskId> {
         self.allocations(now).map(|(_, task)| task)
     }
 
-    /// Every task that resources are allocated to, with its machine.
+    /// Returns the same tasks as [`Self::tasks_allocated`], each with its machine.
     pub fn allocations(&self, now: Millis) -> impl Iterator<Item = (&MachineId, &TaskId)> {
         let tasks = self.tasks(now).filter(|(.., task)| !task.is_exited());
         tasks.map(|(machine_id, id, _)| (machine_id, id))
     }
 
-    /// Machines that are up, not faulty and reachable by every controller, with their available resources.
+    /// Returns the machines that are up, not faulty and able to exchange messages with every controller, with their
+    /// unallocated resources.
     pub fn healthy(&self, now: Millis) -> impl Iterator<Item = (&Machine, Resources)> {
         let is_healthy = move |(machine_id, machine): &(&MachineId, &Machine)| {
             let is_partitioned = machine
@@ -212,24 +214,25 @@
         healthy.map(move |(_, machine)| (machine, capacity.minus(self.allocated_on(machine))))
     }
 
-    /// Type of all machines.
+    /// Returns the type that all machines have.
     pub fn machine_type(&self) -> &MachineTypeId {
         &self.machine_type.id
     }
 
-    /// What a machine's heartbeat says now.
+    /// Returns the heartbeat that a machine would send now, or `None` if there is no such machine.
     pub fn heartbeat(&self, machine_id: &MachineId) -> Option<Heartbeat> {
         let machine = self.by_id.get(machine_id)?;
         Some(machine.heartbeat(machine_id, &self.machine_type))
     }
 
-    /// Whether anything from outside reaches the machine.
+    /// Whether messages from outside reach the machine and its own arrive; `heartbeats_lost_until` and
+    /// `reached_only_by` are not considered.
     pub fn reachable(&self, machine_id: &MachineId, now: Millis) -> bool {
         let machine = self.by_id.get(machine_id);
         self.can_send(machine_id, now) && machine.is_some_and(|m| m.commands_lost_until <= now)
     }
 
-    /// Whether what the machine sends arrives.
+    /// Whether the machine is up and its messages arrive; `heartbeats_lost_until` is not considered.
     pub fn can_send(&self, machine_id: &MachineId, now: Millis) -> bool {
         self.by_id.get(machine_id).is_some_and(|machine| {
             machine.is_running()
@@ -239,7 +242,7 @@
         })
     }
 
-    /// Whether what this controller sends reaches the machine.
+    /// Whether `reached_only_by` lets messages of this controller reach the machine; other faults are not considered.
     pub fn is_reachable_from(
         &self,
         machine_id: &MachineId,
@@ -251,7 +254,7 @@
         only.is_none_or(|(only, until)| only == controller || until <= now)
     }
 
-    /// Resources of a machine that are allocated to tasks.
+    /// Returns the resources that are allocated to tasks which have not exited.
     fn allocated_on(&self, machine: &Machine) -> Resources {
         let tasks = machine.tasks.iter().filter(|(_, task)| !task.is_exited());
         let amounts = tasks.filter_map(|(id, _)| Some(self.jobs.get(&id.job)?.spec.resources));
--- a/crates/simulator/src/machines/step.rs
+++ b/crates/simulator/src/machines/step.rs
@@ -1,4 +1,4 @@
-//! The periodic step of all machines: lease expiry, stages of tasks, heartbeats that are due.
+//! Periodic step of all machines: lease expiry, task stages and due heartbeats.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,10 +10,10 @@
 use super::{HEARTBEAT_AFTER_CHANGE, JobDescription, Machines, RETRY_DELAY};
 use crate::config::Timing;
 
-/// A worker gives up on the response to a heartbeat after this time and tries another controller.
+/// Time after which a worker stops waiting for the response to a heartbeat and tries another controller.
 const RESPONSE_TIMEOUT: Millis = Millis(4_000);
 
-/// What the stages of tasks depend on and change besides their machine.
+/// State other than the machine that advancing its tasks reads and changes.
 struct TaskStages<'a> {
     now: Millis,
     timing: Timing,
@@ -22,12 +22,12 @@
     completed: &'a mut HashSet<TaskId>,
     progress: &'a mut HashMap<TaskId, Millis>,
     lost_run_time: &'a mut Millis,
-    /// Tasks whose image is there now.
+    /// Tasks whose image became available in this step.
     started: Vec<(MachineId, TaskId)>,
 }
 
 impl TaskStages<'_> {
-    /// Moves each task of a machine on whose stage is over; whether there was one.
+    /// Advances each task of a machine whose stage has ended; returns whether any did, not counting unknown tasks.
     fn advance_all(&mut self, machine_id: &MachineId, machine: &mut Machine) -> bool {
         let mut changed = false;
         for (id, task) in &mut machine.tasks {
@@ -82,7 +82,8 @@
         task.run(self.now, ends_at);
     }
 
-    /// Run time of a task, spread by a hash of its index so that it is the same in each attempt.
+    /// Returns the run time of a task. It varies by a multiplicative hash of the task index instead of a random draw,
+    /// so that it is the same in each attempt.
     fn run_time(&self, id: &TaskId, job: &JobDescription) -> Millis {
         let deviation =
             f64::from(id.index.wrapping_mul(2_654_435_761) >> 8) / f64::from(1u32 << 23) - 1.0;
@@ -100,7 +101,7 @@
 }
 
 impl Machines {
-    /// Lets time pass. Returns the tasks whose image is there now, and the heartbeats to be sent.
+    /// Advances all machines to `now`. Returns the tasks whose image became available, and the heartbeats to deliver.
     pub fn step(&mut self, now: Millis) -> (Vec<(MachineId, TaskId)>, Vec<OutgoingHeartbeat>) {
         let mut heartbeats = Vec::new();
         let (timing, controllers) = (self.timing, self.controllers);
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,4 +1,4 @@
-//! Model of the key-value store: keys with versions, leases, watches, transactions and rate limits.
+//! In-memory model of the key-value store: versioned keys, leases, watches, transactions and rate limits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +8,7 @@
 
 use crate::config::StateLimits;
 
-/// Changes kept for watches; a watch from an older revision is answered with `TooOld`.
+/// Number of changes kept for watches; a watch from an older revision is answered with `Compacted`.
 const KEPT_CHANGES: usize = 10_000;
 
 struct Value {
@@ -19,59 +19,67 @@
 
 struct Watch {
     id: u64,
-    starts: String,
+    prefix: String,
+    /// Only changes after this revision are reported.
     from: u64,
     until: Millis,
 }
 
-/// A token bucket that holds at most one second of its rate.
+/// A token bucket whose capacity is one second of its rate.
 struct Bucket {
     rate: f64,
-    left: f64,
-    at: Millis,
+    tokens: f64,
+    refilled_at: Millis,
 }
 
 impl Bucket {
     fn new(rate: f64) -> Self {
-        let (left, at) = (rate, Millis(0));
-        Self { rate, left, at }
+        let (tokens, refilled_at) = (rate, Millis(0));
+        Self {
+            rate,
+            tokens,
+            refilled_at,
+        }
     }
 
     fn take(&mut self, amount: f64, now: Millis) -> bool {
-        let grown = self.left + self.rate * now.since(self.at).secs();
-        self.left = grown.min(self.rate);
-        self.at = now;
-        let enough = self.left >= amount;
-        if enough {
-            self.left -= amount;
+        let refilled = self.tokens + self.rate * now.since(self.refilled_at).secs();
+        self.tokens = refilled.min(self.rate);
+        self.refilled_at = now;
+        let has_enough = self.tokens >= amount;
+        if has_enough {
+            self.tokens -= amount;
         }
-        enough
+        has_enough
     }
 }
 
-/// The store.
+/// The simulated key-value store; the caller passes in the current time.
 pub struct StateService {
-    /// Revision of the latest change or lease.
+    /// Revision of the latest change or lease grant.
     pub revision: u64,
     keys: BTreeMap<String, Value>,
-    /// Newest last: key, what was put, and the revision.
+    /// Recent changes, oldest first: key, the value (`None` for a deletion) and the revision.
     changes: VecDeque<(String, Option<String>, u64)>,
-    /// When each ends, and how long it lasts.
+    /// By lease ID: when the lease expires, and its duration.
     leases: BTreeMap<u64, (Millis, Millis)>,
     watches: Vec<Watch>,
-    woken: Vec<(u64, StoreResponse)>,
-    next_watch: u64,
+    /// Responses of finished watches, by watch ID, until the caller takes them.
+    finished_watches: Vec<(u64, StoreResponse)>,
+    /// ID of the watch that was opened last.
+    last_watch_id: u64,
     limits: StateLimits,
     requests: Bucket,
     writes: Bucket,
-    /// Puts and drops that were applied.
+    /// Number of puts and deletions applied, with the deletions caused by ended leases.
     pub written: u64,
-    /// Disables a safeguard for tests: conditions of transactions are ignored.
+    /// Disables a safeguard for tests: the conditions of transactions are not checked.
     pub ignore_conditions: bool,
 }
 
-/// Values are JSON, not text: the store may return another spelling than the one that was put.
-fn rewritten(data: String) -> String {
+/// Parses and serializes a value again. The store keeps JSON and not its text, so it may return another spelling than
+/// the one that was put.
+fn reserialized(data: String) -> String {
     let value = serde_json::from_str::<serde_json::Value>(&data);
     value.map(|value| value.to_string()).unwrap_or(data)
 }
@@ -89,8 +97,8 @@
             changes: VecDeque::new(),
             leases: BTreeMap::new(),
             watches: Vec::new(),
-            woken: Vec::new(),
-            next_watch: 0,
+            finished_watches: Vec::new(),
+            last_watch_id: 0,
             limits,
             requests: Bucket::new(limits.rps),
             writes: Bucket::new(limits.write_rps),
@@ -99,33 +107,34 @@
         }
     }
 
-    /// Halves the rate limit of changes from now on.
+    /// Halves the rate limit of changes for the rest of the run.
     pub fn halve_limit(&mut self) {
         self.writes.rate /= 2.0;
     }
 
-    /// Whether the limits allow a request that makes so many changes.
+    /// Whether the rate limits allow a request with this number of changes; takes its tokens.
+    /// A request that only the limit of changes refuses still counts against the limit of requests.
     pub fn allows(&mut self, changes: usize, now: Millis) -> bool {
         self.requests.take(1.0, now) && self.writes.take(changes as f64, now)
     }
 
-    /// The value of a key with its version and its lease.
+    /// Returns the value of a key with its version and its lease, or `None` if the key does not exist.
     pub fn get(&self, key: &str) -> Option<(&str, Revision, Option<LeaseId>)> {
         let value = self.keys.get(key)?;
         let lease_id = value.lease_id.map(LeaseId);
         Some((&value.data, Revision(value.version), lease_id))
     }
 
-    /// A page of the keys that begin with `starts`, after the key `after`.
-    pub fn list(&self, starts: &str, after: Option<&str>, most: usize) -> StoreResponse {
-        let mut left = self
+    /// Returns at most `limit` of the keys that begin with `prefix` and sort after `after`, in key order.
+    pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> StoreResponse {
+        let mut remaining = self
             .keys
-            .range(starts.to_string()..)
-            .take_while(|(key, _)| key.starts_with(starts))
+            .range(prefix.to_string()..)
+            .take_while(|(key, _)| key.starts_with(prefix))
             .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after));
-        let entries = left
+        let entries = remaining
             .by_ref()
-            .take(most)
+            .take(limit)
             .map(|(key, value)| Entry {
                 key: key.clone(),
                 data: raw(&value.data),
@@ -134,69 +143,72 @@
             .collect();
         StoreResponse::Page {
             entries,
-            more: left.next().is_some(),
+            more: remaining.next().is_some(),
             revision: Revision(self.revision),
         }
     }
 
-    /// Grants a lease of this duration.
-    pub fn grant(&mut self, life: Millis, now: Millis) -> LeaseId {
+    /// Grants a lease that expires after `duration` unless it is renewed. Its ID is the new revision.
+    pub fn grant(&mut self, duration: Millis, now: Millis) -> LeaseId {
         self.revision += 1;
-        self.leases.insert(self.revision, (now + life, life));
+        self.leases
+            .insert(self.revision, (now + duration, duration));
         LeaseId(self.revision)
     }
 
-    /// Renews a lease; false if it has expired.
+    /// Renews a lease for its duration; returns false if it does not exist any more.
     pub fn renew(&mut self, lease_id: LeaseId, now: Millis) -> bool {
         let lease = self.leases.get_mut(&lease_id.0);
-        lease.is_some_and(|(until, life)| {
-            *until = now + *life;
+        lease.is_some_and(|(until, duration)| {
+            *until = now + *duration;
             true
         })
     }
 
-    /// Ends a lease and drops its keys.
+    /// Ends a lease and deletes the keys attached to it. Does nothing if the lease does not exist.
     pub fn end(&mut self, lease_id: LeaseId) {
         if self.leases.remove(&lease_id.0).is_none() {
             return;
         }
-        let held = |value: &Value| value.lease_id == Some(lease_id.0);
-        let keys = self.keys.iter().filter(|(_, value)| held(value));
+        let is_attached = |value: &Value| value.lease_id == Some(lease_id.0);
+        let keys = self.keys.iter().filter(|(_, value)| is_attached(value));
         let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
             for key in keys {
                 self.keys.remove(&key);
-                self.note(key, None);
+                self.record_change(key, None);
             }
-            self.wake();
+            self.finish_watches();
         }
     }
 
-    /// Lets time pass: leases expire, watches time out. During an outage every lease is renewed.
+    /// Advances time: expires leases and times out watches. During an outage every lease is renewed instead, and no
+    /// watch times out.
     pub fn pass(&mut self, now: Millis, outage: bool) {
         if outage {
-            for (until, life) in self.leases.values_mut() {
-                *until = now + *life;
+            for (until, duration) in self.leases.values_mut() {
+                *until = now + *duration;
             }
             return;
         }
-        let over = self.leases.iter().filter(|(_, (until, _))| *until < now);
-        let mut over: Vec<u64> = over.map(|(lease_id, _)| *lease_id).collect();
-        over.sort_unstable();
-        for lease_id in over {
+        let expired = self.leases.iter().filter(|(_, (until, _))| *until < now);
+        let mut expired: Vec<u64> = expired.map(|(lease_id, _)| *lease_id).collect();
+        expired.sort_unstable();
+        for lease_id in expired {
             self.end(LeaseId(lease_id));
         }
-        let (due, open) = std::mem::take(&mut self.watches)
+        let (timed_out, open) = std::mem::take(&mut self.watches)
             .into_iter()
             .partition(|watch| watch.until <= now);
         self.watches = open;
-        for watch in due {
-            self.woken.push((watch.id, self.news(&watch)));
+        for watch in timed_out {
+            self.finished_watches
+                .push((watch.id, self.updates_for(&watch)));
         }
     }
 
-    fn note(&mut self, key: String, data: Option<String>) {
+    fn record_change(&mut self, key: String, data: Option<String>) {
         self.written += 1;
         self.changes.push_back((key, data, self.revision));
         if self.changes.len() > KEPT_CHANGES {
@@ -204,31 +216,33 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn finish_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
-            if self.changed(&watch.starts, watch.from) {
-                self.woken.push((watch.id, self.news(&watch)));
+            if self.has_changed(&watch.prefix, watch.from) {
+                self.finished_watches
+                    .push((watch.id, self.updates_for(&watch)));
             } else {
                 self.watches.push(watch);
             }
         }
     }
 
-    fn since(&self, from: u64) -> impl Iterator<Item = &(String, Option<String>, u64)> {
+    fn changes_since(&self, from: u64) -> impl Iterator<Item = &(String, Option<String>, u64)> {
         let start = self
             .changes
             .partition_point(|(_, _, revision)| *revision <= from);
         self.changes.range(start..)
     }
 
-    fn changed(&self, starts: &str, from: u64) -> bool {
-        self.since(from).any(|(key, _, _)| key.starts_with(starts))
+    fn has_changed(&self, prefix: &str, from: u64) -> bool {
+        self.changes_since(from)
+            .any(|(key, _, _)| key.starts_with(prefix))
     }
 
-    fn news(&self, watch: &Watch) -> StoreResponse {
+    fn updates_for(&self, watch: &Watch) -> StoreResponse {
         let updates = self
-            .since(watch.from)
-            .filter(|(key, _, _)| key.starts_with(&watch.starts))
+            .changes_since(watch.from)
+            .filter(|(key, _, _)| key.starts_with(&watch.prefix))
             .map(|(key, data, revision)| match data {
                 Some(data) => Update::Put(Entry {
                     key: key.clone(),
@@ -247,37 +261,40 @@
         }
     }
 
-    /// Opens a watch and returns its identity; `woken` returns its response.
-    pub fn watch(&mut self, starts: &str, from: Revision, wait: Millis, now: Millis) -> u64 {
-        self.next_watch += 1;
+    /// Opens a watch for changes after revision `from` to keys that begin with `prefix`, and returns its ID. `woken`
+    /// returns its response: at the first change, after `wait`, or at once if changes since `from` are no longer kept.
+    pub fn watch(&mut self, prefix: &str, from: Revision, wait: Millis, now: Millis) -> u64 {
+        self.last_watch_id += 1;
         let watch = Watch {
-            id: self.next_watch,
-            starts: starts.to_string(),
+            id: self.last_watch_id,
+            prefix: prefix.to_string(),
             from: from.0,
             until: now + wait,
         };
-        let kept = self.changes.len() >= KEPT_CHANGES;
-        if kept
+        let is_full = self.changes.len() >= KEPT_CHANGES;
+        if is_full
             && self
                 .changes
                 .front()
                 .is_some_and(|(_, _, r)| *r > from.0 + 1)
         {
-            self.woken.push((watch.id, StoreResponse::Compacted));
-        } else if self.changed(starts, from.0) {
-            self.woken.push((watch.id, self.news(&watch)));
+            self.finished_watches
+                .push((watch.id, StoreResponse::Compacted));
+        } else if self.has_changed(prefix, from.0) {
+            self.finished_watches
+                .push((watch.id, self.updates_for(&watch)));
         } else {
             self.watches.push(watch);
         }
-        self.next_watch
+        self.last_watch_id
     }
 
-    /// Takes the responses of watches that have one now.
+    /// Removes and returns the responses of finished watches, each with the ID of its watch.
     pub fn woken(&mut self) -> Vec<(u64, StoreResponse)> {
-        std::mem::take(&mut self.woken)
+        std::mem::take(&mut self.finished_watches)
     }
 
-    /// Why a transaction is malformed, if it is.
+    /// Returns why the store would reject a transaction as malformed, or `None` if its sizes are within the limits.
     pub fn malformed(&self, txn: &Transaction) -> Option<String> {
         let limits = &self.limits;
         if txn.changes.len() > limits.txn_ops || txn.conditions.len() > limits.txn_ops * 4 {
@@ -297,21 +314,22 @@
         (txn.changes.iter().map(size).sum::<usize>() > 64 << 10).then(|| "too large".into())
     }
 
-    /// Applies a transaction if its conditions hold and its leases exist.
+    /// Applies all changes of a transaction under one new revision if its conditions hold and its leases exist;
+    /// otherwise applies none. In a condition, version 0 means that the key does not exist.
     pub fn apply(&mut self, txn: Transaction) -> StoreResponse {
         let version = |key: &String| self.keys.get(key).map_or(0, |value| value.version);
-        let holds = |(key, stamp): &(String, Revision)| version(key) == stamp.0;
+        let holds = |(key, expected): &(String, Revision)| version(key) == expected.0;
         if !txn.conditions.iter().all(holds) && !self.ignore_conditions {
             return StoreResponse::Conflict(Revision(self.revision));
         }
-        let leased = |change: &Mutation| match change {
+        let has_live_lease = |change: &Mutation| match change {
             Mutation::Put {
                 lease_id: Some(lease_id),
                 ..
             } => self.leases.contains_key(&lease_id.0),
             _ => true,
         };
-        if !txn.changes.iter().all(leased) {
+        if !txn.changes.iter().all(has_live_lease) {
             return StoreResponse::LeaseExpired;
         }
         if txn.changes.is_empty() {
@@ -325,22 +343,22 @@
                     data,
                     lease_id,
                 } => {
-                    let data = rewritten(data);
-                    self.note(key.clone(), Some(data.clone()));
+                    let data = reserialized(data);
+                    self.record_change(key.clone(), Some(data.clone()));
                     let value = Value {
                         data,
                         version: self.revision,
-                        lease_id: lease_id.map(|p| p.0),
+                        lease_id: lease_id.map(|id| id.0),
                     };
                     self.keys.insert(key, value);
                 }
                 Mutation::Delete { key } => {
                     self.keys.remove(&key);
-                    self.note(key, None);
+                    self.record_change(key, None);
                 }
             }
         }
-        self.wake();
+        self.finish_watches();
         StoreResponse::Committed(Revision(self.revision))
     }
 }
