--- a/crates/simulator/src/sim/workers.rs
+++ b/crates/simulator/src/sim/workers.rs
@@ -32,8 +32,8 @@
             self.race_completions();
         }
         if now >= self.rules.calm && now.0 % WAITING_CHECK_INTERVAL < STEP_INTERVAL {
-            let waiting = waits::could_run(&self.machines, &self.rules, now);
-            self.rules.note_waiting(waiting, now);
+            let waiting = waits::runnable_jobs(&self.machines, &self.rules, now);
+            self.rules.record_waiting_jobs(waiting, now);
         }
         for heartbeat in heartbeats {
             self.send_heartbeat(heartbeat);
