--- a/crates/simulator/src/sim/delivery.rs
+++ b/crates/simulator/src/sim/delivery.rs
@@ -15,7 +15,7 @@
 const TICK_INTERVAL: u64 = 100;
 
 impl World {
-    /// Delivers one message at the present virtual time.
+    /// Delivers one message at the current virtual time.
     pub(super) fn deliver(&mut self, message: ScheduledMessage) {
         match message {
             ScheduledMessage::Step => self.step(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts a new process of a controller.
+    /// Starts a new process of a controller, with empty store lanes and a newly drawn seed.
     fn start_controller(&mut self, controller: usize) {
         self.epochs[controller] += 1;
         self.store_lanes[controller] = store_lanes(&self.settings[controller], self.now);
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Lets a controller handle an event, and carries out the effects.
+    /// Lets a controller handle an event, and executes the resulting effects. Does nothing if the controller is not
+    /// running.
     pub(super) fn handle(&mut self, index: usize, event: Event) {
         let now = Millis(self.now);
         let Some(controller) = &mut self.controllers[index] else {
@@ -83,7 +84,7 @@
         };
         let _span = tracing::info_span!("at", now = now.0, node = index).entered();
         let kind = self.meter.as_mut().map(|meter| {
-            let (kind, bytes) = metering::received(&event);
+            let (kind, bytes) = metering::describe_event(&event);
             meter.nodes[index].message(Direction::Received, kind, bytes);
             kind
         });
@@ -92,11 +93,11 @@
         if let (Some(kind), Some(meter)) = (kind, &mut self.meter) {
             meter.nodes[index].handled(kind, started_at.elapsed());
             for effect in &effects {
-                metering::sent(&mut meter.nodes[index], effect);
+                metering::record_sent(&mut meter.nodes[index], effect);
             }
         }
         for effect in effects {
-            self.carry_out(index, effect);
+            self.execute_effect(index, effect);
         }
     }
 }
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out of what a controller asks for: calls, messages, commands and responses.
+//! Execution of a controller's effects: calls, messages, commands and responses.
 
 use jaspertiller::controller::{Effect, Event};
 use jaspertiller::fleet::{CloudCall, CloudResponse};
@@ -16,13 +16,13 @@
 pub(super) const DIRECT_TIMEOUT: u64 = 3_000;
 /// Duration of a call to the cloud in milliseconds.
 const CLOUD_CALL_DURATION: u64 = 80;
-/// Duration of a probe of a worker in milliseconds.
+/// Duration of an inspection of a worker in milliseconds.
 const INSPECTION_DURATION: u64 = 50;
 
 impl World {
-    /// Carries out one effect of a controller.
-    pub(super) fn carry_out(&mut self, controller: usize, effect: Effect) {
-        // Drawn for every effect, so that the kinds of effects do not change the draws after them.
+    /// Executes one effect of a controller.
+    pub(super) fn execute_effect(&mut self, controller: usize, effect: Effect) {
+        // Drawn for every effect, so that the kind of an effect does not change later draws.
         let delay = 2 + self.rng.random_range(0..6) + self.slow_link_delay();
         let now = Millis(self.now);
         match effect {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Draws how much longer than usual a message is on its way, in milliseconds.
+    /// Draws the injected extra latency of a message, in milliseconds.
     pub(super) fn slow_link_delay(&mut self) -> u64 {
         let delay_ms = self.network.slow_links.clone();
         delay_ms.map_or(0, |delay_ms| self.rng.random_range(delay_ms))
@@ -90,7 +90,7 @@
             return;
         }
         let from = ControllerId::from(Config::label(sender));
-        // Through the wire format, so that a message carries just what a frame can.
+        // Encoded and decoded, so that the receiver gets only what the wire format carries.
         let frame = bitcode::encode(message);
         if let Ok(message) = bitcode::decode::<Message>(&frame) {
             self.duplicate_to_peer(target, &from, &message);
@@ -126,15 +126,15 @@
             }
             return self.time_out_direct_commands(controller, machine_id);
         }
-        let held = self.network.held_commands.clone();
-        let held = held.filter(|held| self.rng.random_bool(held.share));
-        let held_ms = held.map_or(0, |held| self.rng.random_range(held.delay_ms));
-        // The worker executes commands that their sender has given up on all the same.
-        if held_ms >= DIRECT_TIMEOUT {
+        let fault = self.network.held_commands.clone();
+        let fault = fault.filter(|fault| self.rng.random_bool(fault.share));
+        let extra_delay_ms = fault.map_or(0, |fault| self.rng.random_range(fault.delay_ms));
+        // The worker still executes commands whose sender has timed out.
+        if extra_delay_ms >= DIRECT_TIMEOUT {
             direct.reply = Reply::Abandoned;
             self.time_out_direct_commands(controller, direct.machine_id.clone());
         }
-        let at = self.now + delay + held_ms;
+        let at = self.now + delay + extra_delay_ms;
         self.post(at, ScheduledMessage::DirectCommands(direct));
     }
 
@@ -171,7 +171,7 @@
 
     fn respond_to_user(&mut self, controller: usize, reply: ReplyId, response: &Response) {
         if let Some(PendingReply::User(id)) = self.pending_replies.remove(&reply) {
-            tracing::debug!(now = self.now, node = controller, job = %id, ?response, "told");
+            tracing::debug!(now = self.now, node = controller, job = %id, ?response, "response to user");
             self.receive_response(id, response);
         }
     }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Injected network and store faults: what cannot reach what, and until when.
+//! Injected network and store faults, and lookups of the faults that are active now.
 
 use std::collections::HashSet;
 use std::ops::Range;
@@ -27,7 +27,7 @@
     pub hold: bool,
 }
 
-/// A network partition between a zone and everything outside it. Traffic inside the zone is not affected.
+/// A network partition between a zone and everything outside the zone. Traffic inside the zone is not affected.
 #[derive(Clone)]
 pub struct ZoneCut {
     /// The zone that is cut off.
@@ -68,7 +68,7 @@
     pub share: f64,
     /// Delay of the duplicate in milliseconds.
     pub delay_ms: Range<u64>,
-    /// Share of duplicated heartbeats of which only the duplicate arrives, from 0 to 1.
+    /// Share of duplicated heartbeats whose original is dropped, so that only the duplicate arrives, from 0 to 1.
     pub replace_share: f64,
 }
 
@@ -90,11 +90,11 @@
     pub zone_cuts: Vec<ZoneCut>,
     /// Added to the duration of messages between controllers and between controllers and workers, in milliseconds.
     pub slow_links: Option<Range<u64>>,
-    /// Direct commands that are delayed, or whose responses are.
+    /// Delay of direct commands. Responses to commands are delayed with the same share, by a delay of their own.
     pub held_commands: Option<RandomDelay>,
-    /// Heartbeats that are duplicated.
+    /// Duplication of heartbeats.
     pub heartbeat_copies: Option<HeartbeatCopies>,
-    /// Messages between controllers that are duplicated, with the delay of the duplicate.
+    /// Duplication of messages between controllers, with the delay of the duplicate.
     pub peer_copies: Option<RandomDelay>,
     /// Machines whose heartbeats are intercepted until `World::release_heartbeats`.
     pub intercepted_machines: HashSet<MachineId>,
@@ -113,9 +113,10 @@
     pub refusals: Vec<Refusal>,
     /// A period in which calls take longer.
     pub slow: Option<SlowStore>,
-    /// Share of transactions whose response is lost; half of these are also applied seconds late.
+    /// Share of transactions whose response is lost, from 0 to 1; half of these are also applied 4 s late.
     pub lost_response_share: f64,
-    /// Share of transactions that get no response and are applied 2 to 12 s later, after newer ones.
+    /// Share of transactions that get no response and are applied 2 to 12 s later, after newer transactions, from 0
+    /// to 1.
     pub late_write_share: f64,
 }
 
@@ -128,7 +129,7 @@
     pub late_writes_rejected: u64,
     /// Direct commands that were executed after their sender had timed out.
     pub late_commands_executed: u64,
-    /// Duplicate heartbeats that came from an earlier agent epoch of their machine.
+    /// Duplicate heartbeats with an earlier agent epoch than the current one of their machine.
     pub copies_of_old_agent_epochs: u64,
     /// Duplicates of messages between controllers.
     pub peer_copies: u64,
@@ -138,17 +139,17 @@
     pub throttled_transactions: u64,
 }
 
-/// What happens to a message that meets a cut.
+/// A cut that blocks a message, and what happens to the message.
 #[derive(Clone, Copy)]
 pub(super) struct Blocked {
     /// End of the cut in milliseconds.
     pub until: u64,
-    /// The message is delivered at the end, instead of lost.
+    /// The message is held and delivered at the end, instead of lost.
     pub hold: bool,
 }
 
 impl World {
-    /// The controller's own cut that blocks a kind of traffic now, if any.
+    /// The cut around a controller that blocks a kind of traffic now, if any.
     fn controller_cut(&self, controller: usize, affects: fn(&Cut) -> bool) -> Option<Blocked> {
         let now = self.now;
         let active = |cut: &&Cut| {
@@ -160,12 +161,12 @@
         })
     }
 
-    /// The partition between two places, each a zone, or none for what no zone contains.
+    /// The partition that separates two places now, if any. `None` as a place stands for what is in no zone.
     pub(super) fn zone_cut(&self, from: Option<&Zone>, to: Option<&Zone>) -> Option<Blocked> {
         let now = self.now;
         let separates = |cut: &&ZoneCut| {
-            let inside = |place: Option<&Zone>| place == Some(&cut.zone);
-            inside(from) != inside(to) && cut.since <= now && now < cut.until
+            let is_inside = |place: Option<&Zone>| place == Some(&cut.zone);
+            is_inside(from) != is_inside(to) && cut.since <= now && now < cut.until
         };
         let cut = self.network.zone_cuts.iter().find(separates)?;
         Some(Blocked {
@@ -188,7 +189,7 @@
         cut.or_else(|| self.zone_cut(Some(&self.settings[controller].zone), zone))
     }
 
-    /// Whether a cut separates two controllers.
+    /// Whether a cut separates two controllers now.
     pub(super) fn are_peers_cut(&self, from: usize, to: usize) -> bool {
         let cut = |controller| self.controller_cut(controller, |cut| cut.from_peers);
         let (from_zone, to_zone) = (&self.settings[from].zone, &self.settings[to].zone);
@@ -197,7 +198,8 @@
             || self.zone_cut(Some(from_zone), Some(to_zone)).is_some()
     }
 
-    /// Until when the store refuses a controller, including an outage that follows without a gap.
+    /// End of the refusal of a controller that is active now, if any. An outage of the store that is under way at
+    /// that end extends it.
     pub(super) fn refused_until(&self, controller: usize) -> Option<u64> {
         let now = self.now;
         let active = |refusal: &&Refusal| {
--- a/crates/simulator/src/sim/message.rs
+++ b/crates/simulator/src/sim/message.rs
@@ -1,4 +1,4 @@
-//! Scheduled messages: everything that happens in the simulated cluster at a given virtual time.
+//! Scheduled messages: everything that is due in the simulated cluster at a given virtual time.
 
 use jaspertiller::controller::Event;
 use jaspertiller::store::lanes::QueuedCall;
@@ -11,8 +11,8 @@
 /// A store call in a controller's priority lanes, with the tag under which the controller expects the response.
 pub(super) type QueuedStoreCall = QueuedCall<(u64, StoreCall)>;
 
-/// One process of a controller. A restarted controller has a new epoch, so that messages for the process
-/// before it are dropped.
+/// One process of a controller. A restarted controller has a new epoch, so that messages for its earlier
+/// processes are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessId {
     /// Index of the controller.
@@ -24,14 +24,14 @@
 /// Whether the sender of a request still waits for the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reply {
-    /// The sender waits, so that a response is delivered.
+    /// The sender waits, and the response is delivered.
     Expected,
-    /// The sender timed out or the response is lost; the request takes effect all the same.
+    /// The sender timed out or the response is lost; the request still takes effect.
     Abandoned,
 }
 
 impl Reply {
-    /// Whether a response is to be delivered.
+    /// Whether the response must be delivered.
     pub(super) fn is_expected(self) -> bool {
         self == Self::Expected
     }
@@ -41,23 +41,23 @@
 pub(super) struct DirectCommands {
     /// The controller process that sent them.
     pub sender: ProcessId,
-    /// The machine that they are for.
+    /// The target machine.
     pub machine_id: MachineId,
     /// The token under which they are valid.
     pub worker_token: WorkerToken,
-    /// The agent epoch that they are for.
+    /// The agent epoch that they are meant for.
     pub agent_epoch: AgentEpoch,
     /// The commands, in order.
     pub commands: Vec<WorkerCommand>,
     /// Virtual time in milliseconds at which the controller sent them.
     pub sent_at: u64,
-    /// Whether the sender expects an answer.
+    /// Whether the sender still expects a response.
     pub reply: Reply,
 }
 
 /// What happens at a scheduled time.
 pub(super) enum ScheduledMessage {
-    /// Time passes for machines, leases and watches.
+    /// Machines, leases and watches advance to the current time.
     Step,
     /// A controller's periodic tick.
     Tick(ProcessId),
@@ -72,7 +72,7 @@
         call: QueuedStoreCall,
         reply: Reply,
     },
-    /// A transaction arrives long after its sender gave up on it.
+    /// A transaction arrives late, usually after its sender timed out; the sender gets no response to it.
     LateWrite(Transaction),
     /// A controller's call budget may allow another store call.
     BudgetCheck(ProcessId),
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -1,4 +1,5 @@
-//! What the meter notes of each event and effect. Sizes are those of bodies, without HTTP's headers.
+//! Kinds and sizes of events and effects, as the meter records them. Sizes are in bytes of message bodies, without
+//! HTTP headers.
 
 use jaspertiller::controller::{Effect, Event};
 use jaspertiller::fleet::CloudCall;
@@ -9,16 +10,16 @@
 use crate::live::workers::heartbeat_body;
 use crate::meter::{Direction, NodeMeter};
 
-/// JSON around each order, change or condition, about.
+/// Approximate size in bytes of the JSON around each entry, change or condition.
 const ENTRY_OVERHEAD: usize = 24;
-/// JSON around an answer that has nothing in it, about.
-const EMPTY_ANSWER: usize = 28;
+/// Approximate size in bytes of a response without content.
+const EMPTY_RESPONSE: usize = 28;
 
-/// The kind of an event, and the size of the message that brought it.
-pub(super) fn received(event: &Event) -> (&'static str, usize) {
+/// The kind of an event, and the size in bytes of the message that carried it.
+pub(super) fn describe_event(event: &Event) -> (&'static str, usize) {
     match event {
         Event::Tick => ("tick", 0),
-        Event::Store { answer, .. } => (answer_kind(answer), answer_bytes(answer)),
+        Event::Store { answer, .. } => (response_kind(answer), response_bytes(answer)),
         Event::Cloud { .. } => ("cloud answer", 0),
         Event::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
         Event::Heartbeat { heartbeat, .. } => ("report", heartbeat_bytes(heartbeat)),
@@ -34,8 +35,8 @@
     }
 }
 
-/// Notes a message that a controller sends.
-pub(super) fn sent(meter: &mut NodeMeter, effect: &Effect) {
+/// Records the message that an effect sends, if any, and each change of a transaction.
+pub(super) fn record_sent(meter: &mut NodeMeter, effect: &Effect) {
     let (kind, bytes) = match effect {
         Effect::Store { call, .. } => (call_kind(call), call_bytes(call)),
         Effect::Cloud { call, .. } => (cloud_kind(call), 0),
@@ -45,7 +46,7 @@
             HeartbeatResponse::Commands { commands, .. } => {
                 ("report answer", commands_bytes(commands))
             }
-            _ => ("report sent on", EMPTY_ANSWER),
+            _ => ("report sent on", EMPTY_RESPONSE),
         },
         Effect::User { .. } => ("user answer", 0),
         Effect::Inspect { .. } | Effect::SetWriteLimit { .. } | Effect::Ready { .. } => return,
@@ -67,19 +68,19 @@
 }
 
 fn commands_bytes(commands: &[WorkerCommand]) -> usize {
-    EMPTY_ANSWER + serde_json::to_string(commands).map_or(0, |text| text.len())
+    EMPTY_RESPONSE + serde_json::to_string(commands).map_or(0, |text| text.len())
 }
 
-fn answer_kind(answer: &StoreResponse) -> &'static str {
-    match answer {
+fn response_kind(response: &StoreResponse) -> &'static str {
+    match response {
         StoreResponse::Updates { .. } => "watch answer",
         StoreResponse::Page { .. } => "list page",
         _ => "state answer",
     }
 }
 
-fn answer_bytes(answer: &StoreResponse) -> usize {
-    match answer {
+fn response_bytes(response: &StoreResponse) -> usize {
+    match response {
         StoreResponse::Updates { updates, .. } => updates
             .iter()
             .map(|update| match update {
@@ -91,7 +92,7 @@
             .iter()
             .map(|entry| entry.key.len() + entry.data.get().len() + ENTRY_OVERHEAD)
             .sum(),
-        _ => EMPTY_ANSWER,
+        _ => EMPTY_RESPONSE,
     }
 }
 
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -1,7 +1,8 @@
 //! Whole controllers in a simulated cluster: virtual time, seeded randomness and injected faults.
 //!
-//! `World` owns the controllers, the models of what surrounds them, and the queue of scheduled messages. Messages
-//! with equal times are delivered in the order in which they were scheduled, so that a run repeats exactly.
+//! `World` owns the controllers, the models of the store, the cloud and the machines, and the queue of scheduled
+//! messages. Messages with equal times are delivered in the order in which they were scheduled, so that a run
+//! repeats exactly.
 
 mod delivery;
 mod effects;
@@ -45,19 +46,19 @@
 
 /// A simulated cluster.
 pub struct World {
-    /// What the cluster was built from.
+    /// Configuration that the cluster was built from.
     pub config: Config,
     /// Virtual time in milliseconds.
     pub now: u64,
     /// Source of every random draw, except for those of the machines.
     pub rng: SmallRng,
-    /// Time and identity of each scheduled message, earliest first.
+    /// Time in milliseconds and identity of each scheduled message, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     /// Scheduled messages by identity.
     messages: HashMap<u64, ScheduledMessage>,
-    /// The identity given out last, to a message or to a pending reply.
+    /// Identity assigned last, to a message or to a pending reply.
     last_id: u64,
-    /// The controllers by index; none while one is not running.
+    /// Controllers by index; `None` while a controller is not running.
     pub controllers: Vec<Option<Controller>>,
     /// How many times each controller has been started.
     epochs: Vec<u64>,
@@ -65,7 +66,7 @@
     store_lanes: Vec<Lanes<(u64, StoreCall)>>,
     /// When each controller's budget is checked next, in milliseconds.
     next_budget_check: Vec<u64>,
-    /// Settings of each controller from its next start on.
+    /// Settings that each controller gets at its next start.
     pub settings: Vec<Arc<Settings>>,
     pending_replies: HashMap<ReplyId, PendingReply>,
     /// The store.
@@ -80,7 +81,7 @@
     pub fault_counts: FaultCounts,
     /// Share of jobs whose user cancels, polls and resubmits as the last task completes, from 0 to 1.
     pub completion_race_share: f64,
-    /// Jobs of which every task has completed.
+    /// Jobs whose tasks have all completed.
     completed_jobs: HashSet<JobId>,
     /// The worker machines.
     pub machines: Machines,
@@ -88,9 +89,9 @@
     pub cloud: Cloud,
     /// Jobs of the users, in the order of `submit`.
     pub jobs: Vec<JobPlan>,
-    /// The protocol's rules, checked on all that happens.
+    /// The protocol's invariants, checked on every event.
     pub rules: Rules,
-    /// Counts what controllers exchange and do, if set.
+    /// Counts the messages and events of each controller, if set.
     pub meter: Option<Meter>,
 }
 
@@ -103,17 +104,17 @@
     let settings = (0..config.controllers).map(|controller| {
         let text = config.settings(controller, &addresses, address(100, 1), address(101, 1));
         let settings = Settings::parse("region", &text.to_string());
-        // The simulator wrote the text itself, so that an error is one of its own.
+        // The simulator generated the text, so an error here is a fault of the simulator.
         Arc::new(settings.unwrap_or_else(|error| panic!("{error}")))
     });
     settings.collect()
 }
 
 impl World {
-    /// A cluster with an empty fleet, whose controllers start at once and whose users submit `jobs`.
+    /// Builds a cluster without machines, whose controllers start at once and whose users submit `jobs`.
     ///
     /// # Panics
-    /// If the settings that are made of `config` are invalid.
+    /// If the settings generated from `config` are invalid.
     pub fn new(config: Config, seed: u64, jobs: Vec<JobPlan>) -> Self {
         let settings = controller_settings(&config);
         let controllers = config.controllers;
@@ -177,14 +178,14 @@
         self.queue.push(Reverse((at.max(self.now), self.last_id)));
     }
 
-    /// Schedules an event for the present process of a controller.
+    /// Schedules an event for the current process of a controller.
     fn send_to(&mut self, controller: usize, at: u64, event: Event) {
         let process = self.process(controller);
         let event = Box::new(event);
         self.post(at, ScheduledMessage::ControllerEvent { process, event });
     }
 
-    /// The present process of a controller.
+    /// The current process of a controller.
     fn process(&self, controller: usize) -> ProcessId {
         ProcessId {
             controller,
@@ -192,12 +193,12 @@
         }
     }
 
-    /// Whether a controller has not been started again since this process.
+    /// Whether the controller has not been restarted since this process started.
     fn is_current(&self, process: ProcessId) -> bool {
         self.epochs[process.controller] == process.epoch
     }
 
-    /// Notes who waits for the response to an event.
+    /// Registers who waits for the response to an event.
     fn expect_reply(&mut self, pending: PendingReply) -> ReplyId {
         self.last_id += 1;
         let reply = ReplyId(self.last_id);
--- a/crates/simulator/src/sim/process_faults.rs
+++ b/crates/simulator/src/sim/process_faults.rs
@@ -10,21 +10,21 @@
 use crate::machines::Machine;
 
 impl World {
-    /// Ends a controller's process at a time and starts it again `back_after` milliseconds later.
+    /// Stops a controller's process at `at` and starts a new one `back_after` milliseconds later.
     pub fn crash(&mut self, controller: usize, at: u64, back_after: u64) {
-        // A restart ends whatever process runs then.
+        // The start replaces any process that runs at that time, such as one that another crash has restarted.
         self.post(at, ScheduledMessage::Stop { controller });
         self.post(at + back_after, ScheduledMessage::Start { controller });
     }
 
-    /// Changes the operator's settings for all controllers that start from now on.
+    /// Changes the operator's settings for all controllers that start after this call.
     pub fn change_operator_settings(&mut self, change: fn(&mut OperatorSettings)) {
         for settings in &mut self.settings {
             change(&mut Arc::make_mut(settings).operator);
         }
     }
 
-    /// Identity of the machine with this index among those that have not stopped.
+    /// Identity of the machine with this index among the machines that have not stopped.
     fn running_machine_id(&self, index: usize) -> Option<MachineId> {
         let mut running = self
             .machines
@@ -39,19 +39,19 @@
         self.machines.by_id.get_mut(&machine_id)
     }
 
-    /// Stops a machine for good.
+    /// Stops a machine permanently. `index` counts the machines that have not stopped.
     pub fn kill_worker(&mut self, index: usize) {
         if let Some(machine_id) = self.running_machine_id(index) {
             self.machines.kill(&machine_id, Millis(self.now));
         }
     }
 
-    /// Stops every machine of a zone for good.
+    /// Stops every machine of a zone permanently.
     pub fn power_off_zone(&mut self, zone: &str) {
         let machines = self.machines.by_id.iter();
-        let inside = machines.filter(|(_, machine)| machine.zone.as_str() == zone);
-        let inside: Vec<MachineId> = inside.map(|(machine_id, _)| machine_id.clone()).collect();
-        for machine_id in inside {
+        let in_zone = machines.filter(|(_, machine)| machine.zone.as_str() == zone);
+        let in_zone: Vec<MachineId> = in_zone.map(|(machine_id, _)| machine_id.clone()).collect();
+        for machine_id in in_zone {
             self.machines.kill(&machine_id, Millis(self.now));
         }
     }
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Suspends a machine until `until`; it continues afterwards.
+    /// Suspends a machine until `until`, when it resumes.
     pub fn hang_worker(&mut self, index: usize, until: u64) {
         if let Some(machine) = self.running_machine_mut(index) {
             machine.hung_until = Millis(until);
         }
     }
 
-    /// Loses responses and commands to a machine until `until`, while its heartbeats arrive.
+    /// Drops responses and commands to a machine until `until`, while its heartbeats still arrive.
     pub fn drop_commands_to_worker(&mut self, index: usize, until: u64) {
         if let Some(machine) = self.running_machine_mut(index) {
             machine.commands_lost_until = Millis(until);
         }
     }
 
-    /// Delivers intercepted heartbeats to one controller, whatever has become of their machines. Nothing waits
-    /// for the responses.
+    /// Ends the interception and delivers the intercepted heartbeats to one controller, whatever the state of their
+    /// machines. Nothing waits for the responses.
     pub fn release_heartbeats(&mut self, controller: usize) {
         self.network.intercepted_machines.clear();
         for mut heartbeat in std::mem::take(&mut self.network.intercepted_heartbeats) {
@@ -93,10 +93,11 @@
         }
     }
 
-    /// Restarts a machine at once, without its tasks. With `anew` its agent loses its counters, too.
-    pub fn reboot_worker(&mut self, index: usize, anew: bool) {
+    /// Reboots a machine at once, which ends its tasks. With `reset_agent` its agent also loses its counters.
+    pub fn reboot_worker(&mut self, index: usize, reset_agent: bool) {
         if let Some(machine_id) = self.running_machine_id(index) {
-            self.machines.reboot(&machine_id, anew, Millis(self.now));
+            self.machines
+                .reboot(&machine_id, reset_agent, Millis(self.now));
         }
     }
 
--- a/crates/simulator/src/sim/queries.rs
+++ b/crates/simulator/src/sim/queries.rs
@@ -1,4 +1,4 @@
-//! What tests and reports ask of a simulated cluster.
+//! Queries about the state of a simulated cluster, for tests and reports.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,8 @@
 use super::{JobPlan, World};
 
 impl World {
-    /// Differences between the controllers' indices of free resources and a recount, by controller.
+    /// Controllers whose index of free resources differs from a recount, each with the differences. Empty if all
+    /// indices are correct.
     pub fn index_drift(&mut self) -> Vec<String> {
         let controllers = self.controllers.iter_mut().enumerate();
         let drift = controllers.filter_map(|(index, controller)| {
@@ -18,16 +19,16 @@
         drift.collect()
     }
 
-    /// Jobs that users submitted and that are neither over, nor running, nor waiting for a reason that a
-    /// controller can name.
+    /// Jobs of the users that are neither over nor allocated to a machine, and that were never accepted or wait
+    /// without a reason that a controller can name. Each entry names the job and what is wrong.
     pub fn unaccounted_jobs(&self) -> Vec<String> {
-        let present: HashSet<&JobId> = self
+        let allocated: HashSet<&JobId> = self
             .machines
             .tasks_allocated(Millis(self.now))
             .map(|task| &task.job)
             .collect();
         let ids = self.jobs.iter().map(JobPlan::id);
-        let open = ids.filter(|id| !self.is_over(id) && !present.contains(id));
+        let open = ids.filter(|id| !self.is_over(id) && !allocated.contains(id));
         let unaccounted = open.filter_map(|id| {
             if !self.rules.accepted.contains(&id) {
                 return Some(format!("{id} was never accepted"));
@@ -39,7 +40,7 @@
         unaccounted.collect()
     }
 
-    /// Jobs that were submitted and are neither done, cancelled nor services, sorted.
+    /// Jobs of the users that are neither done, cancelled nor services, sorted.
     pub fn unfinished_jobs(&self) -> Vec<JobId> {
         let is_service = |id: &JobId| {
             let job = self.machines.jobs.get(id);
--- a/crates/simulator/src/sim/store_calls.rs
+++ b/crates/simulator/src/sim/store_calls.rs
@@ -13,24 +13,24 @@
 
 /// A controller gives up on a store call after this many milliseconds.
 const STORE_CALL_TIMEOUT: u64 = 2_500;
-/// Duration of a store response on its way, in milliseconds.
+/// One-way latency of a store response, in milliseconds.
 const STORE_RESPONSE_DELAY: u64 = 3;
-/// A late write meets an outage: it is tried again after this many milliseconds.
+/// A late write that arrives during an outage is retried after this many milliseconds.
 const LATE_WRITE_RETRY_INTERVAL: u64 = 500;
-/// How much later than others a transaction is applied that is late besides losing its response, in milliseconds.
+/// Extra delay in milliseconds of a transaction that is applied late and also loses its response.
 const LOST_RESPONSE_DELAY: u64 = 4_000;
-/// Entries on a page of the store's list: few, so that a list takes several pages.
+/// Entries per page of a list of the store; small, so that a list takes several pages.
 const PAGE_SIZE: usize = 40;
 /// Prefix of the scheduler's keys.
 const KEY_PREFIX: &str = "jt/";
 
-/// A watch that a controller has open: the process, and the tag under which it expects the response.
+/// An open watch: the controller process, and the tag under which it expects the response.
 pub(super) struct OpenWatch {
     process: ProcessId,
     tag: u64,
 }
 
-/// Empty lanes for a controller's store calls, from `now` (milliseconds) on.
+/// Empty lanes for a controller's store calls, created at `now` in milliseconds.
 pub(super) fn store_lanes(settings: &Settings, now: u64) -> Lanes<(u64, StoreCall)> {
     let state = &settings.deployment.state;
     Lanes::new(state, settings.controllers(), Millis(now))
@@ -73,7 +73,7 @@
         self.respond_at(controller, tag, StoreResponse::Unknown, at);
     }
 
-    /// Puts one call on its way to the store, through refusals, late writes, lost responses and cuts.
+    /// Sends one call to the store, subject to refusals, late writes, lost responses and cuts.
     fn send_store_call(&mut self, controller: usize, call: QueuedStoreCall) {
         let now = self.now;
         let delay = self.store_call_delay();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Draws how long a call takes to the store, in milliseconds.
+    /// Draws the latency of a call to the store, in milliseconds.
     fn store_call_delay(&mut self) -> u64 {
         let now = self.now;
         let slow = self.store_faults.slow.clone();
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Handles a call above the store's rate limit: lease calls are refused, others wait in the sender's lanes.
+    /// Handles a call above the store's rate limit: lease calls are refused, other calls go back to the sender's
+    /// lanes.
     fn throttle(&mut self, sender: ProcessId, call: QueuedStoreCall, reply: Reply) {
         let controller = sender.controller;
         self.fault_counts.throttled_transactions += 1;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Executes a call; a watch that stays open has no response yet.
+    /// Executes a call. `None` for a watch, whose response is sent later.
     fn execute_store_call(
         &mut self,
         process: ProcessId,
@@ -214,7 +215,7 @@
         self.store.apply(transaction)
     }
 
-    /// Applies a transaction whose sender gave up on it; in an outage it waits longer.
+    /// Applies a late transaction, to which the sender gets no response. During an outage it is retried later.
     pub(super) fn apply_late_write(&mut self, transaction: Transaction) {
         if self.is_store_down() {
             let at = self.now + LATE_WRITE_RETRY_INTERVAL;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Sends the responses of watches that have one.
+    /// Sends the responses of all watches that have one.
     pub(super) fn respond_to_watches(&mut self) {
         for (id, response) in self.store.woken() {
             if let Some(watch) = self.watches.remove(&id) {
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Sends a watch's response. One that meets a cut arrives after it, or not at all.
+    /// Sends a watch's response. During a refusal or a cut that holds messages it arrives afterwards; during any other
+    /// cut it is lost and the call times out.
     fn respond_to_watch(&mut self, watch: OpenWatch, response: StoreResponse) {
         let OpenWatch { process, tag } = watch;
         let refused = self.refused_until(process.controller);
--- a/crates/simulator/src/sim/users.rs
+++ b/crates/simulator/src/sim/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: the jobs they submit, poll and cancel, and what responses tell them.
+//! Simulated users, who submit, poll and cancel jobs, and the handling of responses to them.
 
 use jaspertiller::controller::Event;
 use jaspertiller::jobs::api::{self, JobStage, Response};
@@ -13,11 +13,12 @@
 
 /// A user repeats a submission after this many milliseconds, until the job is over.
 const RESUBMIT_INTERVAL: u64 = 5_000;
-/// A user polls an accepted job for the first time after this many milliseconds.
+/// A user polls a job for the first time this many milliseconds after its acceptance.
 const FIRST_POLL_DELAY: u64 = 1_000;
-/// A user polls an open job this often, in milliseconds.
+/// Poll interval for an open job, in milliseconds.
 const POLL_INTERVAL: u64 = 2_000;
-/// A user polls a job that is over this often, in milliseconds: its final state must not change.
+/// Poll interval for a job that is over, in milliseconds. Polling continues to check that the final state does not
+/// change.
 const FINISHED_POLL_INTERVAL: u64 = 9_000;
 /// A user repeats a cancellation after this many milliseconds, until the job is over.
 const ABORT_INTERVAL: u64 = 2_000;
@@ -31,20 +32,21 @@
     pub body: Value,
     /// Run time of each task in milliseconds.
     pub run_ms: u64,
-    /// When it is submitted, in milliseconds; by default at a random time in the first 30 s.
+    /// Time of submission in milliseconds; `None` means a random time from 0.5 s to 30.5 s.
     pub at: Option<u64>,
-    /// Its tasks fail on every machine.
+    /// Whether its tasks fail on every machine.
     pub broken: bool,
 }
 
 impl JobPlan {
-    /// Identity of the job.
+    /// Identity of the job from the submission's body; empty if the body has none.
     pub fn id(&self) -> JobId {
         self.body["id"].as_str().unwrap_or_default().into()
     }
 }
 
-/// A job of `tasks` tasks that run `run_ms` milliseconds each; services run until they are cancelled.
+/// A job of `tasks` tasks that run `run_ms` milliseconds each, submitted at a random time. Services run until they
+/// are cancelled.
 pub fn job(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run_ms: u64) -> JobPlan {
     let array = kind == "sweep";
     let body = json!({"id": format!("job-{id:06}"), "lot": "x", "crew": team, "shape": kind,
@@ -64,7 +66,7 @@
 impl World {
     /// Schedules the submission of a job.
     pub fn submit(&mut self, plan: JobPlan) {
-        // Drawn for every plan, so that a plan with a time does not change the draws after it.
+        // Drawn for every plan, so that a plan with a fixed time does not change later draws.
         let random_time = 500 + self.rng.random_range(0..30_000);
         let at = plan.at.unwrap_or(random_time);
         self.jobs.push(plan);
@@ -78,17 +80,17 @@
         self.post(at, ScheduledMessage::Abort(id));
     }
 
-    /// Whether the user has learned that the job is over.
+    /// Whether a response has reported the job as done or cancelled.
     pub(super) fn is_over(&self, id: &JobId) -> bool {
         self.rules.aborted.contains_key(id) || self.rules.done.contains(id)
     }
 
-    /// Sends a submission now, and schedules its repetition.
+    /// Sends a submission now, and schedules its repetition unless the job is over.
     pub(super) fn send_submission(&mut self, job_index: usize) {
         let body = self.jobs[job_index].body.to_string();
         let submission = api::parse(body.as_bytes());
         if let Ok((id, spec)) = &submission {
-            // Users upload the description before they submit.
+            // Users upload the job description before they submit the job.
             let plan = &self.jobs[job_index];
             let description = JobDescription {
                 spec: spec.clone(),
@@ -102,7 +104,7 @@
         let id = self.jobs[job_index].id();
         let reply = self.expect_reply(PendingReply::User(id.clone()));
         self.send_request(&id, Event::Submit { reply, submission });
-        // A request may be lost, and a submission is idempotent.
+        // A request may be lost, and a submission is idempotent, so it is repeated.
         if !self.is_over(&id) {
             let at = self.now + RESUBMIT_INTERVAL;
             self.post(at, ScheduledMessage::Submit { job_index });
@@ -143,9 +145,9 @@
         }
     }
 
-    /// Takes a controller's response to the user of a job.
+    /// Processes a controller's response to the user of a job.
     pub(super) fn receive_response(&mut self, id: JobId, response: &Response) {
-        let told = match response {
+        let job_response = match response {
             Response::Accepted(_) => JobResponse::State(JobStage::Queued),
             Response::State(state) => state.into(),
             Response::UnknownJob => JobResponse::NotFound,
@@ -158,10 +160,10 @@
             self.post(at, ScheduledMessage::Poll(id.clone()));
         }
         let now = Millis(self.now);
-        self.rules.told(&id, &told, &self.machines, now);
+        self.rules.told(&id, &job_response, &self.machines, now);
     }
 
-    /// Lets users of some jobs cancel, poll and resubmit just as the last task of their job completes.
+    /// Lets the users of a share of jobs cancel, poll and resubmit shortly after the last task of their job completes.
     pub(super) fn race_completions(&mut self) {
         for job_index in 0..self.jobs.len() {
             let id = self.jobs[job_index].id();
--- a/crates/simulator/src/sim/workers.rs
+++ b/crates/simulator/src/sim/workers.rs
@@ -1,4 +1,4 @@
-//! Traffic between workers and controllers, and the periodic step in which time passes for machines.
+//! Traffic between workers and controllers, and the periodic step that advances machines and leases.
 
 use jaspertiller::controller::{CommandReply, Event};
 use jaspertiller::types::{Millis, ReplyId};
@@ -11,17 +11,17 @@
 use crate::machines::OutgoingHeartbeat;
 use crate::waits;
 
-/// Interval in milliseconds of the steps in which time passes for machines and leases.
+/// Interval in milliseconds of the steps that advance machines and leases.
 const STEP_INTERVAL: u64 = 50;
 /// Interval in milliseconds at which waiting jobs are compared with the free resources.
 const WAITING_CHECK_INTERVAL: u64 = 1_000;
-/// Duration of a message from a worker in milliseconds.
+/// One-way latency of a message from a worker, in milliseconds.
 const WORKER_MESSAGE_DELAY: u64 = 3;
-/// The response to direct commands is delayed by less than this many milliseconds, if that fault is injected.
+/// Upper bound in milliseconds, exclusive, of the injected delay of a response to direct commands.
 const MAX_RESPONSE_DELAY: u64 = 2_500;
 
 impl World {
-    /// Lets time pass for leases and machines, checks the protocol's rules, and sends heartbeats.
+    /// Advances leases and machines to the current time, checks the protocol's invariants, and sends heartbeats.
     pub(super) fn step(&mut self) {
         let now = Millis(self.now);
         self.store.pass(now, self.is_store_down());
@@ -41,7 +41,7 @@
         self.post(self.now + STEP_INTERVAL, ScheduledMessage::Step);
     }
 
-    /// Sends a heartbeat, its duplicate, or both.
+    /// Sends a heartbeat. If duplication is injected, a delayed duplicate is sent as well or instead.
     fn send_heartbeat(&mut self, heartbeat: OutgoingHeartbeat) {
         if let Some(copies) = self.network.heartbeat_copies.clone()
             && self.rng.random_bool(copies.share)
@@ -57,7 +57,7 @@
         self.post(at, ScheduledMessage::Heartbeat(heartbeat));
     }
 
-    /// Hands a heartbeat that arrives to its controller, unless a fault intercepts, delays or loses it.
+    /// Delivers a heartbeat to its controller, unless a fault intercepts, delays or drops it.
     pub(super) fn receive_heartbeat(&mut self, outgoing: OutgoingHeartbeat) {
         let machine_id = &outgoing.machine_id;
         if self.network.intercepted_machines.contains(machine_id) {
@@ -83,13 +83,13 @@
         self.handle(controller, Event::Heartbeat { reply, heartbeat });
     }
 
-    /// Hands a duplicate heartbeat to its controller. Nothing waits for the response, and the machine may have
+    /// Delivers a duplicate heartbeat to its controller. Nothing waits for the response, and the machine may have
     /// been deleted.
     pub(super) fn receive_duplicate_heartbeat(&mut self, outgoing: OutgoingHeartbeat) {
         let (controller, heartbeat) = (outgoing.controller, outgoing.heartbeat);
         let machine = self.machines.by_id.get(&outgoing.machine_id);
-        let is_old = machine.is_some_and(|m| m.agent_epoch > heartbeat.agent_epoch.0);
-        self.fault_counts.copies_of_old_agent_epochs += u64::from(is_old);
+        let is_from_old_epoch = machine.is_some_and(|m| m.agent_epoch > heartbeat.agent_epoch.0);
+        self.fault_counts.copies_of_old_agent_epochs += u64::from(is_from_old_epoch);
         if self.worker_cut(controller, &outgoing.machine_id).is_none() {
             self.last_id += 1;
             let reply = ReplyId(self.last_id);
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Lets a worker execute direct commands that arrive.
+    /// Delivers direct commands to a worker, which executes them if it is reachable.
     pub(super) fn receive_direct_commands(&mut self, direct: DirectCommands) {
         let machine = self.machines.by_id.get(&direct.machine_id);
-        // A machine that rebooted meanwhile has lost the connection they were sent on.
+        // A machine that rebooted after the commands were sent has lost their connection.
         if machine.is_some_and(|machine| machine.rebooted_at.0 > direct.sent_at) {
             if direct.reply.is_expected() {
                 let (machine_id, answer) = (direct.machine_id, None);
@@ -150,11 +150,11 @@
         let heartbeat = self.machines.heartbeat(&machine_id);
         let answer = Some(CommandReply { heartbeat });
         // A delayed response may arrive after newer heartbeats.
-        let held = self.network.held_commands.clone();
-        let held = held.filter(|held| self.rng.random_bool(held.share));
-        let held_ms = held.map_or(0, |_| self.rng.random_range(0..MAX_RESPONSE_DELAY));
+        let fault = self.network.held_commands.clone();
+        let fault = fault.filter(|fault| self.rng.random_bool(fault.share));
+        let delay_ms = fault.map_or(0, |_| self.rng.random_range(0..MAX_RESPONSE_DELAY));
         let event = Box::new(Event::DirectReply { machine_id, answer });
-        let at = self.now + WORKER_MESSAGE_DELAY + held_ms;
+        let at = self.now + WORKER_MESSAGE_DELAY + delay_ms;
         self.post(at, ScheduledMessage::ControllerEvent { process, event });
     }
 }
