--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: subcommands and their arguments. Doc comments of commands and fields are the help texts.
+//! The command line: subcommands and their arguments. The doc comments of commands and fields are the help texts.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 use clap::{Args, Parser, Subcommand};
 use cluster_simulator::live::faults::Kind;
 
-/// Exit statuses of `scale`.
-const SCALE_HELP: &str = "Ends with 2 if files, counts or this machine's limits do not do, with 3 if it stopped \
-    itself, with 1 if a rule broke or a controller ended by itself. All figures are simulated.";
+/// Help text of `scale` on its exit status.
+const SCALE_HELP: &str = "Exit status: 2 if a file or count is invalid or this machine's limits are too low, 3 if the \
+    run stopped itself, 1 if a rule was violated or a controller exited unexpectedly. All figures are simulated.";
 
-/// A region of stand-ins on loopback, round real controllers.
+/// Simulates a region for real controllers: on loopback, or in virtual time.
 #[derive(Parser)]
 #[command(version, about)]
 pub(crate) struct Cli {
-    /// What to do
+    /// Command to run
     #[command(subcommand)]
     pub(crate) command: Command,
 }
@@ -23,22 +23,22 @@
 /// The subcommands.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Start a region and three controllers, run a mixed set of jobs, and say what came of it
+    /// Start a region and three controllers, run a mixed set of jobs, and print the outcome
     Demo(DemoArgs),
-    /// Keep a region and its controllers up until Ctrl-C
+    /// Run a region and its controllers until Ctrl-C
     Serve(ServeArgs),
-    /// Ask a region that is served for a fault
+    /// Request a fault from a region that `serve` runs
     Fault(FaultArgs),
-    /// Replay contention under nested quotas in virtual time, and under flat ones beside it
+    /// Simulate contention under nested quotas in virtual time, with flat quotas as the baseline
     Contention(ContentionArgs),
-    /// Replay cuts of a zone in virtual time, kept and given up beside each other
+    /// Simulate network partitions of a zone in virtual time, with the zone's machines kept and given up
     Cuts(CutsArgs),
-    /// Play a load on real controller processes with hollow workers, on loopback, and measure it
+    /// Load real controller processes with simulated workers on loopback, and measure them
     #[command(after_help = SCALE_HELP)]
     Scale(ScaleArgs),
-    /// Play one load at several sizes in virtual time: what controllers send, receive and spend
+    /// Simulate one load at several region sizes in virtual time, and measure controller traffic and processing time
     Slopes(SlopesArgs),
-    /// Run the daemon's own command line: what the region starts its controllers with
+    /// Run the daemon's own command line; the region starts its controllers with this command
     #[command(disable_help_flag = true)]
     Controller {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -49,10 +49,10 @@
 /// Arguments of `demo`.
 #[derive(Args)]
 pub(crate) struct DemoArgs {
-    /// Luck: of arrival times, boots and fetches
+    /// Seed of the random arrival, boot and fetch times
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Faults to strike meanwhile (INI); without, one controller is killed
+    /// Faults to inject during the run (INI); without it, one controller is killed
     #[arg(long, value_name = "FILE")]
     pub(crate) plan: Option<PathBuf>,
 }
@@ -60,13 +60,13 @@
 /// Arguments of `serve`.
 #[derive(Args)]
 pub(crate) struct ServeArgs {
-    /// What the region is made of (INI)
+    /// Configuration of the region (INI)
     #[arg(long, value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
     /// The controllers' operator settings (INI)
     #[arg(long, value_name = "FILE")]
     pub(crate) operator: Option<PathBuf>,
-    /// Faults to strike meanwhile (INI)
+    /// Faults to inject during the run (INI)
     #[arg(long, value_name = "FILE")]
     pub(crate) plan: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
@@ -76,15 +76,15 @@
 /// Arguments of `fault`.
 #[derive(Args)]
 pub(crate) struct FaultArgs {
-    /// The address that `serve` printed
+    /// Address of the region, as printed by `serve`
     #[arg(long)]
     pub(crate) region: SocketAddr,
     #[arg(value_enum)]
     pub(crate) kind: Kind,
-    /// The controller (n0) or machine (vm-000001)
+    /// Controller (n0) or machine (vm-000001) that the fault affects
     #[arg(default_value = "")]
     pub(crate) target: String,
-    /// Seconds
+    /// Duration of the fault in seconds
     #[arg(long, default_value_t = 10.0)]
     pub(crate) for_s: f64,
 }
@@ -92,10 +92,10 @@
 /// Arguments of `contention`.
 #[derive(Args)]
 pub(crate) struct ContentionArgs {
-    /// How many seeds of each
+    /// Number of seeds to simulate for each kind of quotas
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100))]
     pub(crate) seeds: u64,
-    /// Writes a page with plots of every level's share (HTML, needs no network)
+    /// Write a page with plots of every quota node's share (HTML, needs no network)
     #[arg(long, value_name = "FILE")]
     pub(crate) report: Option<PathBuf>,
 }
@@ -103,7 +103,7 @@
 /// Arguments of `cuts`.
 #[derive(Args)]
 pub(crate) struct CutsArgs {
-    /// Writes a page with plots of the tasks that go on (HTML, needs no network)
+    /// Write a page with plots of the tasks that keep running (HTML, needs no network)
     #[arg(long, value_name = "FILE")]
     pub(crate) report: Option<PathBuf>,
 }
@@ -111,10 +111,10 @@
 /// Arguments of `scale`.
 #[derive(Args)]
 pub(crate) struct ScaleArgs {
-    /// This part of the target in docs/CAPACITY.md, instead of the small default
-    #[arg(long, value_parser = part)]
+    /// Fraction of the target load in docs/CAPACITY.md, from 0.01 to 2, instead of the small default load
+    #[arg(long, value_parser = parse_target_fraction)]
     pub(crate) target: Option<f64>,
-    /// Counts and rates (INI, section [scale]: the flags' names, and accelerators, zones, teams,
+    /// Counts and rates (INI, section [scale]; keys: the flags' names, and accelerators, zones, teams,
     /// burst_starts, burst_s, gang, state_requests, state_changes, state_value_kb)
     #[arg(long, value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
@@ -122,20 +122,20 @@
     pub(crate) machines: Option<u64>,
     #[arg(long)]
     pub(crate) controllers: Option<u64>,
-    /// Tasks that run when nothing bursts
+    /// Tasks that run outside of bursts
     #[arg(long)]
     pub(crate) tasks: Option<u64>,
     #[arg(long)]
     pub(crate) seconds: Option<u64>,
     #[arg(long)]
     pub(crate) seed: Option<u64>,
-    /// Kills no controller and loses no zone
+    /// Inject no controller crash and no zone outage
     #[arg(long)]
     pub(crate) no_faults: bool,
-    /// Writes a row a second and controller
+    /// Write one row per second and controller as CSV
     #[arg(long, value_name = "FILE")]
     pub(crate) csv: Option<PathBuf>,
-    /// Writes a page of plots (HTML, needs no network)
+    /// Write a page of plots (HTML, needs no network)
     #[arg(long, value_name = "FILE")]
     pub(crate) report: Option<PathBuf>,
 }
@@ -143,7 +143,7 @@
 /// Arguments of `slopes`.
 #[derive(Args)]
 pub(crate) struct SlopesArgs {
-    /// Machines of each size
+    /// Numbers of machines to simulate, one for each size
     #[arg(long, value_delimiter = ',', default_value = "250,500,1000,2000",
         value_parser = clap::value_parser!(u32).range(10..=20_000))]
     pub(crate) machines: Vec<u32>,
@@ -153,22 +153,22 @@
     pub(crate) zones: u64,
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     pub(crate) teams: u64,
-    /// Virtual seconds, from an empty fleet on
+    /// Virtual seconds to simulate, starting from an empty fleet
     #[arg(long, default_value_t = 120, value_parser = clap::value_parser!(u64).range(20..=600))]
     pub(crate) seconds: u64,
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Writes every figure as CSV
+    /// Write every figure as CSV
     #[arg(long, value_name = "FILE")]
     pub(crate) csv: Option<PathBuf>,
 }
 
-/// Parses the part of the target that `scale` plays.
-fn part(text: &str) -> Result<f64, String> {
-    let part: f64 = text.parse().map_err(|_| "must be a number")?;
-    if (0.01..=2.0).contains(&part) {
-        Ok(part)
+/// Parses the fraction of the target load that `scale` runs.
+fn parse_target_fraction(text: &str) -> Result<f64, String> {
+    let fraction: f64 = text.parse().map_err(|_| "must be a number")?;
+    if (0.01..=2.0).contains(&fraction) {
+        Ok(fraction)
     } else {
-        Err("must lie between 0.01 and 2".into())
+        Err("must be between 0.01 and 2".into())
     }
 }
--- a/crates/simulator/src/contention/demand.rs
+++ b/crates/simulator/src/contention/demand.rs
@@ -1,9 +1,9 @@
-//! The load of the replay: the quota tree, the teams with their task sizes, and the jobs that each phase submits and
+//! The simulated load: the quota tree, the teams with their task sizes, and the jobs that each phase submits and
 //! cancels. All of it is constant data; nothing here depends on the run.
 
 use crate::sim::{JobPlan, World, job};
 
-/// The quota tree of the replay, as its INI text: an association, its members and their teams.
+/// The quota tree as INI text: an association, its members and their teams.
 pub const TREE: &str = "\
 [tree]
 revision = 1
@@ -50,18 +50,18 @@
 team = west-forecast
 ";
 
-/// A team of the replay.
-pub(super) struct ReplayTeam {
+/// A team that submits jobs.
+pub(super) struct TeamDemand {
     /// Its name in the quota tree.
     pub(super) name: &'static str,
     /// GPUs of each of its tasks.
     pub(super) gpus_per_task: f64,
-    /// GPUs of its guarantee without a tree, in the baseline.
+    /// Guaranteed GPUs in the baseline, which has no quota tree.
     pub(super) flat_guarantee: f64,
 }
 
-const fn replay_team(name: &'static str, gpus_per_task: f64, flat_guarantee: f64) -> ReplayTeam {
-    ReplayTeam {
+const fn team_demand(name: &'static str, gpus_per_task: f64, flat_guarantee: f64) -> TeamDemand {
+    TeamDemand {
         name,
         gpus_per_task,
         flat_guarantee,
@@ -71,26 +71,26 @@
 /// Number of teams.
 const TEAM_COUNT: usize = 8;
 
-/// All teams; a phase lists its tasks in the same order.
-pub(super) const TEAMS: [ReplayTeam; TEAM_COUNT] = [
-    replay_team("north-slotting", 1.0, 16.0),
-    replay_team("north-training", 4.0, 8.0),
-    replay_team("north-forecast", 1.0, 0.0),
-    replay_team("south-slotting", 2.0, 8.0),
-    replay_team("south-training", 1.0, 0.0),
-    replay_team("south-forecast", 1.0, 0.0),
-    replay_team("west-slotting", 1.0, 6.0),
-    replay_team("west-forecast", 2.0, 0.0),
+/// All teams. [`DemandPhase::tasks`] has the same order.
+pub(super) const TEAMS: [TeamDemand; TEAM_COUNT] = [
+    team_demand("north-slotting", 1.0, 16.0),
+    team_demand("north-training", 4.0, 8.0),
+    team_demand("north-forecast", 1.0, 0.0),
+    team_demand("south-slotting", 2.0, 8.0),
+    team_demand("south-training", 1.0, 0.0),
+    team_demand("south-forecast", 1.0, 0.0),
+    team_demand("west-slotting", 1.0, 6.0),
+    team_demand("west-forecast", 2.0, 0.0),
 ];
 
-/// Tasks of a team that wants more than the fleet holds.
+/// Number of tasks of a team whose demand exceeds the fleet.
 const MORE_THAN_FLEET: u32 = 400;
 
-/// A stretch of the replay in which demand does not change.
+/// A period of the simulation in which demand does not change.
 struct DemandPhase {
-    /// Its name in tables and pages.
+    /// Its name on the page.
     name: &'static str,
-    /// Tasks that each team wants; those that do not fit stay in the queue.
+    /// Tasks that each team submits; tasks that do not fit stay in the queue.
     tasks: [u32; TEAM_COUNT],
     /// Jobs over which a team's tasks are divided.
     jobs_per_team: u32,
@@ -104,48 +104,55 @@
     }
 }
 
-/// All phases, in the order of play.
+/// All phases, in chronological order.
 const PHASES: [DemandPhase; 8] = {
     const ALL: u32 = MORE_THAN_FLEET;
     [
-        demand_phase("one team alone", [ALL, 0, 0, 0, 0, 0, 0, 0]),
+        demand_phase("one team only", [ALL, 0, 0, 0, 0, 0, 0, 0]),
         demand_phase("a second member", [ALL, 0, 0, ALL, 0, 0, 0, 0]),
-        demand_phase("all swarm", [ALL; TEAM_COUNT]),
-        demand_phase("some fall", [ALL, 0, ALL, ALL, ALL, ALL, 4, ALL]),
-        demand_phase("a member is gone", [0, 0, 0, ALL, ALL, ALL, ALL, ALL]),
+        demand_phase("all teams exceed the fleet", [ALL; TEAM_COUNT]),
+        demand_phase(
+            "demand of some teams falls",
+            [ALL, 0, ALL, ALL, ALL, ALL, 4, ALL],
+        ),
+        demand_phase(
+            "one member without demand",
+            [0, 0, 0, ALL, ALL, ALL, ALL, ALL],
+        ),
         DemandPhase {
-            name: "it is back, with small jobs",
+            name: "the member returns, with small jobs",
             tasks: [0, 0, ALL, ALL, 0, 0, ALL, 0],
             jobs_per_team: 20,
         },
-        demand_phase("little is wanted", [0, 3, 0, 0, 8, 0, 0, 5]),
-        demand_phase("all swarm again", [ALL; TEAM_COUNT]),
+        demand_phase("low demand", [0, 3, 0, 0, 8, 0, 0, 5]),
+        demand_phase("all teams exceed the fleet again", [ALL; TEAM_COUNT]),
     ]
 };
 
-/// Seconds that a phase lasts.
+/// Duration of a phase in seconds.
 pub(super) const PHASE_S: u64 = 75;
 /// Second at which the first phase begins: the fleet has booted by then.
 pub(super) const START_S: u64 = 30;
-/// Seconds that a task of the replay takes to save its state when it is stopped.
-pub const STASH_S: f64 = 1.0;
-/// Seconds between the progress marks of a task.
-const MARK_S: f64 = 5.0;
-/// Run time of tasks where few are wanted: longer than two phases, so that demand changes only with the phases.
+/// Seconds that a task takes to save its state when it is stopped.
+pub const SAVE_S: f64 = 1.0;
+/// Seconds between the checkpoints of a task.
+const CHECKPOINT_INTERVAL_S: f64 = 5.0;
+/// Run time of the tasks of a team whose demand fits the fleet: longer than two phases, so that demand changes only
+/// with the phases.
 const LONG_RUN_MS: u64 = 600_000;
-/// Run time of the first team's tasks where more are wanted than fit.
+/// Run time of the first team's tasks when its demand exceeds the fleet.
 const SHORT_RUN_MS: u64 = 45_000;
-/// What each further team's tasks run longer, so that the teams' tasks do not end together.
+/// Added to the run time for each further team, so that the teams' tasks do not end at the same time.
 const SHORT_RUN_STEP_MS: u64 = 3_000;
 
-/// The second at which each phase begins, and its name.
+/// Iterates over the phases: the second at which each begins, and its name.
 pub fn phases() -> impl Iterator<Item = (u64, &'static str)> {
     (0..)
         .zip(PHASES)
         .map(|(index, phase)| (START_S + index * PHASE_S, phase.name))
 }
 
-/// The second at which a replay ends.
+/// The second at which the simulation ends.
 #[must_use]
 pub fn end_s() -> u64 {
     START_S + PHASES.len() as u64 * PHASE_S
@@ -179,7 +186,7 @@
     }
 }
 
-/// A job of one team that is submitted at a second of the replay.
+/// Builds a job of one team, submitted at second `at_s`.
 fn job_plan(id: usize, team_index: usize, tasks: u32, at_s: u64) -> JobPlan {
     let team = &TEAMS[team_index];
     let run_ms = if tasks < MORE_THAN_FLEET {
@@ -188,10 +195,10 @@
         SHORT_RUN_MS + SHORT_RUN_STEP_MS * team_index as u64
     };
     let mut plan = job(id, team.name, "sweep", tasks, team.gpus_per_task, run_ms);
-    // All jobs share one image, so that only room on machines is contended.
+    // All jobs share one image, so that they contend only for machine capacity.
     plan.body["kit"] = "img".into();
-    plan.body["stashS"] = STASH_S.into();
-    plan.body["markS"] = MARK_S.into();
+    plan.body["stashS"] = SAVE_S.into();
+    plan.body["markS"] = CHECKPOINT_INTERVAL_S.into();
     plan.at = Some(at_s * 1_000);
     plan
 }
--- a/crates/simulator/src/contention/run.rs
+++ b/crates/simulator/src/contention/run.rs
@@ -1,4 +1,4 @@
-//! Plays a replay and samples it: each second, what every node of the quota tree uses and what it is entitled to.
+//! Runs the simulation and samples, each second, what every node of the quota tree uses and what it is entitled to.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 
 use super::Kind;
 use super::demand::{START_S, TEAMS, end_s};
-use super::levels::{Replay, Sample, evaluate_levels, node_use, reclaim_times};
+use super::evaluation::{ContentionResult, Sample, evaluate_nodes, node_use, reclaim_times};
 use super::scenario::{quota_tree, world};
 use crate::sim::{JobPlan, World};
 
-/// Observations in a second; a sample is their mean.
+/// Observations per second; a sample is the mean of one second's observations.
 const OBSERVATIONS_PER_S: u64 = 10;
 
-/// Plays one replay in virtual time.
+/// Simulates one variant in virtual time.
 #[must_use]
-pub fn replay(kind: Kind, seed: u64) -> Replay {
+pub fn simulate(kind: Kind, seed: u64) -> ContentionResult {
     let tree = quota_tree();
     let mut world = world(kind, seed);
     let mut samples: Vec<Vec<Sample>> = vec![Vec::new(); tree.nodes.len()];
-    let mut used = 0.0;
+    let mut used_gpu_s = 0.0;
     for at_s in START_S..end_s() {
         let team_use = mean_team_use(&mut world, at_s);
-        used += team_use.values().sum::<f64>();
+        used_gpu_s += team_use.values().sum::<f64>();
         let entitlements = current_entitlements(&world, &tree);
         for index in tree.all() {
             samples[index.0 as usize].push(Sample {
@@ -36,21 +36,21 @@
         }
     }
     world.rules.finish();
-    let levels = evaluate_levels(&tree, samples);
-    let reclaimed = reclaim_times(&levels);
-    Replay {
+    let nodes = evaluate_nodes(&tree, samples);
+    let reclaim_times_s = reclaim_times(&nodes);
+    ContentionResult {
         kind,
         seed,
-        levels,
-        reclaimed,
-        broken: world.rules.violations.iter().cloned().collect(),
-        lost_s: world.machines.lost_run_time.secs(),
-        used,
-        changes: world.store.written,
+        nodes,
+        reclaim_times_s,
+        violations: world.rules.violations.iter().cloned().collect(),
+        lost_run_time_s: world.machines.lost_run_time.secs(),
+        used_gpu_s,
+        committed_changes: world.store.written,
     }
 }
 
-/// Plays one second, and returns the GPUs that each team's tasks hold in it on average.
+/// Simulates one second and returns the GPUs that each team's tasks hold during it, on average.
 fn mean_team_use(world: &mut World, at_s: u64) -> BTreeMap<Team, f64> {
     let mut team_use = BTreeMap::new();
     for observation in 0..OBSERVATIONS_PER_S {
@@ -60,7 +60,7 @@
     team_use
 }
 
-/// Adds what each team's tasks hold now, in GPUs, to the mean over a second.
+/// Adds one observation to the mean over a second: the GPUs that each team's tasks hold now.
 fn add_observation(world: &World, team_use: &mut BTreeMap<Team, f64>) {
     for task in world.machines.tasks_allocated(Millis(world.now)) {
         if let Some(job) = world.machines.jobs.get(&task.job) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Entitlements by the present demand alone: a fresh computation has no hysteresis.
+/// Computes the entitlements from current demand only: a fresh computation has no hysteresis.
 fn current_entitlements(world: &World, tree: &Arc<Tree>) -> Entitlements {
     let mut entitlements = Entitlements::new(tree.clone());
     for team in &TEAMS {
@@ -82,12 +82,12 @@
     entitlements
 }
 
-/// GPUs of all tasks of a team's active jobs that have not completed, as the team's users know them.
+/// GPUs of all incomplete tasks of a team's active jobs, from the view of the team's users.
 fn gpu_demand(world: &World, team: &str) -> f64 {
     let submitted = |plan: &&JobPlan| plan.at.is_some_and(|at| at <= world.now);
     let jobs = world.jobs.iter().filter(submitted).map(JobPlan::id);
     let mut sum = 0.0;
-    for id in jobs.filter(|id| phase(world, id) == Phase::Active) {
+    for id in jobs.filter(|id| job_phase(world, id) == Phase::Active) {
         let Some(job) = world.machines.jobs.get(&id) else {
             continue;
         };
@@ -105,8 +105,8 @@
     sum
 }
 
-/// The phase of a job as its user knows it.
-fn phase(world: &World, id: &JobId) -> Phase {
+/// The phase of a job from the view of its user.
+fn job_phase(world: &World, id: &JobId) -> Phase {
     if world.rules.done.contains(id) {
         Phase::Done
     } else if world.rules.wanted_aborts.contains_key(id) {
--- a/crates/simulator/src/contention/scenario.rs
+++ b/crates/simulator/src/contention/scenario.rs
@@ -1,5 +1,5 @@
-//! The simulated world of a replay: its configuration, the quota tree in the controllers' settings, the scheduled
-//! jobs, and the faults that strike.
+//! The simulated world: its configuration, the quota tree in the controllers' settings, the scheduled jobs, and the
+//! injected faults.
 
 use std::sync::Arc;
 
@@ -13,25 +13,25 @@
 
 /// Machines that the cloud can rent out.
 const FLEET_MACHINES: u32 = 16;
-/// How far tasks' run times are spread round the planned ones, as a part of them.
+/// Spread of the tasks' run times around the planned run time, as a fraction of it.
 const RUN_TIME_SPREAD: f64 = 0.5;
-/// Part of the store's responses that are lost while faults strike.
+/// Fraction of the store's responses that are lost in the variant with faults.
 const LOST_RESPONSE_SHARE: f64 = 0.03;
 
-/// The quota tree of the replay.
+/// Builds the quota tree.
 ///
 /// # Panics
 ///
-/// Never in practice: [`TREE`] is a constant, and the tests play it.
+/// Never in practice: [`TREE`] is a constant, and the tests run it.
 pub(super) fn quota_tree() -> Arc<Tree> {
-    let built = TreeSpec::parse("the replay's tree", TREE).and_then(|spec| spec.build("", &[]));
+    let built = TreeSpec::parse("contention quota tree", TREE).and_then(|spec| spec.build("", &[]));
     match built {
         Ok((tree, _)) => Arc::new(tree),
         Err(error) => panic!("{error}"),
     }
 }
 
-/// A world with all jobs and faults of a replay scheduled.
+/// Creates a world in which all jobs and faults are scheduled.
 pub(super) fn world(kind: Kind, seed: u64) -> World {
     let mut world = World::new(config(kind), seed, Vec::new());
     if kind != Kind::Flat {
@@ -48,24 +48,24 @@
 fn config(kind: Kind) -> Config {
     let guarantee = |flat_guarantee: f64| match kind {
         Kind::Flat => flat_guarantee,
-        Kind::Quiet | Kind::Faults => 0.0,
+        Kind::NoFaults | Kind::Faults => 0.0,
     };
     Config {
         teams: TEAMS
             .iter()
-            .map(|replayed| team(replayed.name, guarantee(replayed.flat_guarantee), 0.0))
+            .map(|demand| team(demand.name, guarantee(demand.flat_guarantee), 0.0))
             .collect(),
         capacity: FLEET_MACHINES,
         ..Config::default()
     }
 }
 
-/// Gives every controller's settings the quota tree.
+/// Loads the quota tree into the settings of every controller.
 fn load_quota_tree(world: &mut World) {
     for settings in &mut world.settings {
         let mut with_tree: Settings = (**settings).clone();
-        if let Err(error) = with_tree.load_quota_tree("the replay's tree", TREE) {
-            // The tree is a constant that the tests play.
+        if let Err(error) = with_tree.load_quota_tree("contention quota tree", TREE) {
+            // Unreachable in practice: the tree is a constant that the tests run.
             panic!("{error}");
         }
         *settings = Arc::new(with_tree);
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -1,5 +1,5 @@
-//! `cluster-simulator demo`: runs a mixed set of jobs on three controllers, kills one of them meanwhile, and prints
-//! what came of the jobs and whether the protocol's rules held.
+//! `cluster-simulator demo`: runs a mixed set of jobs on three controllers, kills one of them during the run, and
+//! prints the outcome of the jobs and whether the protocol's rules held.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -22,21 +22,21 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Milliseconds over which the jobs arrive.
+/// Length in milliseconds of the period over which the jobs are submitted.
 const ARRIVALS_MS: u64 = 20_000;
 /// Number of jobs: four of each of the six classes.
 const JOBS: usize = 24;
-/// Classes of the jobs, in turn.
+/// Job classes, assigned round robin.
 const CLASSES: [&str; 6] = ["score", "train", "serve", "forecast", "pair", "single"];
-/// The run is given up after this long: undisturbed, the jobs are over in a third of it.
+/// Time limit of the run. Without faults, the jobs finish in a third of it.
 const RUN_TIMEOUT: Duration = Duration::from_secs(150);
-/// How long all controllers together may take to get ready.
+/// Time limit for all controllers together to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which a controller is asked whether it is ready.
+/// Interval between readiness checks of a controller.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which faults are injected and progress is shown, at the least.
+/// Longest interval between two checks for due faults, and between two progress updates.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Services end only when they are cancelled: their users do so after this long.
+/// Delay after which users cancel their services, which would otherwise run forever.
 const SERVICE_DURATION: Duration = Duration::from_secs(15);
 
 /// A small region of two teams, one of them with a quota.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Arrays, gangs and services of two teams.
+/// Generates arrays, gangs and services for two teams.
 fn jobs(rng: &mut SmallRng) -> Vec<JobPlan> {
     let jobs = (0..JOBS).map(|index| {
         let run_ms = rng.random_range(3_000..8_000);
@@ -68,7 +68,7 @@
     jobs.collect()
 }
 
-/// The faults without a plan file: the first controller is killed early in the arrivals.
+/// The faults that are used without a plan file: the first controller is killed while jobs are still being submitted.
 fn default_plan() -> Plan {
     vec![PlannedFault {
         at: Millis(9_000),
@@ -80,8 +80,8 @@
     }]
 }
 
-/// Runs the demo with the faults of a plan file, or with the default ones. Fails if a rule was broken, a job was
-/// not over in time, or a controller exited by itself.
+/// Runs the demo with the faults of a plan file, or with the default faults. The exit code is a failure if a rule was
+/// violated, a job did not finish in time, or a controller exited unexpectedly.
 ///
 /// # Errors
 /// The plan can't be read, or the controllers can't be started.
@@ -97,8 +97,8 @@
     let user = User::new(shared.clone(), controllers.addresses.clone());
     wait_until_ready(&user, &mut controllers, config.controllers).await?;
     let plans = jobs(&mut SmallRng::seed_from_u64(seed));
-    let mut users = send_users(&user, &plans);
-    play(&mut users, plan, &shared, &mut controllers).await?;
+    let mut users = spawn_users(&user, &plans);
+    run_until_done(&mut users, plan, &shared, &mut controllers).await?;
     user.poll_unknown_job().await;
     let unfinished = users.len();
     users.shutdown().await;
@@ -109,10 +109,10 @@
     let rules_hold = print_rules(&shared);
     if unfinished > 0 {
         let timeout_s = RUN_TIMEOUT.as_secs();
-        println!("{unfinished} jobs were not over after {timeout_s} s");
+        println!("{unfinished} jobs did not finish within {timeout_s} s");
     }
     for index in &exited {
-        println!("controller n{index} ended by itself");
+        println!("controller n{index} exited unexpectedly");
     }
     let succeeded = rules_hold && unfinished == 0 && exited.is_empty();
     Ok(if succeeded {
@@ -132,7 +132,7 @@
         while !user.is_ready(index).await {
             if began.elapsed() > READY_TIMEOUT || !controllers.exited().is_empty() {
                 let log = controllers.log_tail(index);
-                anyhow::bail!("n{index} does not get ready: {log}");
+                anyhow::bail!("controller n{index} did not become ready: {log}");
             }
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
@@ -140,8 +140,8 @@
     Ok(())
 }
 
-/// Starts a user for each job.
-fn send_users(user: &User, plans: &[JobPlan]) -> JoinSet<()> {
+/// Starts one simulated user per job, which submits the job and follows it to its end.
+fn spawn_users(user: &User, plans: &[JobPlan]) -> JoinSet<()> {
     let mut users = JoinSet::new();
     for plan in plans {
         let is_service = plan.body["shape"] == "standing";
@@ -151,8 +151,8 @@
     users
 }
 
-/// Injects the planned faults and shows the progress until all users are done or the time is over.
-async fn play(
+/// Injects the planned faults and shows progress until all users are done or the time limit is reached.
+async fn run_until_done(
     users: &mut JoinSet<()>,
     plan: Plan,
     shared: &SharedRegion,
@@ -165,7 +165,7 @@
     let mut faults = FaultInjector::new(plan);
     let began = Instant::now();
     while !users.is_empty() && began.elapsed() < RUN_TIMEOUT {
-        // Only the number of users that are left matters.
+        // The result is not needed: progress follows from the number of remaining users.
         let _ = tokio::time::timeout(TICK_INTERVAL, users.join_next()).await;
         faults.advance(shared, controllers, began.elapsed())?;
         bar.set_position((jobs - users.len()) as u64);
@@ -175,7 +175,7 @@
     Ok(())
 }
 
-/// Prints for each rule whether it held, and returns whether all did.
+/// Prints for each rule whether it held, and returns whether all rules held.
 fn print_rules(shared: &SharedRegion) -> bool {
     let region = shared.lock();
     let violations = &region.rules.violations;
@@ -183,14 +183,16 @@
         let prefix = format!("{rule}:");
         let broken = violations.iter().filter(|v| v.starts_with(&prefix));
         let broken: Vec<&String> = broken.collect();
-        let word = if broken.is_empty() { "kept" } else { "BROKEN" };
-        println!("rule {rule:<14} {word}");
-        broken.iter().for_each(|what| println!("    {what}"));
+        let status = if broken.is_empty() { "kept" } else { "BROKEN" };
+        println!("rule {rule:<14} {status}");
+        broken
+            .iter()
+            .for_each(|violation| println!("    {violation}"));
     }
     violations.is_empty()
 }
 
-/// How much runs at present.
+/// Progress message: the running tasks and machines.
 fn status_line(shared: &SharedRegion) -> String {
     let region = shared.lock();
     let tasks = region.machines.tasks_started(region.now()).count();
@@ -201,7 +203,7 @@
     format!("{tasks} tasks on {up} machines")
 }
 
-/// Heads of the table's columns.
+/// Column heads of the table.
 const TABLE_HEAD: [&str; 8] = [
     "class",
     "shape",
@@ -210,17 +212,17 @@
     "done",
     "cancelled",
     "wait p50",
-    "wait most",
+    "wait max",
 ];
 
-/// A job of the table.
+/// The facts about a job that the table aggregates by class.
 struct JobRow<'a> {
     id: &'a JobId,
     tasks: u32,
     kind: JobKind,
 }
 
-/// What ran, by class, and how long jobs waited for their first task.
+/// Builds the table of jobs by class, with the time that jobs waited for their first task.
 fn table(shared: &SharedRegion) -> Table {
     let region = shared.lock();
     let mut classes: BTreeMap<String, Vec<JobRow>> = BTreeMap::new();
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what surrounds the daemon: a state service, a cloud, machines with their workers,
-//! and users; and the protocol's rules, checked on all that happens. The models do no I/O and read
-//! no clock: `sim` drives them in virtual time round whole controllers, `live` over HTTP on loopback
-//! round real ones.
+//! Simulated environment of the daemon: a state service, a cloud, machines with their workers, and users. Every
+//! event is checked against the protocol's rules.
+//!
+//! The models do no I/O and read no clock. `sim` drives them in virtual time with complete controllers in the same
+//! process; `live` drives them over HTTP on loopback with real controller processes.
 
 pub mod cloud;
 pub mod config;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `cluster-simulator`: a region on loopback to try the daemon in, and replays in virtual time.
+//! `cluster-simulator`: runs a simulated region on loopback for trying out the daemon, and simulations in virtual time.
 
 mod cli;
 mod cut_report;
@@ -17,10 +17,10 @@
 
 use crate::cli::{Cli, Command, ScaleArgs, ServeArgs, SlopesArgs};
 
-/// Threads of the simulated workers in a scale run: thousands of them are more than one thread can play.
+/// Runtime threads of a scale run: one thread can't simulate its thousands of workers.
 const SCALE_THREADS: usize = 4;
 
-/// Exit status for files that can't be used.
+/// Exit status for settings files that can't be read or are invalid.
 const STATUS_BAD_SETTINGS: u8 = 2;
 /// Exit status for any other error.
 const STATUS_FAILURE: u8 = 1;
@@ -42,7 +42,8 @@
         .unwrap_or_else(|error| report_error(&error))
 }
 
-/// Runs the daemon's command line until it ends, or until the region that holds the other end of standard input does.
+/// Runs the daemon's command line. The process exits when standard input closes, so that no controller outlives the
+/// region process that holds the other end.
 fn run_controller(args: Vec<OsString>) -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
@@ -52,10 +53,10 @@
     jaspertiller::cli::run(std::iter::once(name).chain(args))
 }
 
-/// The runtime that a command needs.
+/// Builds the runtime that a command needs.
 ///
 /// # Errors
-/// The system grants no thread or no event queue.
+/// The operating system refuses a thread or an event queue.
 fn runtime_for(command: &Command) -> std::io::Result<Runtime> {
     match command {
         Command::Scale(_) => Builder::new_multi_thread()
@@ -69,12 +70,14 @@
 /// Runs a command and returns its exit status.
 ///
 /// # Errors
-/// Those of the command: a file can't be used, or a controller can't be started.
+/// A file can't be used, or a controller can't be started.
 async fn run(command: Command) -> anyhow::Result<ExitCode> {
     match command {
         Command::Demo(args) => demo::run(args.seed, args.plan.as_deref()).await,
         Command::Serve(args) => run_serve(args).await,
-        Command::Fault(args) => serve::ask(args.region, args.kind, args.target, args.for_s).await,
+        Command::Fault(args) => {
+            serve::request_fault(args.region, args.kind, args.target, args.for_s).await
+        }
         Command::Contention(args) => report::run(args.seeds, args.report.as_deref()),
         Command::Cuts(args) => cut_report::run(args.report.as_deref()),
         Command::Scale(args) => run_scale(args).await,
@@ -117,7 +120,7 @@
     slope_report::run(sizes, args.seed, args.csv.as_deref())
 }
 
-/// Prints the error of a command, and returns the exit status for it.
+/// Prints a command's error and returns the exit status for it.
 fn report_error(error: &anyhow::Error) -> ExitCode {
     eprintln!("cluster-simulator: {error:#}");
     let is_bad_settings = error.is::<jaspertiller::settings::SettingsError>();
--- a/crates/simulator/src/meter.rs
+++ b/crates/simulator/src/meter.rs
@@ -1,20 +1,20 @@
-//! Counts of what each simulated controller is sent, sends, and does, for slopes of cost by size.
+//! Counters of the messages and events of each simulated controller, for measuring cost against region size.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Whether a controller received a message or sent it.
+/// Direction of a message, seen from the controller that counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
-    /// The controller received it.
+    /// To the controller.
     Received,
-    /// The controller sent it.
+    /// From the controller.
     Sent,
 }
 
 impl Direction {
-    /// The word that tables use.
-    pub fn word(self) -> &'static str {
+    /// The direction's label in CSV output.
+    pub fn label(self) -> &'static str {
         match self {
             Direction::Received => "received",
             Direction::Sent => "sent",
@@ -22,63 +22,64 @@
     }
 }
 
-/// Messages of one kind.
+/// Message count and volume for one kind of message in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size of the messages in bytes; 0 for kinds whose size is not counted.
     pub bytes: u64,
 }
 
-/// Events of one kind that a controller handled.
+/// Event count and processing time for one kind of event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Handling {
     /// Number of events.
     pub events: u64,
-    /// Processor time of this machine: it varies from run to run, the counts do not.
+    /// Time spent handling the events on the machine that runs the simulation. It varies from run to run, unlike the
+    /// counts.
     pub time: Duration,
 }
 
-/// What one controller exchanged and handled.
+/// Counters of one controller.
 #[derive(Clone, Debug, Default)]
 pub struct NodeMeter {
-    /// Messages by direction and kind.
+    /// Traffic by direction and kind of message.
     pub traffic: BTreeMap<(Direction, &'static str), Traffic>,
-    /// Events by kind.
+    /// Handled events by kind.
     pub handling: BTreeMap<&'static str, Handling>,
 }
 
 impl NodeMeter {
-    /// Notes a message of so many bytes.
+    /// Counts one message and its size in bytes.
     pub fn message(&mut self, direction: Direction, kind: &'static str, bytes: usize) {
         let traffic = self.traffic.entry((direction, kind)).or_default();
         traffic.messages += 1;
         traffic.bytes += bytes as u64;
     }
 
-    /// Notes an event that took the controller so long.
+    /// Counts one event and the time that the controller took to handle it.
     pub fn handled(&mut self, kind: &'static str, time: Duration) {
         let handling = self.handling.entry(kind).or_default();
         handling.events += 1;
         handling.time += time;
     }
 
-    /// Time spent on all events.
+    /// Total time spent handling events.
     pub fn busy(&self) -> Duration {
         self.handling.values().map(|handling| handling.time).sum()
     }
 }
 
-/// Meters of all controllers of a simulated region.
+/// Counters of all controllers of a simulated region.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    /// One meter for each controller.
+    /// One entry for each controller, by controller index.
     pub nodes: Vec<NodeMeter>,
 }
 
 impl Meter {
-    /// Meters that have counted nothing yet.
+    /// Creates zeroed counters for a number of controllers.
     pub fn new(controllers: usize) -> Self {
         Self {
             nodes: vec![NodeMeter::default(); controllers],
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,5 +1,5 @@
-//! `cluster-simulator contention`: plays the replays of contention, and shows their table and their page. Also the
-//! figures and the style that the other reports' pages share.
+//! `cluster-simulator contention`: simulates contention and reports the results as a table and an HTML page. Also
+//! defines the figures and the style sheet that all report pages share.
 
 use std::ops::Range;
 use std::path::Path;
@@ -8,7 +8,8 @@
 use anyhow::Context;
 use cluster_simulator::config::Config;
 use cluster_simulator::contention::{
-    self, Kind, Level, Replay, SETTLE_S, STASH_S, Sample, TOLERANCE, end_s, phases, replay,
+    self, ContentionResult, Kind, NodeResult, SAVE_S, SETTLE_S, Sample, TOLERANCE, end_s, phases,
+    simulate,
 };
 use comfy_table::Table;
 use indicatif::ProgressBar;
@@ -21,96 +22,96 @@
     border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}\
     figure{margin:1em 0}figcaption{font-size:90%;color:#555}";
 
-/// Seed of the replays that the page plots.
+/// Seed of the simulations that the page plots.
 const PLOTTED_SEED: u64 = 1;
-/// Space above the highest point of a plot, as a factor.
+/// Height of a plot relative to its highest point, to leave space above.
 const PLOT_HEADROOM: f64 = 1.1;
-/// The least height of a plot in GPUs, before the space above.
+/// Minimum height of a plot in GPUs, before [`PLOT_HEADROOM`] is applied.
 const MIN_PLOT_GPUS: f64 = 4.0;
 /// Width and height of a figure in pixels.
 const FIGURE_SIZE: (u32, u32) = (960, 220);
 
-/// Plays every kind of replay with the seeds from 1 on, prints the table and writes the page to `page`. Fails if a
-/// rule was broken.
+/// Simulates every variant with the seeds 1 to `seeds`, prints the table and writes the page to `page`. The exit code
+/// is a failure if a rule was violated.
 ///
 /// # Errors
 /// The page can't be drawn or written.
 pub(crate) fn run(seeds: u64, page: Option<&Path>) -> anyhow::Result<ExitCode> {
     let count = Kind::ALL.len() as u64 * seeds;
     let bar = ProgressBar::new(count);
-    let mut replays = Vec::new();
+    let mut results = Vec::new();
     for kind in Kind::ALL {
         for seed in 1..=seeds {
-            replays.push(replay(kind, seed));
+            results.push(simulate(kind, seed));
             bar.inc(1);
         }
     }
     bar.finish_and_clear();
-    println!("{}", summary(&replays));
-    for replay in &replays {
-        for broken in &replay.broken {
-            println!("{}, seed {}: {broken}", replay.kind.name(), replay.seed);
+    println!("{}", summary(&results));
+    for result in &results {
+        for violation in &result.violations {
+            println!("{}, seed {}: {violation}", result.kind.name(), result.seed);
         }
     }
     if let Some(path) = page {
-        let text = html_page(&replays)?.into_string();
+        let text = html_page(&results)?.into_string();
         std::fs::write(path, text).with_context(|| path.display().to_string())?;
         println!("wrote {}", path.display());
     }
-    let broken = replays.iter().any(|replay| !replay.broken.is_empty());
+    let broken = results.iter().any(|result| !result.violations.is_empty());
     Ok(ExitCode::from(u8::from(broken)))
 }
 
-/// One kind of replay in the table, over all seeds.
+/// One variant in the table, over all seeds.
 struct Row {
     name: &'static str,
-    /// Samples outside of the tolerance, of `settled` samples.
+    /// Number of samples outside of the tolerance, out of `settled` samples.
     outside: usize,
     settled: usize,
-    /// GPUs by which a sample was furthest beyond its tolerance.
-    worst_gpus: f64,
-    /// The longest reclaim.
-    longest: String,
-    /// Seconds of lost run time, as a mean of the seeds.
-    lost_s: f64,
-    /// GPU seconds that were used, as a mean of the seeds.
+    /// Largest excess of a deviation over the allowed one, in GPUs.
+    max_excess_gpus: f64,
+    /// The longest reclaim time as the table shows it.
+    longest_reclaim: String,
+    /// Lost run time in seconds, mean over the seeds.
+    lost_run_time_s: f64,
+    /// Used GPU seconds, mean over the seeds.
     used_gpu_s: f64,
-    /// Changes of the store, as a mean of the seeds.
-    changes: u64,
+    /// Committed changes of the store, mean over the seeds.
+    committed_changes: u64,
 }
 
-/// The rows of all kinds.
-fn rows(replays: &[Replay]) -> Vec<Row> {
-    let of = |kind: Kind| replays.iter().filter(move |replay| replay.kind == kind);
+/// Aggregates the results into one row per variant.
+fn rows(results: &[ContentionResult]) -> Vec<Row> {
+    let of = |kind: Kind| results.iter().filter(move |result| result.kind == kind);
     let row = |kind: Kind| {
-        let beyond = |level: &Level| level.worst - level.allowed;
-        let worst = of(kind).flat_map(|r| r.levels.iter().map(beyond));
-        let longest: Option<Vec<u64>> = of(kind).map(Replay::longest).collect();
+        let excess = |node: &NodeResult| node.max_deviation - node.allowed_deviation;
+        let excesses = of(kind).flat_map(|r| r.nodes.iter().map(excess));
+        let longest: Option<Vec<u64>> = of(kind).map(ContentionResult::longest_reclaim_s).collect();
         let longest = longest.and_then(|all| all.into_iter().max());
         let seeds = of(kind).count().max(1) as f64;
         Row {
             name: kind.name(),
-            outside: of(kind).map(Replay::outside).sum(),
-            settled: of(kind).map(Replay::settled).sum(),
-            worst_gpus: worst.fold(0.0, f64::max),
-            longest: longest.map_or("not in every phase".into(), |s| format!("{s} s")),
-            lost_s: of(kind).map(|r| r.lost_s).sum::<f64>() / seeds,
-            used_gpu_s: of(kind).map(|r| r.used).sum::<f64>() / seeds,
-            changes: of(kind).map(|r| r.changes).sum::<u64>() / seeds as u64,
+            outside: of(kind).map(ContentionResult::outside).sum(),
+            settled: of(kind).map(ContentionResult::settled).sum(),
+            max_excess_gpus: excesses.fold(0.0, f64::max),
+            longest_reclaim: longest.map_or("not in every phase".into(), |s| format!("{s} s")),
+            lost_run_time_s: of(kind).map(|r| r.lost_run_time_s).sum::<f64>() / seeds,
+            used_gpu_s: of(kind).map(|r| r.used_gpu_s).sum::<f64>() / seeds,
+            committed_changes: of(kind).map(|r| r.committed_changes).sum::<u64>() / seeds as u64,
         }
     };
     Kind::ALL.into_iter().map(row).collect()
 }
 
-/// Heads of the table's columns.
+/// Column heads of the table.
 const HEAD: [&str; 7] = [
-    "replay (simulated)",
-    "samples outside",
-    "furthest beyond tolerance, GPUs",
+    "variant (simulated)",
+    "samples outside tolerance",
+    "max excess over tolerance, GPUs",
     "longest reclaim",
     "lost run time, s",
-    "used, GPU s",
-    "changes of the state service",
+    "used GPU s",
+    "state service changes",
 ];
 
 fn cells(row: &Row) -> [String; 7] {
@@ -118,19 +119,19 @@
     [
         row.name.into(),
         format!("{} of {} ({percent:.2}%)", row.outside, row.settled),
-        format!("{:.1}", row.worst_gpus.max(0.0)),
-        row.longest.clone(),
-        format!("{:.0}", row.lost_s),
+        format!("{:.1}", row.max_excess_gpus.max(0.0)),
+        row.longest_reclaim.clone(),
+        format!("{:.0}", row.lost_run_time_s),
         format!("{:.0}", row.used_gpu_s),
-        row.changes.to_string(),
+        row.committed_changes.to_string(),
     ]
 }
 
-fn summary(replays: &[Replay]) -> Table {
+fn summary(results: &[ContentionResult]) -> Table {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::UTF8_BORDERS_ONLY);
     table.set_header(HEAD);
-    for row in rows(replays) {
+    for row in rows(results) {
         table.add_row(cells(&row));
     }
     table
@@ -138,16 +139,16 @@
 
 /// One line of a figure.
 pub(crate) struct Line {
-    /// Its color.
+    /// Stroke color.
     pub color: RGBColor,
-    /// Its width in pixels.
+    /// Stroke width in pixels.
     pub width: u32,
-    /// Its points: second and value.
+    /// Points: second and value.
     pub points: Vec<(u64, f64)>,
 }
 
-/// Draws a figure over seconds as SVG, with a thin vertical line at each of the seconds `marks`. `unit` is the
-/// vertical axis' label.
+/// Draws a line chart over time as SVG, with a thin vertical line at each of the seconds in `marks`. `highest` is the
+/// upper end of the vertical axis, and `unit` its label.
 ///
 /// # Errors
 /// The figure can't be drawn.
@@ -182,13 +183,13 @@
     Ok(svg)
 }
 
-/// A level's share against what it is entitled to.
-fn plot(level: &Level) -> anyhow::Result<String> {
-    let highest = level.samples.iter().map(|s| s.share.max(s.entitled));
+/// Plots a node's share and its entitlement over time.
+fn plot(node: &NodeResult) -> anyhow::Result<String> {
+    let highest = node.samples.iter().map(|s| s.share.max(s.entitled));
     let highest = highest.fold(MIN_PLOT_GPUS, f64::max) * PLOT_HEADROOM;
-    let start = level.samples.first().map_or(0, |s| s.at_s);
+    let start = node.samples.first().map_or(0, |s| s.at_s);
     let marks: Vec<u64> = phases().map(|(at, _)| at).collect();
-    let points = |of: fn(&Sample) -> f64| level.samples.iter().map(|s| (s.at_s, of(s))).collect();
+    let points = |of: fn(&Sample) -> f64| node.samples.iter().map(|s| (s.at_s, of(s))).collect();
     let lines = vec![
         Line {
             color: RGBColor(200, 90, 20),
@@ -204,24 +205,24 @@
     figure(start..end_s(), highest, "GPUs", &marks, lines)
 }
 
-/// A replay with the plots of its levels.
-struct PlottedReplay<'a> {
-    replay: &'a Replay,
-    levels: Vec<(&'a Level, String)>,
+/// A result with an SVG plot for each of its nodes.
+struct PlottedResult<'a> {
+    result: &'a ContentionResult,
+    nodes: Vec<(&'a NodeResult, String)>,
 }
 
-fn plot_replay(replay: &Replay) -> anyhow::Result<PlottedReplay<'_>> {
-    let levels = replay.levels.iter();
-    let levels: anyhow::Result<Vec<(&Level, String)>> =
-        levels.map(|level| Ok((level, plot(level)?))).collect();
-    let levels = levels?;
-    Ok(PlottedReplay { replay, levels })
+fn plot_result(result: &ContentionResult) -> anyhow::Result<PlottedResult<'_>> {
+    let nodes = result.nodes.iter();
+    let nodes: anyhow::Result<Vec<(&NodeResult, String)>> =
+        nodes.map(|node| Ok((node, plot(node)?))).collect();
+    let nodes = nodes?;
+    Ok(PlottedResult { result, nodes })
 }
 
-/// The page of all replays, which needs no network.
-fn html_page(replays: &[Replay]) -> anyhow::Result<Markup> {
-    let plotted = replays.iter().filter(|replay| replay.seed == PLOTTED_SEED);
-    let plotted: anyhow::Result<Vec<PlottedReplay>> = plotted.map(plot_replay).collect();
+/// Builds the page of all results, which loads nothing from the network.
+fn html_page(results: &[ContentionResult]) -> anyhow::Result<Markup> {
+    let plotted = results.iter().filter(|result| result.seed == PLOTTED_SEED);
+    let plotted: anyhow::Result<Vec<PlottedResult>> = plotted.map(plot_result).collect();
     let plotted = plotted?;
     Ok(html! {
         (DOCTYPE)
@@ -236,50 +237,49 @@
                 (method())
                 table {
                     tr { @for head in HEAD { th { (head) } } }
-                    @for row in rows(replays) {
+                    @for row in rows(results) {
                         tr { @for cell in cells(&row) { td { (cell) } } }
                     }
                 }
                 h2 { "Phases" }
                 ol { @for (at, name) in phases() { li { "from " (at) " s: " (name) } } }
-                h2 { "The tree" }
+                h2 { "Quota tree" }
                 pre { (contention::TREE) }
                 @for plotted in &plotted {
-                    h2 { (plotted.replay.kind.name()) ", seed " (plotted.replay.seed) }
-                    @for (level, svg) in &plotted.levels { (level_figure(level, svg)) }
+                    h2 { (plotted.result.kind.name()) ", seed " (plotted.result.seed) }
+                    @for (node, svg) in &plotted.nodes { (node_figure(node, svg)) }
                 }
             }
         }
     })
 }
 
-/// The paragraph that says how the figures were taken.
+/// Builds the paragraph that explains how the figures were measured.
 fn method() -> Markup {
     let heartbeat_s = Config::default().timing.heartbeat.secs();
     html! {
         p {
-            "Simulated: three controllers in virtual time, 16 machines of 4 GPUs, a tree of "
-            "three levels and eight teams. A sample is the mean of one second of one node, taken "
-            (SETTLE_S) " s or more after demand last changed; it is outside if the node's "
-            "share is off from what the tree entitles it to by more than "
-            (TOLERANCE * 100.0) "% of its parent's guarantee, or one task if that is "
-            "larger. Work saves in " (STASH_S) " s, workers report every " (heartbeat_s)
-            " s. Reclaim: from a change of demand until every node is within its tolerance "
-            "for three seconds."
+            "Simulated: three controllers in virtual time, 16 machines of 4 GPUs, a quota tree of "
+            "three levels and eight teams. A sample is the mean use of one node in one second, taken "
+            (SETTLE_S) " s or more after demand last changed; it is outside of the tolerance if the "
+            "node's share deviates from its entitlement by more than " (TOLERANCE * 100.0)
+            "% of its parent's guarantee, or by more than one task if that is larger. Tasks save their "
+            "state in " (SAVE_S) " s; workers send a heartbeat every " (heartbeat_s) " s. The reclaim "
+            "time is the time from a change of demand until every node is within its tolerance for "
+            "three seconds."
         }
     }
 }
 
-fn level_figure(level: &Level, svg: &str) -> Markup {
+fn node_figure(node: &NodeResult, svg: &str) -> Markup {
     html! {
         figure {
             (PreEscaped(svg))
             figcaption {
-                b { (level.name) }
-                ": share (blue) against entitlement (orange); off by "
-                (format!("{:.1}", level.worst)) " at the most once settled, "
-                (format!("{:.1}", level.allowed)) " allowed; " (level.outside)
-                " of " (level.settled) " samples outside"
+                b { (node.name) }
+                ": share (blue) and entitlement (orange); largest deviation of settled samples "
+                (format!("{:.1}", node.max_deviation)) " GPUs, " (format!("{:.1}", node.allowed_deviation))
+                " allowed; " (node.outside) " of " (node.settled) " samples outside the tolerance"
             }
         }
     }
--- a/crates/simulator/src/serve.rs
+++ b/crates/simulator/src/serve.rs
@@ -1,4 +1,5 @@
-//! `cluster-simulator serve`, which keeps a live region up, and `cluster-simulator fault`, which asks one for a fault.
+//! `cluster-simulator serve`, which runs a live region until it is stopped, and `cluster-simulator fault`, which
+//! requests a fault from such a region.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,12 +15,12 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
-/// Interval at which planned faults and restarts are looked at.
+/// Interval between checks for due faults and controller restarts.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a request for a fault waits for its answer.
+/// Timeout of a fault request.
 const FAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves a region with its controllers until SIGINT or SIGTERM. Fails if a rule was broken.
+/// Runs a region with its controllers until SIGINT or SIGTERM. The exit code is a failure if a rule was violated.
 ///
 /// # Errors
 /// A file can't be read, an address can't be opened, or a controller can't be started.
@@ -35,7 +36,8 @@
         |path| read_plan(&path, config.controllers),
     )?;
     let (mut controllers, shared) = Controllers::prepare(&config, seed, operator.as_deref())?;
-    // Settings that the controllers would refuse are refused here: the user would not see it in their logs.
+    // Checks the settings before the start: a rejection by the controllers would only appear in their own logs, which
+    // the user does not see.
     jaspertiller::settings::Settings::read(&controllers.settings_path(0), operator.as_deref())?;
     tokio::spawn(shared.clone().run());
     let (address, mut requests) = control::serve(&shared)?;
@@ -44,7 +46,7 @@
     for (index, address) in controllers.addresses.iter().enumerate() {
         println!("controller   n{index} http://{address}");
     }
-    println!("Ctrl-C ends it");
+    println!("press Ctrl-C to stop the region");
     let mut faults = FaultInjector::new(plan);
     let began = Instant::now();
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
@@ -57,7 +59,7 @@
             _ = ticks.tick() => faults.advance(&shared, &mut controllers, began.elapsed())?,
             Some(request) = requests.recv() => {
                 let outcome = faults.inject(&request.fault, &shared, &mut controllers, began.elapsed());
-                // The requester may have hung up.
+                // The requester may have disconnected.
                 let _ = request.reply.send(outcome);
             }
         }
@@ -65,16 +67,17 @@
     drop(controllers);
     let region = shared.lock();
     for violation in &region.rules.violations {
-        println!("broken: {violation}");
+        println!("rule violated: {violation}");
     }
     Ok(exit_code(region.rules.violations.is_empty()))
 }
 
-/// Asks the region at an address for a fault and prints its answer. Fails if the fault was refused.
+/// Requests a fault from the region at an address and prints the response. The exit code is a failure if the region
+/// rejected the fault.
 ///
 /// # Errors
-/// No region answers at the address.
-pub(crate) async fn ask(
+/// No region responds at the address.
+pub(crate) async fn request_fault(
     region: SocketAddr,
     kind: Kind,
     target: String,
@@ -88,7 +91,10 @@
     let client = HttpClient::new(region);
     let body = serde_json::to_vec(&fault)?;
     let call = client.call(warp::http::Method::POST, "/faults", body, FAULT_TIMEOUT);
-    let (status, body) = call.await.ok().context("no region answers there")?;
+    let (status, body) = call
+        .await
+        .ok()
+        .with_context(|| format!("no region responds at {region}"))?;
     let text = String::from_utf8_lossy(&body);
     println!("{status} {text}");
     Ok(exit_code(status == 200))
--- a/crates/simulator/src/slope_report.rs
+++ b/crates/simulator/src/slope_report.rs
@@ -1,4 +1,4 @@
-//! `cluster-simulator slopes`: plays the sizes, and prints the table and writes the CSV of what controllers cost.
+//! `cluster-simulator slopes`: simulates several region sizes and reports the cost of controllers as a table and CSV.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -6,29 +6,30 @@
 
 use anyhow::Context;
 use cluster_simulator::meter::Direction;
-use cluster_simulator::slopes::{Played, Role, Size, play};
+use cluster_simulator::slopes::{ControllerResult, Size, SizeResult, simulate};
 use comfy_table::Table;
 
-/// Heads of the table's columns.
+/// Column heads of the table.
 const TABLE_HEAD: [&str; 9] = [
     "machines (simulated)",
     "role",
-    "holds",
+    "machines held",
     "starts/s",
     "changes/s",
-    "core, this machine",
-    "us an event",
+    "cores, this machine",
+    "us per event",
     "KB/s received",
     "KB/s sent",
 ];
 
-/// Columns of the CSV. The first says that all figures are simulated.
+/// Column heads of the CSV. The first column marks all figures as simulated.
 const CSV_HEAD: &str = "simulated,machines,controllers,zones,teams,seed,seconds,role,holds,what,kind,count,bytes,micros";
 
-/// Characters of a violation that are shown: it may quote a whole record.
+/// Violations are truncated to this many characters, since they may quote a whole record.
 const MAX_VIOLATION_CHARS: usize = 160;
 
-/// Plays each size with a seed, prints the table and writes the CSV. Fails if a rule was broken.
+/// Simulates each size with a seed, prints the table and writes the CSV. The exit code is a failure if a rule was
+/// violated.
 ///
 /// # Errors
 /// The CSV can't be written.
@@ -43,17 +44,17 @@
     let mut text = format!("{CSV_HEAD}\n");
     let mut broken = false;
     for size in sizes {
-        let played = play(size, seed);
-        for role in &played.roles {
-            table.add_row(cells(&played, role));
+        let result = simulate(size, seed);
+        for controller in &result.controllers {
+            table.add_row(cells(&result, controller));
         }
-        write_csv(&mut text, &played, seed)?;
-        for violation in &played.violations {
+        write_csv(&mut text, &result, seed)?;
+        for violation in &result.violations {
             let shown: String = violation.chars().take(MAX_VIOLATION_CHARS).collect();
-            println!("{} machines, broken: {shown}", size.machines);
+            println!("{} machines, rule violated: {shown}", size.machines);
             broken = true;
         }
-        eprintln!("played {} machines", size.machines);
+        eprintln!("simulated {} machines", size.machines);
     }
     println!("{table}");
     if let Some(path) = csv {
@@ -63,82 +64,97 @@
     Ok(ExitCode::from(u8::from(broken)))
 }
 
-fn role_name(role: &Role) -> &'static str {
-    if role.leads { "leader" } else { "other" }
+fn role_name(controller: &ControllerResult) -> &'static str {
+    if controller.leads { "leader" } else { "other" }
 }
 
-/// Kilobytes a second that a controller received or sent.
-fn kilobytes_per_second(played: &Played, role: &Role, direction: Direction) -> f64 {
-    let traffic = role.meter.traffic.iter();
-    let bytes = traffic.filter(|((of, _), _)| *of == direction);
+/// Kilobytes a second that a controller received or sent, on average.
+fn kilobytes_per_second(
+    result: &SizeResult,
+    controller: &ControllerResult,
+    direction: Direction,
+) -> f64 {
+    let traffic = controller.meter.traffic.iter();
+    let bytes = traffic.filter(|((key, _), _)| *key == direction);
     let bytes: u64 = bytes.map(|(_, traffic)| traffic.bytes).sum();
-    bytes as f64 / played.size.seconds as f64 / 1e3
+    bytes as f64 / result.size.seconds as f64 / 1e3
 }
 
-fn cells(played: &Played, role: &Role) -> [String; 9] {
-    let events: u64 = role
+fn cells(result: &SizeResult, controller: &ControllerResult) -> [String; 9] {
+    let events: u64 = controller
         .meter
         .handling
         .values()
         .map(|handling| handling.events)
         .sum();
-    let micros = role.meter.busy().as_secs_f64() * 1e6;
-    let rate = |count: u64| format!("{:.1}", count as f64 / played.size.seconds as f64);
+    let micros = controller.meter.busy().as_secs_f64() * 1e6;
+    let rate = |count: u64| format!("{:.1}", count as f64 / result.size.seconds as f64);
     [
-        played.machines.to_string(),
-        role_name(role).into(),
-        role.machines.to_string(),
-        rate(played.starts),
-        rate(played.written),
-        format!("{:.3}", role.core),
+        result.machines.to_string(),
+        role_name(controller).into(),
+        controller.machines.to_string(),
+        rate(result.task_starts),
+        rate(result.committed_changes),
+        format!("{:.3}", controller.cores),
         format!("{:.1}", micros / events.max(1) as f64),
         format!(
             "{:.0}",
-            kilobytes_per_second(played, role, Direction::Received)
+            kilobytes_per_second(result, controller, Direction::Received)
+        ),
+        format!(
+            "{:.0}",
+            kilobytes_per_second(result, controller, Direction::Sent)
         ),
-        format!("{:.0}", kilobytes_per_second(played, role, Direction::Sent)),
     ]
 }
 
-/// Adds the lines of one size: totals of the region, then the counts of each controller.
-fn write_csv(text: &mut String, played: &Played, seed: u64) -> std::fmt::Result {
+/// Appends the rows of one size: totals of the region, then the counters of each controller.
+fn write_csv(text: &mut String, result: &SizeResult, seed: u64) -> std::fmt::Result {
     let Size {
         controllers,
         zones,
         teams,
         seconds,
         ..
-    } = played.size;
-    let machines = played.machines;
-    let run = format!("yes,{machines},{controllers},{zones},{teams},{seed},{seconds}");
+    } = result.size;
+    let machines = result.machines;
+    let size_cells = format!("yes,{machines},{controllers},{zones},{teams},{seed},{seconds}");
     let totals = [
-        ("starts", played.starts),
-        ("changes", played.written),
-        ("tasks", played.tasks as u64),
+        ("starts", result.task_starts),
+        ("changes", result.committed_changes),
+        ("tasks", result.tasks as u64),
     ];
     for (name, count) in totals {
-        writeln!(text, "{run},all,{machines},total,{name},{count},,")?;
+        writeln!(text, "{size_cells},all,{machines},total,{name},{count},,")?;
     }
-    for role in &played.roles {
-        let start = format!("{run},{},{}", role_name(role), role.machines);
-        write_role(text, &start, role)?;
+    for controller in &result.controllers {
+        let prefix = format!(
+            "{size_cells},{},{}",
+            role_name(controller),
+            controller.machines
+        );
+        write_controller(text, &prefix, controller)?;
     }
     Ok(())
 }
 
-/// Adds the lines of one controller; `start` is what they all begin with.
-fn write_role(text: &mut String, start: &str, role: &Role) -> std::fmt::Result {
-    for ((direction, kind), traffic) in &role.meter.traffic {
+/// Appends the rows of one controller, each of which begins with the cells in `prefix`.
+fn write_controller(
+    text: &mut String,
+    prefix: &str,
+    controller: &ControllerResult,
+) -> std::fmt::Result {
+    for ((direction, kind), traffic) in &controller.meter.traffic {
         let (messages, bytes) = (traffic.messages, traffic.bytes);
-        let word = direction.word();
-        writeln!(text, "{start},{word},{kind},{messages},{bytes},")?;
+        let direction = direction.label();
+        writeln!(text, "{prefix},{direction},{kind},{messages},{bytes},")?;
     }
-    for (name, count) in &role.work {
-        writeln!(text, "{start},looked at,{name},{count},,")?;
+    for (name, count) in &controller.work {
+        writeln!(text, "{prefix},looked at,{name},{count},,")?;
     }
-    for (kind, handling) in &role.meter.handling {
+    for (kind, handling) in &controller.meter.handling {
         let (events, micros) = (handling.events, handling.time.as_micros());
-        writeln!(text, "{start},handled,{kind},{events},,{micros}")?;
+        writeln!(text, "{prefix},handled,{kind},{events},,{micros}")?;
     }
     Ok(())
 }
--- a/crates/simulator/src/slopes.rs
+++ b/crates/simulator/src/slopes.rs
@@ -1,6 +1,7 @@
-//! What controllers cost by the size of the region: one mixed load, played in virtual time at several sizes.
+//! Cost of controllers by region size: one mixed load, simulated in virtual time at several sizes.
 //!
-//! All is simulated. Counts and sizes are exact and repeat with the seed; times are those of this machine.
+//! Counts and sizes are exact and the same for the same seed; processing times depend on the machine that runs the
+//! simulation.
 
 use std::ops::{Range, RangeInclusive};
 use std::time::Duration;
@@ -17,42 +18,42 @@
 
 /// GPUs of a machine.
 const MACHINE_GPUS: f64 = 8.0;
-/// Machines for which the store's limits stay at their base; they grow in proportion beyond.
+/// Number of machines up to which the store's limits have their base values; beyond it, they grow in proportion.
 const BASE_MACHINES: f64 = 1_337.0;
-/// Requests a second that the store grants at the base size.
+/// Store requests a second that are allowed at the base size.
 const BASE_STORE_REQUESTS: f64 = 200.0;
-/// Changes a second that the store grants at the base size.
+/// Store changes a second that are allowed at the base size.
 const BASE_STORE_CHANGES: f64 = 70.0;
-/// Milliseconds at which the first jobs arrive: when the controllers have started.
+/// Period, in milliseconds, over which the initial jobs are submitted. It begins when the controllers have started.
 const INITIAL_ARRIVALS_MS: Range<u64> = 2_000..6_000;
-/// Processors that a task asks for with each GPU.
+/// CPUs that a task requests for each of its GPUs.
 const CPUS_PER_GPU: f64 = 10.0;
-/// Gigabytes of memory that a task asks for with each GPU.
+/// Gigabytes of memory that a task requests for each of its GPUs.
 const MEMORY_GB_PER_GPU: f64 = 72.0;
 /// Size of a job's image in GB.
 const IMAGE_GB: f64 = 4.0;
-/// Images that jobs share.
+/// Number of distinct images among all jobs.
 const IMAGES: usize = 40;
 
-/// A size to play.
+/// A region size to simulate.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Machines that the cloud can rent out.
     pub machines: u32,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Teams that submit jobs.
+    /// Number of teams that submit jobs; 0 counts as 1.
     pub teams: usize,
-    /// Virtual seconds from an empty fleet on.
+    /// Length of the simulation in virtual seconds, starting from an empty fleet.
     pub seconds: u64,
 }
 
-/// A class of jobs.
+/// A job class of the load.
 struct Class {
     name: &'static str,
-    /// The protocol's word for the kind of its jobs.
+    /// Job kind, as its name in the protocol.
     kind: &'static str,
     priority: &'static str,
     tasks: RangeInclusive<u32>,
@@ -60,13 +61,13 @@
     gpus: f64,
     /// Milliseconds that tasks run; none for services.
     run_ms: RangeInclusive<u64>,
-    /// Jobs for each machine that arrive at the beginning.
+    /// Initial jobs per machine.
     initial_jobs: f64,
-    /// Jobs for each machine that arrive in a minute.
+    /// Later jobs per machine and minute.
     jobs_per_minute: f64,
 }
 
-/// The load: services that stay, arrays that come and go, and gangs that take whole machines.
+/// The load: services that never end, arrays of short tasks, and gangs whose tasks take whole machines.
 const CLASSES: [Class; 3] = [
     Class {
         name: "serve",
@@ -100,41 +101,41 @@
     },
 ];
 
-/// What one controller did at one size.
+/// Measurements of one controller at one size.
 #[derive(Clone, Debug)]
-pub struct Role {
+pub struct ControllerResult {
     /// Whether it is the leader at the end.
     pub leads: bool,
-    /// Machines of its shards at the end.
+    /// Machines in the controller's shards at the end.
     pub machines: usize,
-    /// What it exchanged and handled.
+    /// Message and event counters.
     pub meter: NodeMeter,
-    /// Its work counters: name and count.
+    /// Work counters of the controller: name and count.
     pub work: Vec<(&'static str, u64)>,
-    /// Cores that it would use in real time, on this machine.
-    pub core: f64,
+    /// Cores of the simulating machine that the controller would use in real time, on average.
+    pub cores: f64,
 }
 
-/// The result of one size.
+/// Measurements of one size.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// What was played.
+pub struct SizeResult {
+    /// The simulated size.
     pub size: Size,
-    /// Tasks that started.
-    pub starts: u64,
+    /// Task starts.
+    pub task_starts: u64,
     /// Changes that the store committed.
-    pub written: u64,
+    pub committed_changes: u64,
     /// Machines that are up at the end.
     pub machines: usize,
-    /// Tasks that machines hold at the end.
+    /// Tasks that are allocated to machines at the end.
     pub tasks: usize,
-    /// What each controller that is up at the end did.
-    pub roles: Vec<Role>,
-    /// The protocol's rules that were broken, and how.
+    /// Measurements of each controller that is up at the end.
+    pub controllers: Vec<ControllerResult>,
+    /// Violations of the protocol's rules, each with the rule's name.
     pub violations: Vec<String>,
 }
 
-/// The region of a size.
+/// Builds the configuration of a size.
 fn config(size: Size) -> Config {
     let scale = (f64::from(size.machines) / BASE_MACHINES).max(1.0);
     let mut config = Config {
@@ -169,7 +170,7 @@
     format!("team-{index:03}")
 }
 
-/// Every other team has a limit, well above what it uses.
+/// Builds the teams. Every other team has a limit, well above its use.
 fn teams(size: Size) -> Vec<TeamSettings> {
     let all_gpus = f64::from(size.machines) * MACHINE_GPUS;
     let limit = |index: usize| if index % 2 == 1 { all_gpus } else { 0.0 };
@@ -179,7 +180,7 @@
         .collect()
 }
 
-/// All jobs of a size.
+/// Generates all jobs of a size.
 fn jobs(size: Size, rng: &mut SmallRng) -> Vec<JobPlan> {
     let machines = f64::from(size.machines);
     let end_ms = size.seconds * 1_000;
@@ -199,7 +200,7 @@
     plans
 }
 
-/// One job of a random team with a random image, sent at `at_ms`.
+/// Generates one job of a random team with a random image, submitted at `at_ms`.
 fn plan(class: &Class, size: Size, index: usize, at_ms: u64, rng: &mut SmallRng) -> JobPlan {
     let tasks = rng.random_range(class.tasks.clone());
     let run_ms = rng.random_range(class.run_ms.clone());
@@ -216,38 +217,38 @@
     plan
 }
 
-/// Plays one size from an empty fleet on, and returns what each controller did.
+/// Simulates one size, starting from an empty fleet.
 #[must_use]
-pub fn play(size: Size, seed: u64) -> Played {
+pub fn simulate(size: Size, seed: u64) -> SizeResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let jobs = jobs(size, &mut rng);
     let mut world = World::new(config(size), seed, jobs);
-    // The rule that tasks which fit get started is not checked: it costs more than all the rest.
+    // Disables the check that tasks which fit are started: it takes more time than the whole rest of the simulation.
     world.rules.calm = Millis(u64::MAX);
     world.meter = Some(Meter::new(size.controllers));
     world.run_until(size.seconds * 1_000);
     let meter = world.meter.take().unwrap_or_default();
     let controllers = world.controllers.iter().zip(meter.nodes);
-    let roles = controllers.filter_map(|(controller, meter)| {
+    let results = controllers.filter_map(|(controller, meter)| {
         let controller = controller.as_ref()?;
-        Some(Role {
+        Some(ControllerResult {
             leads: controller.is_leading(),
             machines: controller.machines_held(),
             work: controller.work_counters().rows().to_vec(),
-            core: meter.busy().as_secs_f64() / Duration::from_secs(size.seconds).as_secs_f64(),
+            cores: meter.busy().as_secs_f64() / Duration::from_secs(size.seconds).as_secs_f64(),
             meter,
         })
     });
-    let roles = roles.collect();
+    let results = results.collect();
     let now = Millis(world.now);
     let tasks: Vec<&TaskId> = world.machines.tasks_allocated(now).collect();
-    Played {
+    SizeResult {
         size,
-        starts: world.rules.starts,
-        written: world.store.written,
+        task_starts: world.rules.starts,
+        committed_changes: world.store.written,
         machines: world.machines.healthy(now).count(),
         tasks: tasks.len(),
-        roles,
+        controllers: results,
         violations: world.rules.violations.iter().cloned().collect(),
     }
 }
