--- a/crates/simulator/tests/faults/combined_faults/holders.rs
+++ b/crates/simulator/tests/faults/combined_faults/holders.rs
@@ -11,81 +11,94 @@
     machines_renewed_by, running_jobs,
 };
 
-/// The store rejects only the leader's requests, and other controllers confirm cancellations. Then the store
-/// is unavailable to all for longer than the cancellation timeout, while workers keep reporting to the old
-/// leader. `apart`: the old leader is also partitioned from its peers, and only it reaches some machines.
-fn refuse_leader_then_outage(world: &mut World, gap: u64, apart: bool) -> Observations {
+/// The store rejects only the leader's requests, and other controllers confirm cancellations. After
+/// `outage_delay` milliseconds the store is unavailable to all for longer than the cancellation timeout, while
+/// workers keep reporting to the old leader. `partitioned`: the old leader is also partitioned from its peers,
+/// and only it reaches some machines.
+fn refuse_leader_then_outage(
+    world: &mut World,
+    outage_delay: u64,
+    partitioned: bool,
+) -> Observations {
     world.run_until(FAULT_START);
-    let (old, began) = (leader(world), running_jobs(world));
-    let away = (FAULT_START + gap, FAULT_START + gap + 45_000);
+    let (old, running) = (leader(world), running_jobs(world));
+    let outage = (
+        FAULT_START + outage_delay,
+        FAULT_START + outage_delay + 45_000,
+    );
     world.store_faults.refusals.push(Refusal {
         controller: old,
         since: FAULT_START,
         until: FAULT_START + 14_000,
     });
-    world.store_faults.outages.push(away);
-    if apart {
+    world.store_faults.outages.push(outage);
+    if partitioned {
         let mut cut = cut_except_workers(old, FAULT_START / 1_000, 0, true);
-        (cut.from_store, cut.until) = (false, away.1);
+        (cut.from_store, cut.until) = (false, outage.1);
         world.network.cuts.push(cut);
-        limit_reachability_to(world, old, away.1, false);
+        limit_reachability_to(world, old, outage.1, false);
     }
     for index in 0..10 {
-        world.abort_at(FAULT_START + gap * index / 11, index as usize);
+        world.abort_at(FAULT_START + outage_delay * index / 11, index as usize);
     }
-    world.run_until(away.1 - 1_000);
+    world.run_until(outage.1 - 1_000);
     let lease = 12_000;
     vec![
         (
-            "confirmed in the gap",
-            confirmed_cancellations(world, &began, FAULT_START, away.0),
+            "cancellations confirmed before the outage",
+            confirmed_cancellations(world, &running, FAULT_START, outage.0),
         ),
         (
-            "kept by the old leader",
-            machines_renewed_by(world, old, away.0 + lease),
+            "machines still renewed by the old leader",
+            machines_renewed_by(world, old, outage.0 + lease),
         ),
     ]
 }
 
-/// Number of versions that the key of shard a.0 has until `until`; each version is a new hold.
+/// Advances the simulation to `until` and counts the observed versions of the key of shard a.0; each version
+/// is a new hold.
 pub(super) fn observe_shard_holds(world: &mut World, until: u64) -> u64 {
-    let mut seen = HashSet::new();
+    let mut versions = HashSet::new();
     while world.now < until {
         world.run_until((world.now + 100).min(until));
         let shard = world.store.get("jt/block/a.0");
-        seen.extend(shard.map(|(_, version, _)| version));
+        versions.extend(shard.map(|(_, version, _)| version));
     }
-    seen.len() as u64
+    versions.len() as u64
 }
 
-fn completed(world: &World, index: usize) -> (usize, usize) {
+/// Completed tasks of a job, and all of its tasks.
+fn task_counts(world: &World, index: usize) -> (usize, usize) {
     let id = world.jobs[index].id();
-    let ended = world.machines.completed.iter();
+    let completed = world.machines.completed.iter();
     let tasks = world.machines.jobs[&id].spec.tasks;
-    (ended.filter(|task| task.job == id).count(), tasks as usize)
+    (
+        completed.filter(|task| task.job == id).count(),
+        tasks as usize,
+    )
 }
 
 pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "the gap, 2.5 s long: blocks have not changed hands",
+        name: "the store rejects the leader, outage after 2.5 s: before shards change holders",
         controllers: 5,
         lease_s: None,
         play: |w| refuse_leader_then_outage(w, 2_500, false),
     },
     Scenario {
-        name: "the gap, 6.5 s long: blocks are changing hands",
+        name: "the store rejects the leader, outage after 6.5 s: while shards change holders",
         controllers: 5,
         lease_s: None,
         play: |w| refuse_leader_then_outage(w, 6_500, true),
     },
     Scenario {
-        name: "the gap, 9 s long, with machines that hear the old leader only",
+        name: "the store rejects the leader, outage after 9 s: only the old leader reaches some machines",
         controllers: 3,
         lease_s: None,
         play: |w| refuse_leader_then_outage(w, 9_000, true),
     },
     Scenario {
-        name: "the state service is slow, then refuses the leader alone, then is away for all",
+        name: "the store is slow, then rejects only the leader, then is unavailable to all",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -97,13 +110,13 @@
         },
     },
     Scenario {
-        name: "handed over and back, all end, one returns within a second",
+        name: "shards change holders and back, all controllers crash, and one restarts within a second",
         controllers: 5,
         lease_s: None,
         play: |w| {
             w.store_faults.late_write_share = 0.05;
             w.run_until(FAULT_START - 10_000);
-            let (mut holds_seen, mut began) = (0, 0);
+            let (mut holds_seen, mut rounds_all_up) = (0, 0);
             for round in 0..3 {
                 let at = w.now;
                 let old = leader(w);
@@ -111,18 +124,21 @@
                     .cuts
                     .push(cut_except_workers(old, at / 1_000, 8, round % 2 == 0));
                 for controller in 0..5 {
-                    let back = if controller == old { 300 } else { 3_000 };
-                    w.crash(controller, at + 9_000 + 40 * controller as u64, back);
+                    let downtime = if controller == old { 300 } else { 3_000 };
+                    w.crash(controller, at + 9_000 + 40 * controller as u64, downtime);
                 }
                 w.abort_at(at + 8_500, 2 * round);
                 holds_seen += observe_shard_holds(w, at + 20_000).saturating_sub(1);
-                began += u64::from(w.controllers.iter().all(Option::is_some));
+                rounds_all_up += u64::from(w.controllers.iter().all(Option::is_some));
             }
-            vec![("changes of hands", holds_seen), ("all came back", began)]
+            vec![
+                ("changes of shard holder", holds_seen),
+                ("rounds after which all controllers were up", rounds_all_up),
+            ]
         },
     },
     Scenario {
-        name: "an answer of the new holder is lost, the old one goes on answering, then ends",
+        name: "responses of the new shard holder are lost, and the old one keeps responding until it crashes",
         controllers: 3,
         lease_s: Some(26),
         play: |w| {
@@ -132,29 +148,34 @@
                 .cuts
                 .push(cut_except_workers(old, FAULT_START / 1_000, 45, false));
             limit_reachability_to(w, old, FAULT_START + 36_000, true);
-            // The old holder is briefly unreachable, so workers try the other controllers without success.
-            let mut away = cut_except_workers(old, FAULT_START / 1_000 + 7, 5, false);
-            (away.from_workers, away.from_store, away.from_peers) = (true, false, false);
-            w.network.cuts.push(away);
-            // Otherwise the machines would be deleted for silence first.
+            // Workers cannot reach the old holder for a few seconds, so they try the other controllers without
+            // success.
+            let mut worker_cut = cut_except_workers(old, FAULT_START / 1_000 + 7, 5, false);
+            (
+                worker_cut.from_workers,
+                worker_cut.from_store,
+                worker_cut.from_peers,
+            ) = (true, false, false);
+            w.network.cuts.push(worker_cut);
+            // Without a cloud outage the machines would be deleted first for missing heartbeats.
             w.network
                 .cloud_outages
                 .push((FAULT_START, FAULT_START + 58_000));
             w.run_until(FAULT_START + 35_500);
-            let kept = machines_renewed_by(w, old, FAULT_START + 25_000);
-            let seen: Vec<_> = {
+            let still_renewed = machines_renewed_by(w, old, FAULT_START + 25_000);
+            let tokens_seen: Vec<_> = {
                 let machines = w.machines.by_id.iter().filter(|(_, m)| m.controller == old);
                 machines
                     .map(|(machine_id, m)| (machine_id.clone(), m.worker_token))
                     .collect()
             };
-            // The new holder announces its token; the machines' responses are the last ones for a while.
-            let mut silenced = HashSet::new();
+            // Each machine becomes unreachable for 14 s after it has seen the new holder's token.
+            let mut unreachable = HashSet::new();
             while w.now < FAULT_START + 40_000 {
                 w.run_until(w.now + 50);
-                for (machine_id, before) in &seen {
+                for (machine_id, before) in &tokens_seen {
                     let machine = w.machines.by_id.get_mut(machine_id).unwrap();
-                    if machine.worker_token > *before && silenced.insert(machine_id.clone()) {
+                    if machine.worker_token > *before && unreachable.insert(machine_id.clone()) {
                         machine.unreachable_until = Millis(w.now + 14_000);
                     }
                 }
@@ -165,13 +186,19 @@
             }
             w.run_until(FAULT_START + 60_000);
             vec![
-                ("kept by the old holder past the new one's answers", kept),
-                ("silent once they had seen the token", silenced.len() as u64),
+                (
+                    "machines renewed by the old holder 25 s after the partition",
+                    still_renewed,
+                ),
+                (
+                    "machines unreachable after they saw the new token",
+                    unreachable.len() as u64,
+                ),
             ]
         },
     },
     Scenario {
-        name: "commands and their answers are held for seconds, machines hang and go on",
+        name: "commands and their responses are delayed by seconds while machines hang and resume",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -193,18 +220,18 @@
             }
             w.run_until(80_000);
             vec![(
-                "obeyed after the sender gave up",
+                "commands executed after their sender timed out",
                 w.fault_counts.late_commands_executed,
             )]
         },
     },
     Scenario {
-        name: "the leader keeps workers only, jobs are cancelled through the new one",
+        name: "the leader reaches only its workers, and jobs are cancelled through the new leader",
         controllers: 5,
         lease_s: None,
         play: |w| {
             w.run_until(FAULT_START);
-            let (old, began) = (leader(w), running_jobs(w));
+            let (old, running) = (leader(w), running_jobs(w));
             w.network
                 .cuts
                 .push(cut_except_workers(old, FAULT_START / 1_000, 50, true));
@@ -213,18 +240,18 @@
                 w.abort_at(FAULT_START + 7_000 + 2_500 * index, index as usize);
             }
             w.run_until(FAULT_START + 24_000);
-            let kept = machines_renewed_by(w, old, FAULT_START + 18_000);
+            let still_renewed = machines_renewed_by(w, old, FAULT_START + 18_000);
             w.run_until(FAULT_START + 49_000);
-            let cancelled =
-                confirmed_cancellations(w, &began, FAULT_START + 7_000, FAULT_START + 49_000);
+            let confirmed =
+                confirmed_cancellations(w, &running, FAULT_START + 7_000, FAULT_START + 49_000);
             vec![
-                ("kept by the old leader", kept),
-                ("cancelled meanwhile", cancelled),
+                ("machines still renewed by the old leader", still_renewed),
+                ("cancellations confirmed during the partition", confirmed),
             ]
         },
     },
     Scenario {
-        name: "transactions are carried out late, after newer ones, across changes of leader",
+        name: "transactions commit late, after newer ones, across leader changes",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -244,21 +271,24 @@
                 }
             }
             w.run_until(90_000);
-            let (done, nothing) = (
+            let (committed, rejected) = (
                 w.fault_counts.late_writes_committed,
                 w.fault_counts.late_writes_rejected,
             );
-            vec![("late and done", done), ("late and nothing", nothing)]
+            vec![
+                ("late transactions committed", committed),
+                ("late transactions rejected", rejected),
+            ]
         },
     },
     Scenario {
-        name: "jobs of two or three tasks end far apart across a change of leader",
+        name: "the two or three tasks of a job complete far apart, across leader changes",
         controllers: 5,
         lease_s: None,
         play: |w| {
             w.machines.run_time_spread = 0.9;
             w.store_faults.late_write_share = 0.1;
-            let mut between = 0;
+            let mut partially_completed = 0;
             for round in 0..5 {
                 w.run_until(25_000 + 14_000 * round);
                 let old = leader(w);
@@ -269,22 +299,23 @@
                         .cuts
                         .push(cut_except_workers(old, w.now / 1_000, 9, true));
                 }
-                let parts = (0..w.jobs.len()).filter(|index| {
-                    let (done, all) = completed(w, *index);
+                let partial = (0..w.jobs.len()).filter(|index| {
+                    let (done, all) = task_counts(w, *index);
                     done > 0 && done < all
                 });
-                between += parts.count() as u64;
+                partially_completed += partial.count() as u64;
             }
             w.run_until(100_000);
-            vec![("jobs in the middle of their ends", between)]
+            vec![("partially completed jobs", partially_completed)]
         },
     },
     Scenario {
-        name: "the leader is refused just as it has dead machines deleted",
+        name: "the store rejects the leader just as the leader has deleted dead machines",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            // Holders start after the machines left, so no holder has received their heartbeats.
+            // The controllers restart after the machines died, so no shard holder has received heartbeats from
+            // these machines.
             w.run_until(FAULT_START - 100);
             (0..3).for_each(|index| w.kill_worker(index));
             (0..5).for_each(|controller| {
@@ -292,7 +323,7 @@
             });
             w.run_until(FAULT_START + 10_000);
             let old = leader(w);
-            // Deleted, but not yet recorded: no other controller knows of the deletion.
+            // The deletion is not yet recorded in the store, so no other controller knows of it.
             let before = w.cloud.deleted.len();
             while w.cloud.deleted.len() == before && w.now < FAULT_START + 25_000 {
                 w.run_until(w.now + 20);
@@ -302,14 +333,17 @@
                 since: w.now,
                 until: w.now + 9_000,
             });
-            let gone = w.cloud.deleted.len() - before;
+            let deleted = w.cloud.deleted.len() - before;
             w.abort_at(w.now + 2_000, 0);
             w.run_until(w.now + 30_000);
-            vec![("deleted and not written", gone as u64)]
+            vec![(
+                "machines deleted before the deletion was recorded",
+                deleted as u64,
+            )]
         },
     },
     Scenario {
-        name: "old reports after newer ones, of earlier sessions, to holders old and new",
+        name: "late duplicates of heartbeats, also of earlier agent epochs, reach old and new shard holders",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -330,7 +364,7 @@
             }
             w.run_until(100_000);
             vec![(
-                "copies of earlier sessions",
+                "duplicates from earlier agent epochs",
                 w.fault_counts.copies_of_old_agent_epochs,
             )]
         },
--- a/crates/simulator/tests/faults/combined_faults/machines.rs
+++ b/crates/simulator/tests/faults/combined_faults/machines.rs
@@ -9,8 +9,8 @@
 use super::holders::observe_shard_holds;
 use super::{FAULT_START, Scenario, confirmed_cancellations, leader, running_jobs};
 
-/// Machines that are up and run tasks.
-fn busy(world: &World) -> Vec<MachineId> {
+/// Machines that are up and run tasks, sorted by ID.
+fn busy_machines(world: &World) -> Vec<MachineId> {
     let machine_ids: HashSet<&MachineId> = world
         .machines
         .tasks_started(Millis(world.now))
@@ -27,11 +27,15 @@
     here.map(|(_, task)| task.job.clone()).collect()
 }
 
-/// These machines, a small part of the fleet, cannot reach any controller for `for_ms`. Once this is
-/// detectable, no new task may be placed on them.
-fn unable_to_report(world: &mut World, machine_ids: &[MachineId], for_ms: u64) {
-    const NOTICED: u64 = 7_000;
-    let (from, until) = (world.now, world.now + for_ms);
+/// Loses the heartbeats of these machines, a small part of the fleet, to all controllers for `duration_ms`
+/// milliseconds. Once this is detectable, no new task may be placed on the machines.
+fn lose_heartbeats_and_check_placement(
+    world: &mut World,
+    machine_ids: &[MachineId],
+    duration_ms: u64,
+) {
+    const DETECTION_MS: u64 = 7_000;
+    let (from, until) = (world.now, world.now + duration_ms);
     for machine_id in machine_ids {
         world
             .machines
@@ -40,7 +44,7 @@
             .unwrap()
             .heartbeats_lost_until = Millis(until);
     }
-    let on = |world: &World| -> HashSet<(MachineId, TaskId, u64)> {
+    let attempts_on = |world: &World| -> HashSet<(MachineId, TaskId, u64)> {
         let tasks = machine_ids.iter().flat_map(|machine_id| {
             let machine = &world.machines.by_id[machine_id];
             let tasks = machine.tasks.iter();
@@ -48,22 +52,22 @@
         });
         tasks.collect()
     };
-    world.run_until(from + NOTICED);
-    let mut known = on(world);
+    world.run_until(from + DETECTION_MS);
+    let mut known = attempts_on(world);
     while world.now < until {
         world.run_until(world.now + 100);
-        let new: Vec<_> = on(world).difference(&known).cloned().collect();
+        let new: Vec<_> = attempts_on(world).difference(&known).cloned().collect();
         assert!(
             new.is_empty(),
-            "at {}: put on mute ones: {new:?}",
+            "at {} ms: tasks placed on machines without heartbeats: {new:?}",
             world.now
         );
         known.extend(new);
     }
 }
 
-/// Enough jobs to keep about thirty machines busy.
-fn large_fleet(world: &mut World) {
+/// Offers more machines, and submits enough jobs to keep about thirty of them busy.
+fn load_large_fleet(world: &mut World) {
     world.cloud.offer(32);
     for index in 0..20 {
         let mut plan = job(100 + index, "large", "sweep", 4, 1.0, 60_000);
@@ -72,8 +76,8 @@
     }
 }
 
-/// A steady stream of jobs with short tasks.
-fn stream(world: &mut World, from: u64, to: u64) {
+/// Submits jobs with short tasks at a steady rate between `from` and `to` (milliseconds).
+fn submit_short_jobs(world: &mut World, from: u64, to: u64) {
     for index in 0..(to - from) / 1_500 {
         let mut plan = job(200 + index as usize, "large", "sweep", 3, 1.0, 7_000);
         plan.at = Some(from + 1_500 * index);
@@ -82,7 +86,7 @@
 }
 
 /// An array restricted to a single zone, or one restricted to a named zone.
-fn bound(index: usize) -> JobPlan {
+fn zone_restricted_job(index: usize) -> JobPlan {
     let mut plan = job(100 + index, "large", "sweep", 6, 2.0, 25_000);
     if index % 2 == 0 {
         plan.body["oneZone"] = true.into();
@@ -93,45 +97,49 @@
     plan
 }
 
-/// GPUs used by a team's running tasks.
-fn gpus_of(world: &World, team: &str) -> f64 {
+/// GPUs allocated to tasks of a team.
+fn gpus_used_by(world: &World, team: &str) -> f64 {
     let tasks = world.machines.tasks_allocated(Millis(world.now));
     let specs = tasks.map(|task| &world.machines.jobs[&task.job].spec);
-    let its = specs.filter(|spec| spec.team.as_str() == team);
-    its.map(|spec| spec.resources.gpus).sum()
+    let team_specs = specs.filter(|spec| spec.team.as_str() == team);
+    team_specs.map(|spec| spec.resources.gpus).sum()
 }
 
 pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "some machines reach no controller while direct commands reach them, and jobs are cancelled",
+        name: "some machines lose their heartbeats but receive direct commands, and jobs are cancelled",
         controllers: 3,
         lease_s: None,
         play: |w| {
-            large_fleet(w);
-            stream(w, FAULT_START - 10_000, FAULT_START + 45_000);
+            load_large_fleet(w);
+            submit_short_jobs(w, FAULT_START - 10_000, FAULT_START + 45_000);
             w.run_until(FAULT_START);
-            let machine_ids: Vec<MachineId> = busy(w).into_iter().step_by(7).collect();
-            let began = jobs_on(w, &machine_ids);
+            let machine_ids: Vec<MachineId> = busy_machines(w).into_iter().step_by(7).collect();
+            let affected_jobs = jobs_on(w, &machine_ids);
             for index in 0..6 {
                 w.abort_at(FAULT_START + 3_000 * index, index as usize);
             }
-            unable_to_report(w, &machine_ids, 40_000);
-            let cancelled = confirmed_cancellations(w, &began, FAULT_START, FAULT_START + 40_000);
+            lose_heartbeats_and_check_placement(w, &machine_ids, 40_000);
+            let confirmed =
+                confirmed_cancellations(w, &affected_jobs, FAULT_START, FAULT_START + 40_000);
             vec![
-                ("mute with tasks", machine_ids.len() as u64),
-                ("cancelled there", cancelled),
+                ("busy machines without heartbeats", machine_ids.len() as u64),
+                (
+                    "cancellations confirmed for jobs on these machines",
+                    confirmed,
+                ),
             ]
         },
     },
     Scenario {
-        name: "most machines reach no controller for longer than a lease, then all do again",
+        name: "heartbeats of most machines are lost for longer than a lease, then resume",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            large_fleet(w);
-            stream(w, FAULT_START - 10_000, FAULT_START + 25_000);
+            load_large_fleet(w);
+            submit_short_jobs(w, FAULT_START - 10_000, FAULT_START + 25_000);
             w.run_until(FAULT_START);
-            let machine_ids: Vec<MachineId> = busy(w);
+            let machine_ids: Vec<MachineId> = busy_machines(w);
             let machine_ids = &machine_ids[..machine_ids.len() * 3 / 4];
             for index in 0..4 {
                 w.abort_at(FAULT_START + 4_000 * index, 2 * index as usize);
@@ -148,26 +156,29 @@
             let deleted = w.cloud.deleted.len() - before;
             // Direct responses prove that the machines are alive, so many at once must not be deleted. A
             // controller that has only a few such machines replaces them.
-            let what = format!("{deleted} of {} deleted", machine_ids.len());
+            let summary = format!(
+                "{deleted} of {} machines without heartbeats deleted",
+                machine_ids.len()
+            );
             assert!(
                 machine_ids.len() >= 15 && deleted * 6 <= machine_ids.len(),
-                "{what}"
+                "{summary}"
             );
             vec![
-                ("mute", machine_ids.len() as u64),
-                ("killed by their lease", w.machines.killed_by_lease),
+                ("machines without heartbeats", machine_ids.len() as u64),
+                ("tasks killed on lease expiry", w.machines.killed_by_lease),
             ]
         },
     },
     Scenario {
-        name: "no machine reaches any controller, shorter than a lease and longer, and jobs are cancelled",
+        name: "all heartbeats are lost, for less and for more than a lease, and jobs are cancelled",
         controllers: 3,
         lease_s: None,
         play: |w| {
-            let (mut began, mut changes) = (HashSet::new(), 0);
-            for (round, span) in [9_000, 22_000].into_iter().enumerate() {
+            let (mut running, mut changes) = (HashSet::new(), 0);
+            for (round, duration) in [9_000, 22_000].into_iter().enumerate() {
                 w.run_until(FAULT_START - 10_000 + 35_000 * round as u64);
-                began.extend(running_jobs(w));
+                running.extend(running_jobs(w));
                 let machine_ids: Vec<MachineId> = w.machines.by_id.keys().cloned().collect();
                 let (from, deleted) = (w.now, w.cloud.deleted_at_work);
                 for index in 0..4 {
@@ -178,31 +189,31 @@
                         .by_id
                         .get_mut(machine_id)
                         .unwrap()
-                        .heartbeats_lost_until = Millis(from + span);
+                        .heartbeats_lost_until = Millis(from + duration);
                 }
-                changes += observe_shard_holds(w, from + span) - 1;
+                changes += observe_shard_holds(w, from + duration) - 1;
                 let deleted = w.cloud.deleted_at_work - deleted;
-                assert_eq!(deleted, 0, "deleted at work in round {round}");
+                assert_eq!(deleted, 0, "busy machines deleted in round {round}");
             }
-            // Every controller receives their heartbeats.
-            assert!(changes <= 5, "a block changed hands {changes} times");
+            // Every controller receives the machines' heartbeats.
+            assert!(changes <= 5, "a shard changed holders {changes} times");
             vec![
                 (
-                    "cancelled meanwhile",
-                    confirmed_cancellations(w, &began, FAULT_START - 10_000, w.now),
+                    "cancellations confirmed during the fault",
+                    confirmed_cancellations(w, &running, FAULT_START - 10_000, w.now),
                 ),
-                ("killed by their lease", w.machines.killed_by_lease),
+                ("tasks killed on lease expiry", w.machines.killed_by_lease),
             ]
         },
     },
     Scenario {
-        name: "jobs are cancelled within a fifth of a second and their machines hang, for all spans",
+        name: "jobs are cancelled within 200 ms and their machines hang for various durations",
         controllers: 5,
         lease_s: None,
         play: |w| {
             // Around a heartbeat interval, a lease, the cancellation timeout, and the sum of both.
-            let spans = [2_000, 9_000, 11_800, 12_500, 14_500, 24_000, 30_500, 45_000];
-            let (mut began, mut hung) = (HashSet::new(), 0);
+            let durations = [2_000, 9_000, 11_800, 12_500, 14_500, 24_000, 30_500, 45_000];
+            let (mut cancelled_running, mut hung) = (HashSet::new(), 0);
             for round in 0..2 {
                 w.run_until(FAULT_START - 8_000 + 20_000 * round);
                 let jobs: Vec<usize> = (0..7).map(|index| 2 * index + round as usize).collect();
@@ -210,50 +221,53 @@
                 for (index, job) in jobs.iter().enumerate() {
                     w.abort_at(now + 28 * index as u64, *job);
                 }
-                let ids: HashSet<JobId> = jobs.iter().map(|job| w.jobs[*job].id()).collect();
-                began.extend(ids.intersection(&running_jobs(w)).cloned());
-                let on: HashSet<MachineId> = {
+                let cancelled_ids: HashSet<JobId> =
+                    jobs.iter().map(|job| w.jobs[*job].id()).collect();
+                cancelled_running.extend(cancelled_ids.intersection(&running_jobs(w)).cloned());
+                let hosts: HashSet<MachineId> = {
                     let present = w.machines.tasks_started(Millis(now));
-                    let its = present.filter(|(_, task)| ids.contains(&task.job));
-                    its.map(|(machine_id, _)| machine_id.clone()).collect()
+                    let hosting = present.filter(|(_, task)| cancelled_ids.contains(&task.job));
+                    hosting.map(|(machine_id, _)| machine_id.clone()).collect()
                 };
-                let mut on: Vec<MachineId> = on.into_iter().collect();
-                on.sort();
+                let mut hosts: Vec<MachineId> = hosts.into_iter().collect();
+                hosts.sort();
                 w.run_until(now + 60 + 40 * round);
-                for (machine_id, span) in
-                    on.iter().zip(spans.iter().cycle().skip(3 * round as usize))
+                for (machine_id, duration) in hosts
+                    .iter()
+                    .zip(durations.iter().cycle().skip(3 * round as usize))
                 {
-                    w.machines.by_id.get_mut(machine_id).unwrap().hung_until = Millis(now + span);
+                    w.machines.by_id.get_mut(machine_id).unwrap().hung_until =
+                        Millis(now + duration);
                     hung += 1;
                 }
             }
             w.run_until(115_000);
             vec![
-                ("machines of theirs that hang", hung),
+                ("machines of cancelled jobs that hang", hung),
                 (
-                    "cancelled",
-                    confirmed_cancellations(w, &began, FAULT_START - 8_000, 115_000),
+                    "cancellations confirmed",
+                    confirmed_cancellations(w, &cancelled_running, FAULT_START - 8_000, 115_000),
                 ),
             ]
         },
     },
     Scenario {
-        name: "jobs bound to one zone, arrays too, lose machines, and some cannot be asked",
+        name: "jobs restricted to one zone, also arrays, lose machines, and some machines are unreachable",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            (0..6).for_each(|index| w.submit(bound(index)));
+            (0..6).for_each(|index| w.submit(zone_restricted_job(index)));
             let mut lost = 0;
             for round in 0..3 {
                 w.run_until(16_000 + 14_000 * round);
-                let machine_ids = busy(w);
-                let its = |w: &World, machine_id: &MachineId| {
+                let machine_ids = busy_machines(w);
+                let runs_restricted_job = |w: &World, machine_id: &MachineId| {
                     let mut tasks = w.machines.by_id[machine_id].tasks.keys();
                     tasks.any(|task| task.job.as_str() >= "job-000100")
                 };
                 let machine_ids: Vec<MachineId> = machine_ids
                     .into_iter()
-                    .filter(|machine_id| its(w, machine_id))
+                    .filter(|machine_id| runs_restricted_job(w, machine_id))
                     .collect();
                 let now = w.now;
                 for (index, machine_id) in machine_ids.iter().enumerate() {
@@ -270,19 +284,19 @@
                 let old = leader(w);
                 w.crash(old, now + 700, 400);
             }
-            vec![("machines lost under them", lost)]
+            vec![("machines lost by these jobs", lost)]
         },
     },
     Scenario {
-        name: "reports are held back until a new leader has acted, and then arrive there",
+        name: "heartbeats are intercepted until a new leader has acted, and then reach it",
         controllers: 5,
         lease_s: None,
         play: |w| {
-            let mut arrived = 0;
+            let mut delivered = 0;
             for round in 0..3 {
                 w.run_until(25_000 + 28_000 * round);
-                let (old, began) = (leader(w), busy(w));
-                w.network.intercepted_machines.extend(began);
+                let (old, intercepted) = (leader(w), busy_machines(w));
+                w.network.intercepted_machines.extend(intercepted);
                 w.run_until(w.now + 1_700);
                 w.network.intercepted_machines.clear();
                 let now = w.now;
@@ -302,17 +316,20 @@
                 w.reboot_worker(round as usize + 1, false);
                 w.run_until(now + 8_000);
                 if leader(w) != old {
-                    arrived += w.network.intercepted_heartbeats.len() as u64;
-                    let to = leader(w);
-                    w.release_heartbeats(to);
+                    delivered += w.network.intercepted_heartbeats.len() as u64;
+                    let new_leader = leader(w);
+                    w.release_heartbeats(new_leader);
                 }
                 w.run_until(now + 15_000);
             }
-            vec![("reports that arrive at the new leader", arrived)]
+            vec![(
+                "intercepted heartbeats delivered to the new leader",
+                delivered,
+            )]
         },
     },
     Scenario {
-        name: "a team is at its limit when the leader changes, machines cannot be asked, jobs are cancelled",
+        name: "a team is at its limit while the leader changes, machines are unreachable and jobs are cancelled",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -322,12 +339,12 @@
                 w.submit(plan);
             }
             w.run_until(FAULT_START);
-            let full = gpus_of(w, "small");
-            let (old, began) = (leader(w), running_jobs(w));
+            let gpus_before = gpus_used_by(w, "small");
+            let (old, running) = (leader(w), running_jobs(w));
             let machine_ids: Vec<MachineId> = {
                 let present = w.machines.tasks_started(Millis(w.now));
-                let its = present.filter(|(_, task)| task.job.as_str() >= "job-000100");
-                its.map(|(machine_id, _)| machine_id.clone()).collect()
+                let hosting = present.filter(|(_, task)| task.job.as_str() >= "job-000100");
+                hosting.map(|(machine_id, _)| machine_id.clone()).collect()
             };
             for machine_id in machine_ids.iter().step_by(2) {
                 w.machines
@@ -342,22 +359,25 @@
                 w.abort_at(FAULT_START + 2_000 + 900 * index as u64, job);
             }
             w.run_until(FAULT_START + 18_000);
-            let cancelled = confirmed_cancellations(w, &began, FAULT_START, FAULT_START + 18_000);
+            let confirmed = confirmed_cancellations(w, &running, FAULT_START, FAULT_START + 18_000);
             // The team regains its full limit within seconds after heartbeats resume.
-            let mut again = 0;
-            while w.now < FAULT_START + 30_000 && again == 0 {
+            let mut regained = 0;
+            while w.now < FAULT_START + 30_000 && regained == 0 {
                 w.run_until(w.now + 100);
-                again = u64::from(gpus_of(w, "small") >= 6.0);
+                regained = u64::from(gpus_used_by(w, "small") >= 6.0);
             }
             vec![
-                ("at its limit", u64::from(full >= 6.0)),
-                ("cancelled meanwhile", cancelled),
-                ("at its limit again", again),
+                (
+                    "runs with the team at its limit",
+                    u64::from(gpus_before >= 6.0),
+                ),
+                ("cancellations confirmed during the fault", confirmed),
+                ("runs with the team back at its limit", regained),
             ]
         },
     },
     Scenario {
-        name: "the leader's zone is cut off for longer than a lease, and jobs are cancelled outside",
+        name: "the leader's zone is partitioned for longer than a lease, and jobs are cancelled from outside",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -368,7 +388,7 @@
                 let inside = machines.filter(|(_, m)| m.zone == zone);
                 inside.map(|(machine_id, _)| machine_id.clone()).collect()
             };
-            let began = jobs_on(w, &inside);
+            let affected_jobs = jobs_on(w, &inside);
             w.network.zone_cuts.push(ZoneCut {
                 zone,
                 since: FAULT_START,
@@ -379,17 +399,20 @@
                 w.abort_at(FAULT_START + 5_000 + 3_000 * index, index as usize);
             }
             w.run_until(FAULT_START + 31_000);
-            let asked = began
+            let requested = affected_jobs
                 .iter()
                 .filter(|id| w.rules.wanted_aborts.contains_key(*id));
             vec![
-                ("with tasks inside", began.len() as u64),
-                ("cancelled outside", asked.count() as u64),
+                ("jobs with tasks in the zone", affected_jobs.len() as u64),
+                (
+                    "cancellations requested from outside",
+                    requested.count() as u64,
+                ),
             ]
         },
     },
     Scenario {
-        name: "there is more work than room, urgent and not, over slow links, and jobs are cancelled",
+        name: "jobs of several ranks exceed the capacity over slow links, and jobs are cancelled",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -415,10 +438,13 @@
                     .map(|(_, resources)| resources.gpus);
                 full |= w.now > 20_000 && resources.sum::<f64>() < 4.0;
             }
-            let began = running_jobs(w);
-            let waiting = w.rules.accepted.difference(&began).count() as u64;
+            let running = running_jobs(w);
+            let waiting = w.rules.accepted.difference(&running).count() as u64;
             w.run_until(110_000);
-            vec![("full", u64::from(full)), ("jobs that waited", waiting)]
+            vec![
+                ("runs at full capacity", u64::from(full)),
+                ("jobs waiting for capacity", waiting),
+            ]
         },
     },
 ];
--- a/crates/simulator/tests/faults/combined_faults/mod.rs
+++ b/crates/simulator/tests/faults/combined_faults/mod.rs
@@ -1,5 +1,5 @@
 //! Combinations of faults. Each scenario injects its faults and counts evidence that they coincided.
-//! The hazard of each and the mechanism that prevents it: docs/combined-faults.md.
+//! docs/combined-faults.md describes the hazard of each scenario and the mechanism that prevents it.
 
 mod holders;
 mod machines;
@@ -17,7 +17,7 @@
 /// Milliseconds at which the first fault begins; all jobs are running by then.
 const FAULT_START: u64 = 40_000;
 
-/// Evidence that the faults coincided, and how often it was observed.
+/// Kinds of evidence that the faults coincided, and how often each was observed.
 type Observations = Vec<(&'static str, u64)>;
 
 struct Scenario {
@@ -62,11 +62,14 @@
 
 /// Index of the leader according to the store's records.
 pub(crate) fn leader(world: &World) -> usize {
-    let (record, ..) = world.store.get("jt/lead").expect("somebody leads");
+    let (record, ..) = world
+        .store
+        .get("jt/lead")
+        .expect("the store has a leader record");
     let record: serde_json::Value = serde_json::from_str(record).unwrap();
     let label = record["leader"].as_str().unwrap();
     let index = (0..world.controllers.len()).find(|i| Config::label(*i) == label);
-    index.expect("it is one of ours")
+    index.expect("the recorded leader is a simulated controller")
 }
 
 /// Jobs with at least one task running on a machine.
@@ -103,41 +106,48 @@
 }
 
 #[test]
-fn combined_faults_occur_and_break_no_invariant() {
+fn combined_faults_coincide_and_break_no_invariant() {
     let seeds = seeds("MEETING", 6);
-    let least = (seeds.end - seeds.start) / 2;
-    let rows = [holders::SCENARIOS, machines::SCENARIOS, users::SCENARIOS];
-    let asked = std::env::var("MEETING_NAME").unwrap_or_default();
-    let asked = |scenario: &&Scenario| scenario.name.contains(&asked);
-    for scenario in rows.into_iter().flatten().filter(asked) {
-        let mut seen: Vec<(&str, u64)> = Vec::new();
+    let min_count = (seeds.end - seeds.start) / 2;
+    let groups = [holders::SCENARIOS, machines::SCENARIOS, users::SCENARIOS];
+    let name_filter = std::env::var("MEETING_NAME").unwrap_or_default();
+    let selected = |scenario: &&Scenario| scenario.name.contains(&name_filter);
+    for scenario in groups.into_iter().flatten().filter(selected) {
+        let mut observed_counts: Vec<(&str, u64)> = Vec::new();
         for seed in seeds.clone() {
             let mut world = scenario.world(seed);
-            super::log_if_asked();
-            for (what, count) in (scenario.play)(&mut world) {
-                match seen.iter_mut().find(|(known, _)| *known == what) {
+            super::enable_logging_if_requested();
+            for (evidence, count) in (scenario.play)(&mut world) {
+                match observed_counts
+                    .iter_mut()
+                    .find(|(known, _)| *known == evidence)
+                {
                     Some((_, sum)) => *sum += count,
-                    None => seen.push((what, count)),
+                    None => observed_counts.push((evidence, count)),
                 }
             }
             finish(&mut world, &format!("{} (seed {seed})", scenario.name));
         }
-        for (what, count) in seen {
+        for (evidence, count) in observed_counts {
             let name = scenario.name;
-            assert!(count >= least, "{name}: {what} was seen {count} times only");
+            assert!(
+                count >= min_count,
+                "{name}: `{evidence}` was observed only {count} times"
+            );
         }
     }
 }
 
-/// A cancellation is confirmed during a fault if the state of its tasks can still be observed.
+/// Cancellations must be confirmed during a fault, without waiting for its end, if the state of their tasks
+/// can still be observed.
 #[test]
 fn cancellations_are_confirmed_within_seconds() {
     type Fault = fn(&mut World, usize);
     let cases: [(&str, Fault, u64, u64); 3] = [
-        // fault, maximum median and maximum worst time to confirmation in ms
-        ("nothing is wrong", |_, _| {}, 400, 1_000),
+        // Fault, its injection, bounds in ms of the median and of the longest time to confirmation.
+        ("no fault", |_, _| {}, 400, 1_000),
         (
-            "the state service refuses the leader alone",
+            "the store rejects only the leader's requests",
             |w, old| {
                 w.store_faults.refusals.push(Refusal {
                     controller: old,
@@ -149,7 +159,7 @@
             8_500,
         ),
         (
-            "the leader keeps workers only",
+            "the leader reaches only its workers",
             |w, old| {
                 w.network
                     .cuts
@@ -159,32 +169,36 @@
             10_000,
         ),
     ];
-    for (name, inject_fault, half, last) in cases {
+    for (name, inject_fault, max_median, max_worst) in cases {
         let mut waits = Vec::new();
         for seed in 1..=6 {
             let mut world = holders::SCENARIOS[0].world(seed);
             world.run_until(FAULT_START);
-            let (old, began) = (leader(&world), running_jobs(&world));
+            let (old, running) = (leader(&world), running_jobs(&world));
             inject_fault(&mut world, old);
             for index in 0..12 {
                 world.abort_at(FAULT_START + 500 + 900 * index, index as usize);
             }
             world.run_until(FAULT_START + 60_000);
-            for id in began {
-                if let Some(asked) = world.rules.wanted_aborts.get(&id)
+            for id in running {
+                if let Some(requested_at) = world.rules.wanted_aborts.get(&id)
                     && !world.rules.done.contains(&id)
                 {
                     let confirmed = world.rules.aborted.get(&id);
-                    let confirmed =
-                        confirmed.unwrap_or_else(|| panic!("{name} (seed {seed}): {id}"));
-                    waits.push(confirmed.since(*asked).0);
+                    let confirmed = confirmed.unwrap_or_else(|| {
+                        panic!("{name} (seed {seed}): cancellation of {id} was not confirmed")
+                    });
+                    waits.push(confirmed.since(*requested_at).0);
                 }
             }
         }
         waits.sort_unstable();
-        let (p50, worst) = (waits[waits.len() / 2], waits[waits.len() - 1]);
-        let what = format!("{name}: p50 {p50} ms, worst {worst} ms of {}", waits.len());
-        assert!(waits.len() > 20, "{what}");
-        assert!(p50 <= half && worst <= last, "{what}");
+        let (median, worst) = (waits[waits.len() / 2], waits[waits.len() - 1]);
+        let summary = format!(
+            "{name}: median {median} ms, maximum {worst} ms of {} cancellations",
+            waits.len()
+        );
+        assert!(waits.len() > 20, "{summary}");
+        assert!(median <= max_median && worst <= max_worst, "{summary}");
     }
 }
--- a/crates/simulator/tests/faults/combined_faults/users.rs
+++ b/crates/simulator/tests/faults/combined_faults/users.rs
@@ -6,41 +6,46 @@
 use super::super::{cut_except_workers, restart_repeatedly};
 use super::{FAULT_START, Observations, Scenario, confirmed_cancellations, leader, running_jobs};
 
-/// Jobs are cancelled within 200 ms after the store starts to reject the leader's requests; later the store is
-/// unavailable for longer than the cancellation timeout.
-fn cancel_while_leader_refused(world: &mut World, gap: u64) -> Observations {
+/// Jobs are cancelled within 200 ms after the store starts to reject the leader's requests; the store
+/// becomes unavailable `outage_delay` milliseconds after that start, for longer than the cancellation timeout.
+fn cancel_while_leader_refused(world: &mut World, outage_delay: u64) -> Observations {
     world.run_until(FAULT_START);
-    let (old, began) = (leader(world), running_jobs(world));
+    let (leader_index, running) = (leader(world), running_jobs(world));
     world.store_faults.refusals.push(Refusal {
-        controller: old,
+        controller: leader_index,
         since: FAULT_START,
         until: FAULT_START + 14_000,
     });
     let cancel = world.config.timing.cancel.0;
-    let back = FAULT_START + gap + cancel + 8_000;
-    world.store_faults.outages.push((FAULT_START + gap, back));
+    let outage_end = FAULT_START + outage_delay + cancel + 8_000;
+    world
+        .store_faults
+        .outages
+        .push((FAULT_START + outage_delay, outage_end));
     for index in 0..12 {
         world.abort_at(FAULT_START + 16 * index, index as usize);
     }
-    world.run_until(back + 10_000);
-    let before = confirmed_cancellations(world, &began, FAULT_START, FAULT_START + gap);
+    world.run_until(outage_end + 10_000);
+    let confirmed_before_outage =
+        confirmed_cancellations(world, &running, FAULT_START, FAULT_START + outage_delay);
     vec![(
-        "cancelled in all",
-        confirmed_cancellations(world, &began, FAULT_START, back + 10_000) + before,
+        "cancellations confirmed",
+        confirmed_cancellations(world, &running, FAULT_START, outage_end + 10_000)
+            + confirmed_before_outage,
     )]
 }
 
-/// All controllers are down for longer than a lease and restart `apart` milliseconds after one another.
-fn crash_all_controllers(world: &mut World, apart: u64) -> Observations {
+/// All controllers are down for longer than a lease and restart `interval_ms` milliseconds after one another.
+fn crash_all_controllers(world: &mut World, interval_ms: u64) -> Observations {
     world.run_until(FAULT_START);
-    let began = running_jobs(world);
+    let running = running_jobs(world);
     let lease = world.config.timing.lease.0;
     (0..4).for_each(|index| world.abort_at(FAULT_START - 200 + 60 * index, index as usize));
     for controller in 0..world.controllers.len() {
         world.crash(
             controller,
             FAULT_START + 10 * controller as u64,
-            lease + 4_000 + apart * controller as u64,
+            lease + 4_000 + interval_ms * controller as u64,
         );
     }
     (4..8).for_each(|index| world.abort_at(FAULT_START + 3_000 * index, index as usize));
@@ -50,17 +55,20 @@
     world.reboot_worker(1, false);
     world.run_until(FAULT_START + lease + 30_000);
     vec![
-        ("killed by their lease", world.machines.killed_by_lease),
         (
-            "cancelled",
-            confirmed_cancellations(world, &began, FAULT_START, world.now),
+            "tasks killed on lease expiry",
+            world.machines.killed_by_lease,
+        ),
+        (
+            "cancellations confirmed",
+            confirmed_cancellations(world, &running, FAULT_START, world.now),
         ),
     ]
 }
 
 pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
+        name: "users cancel, poll and resubmit a job as its last task completes",
         controllers: 3,
         lease_s: None,
         play: |w| {
@@ -75,14 +83,17 @@
             w.run_until(100_000);
             let cancelled = w.rules.aborted.len() as u64;
             vec![
-                ("ends that were met", w.fault_counts.completion_races),
-                ("told cancelled", cancelled),
-                ("told done", w.rules.done.len() as u64),
+                (
+                    "completions that coincided with user requests",
+                    w.fault_counts.completion_races,
+                ),
+                ("jobs reported as cancelled", cancelled),
+                ("jobs reported as done", w.rules.done.len() as u64),
             ]
         },
     },
     Scenario {
-        name: "the same while transactions get no answer or come late",
+        name: "users cancel, poll and resubmit a job as its last task completes, while transactions get no response or commit late",
         controllers: 3,
         lease_s: None,
         play: |w| {
@@ -98,54 +109,57 @@
                 w.submit(plan);
             }
             w.run_until(100_000);
-            let (done, nothing) = (
+            let (committed, rejected) = (
                 w.fault_counts.late_writes_committed,
                 w.fault_counts.late_writes_rejected,
             );
             vec![
-                ("ends that were met", w.fault_counts.completion_races),
-                ("late transactions", done + nothing),
+                (
+                    "completions that coincided with user requests",
+                    w.fault_counts.completion_races,
+                ),
+                ("late transactions", committed + rejected),
             ]
         },
     },
     Scenario {
-        name: "cancelled at the moment of the refusal, the outage half a second later",
+        name: "jobs are cancelled as the store rejects the leader, and an outage follows after 0.5 s",
         controllers: 5,
         lease_s: None,
         play: |w| cancel_while_leader_refused(w, 500),
     },
     Scenario {
-        name: "cancelled at the moment of the refusal, the outage a second later",
+        name: "jobs are cancelled as the store rejects the leader, and an outage follows after 1 s",
         controllers: 3,
         lease_s: None,
         play: |w| cancel_while_leader_refused(w, 1_000),
     },
     Scenario {
-        name: "cancelled at the moment of the refusal, the outage two seconds later",
+        name: "jobs are cancelled as the store rejects the leader, and an outage follows after 2 s",
         controllers: 5,
         lease_s: None,
         play: |w| cancel_while_leader_refused(w, 2_000),
     },
     Scenario {
-        name: "cancelled at the moment of the refusal, the outage five seconds later",
+        name: "jobs are cancelled as the store rejects the leader, and an outage follows after 5 s",
         controllers: 5,
         lease_s: None,
         play: |w| cancel_while_leader_refused(w, 5_000),
     },
     Scenario {
-        name: "all controllers are away for longer than a lease, and back at once",
+        name: "all controllers are down for longer than a lease, and restart together",
         controllers: 5,
         lease_s: None,
         play: |w| crash_all_controllers(w, 3),
     },
     Scenario {
-        name: "all controllers are away for longer than a lease, and back one after the other",
+        name: "all controllers are down for longer than a lease, and restart one after the other",
         controllers: 5,
         lease_s: None,
         play: |w| crash_all_controllers(w, 4_000),
     },
     Scenario {
-        name: "leaders change ten times in two minutes, also inside an outage",
+        name: "the leader changes up to ten times in two minutes, also during a store outage",
         controllers: 5,
         lease_s: None,
         play: |w| {
@@ -171,21 +185,19 @@
                 changes += u64::from(w.store.get("jt/lead").is_some() && leader(w) != old);
                 starts += u64::from(w.rules.starts > before);
             }
-            assert!(
-                starts >= 8,
-                "something was started under {starts} leaders only"
-            );
+            assert!(starts >= 8, "tasks started in only {starts} of 10 rounds");
             vec![
-                ("changes of leader", changes),
-                ("starts under each", starts),
+                ("leader changes", changes),
+                ("rounds in which tasks started", starts),
             ]
         },
     },
 ];
 
-/// A poll is answered within the documented time in every state of the job.
+/// Guards against a job whose reported terminal state is lost or changes when all controllers restart, and
+/// against polls without a response within the documented time in any state of the job.
 #[test]
-fn a_terminal_state_that_was_reported_does_not_change() {
+fn reported_terminal_states_do_not_change() {
     for seed in 1..=3 {
         let mut world = SCENARIOS[0].world(seed);
         (SCENARIOS[0].play)(&mut world);
@@ -198,12 +210,18 @@
         assert_eq!(
             world.rules.violations.len(),
             0,
-            "{:?}",
+            "seed {seed}: {:?}",
             world.rules.violations
         );
-        assert!(done.is_subset(&world.rules.done), "seed {seed}");
-        let since = world.rules.unheard();
-        assert!(since.is_empty(), "seed {seed}: {since:?}");
+        assert!(
+            done.is_subset(&world.rules.done),
+            "a completed job is no longer reported as done (seed {seed})"
+        );
+        let unanswered = world.rules.unheard();
+        assert!(
+            unanswered.is_empty(),
+            "polls without a response in time (seed {seed}): {unanswered:?}"
+        );
         assert!(world.now > Millis(100_000).0);
     }
 }
--- a/crates/simulator/tests/faults/main.rs
+++ b/crates/simulator/tests/faults/main.rs
@@ -51,22 +51,28 @@
 }
 
 /// A partition of one controller from the store and its peers, but not from its workers.
-fn cut_except_workers(controller: usize, from_s: u64, for_s: u64, hold: bool) -> Cut {
+fn cut_except_workers(controller: usize, from_s: u64, duration_s: u64, hold: bool) -> Cut {
     Cut {
         controller,
         from_store: true,
         from_workers: false,
         from_peers: true,
         since: from_s * 1_000,
-        until: (from_s + for_s) * 1_000,
+        until: (from_s + duration_s) * 1_000,
         hold,
     }
 }
 
-/// Kills a controller `count` times; it is back after `back` milliseconds each time.
-fn restart_repeatedly(world: &mut World, controller: usize, from: u64, count: u64, back: u64) {
+/// Kills a controller `count` times; it restarts after `downtime_ms` milliseconds each time.
+fn restart_repeatedly(
+    world: &mut World,
+    controller: usize,
+    from: u64,
+    count: u64,
+    downtime_ms: u64,
+) {
     for round in 0..count {
-        world.crash(controller, from + round * (back + 250), back);
+        world.crash(controller, from + round * (downtime_ms + 250), downtime_ms);
     }
 }
 
@@ -77,7 +83,7 @@
 
 const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "machines that do not hear, for 50 s and for good",
+        name: "machines receive no commands, some for up to 50 s and some permanently",
         play: |w| {
             for (at, index, until) in [
                 (14_000, 0, 64_000),
@@ -91,7 +97,7 @@
         },
     },
     Scenario {
-        name: "no machine hears for 20 s, then half of them for 40 s",
+        name: "no machine receives commands for 20 s, then half of them receive none for 40 s",
         play: |w| {
             w.run_until(18_000);
             (0..40).for_each(|index| w.drop_commands_to_worker(index, 38_000));
@@ -102,7 +108,7 @@
         },
     },
     Scenario {
-        name: "copies of reports, by half a second to well over a lease",
+        name: "duplicate heartbeats, delayed by half a second to well over a lease",
         play: |w| {
             w.network.heartbeat_copies = Some(HeartbeatCopies {
                 share: 0.5,
@@ -112,7 +118,7 @@
         },
     },
     Scenario {
-        name: "copies of reports whose originals are lost, and controllers that restart",
+        name: "late duplicates of lost heartbeats while controllers restart",
         play: |w| {
             w.network.heartbeat_copies = Some(HeartbeatCopies {
                 share: 0.3,
@@ -127,18 +133,18 @@
         },
     },
     Scenario {
-        name: "a controller keeps its workers and loses all else",
+        name: "a controller reaches only its workers",
         play: |w| w.network.cuts.push(cut_except_workers(1, 16, 50, true)),
     },
     Scenario {
-        name: "the leader and another keep their workers and lose all else",
+        name: "the leader and another controller reach only their workers",
         play: |w| {
             w.network.cuts.push(cut_except_workers(0, 16, 60, true));
             w.network.cuts.push(cut_except_workers(2, 22, 40, false));
         },
     },
     Scenario {
-        name: "each in turn keeps its workers and loses all else",
+        name: "each controller in turn reaches only its workers",
         play: |w| {
             (0..CONTROLLERS).for_each(|n| {
                 w.network
@@ -148,14 +154,14 @@
         },
     },
     Scenario {
-        name: "each restarts five times in two seconds, one after the other",
+        name: "each controller in turn restarts five times within two seconds",
         play: |w| {
             (0..CONTROLLERS)
                 .for_each(|n| restart_repeatedly(w, n, 15_000 + 12_000 * n as u64, 5, 150))
         },
     },
     Scenario {
-        name: "all restart at once, twice, and again in the middle of the election",
+        name: "all controllers restart at once, repeatedly, also during the election",
         play: |w| {
             for at in [18_000, 18_700, 19_300, 50_000] {
                 (0..CONTROLLERS).for_each(|n| w.crash(n, at + 13 * n as u64, 100 + 70 * n as u64));
@@ -163,7 +169,7 @@
         },
     },
     Scenario {
-        name: "restarts at once while answers are lost and transactions come late",
+        name: "controllers restart repeatedly while store responses are lost and transactions commit late",
         play: |w| {
             w.store_faults.lost_response_share = 0.15;
             (0..CONTROLLERS)
@@ -171,7 +177,7 @@
         },
     },
     Scenario {
-        name: "machines that are back at once, with counters begun anew or not",
+        name: "machines restart instantly, with and without a reset of their counters",
         play: |w| {
             for round in 0..12 {
                 w.run_until(14_000 + 4_000 * round);
@@ -180,7 +186,7 @@
         },
     },
     Scenario {
-        name: "jobs that fail everywhere, beside a machine that fails all",
+        name: "jobs fail on every machine, and one machine fails every task",
         play: |w| {
             for index in 0..6 {
                 let kind = ["sweep", "gang", "sweep"][index % 3];
@@ -194,7 +200,7 @@
         },
     },
     Scenario {
-        name: "a bit of all",
+        name: "a mix of faults",
         play: |w| {
             w.network.heartbeat_copies = Some(HeartbeatCopies {
                 share: 0.2,
@@ -225,26 +231,44 @@
     (world.network.slow_links, world.completion_race_share) = (None, 0.0);
     world.network.peer_copies = None;
     world.run_until(END);
-    let broken: Vec<_> = world
+    let broken_jobs: Vec<_> = world
         .jobs
         .iter()
         .filter(|j| j.broken)
         .map(JobPlan::id)
         .collect();
     let mut unfinished = world.unfinished_jobs();
-    unfinished.retain(|id| !broken.contains(id));
+    unfinished.retain(|id| !broken_jobs.contains(id));
     let violations = &world.rules.violations;
-    assert!(violations.is_empty(), "{name}: {violations:?}");
-    assert!(unfinished.is_empty(), "{name}: {unfinished:?}");
+    assert!(
+        violations.is_empty(),
+        "{name}: violated invariants: {violations:?}"
+    );
+    assert!(
+        unfinished.is_empty(),
+        "{name}: unfinished jobs: {unfinished:?}"
+    );
     let drift = world.index_drift();
-    assert!(drift.is_empty(), "{name}: {drift:?}");
+    assert!(
+        drift.is_empty(),
+        "{name}: the capacity index differs from a recount: {drift:?}"
+    );
     let unaccounted = world.unaccounted_jobs();
-    assert!(unaccounted.is_empty(), "{name}: {unaccounted:?}");
-    let mut left = world.rules.left_waiting();
-    left.retain(|(id, _)| !broken.contains(id));
-    assert!(left.is_empty(), "{name}: left waiting: {left:?}");
+    assert!(
+        unaccounted.is_empty(),
+        "{name}: jobs without a known state or reason to wait: {unaccounted:?}"
+    );
+    let mut left_waiting_jobs = world.rules.left_waiting();
+    left_waiting_jobs.retain(|(id, _)| !broken_jobs.contains(id));
+    assert!(
+        left_waiting_jobs.is_empty(),
+        "{name}: runnable jobs left waiting: {left_waiting_jobs:?}"
+    );
     let unheard = world.rules.unheard();
-    assert!(unheard.is_empty(), "{name}: {unheard:?}");
+    assert!(
+        unheard.is_empty(),
+        "{name}: polls without a response in time: {unheard:?}"
+    );
 }
 
 #[test]
@@ -261,21 +285,21 @@
     }
 }
 
-/// One run with random faults.
+/// Plays random faults, and returns the world while some of them may still last.
 fn random_scenario(seed: u64) -> World {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let mut world = world(seed);
-    let span = |rng: &mut SmallRng, range: Range<u64>| rng.random_range(range);
+    let uniform = |rng: &mut SmallRng, range: Range<u64>| rng.random_range(range);
     for index in [2, 3, 9, 0] {
-        world.abort_at(span(&mut rng, 15_000..90_000), index);
+        world.abort_at(uniform(&mut rng, 15_000..90_000), index);
     }
     if rng.random_bool(0.5) {
-        let instead = rng.random_range(0.0..0.6);
-        let most = span(&mut rng, 5_000..70_000);
+        let replaced = rng.random_range(0.0..0.6);
+        let max_delay = uniform(&mut rng, 5_000..70_000);
         world.network.heartbeat_copies = Some(HeartbeatCopies {
             share: rng.random_range(0.05..0.5),
-            delay_ms: 500..most,
-            replace_share: instead,
+            delay_ms: 500..max_delay,
+            replace_share: replaced,
         });
     }
     if rng.random_bool(0.4) {
@@ -283,8 +307,8 @@
     }
     for controller in 0..CONTROLLERS {
         if rng.random_bool(0.3) {
-            let (from, long) = (rng.random_range(12..70), rng.random_range(4..45));
-            let mut cut = cut_except_workers(controller, from, long, rng.random_bool(0.5));
+            let (from, duration) = (rng.random_range(12..70), rng.random_range(4..45));
+            let mut cut = cut_except_workers(controller, from, duration, rng.random_bool(0.5));
             if rng.random_bool(0.4) {
                 cut.from_workers = rng.random_bool(0.5);
                 cut.from_peers = rng.random_bool(0.5);
@@ -293,37 +317,40 @@
             world.network.cuts.push(cut);
         }
         if rng.random_bool(0.5) {
-            let (from, back) = (span(&mut rng, 12_000..90_000), span(&mut rng, 30..4_000));
-            let count = span(&mut rng, 1..5);
-            restart_repeatedly(&mut world, controller, from, count, back);
+            let (from, downtime) = (
+                uniform(&mut rng, 12_000..90_000),
+                uniform(&mut rng, 30..4_000),
+            );
+            let count = uniform(&mut rng, 1..5);
+            restart_repeatedly(&mut world, controller, from, count, downtime);
         }
     }
     if rng.random_bool(0.3) {
-        let from = span(&mut rng, 14_000..90_000);
+        let from = uniform(&mut rng, 14_000..90_000);
         world
             .store_faults
             .outages
-            .push((from, from + span(&mut rng, 2_000..25_000)));
+            .push((from, from + uniform(&mut rng, 2_000..25_000)));
     }
     if rng.random_bool(0.3) {
-        let from = span(&mut rng, 14_000..60_000);
+        let from = uniform(&mut rng, 14_000..60_000);
         world
             .network
             .cloud_outages
-            .push((from, from + span(&mut rng, 5_000..50_000)));
+            .push((from, from + uniform(&mut rng, 5_000..50_000)));
     }
     let mut at = 12_000;
     while at < FAULTS_END - 35_000 {
-        at += span(&mut rng, 500..9_000);
+        at += uniform(&mut rng, 500..9_000);
         world.run_until(at);
-        let index = span(&mut rng, 0..8) as usize;
-        let long = span(&mut rng, 2_000..60_000);
-        let until = (at + long).min(FAULTS_END);
-        match span(&mut rng, 0..9) {
+        let index = uniform(&mut rng, 0..8) as usize;
+        let duration = uniform(&mut rng, 2_000..60_000);
+        let until = (at + duration).min(FAULTS_END);
+        match uniform(&mut rng, 0..9) {
             0 | 1 => world.drop_commands_to_worker(index, until),
             2 | 3 => {
-                let anew = rng.random_bool(0.5);
-                world.reboot_worker(index, anew);
+                let reset_counters = rng.random_bool(0.5);
+                world.reboot_worker(index, reset_counters);
             }
             4 => world.hang_worker(index, until),
             5 => world.kill_worker(index),
@@ -345,7 +372,7 @@
 }
 
 /// Writes the controllers' logs to standard error, to examine one seed.
-fn log_if_asked() {
+fn enable_logging_if_requested() {
     if std::env::var("TROUBLE_LOG").is_ok() {
         let level = tracing_subscriber::filter::LevelFilter::DEBUG;
         let log = tracing_subscriber::fmt()
@@ -357,19 +384,19 @@
 
 #[test]
 fn a_seeded_search_over_mixed_faults_finds_no_violation() {
-    log_if_asked();
+    enable_logging_if_requested();
     for seed in seeds("TROUBLE", 12) {
         let mut world = random_scenario(seed);
         finish(&mut world, &format!("seed {seed}"));
     }
 }
 
-/// A controller that reaches only its workers renews their leases until another controller holds their
-/// shard; then the workers move to the new holder with their tasks. Workers that stayed with the lower
-/// token used to kill their tasks when their lease expired.
+/// Guards against the loss of running tasks when a shard changes holders. A controller that reaches only its
+/// workers renews their leases until another controller holds their shard. Workers that then stayed with the
+/// lower token, instead of moving to the new holder, killed their tasks when their lease expired.
 #[test]
 fn shards_change_holders_without_killing_tasks() {
-    let mut seen = 0;
+    let mut checked_machines = 0;
     for seed in 1..=12 {
         for controller in [0, 1] {
             let mut world = world(seed);
@@ -378,7 +405,7 @@
                 .cuts
                 .push(cut_except_workers(controller, 20, 60, seed % 2 == 0));
             world.run_until(20_000);
-            let at_work: Vec<_> = world
+            let busy_machines: Vec<_> = world
                 .machines
                 .by_id
                 .iter()
@@ -386,17 +413,23 @@
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()))
                 .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
                 .collect();
-            seen += at_work.len();
+            checked_machines += busy_machines.len();
             world.run_until(79_000);
-            for (machine_id, agent_epoch) in at_work {
+            for (machine_id, agent_epoch) in busy_machines {
                 let now = world.machines.by_id[&machine_id].agent_epoch;
                 assert_eq!(
                     now, agent_epoch,
-                    "{machine_id} of {controller} (seed {seed})"
+                    "{machine_id} of controller {controller} changed its agent epoch (seed {seed})"
                 );
             }
-            assert_eq!(world.cloud.deleted_at_work, 0, "{controller} (seed {seed})");
+            assert_eq!(
+                world.cloud.deleted_at_work, 0,
+                "busy machines deleted while controller {controller} is partitioned (seed {seed})"
+            );
         }
     }
-    assert!(seen > 10, "only {seen} machines show it");
+    assert!(
+        checked_machines > 10,
+        "only {checked_machines} busy machines were checked"
+    );
 }
