--- a/crates/simulator/tests/admission.rs
+++ b/crates/simulator/tests/admission.rs
@@ -80,13 +80,13 @@
 }
 
 /// The normal load, which alone uses about half of the write budget.
-const USUAL: [Stream; 3] = [
+const NORMAL_LOAD: [Stream; 3] = [
     stream(("batch", "small", "normal"), "sweep", 4, 0.7),
     stream(("train", "other", "urgent"), "gang", 2, 0.5),
     stream(("top", "small", "critical"), "sweep", 1, 0.5),
 ];
 
-const SWARMS: [(&str, Stream); 4] = [
+const BURSTS: [(&str, Stream); 4] = [
     (
         "the top class",
         stream(("top", "guests", "critical"), "sweep", 1, 12.0),
@@ -100,7 +100,7 @@
         stream(("train", "guests", "urgent"), "gang", 2, 10.0),
     ),
     (
-        "a class that nobody knows",
+        "an unconfigured class",
         stream(("new", "guests", "critical"), "sweep", 1, 12.0),
     ),
 ];
@@ -108,34 +108,37 @@
 type Fault = (&'static str, fn(&mut World));
 
 const FAULTS: [Fault; 8] = [
-    ("nothing fails", |_| {}),
-    ("whoever leads is killed, then another", |w| {
+    ("no faults", |_| {}),
+    ("the leader crashes, then another controller", |w| {
         w.crash(0, 20_000, 400);
         w.crash(1, 31_000, 5_000);
     }),
-    ("all are back within a moment, twice", |w| {
+    ("all controllers restart almost at once, twice", |w| {
         for at in [22_000, 47_000] {
             (0..CONTROLLERS).for_each(|n| w.crash(n, at + 7 * n as u64, 300));
         }
     }),
-    ("the state service is away", |w| {
+    ("the store is unavailable", |w| {
         w.store_faults.outages.push((25_000, 37_000))
     }),
-    ("one after the other is refused by the state service", |w| {
-        for controller in 0..2 {
-            let since = 15_000 + 22_000 * controller as u64;
-            w.network.cuts.push(Cut {
-                controller,
-                from_store: true,
-                from_workers: false,
-                from_peers: false,
-                since,
-                until: since + 18_000,
-                hold: true,
-            });
-        }
-    }),
-    ("peers do not hear each other", |w| {
+    (
+        "two controllers are partitioned from the store, one after the other",
+        |w| {
+            for controller in 0..2 {
+                let since = 15_000 + 22_000 * controller as u64;
+                w.network.cuts.push(Cut {
+                    controller,
+                    from_store: true,
+                    from_workers: false,
+                    from_peers: false,
+                    since,
+                    until: since + 18_000,
+                    hold: true,
+                });
+            }
+        },
+    ),
+    ("all controllers are partitioned from each other", |w| {
         for controller in 0..CONTROLLERS {
             w.network.cuts.push(Cut {
                 controller,
@@ -148,7 +151,7 @@
             });
         }
     }),
-    ("a zone is cut off", |w| {
+    ("a zone is partitioned", |w| {
         w.network.zone_cuts.push(ZoneCut {
             zone: Zone::from("b"),
             since: 20_000,
@@ -156,7 +159,7 @@
             hold: true,
         });
     }),
-    ("answers are lost and transactions come late", |w| {
+    ("responses are lost and transactions arrive late", |w| {
         w.store_faults.lost_response_share = 0.05;
     }),
 ];
@@ -178,53 +181,59 @@
 
 #[test]
 fn no_burst_starves_a_class_or_a_team_under_faults() {
-    for (swarm, stream) in &SWARMS {
-        for (fault, plan) in &FAULTS {
-            let mut streams: Vec<Stream> = USUAL.into();
+    for (burst, stream) in &BURSTS {
+        for (fault, inject) in &FAULTS {
+            let mut streams: Vec<Stream> = NORMAL_LOAD.into();
             streams.push(Stream { ..*stream });
             let mut world = World::new(config(), 7, jobs(&streams));
-            plan(&mut world);
+            inject(&mut world);
             world.run_until(END_S * 1_000);
-            let name = format!("a swarm of {swarm}, {fault}");
-            let broken = &world.rules.violations;
-            assert!(broken.is_empty(), "{name}: {broken:?}");
-            for (who, (came, done)) in served(&world) {
+            let name = format!("a burst of {burst}, {fault}");
+            let violations = &world.rules.violations;
+            assert!(violations.is_empty(), "{name}: {violations:?}");
+            for (group, (submitted, done)) in served(&world) {
                 // The burst itself exceeds the capacity.
-                let swarms = who == format!("lot {}", stream.class) || who == "crew guests";
-                let least = match *fault {
-                    _ if swarms => 0.5,
-                    "nothing fails" => 0.95,
+                let in_burst = group == format!("lot {}", stream.class) || group == "crew guests";
+                let min_share = match *fault {
+                    _ if in_burst => 0.5,
+                    "no faults" => 0.95,
                     _ => 0.75,
                 };
-                let share = f64::from(done) / f64::from(came);
-                assert!(share >= least, "{name}: {who} had {done} of {came}");
+                let share = f64::from(done) / f64::from(submitted);
+                assert!(
+                    share >= min_share,
+                    "{name}: {done} of {submitted} jobs of {group} finished"
+                );
             }
-            let refused =
+            let throttled_ratio =
                 world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
             // Submissions that a partition delayed arrive all at once.
-            let most = if *fault == "nothing fails" {
-                0.005
-            } else {
-                0.02
-            };
-            assert!(refused < most, "{name}: {refused} refused");
+            let max_throttled_ratio = if *fault == "no faults" { 0.005 } else { 0.02 };
+            assert!(
+                throttled_ratio < max_throttled_ratio,
+                "{name}: {throttled_ratio} throttled transactions per write"
+            );
         }
     }
 }
 
-/// The store silently accepts half of its configured rate: rejected writes must not be retried without
-/// backoff.
+/// The store accepts only half of its configured rate without announcing it: rejected writes must not be
+/// retried without backoff.
 #[test]
-fn a_halved_rate_limit_is_detected() {
+fn a_halved_store_rate_limit_is_detected() {
     let mut settings = config();
     settings.state.write_rps = 40.0;
-    let mut world = World::new(settings, 7, jobs(&USUAL));
+    let mut world = World::new(settings, 7, jobs(&NORMAL_LOAD));
     world.store.halve_limit();
     world.run_until(END_S * 1_000);
-    let broken = &world.rules.violations;
-    assert!(broken.is_empty(), "{broken:?}");
-    let refused = world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
-    assert!(refused < 0.1, "{refused} refused");
+    let violations = &world.rules.violations;
+    assert!(violations.is_empty(), "{violations:?}");
+    let throttled_ratio =
+        world.fault_counts.throttled_transactions as f64 / world.store.written as f64;
+    assert!(
+        throttled_ratio < 0.1,
+        "{throttled_ratio} throttled transactions per write"
+    );
     let left = world.unfinished_jobs().len();
-    assert!(left == 0, "{left} of {}", world.jobs.len());
+    assert!(left == 0, "{left} of {} jobs unfinished", world.jobs.len());
 }
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -9,7 +9,7 @@
 /// Fewer machines than this are no evidence about the health of their zone.
 const MIN_ZONE_MACHINES: usize = 5;
 
-/// The guard that is disabled, to show that the simulator's checks can fail.
+/// The safeguards that are disabled, to show that the simulator's checks can fail.
 #[derive(Clone, Copy, Default)]
 struct DisabledSafeguards {
     /// The store ignores the conditions of transactions.
@@ -44,8 +44,7 @@
 
 struct Scenario {
     name: &'static str,
-    /// Injects the faults of the scenario.
-    plan: fn(&mut World),
+    inject_faults: fn(&mut World),
 }
 
 fn cut(
@@ -79,54 +78,56 @@
 
 const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "quiet",
-        plan: |_| {},
+        name: "no faults",
+        inject_faults: |_| {},
     },
     Scenario {
-        name: "one controller after the other crashes",
-        plan: |w| (0..CONTROLLERS).for_each(|n| w.crash(n, 15_000 + 9_000 * n as u64, 3_000)),
+        name: "one controller after another crashes",
+        inject_faults: |w| {
+            (0..CONTROLLERS).for_each(|n| w.crash(n, 15_000 + 9_000 * n as u64, 3_000))
+        },
     },
     Scenario {
-        name: "all controllers crash in a state outage",
-        plan: |w| {
+        name: "all controllers crash during a store outage",
+        inject_faults: |w| {
             w.store_faults.outages.push((18_000, 40_000));
             (0..CONTROLLERS).for_each(|n| w.crash(n, 25_000, 4_000));
         },
     },
     Scenario {
-        name: "answers of the state service are lost, transactions come late",
-        plan: |w| w.store_faults.lost_response_share = 0.15,
+        name: "store responses are lost, transactions arrive late",
+        inject_faults: |w| w.store_faults.lost_response_share = 0.15,
     },
     Scenario {
-        name: "a holder is cut from the state service only",
-        plan: |w| {
+        name: "a holder is partitioned from the store only",
+        inject_faults: |w| {
             w.network
                 .cuts
                 .push(cut(0, true, false, false, 14, 40, true))
         },
     },
     Scenario {
-        name: "a holder is cut from state service and peers, and holds its commands back",
-        plan: |w| w.network.cuts.push(cut(1, true, false, true, 14, 45, true)),
+        name: "a holder is partitioned from store and peers, its messages arrive late",
+        inject_faults: |w| w.network.cuts.push(cut(1, true, false, true, 14, 45, true)),
     },
     Scenario {
-        name: "a holder is cut from workers, its commands come late",
-        plan: |w| {
+        name: "a holder is partitioned from workers, its commands arrive late",
+        inject_faults: |w| {
             w.network
                 .cuts
                 .push(cut(2, false, true, false, 14, 40, true))
         },
     },
     Scenario {
-        name: "a holder loses all, then another crashes",
-        plan: |w| {
+        name: "a holder is fully partitioned, then another crashes",
+        inject_faults: |w| {
             w.network.cuts.push(cut(0, true, true, true, 12, 30, true));
             w.crash(1, 20_000, 5_000);
         },
     },
     Scenario {
-        name: "the cloud is down while a machine is sick and another dies",
-        plan: |w| {
+        name: "a cloud outage while one machine is faulty and another fails",
+        inject_faults: |w| {
             w.run_until(15_000);
             w.network.cloud_outages.push((15_000, 45_000));
             w.break_worker(0);
@@ -134,8 +135,8 @@
         },
     },
     Scenario {
-        name: "one controller after the other, leader or not, loses all for a while",
-        plan: |w| {
+        name: "one controller after another, leader or not, is fully partitioned",
+        inject_faults: |w| {
             for controller in 0..CONTROLLERS {
                 w.network.cuts.push(cut(
                     controller,
@@ -150,47 +151,47 @@
         },
     },
     Scenario {
-        name: "machines lose the network while the cloud is down",
-        plan: |w| {
+        name: "machines are partitioned during a cloud outage",
+        inject_faults: |w| {
             w.network.cloud_outages.push((16_000, 50_000));
             w.cut_workers(&[0, 1, 2], 16_000, 50_000);
         },
     },
     Scenario {
-        name: "fetches take longer than a gang's tasks wait for each other",
-        plan: |w| w.machines.fetch_duration = Some(2_000..25_000),
+        name: "image fetches take longer than the gang timeout",
+        inject_faults: |w| w.machines.fetch_duration = Some(2_000..25_000),
     },
     Scenario {
-        name: "slow fetches, lost answers, all controllers crash one after the other",
-        plan: |w| {
+        name: "slow image fetches, lost responses, all controllers crash one after another",
+        inject_faults: |w| {
             w.machines.fetch_duration = Some(2_000..25_000);
             w.store_faults.lost_response_share = 0.05;
             (0..CONTROLLERS).for_each(|n| w.crash(n, 20_000 + 11_000 * n as u64, 5_000));
         },
     },
     Scenario {
-        name: "a zone is cut off for 20 s",
-        plan: |w| w.network.zone_cuts.push(zone_cut("b", 18, 20, true)),
+        name: "a zone is partitioned for 20 s",
+        inject_faults: |w| w.network.zone_cuts.push(zone_cut("b", 18, 20, true)),
     },
     Scenario {
-        name: "a zone is cut off for 50 s, its controllers crash meanwhile",
-        plan: |w| {
+        name: "a zone is partitioned for 50 s, its controllers crash meanwhile",
+        inject_faults: |w| {
             w.network.zone_cuts.push(zone_cut("b", 20, 50, true));
             w.crash(1, 31_000, 3_000);
             w.crash(3, 31_500, 5_000);
         },
     },
     Scenario {
-        name: "a zone is cut off for 120 s, its controllers crash early and late",
-        plan: |w| {
+        name: "a zone is partitioned for 120 s, its controllers crash early and late",
+        inject_faults: |w| {
             w.network.zone_cuts.push(zone_cut("b", 21, 120, false));
             w.crash(1, 23_000, 3_000);
             w.crash(3, 60_000, 8_000);
         },
     },
     Scenario {
-        name: "a zone is cut off time and again, with lost answers",
-        plan: |w| {
+        name: "a zone is partitioned repeatedly, with lost responses",
+        inject_faults: |w| {
             w.store_faults.lost_response_share = 0.05;
             for round in 0..6 {
                 w.network
@@ -200,8 +201,8 @@
         },
     },
     Scenario {
-        name: "a zone loses its power, its controllers with it",
-        plan: |w| {
+        name: "a zone and its controllers lose power",
+        inject_faults: |w| {
             w.crash(1, 20_000, 70_000);
             w.crash(3, 20_000, 70_000);
             w.run_until(20_000);
@@ -209,23 +210,23 @@
         },
     },
     Scenario {
-        name: "half a zone is cut off, then the other half",
-        plan: |w| {
+        name: "half a zone is partitioned, then the other half",
+        inject_faults: |w| {
             w.cut_workers(&[0, 2, 4, 6], 18_000, 58_000);
             w.cut_workers(&[1, 3, 5, 7], 45_000, 80_000);
         },
     },
     Scenario {
-        name: "a silent zone is given up while its cut ends",
-        plan: |w| {
+        name: "a silent zone is given up while its partition ends",
+        inject_faults: |w| {
             w.change_operator_settings(|operator| operator.partitioned_zone_hold = Millis(1_000));
             w.network.zone_cuts.push(zone_cut("b", 18, 34, true));
             w.network.zone_cuts.push(zone_cut("a", 70, 33, true));
         },
     },
     Scenario {
-        name: "one zone is cut off after the other, in an outage too",
-        plan: |w| {
+        name: "zones are partitioned one after another, also during a store outage",
+        inject_faults: |w| {
             w.network.zone_cuts.push(zone_cut("a", 18, 35, true));
             w.network.zone_cuts.push(zone_cut("b", 50, 40, true));
             w.store_faults.outages.push((60_000, 75_000));
@@ -234,8 +235,8 @@
         },
     },
     Scenario {
-        name: "lost answers, a crash and a cut at once",
-        plan: |w| {
+        name: "lost responses, a crash and a partition at once",
+        inject_faults: |w| {
             w.store_faults.lost_response_share = 0.08;
             w.crash(2, 16_000, 6_000);
             w.network.cuts.push(cut(0, false, true, true, 18, 25, true));
@@ -243,14 +244,14 @@
     },
 ];
 
-fn play(seed: u64, scenario: &Scenario, broken: DisabledSafeguards) -> World {
+fn run_scenario(seed: u64, scenario: &Scenario, disabled: DisabledSafeguards) -> World {
     let mut world = world(seed);
-    world.store.ignore_conditions = broken.conditions;
-    world.machines.ignore_lease_expiry = broken.leases;
+    world.store.ignore_conditions = disabled.conditions;
+    world.machines.ignore_lease_expiry = disabled.leases;
     for (index, at) in [(2, 22_000), (3, 17_000), (9, 33_000), (0, 26_000)] {
         world.abort_at(at + (seed % 7) * 500, index);
     }
-    (scenario.plan)(&mut world);
+    (scenario.inject_faults)(&mut world);
     // The last fault of every scenario is over by then.
     world.rules.calm = Millis(200_000);
     world.run_until(300_000);
@@ -261,7 +262,7 @@
 fn invariants_hold_and_all_jobs_finish_under_faults() {
     for scenario in SCENARIOS {
         for seed in 1..=3 {
-            let world = play(seed, scenario, DisabledSafeguards::default());
+            let world = run_scenario(seed, scenario, DisabledSafeguards::default());
             let name = format!("{} (seed {seed})", scenario.name);
             assert!(
                 world.rules.violations.is_empty(),
@@ -289,15 +290,15 @@
     }
 }
 
-/// A partitioned leader takes its machines for dead; its deletions must not reach the cloud.
+/// A partitioned leader considers its machines failed; its deletions must not reach the cloud.
 #[test]
 fn busy_machines_are_not_deleted_by_a_partitioned_controller() {
-    let scenarios = SCENARIOS
-        .iter()
-        .filter(|scenario| scenario.name.starts_with("one controller") || scenario.name == "quiet");
+    let scenarios = SCENARIOS.iter().filter(|scenario| {
+        scenario.name.starts_with("one controller") || scenario.name == "no faults"
+    });
     for scenario in scenarios {
         for seed in 1..=6 {
-            let world = play(seed, scenario, DisabledSafeguards::default());
+            let world = run_scenario(seed, scenario, DisabledSafeguards::default());
             assert_eq!(
                 world.cloud.deleted_at_work, 0,
                 "{} (seed {seed})",
@@ -307,12 +308,12 @@
     }
 }
 
-/// Workers used to kill all their tasks when their zone was partitioned for longer than a lease, even with a
-/// controller inside the partition, or when that controller crashed during it.
+/// Guards against workers that kill all their tasks when their zone is partitioned for longer than a lease,
+/// even with a controller inside the partition, or when that controller crashes during it.
 #[test]
 fn a_partitioned_zone_keeps_running_its_tasks() {
     let cases: &[(&str, &[(usize, u64)])] = &[
-        ("its controllers stay", &[]),
+        ("no controller crashes", &[]),
         ("one crashes", &[(1, 32_000)]),
         ("both crash", &[(1, 32_000), (3, 32_000)]),
         (
@@ -321,7 +322,7 @@
         ),
     ];
     for (name, crashes) in cases {
-        let mut seen = 0;
+        let mut runs_with_tasks = 0;
         for seed in 1..=41 {
             let mut config = Config {
                 controllers: CONTROLLERS,
@@ -339,18 +340,18 @@
             let machines = world.machines.by_id.iter();
             let up = machines.filter(|(_, m)| m.stopped_at.is_none() && m.zone.as_str() == "b");
             let inside: Vec<_> = up.collect();
-            // Partition of a zone with very few machines cannot be detected.
+            // The partition of a zone with very few machines cannot be detected.
             if inside.len() < MIN_ZONE_MACHINES {
                 continue;
             }
             // A machine whose tasks have all ended may be known to be idle and deleted.
-            let at_work = inside
+            let busy = inside
                 .into_iter()
                 .filter(|(_, m)| m.tasks.values().any(|task| task.on_machine()));
-            let inside: Vec<_> = at_work
+            let inside: Vec<_> = busy
                 .map(|(machine_id, m)| (machine_id.clone(), m.agent_epoch))
                 .collect();
-            seen += usize::from(!inside.is_empty());
+            runs_with_tasks += usize::from(!inside.is_empty());
             world.run_until(79_000);
             for (machine_id, agent_epoch) in inside {
                 let machine = &world.machines.by_id[&machine_id];
@@ -362,11 +363,15 @@
                 );
             }
         }
-        assert!(seen >= 5, "{name}: only {seen} days show it");
+        assert!(
+            runs_with_tasks >= 5,
+            "{name}: only {runs_with_tasks} runs had busy machines in the zone"
+        );
     }
 }
 
-/// From the 35th second of a partition on, nearly all machines of a zone used to be deleted, most of them busy.
+/// Guards against the deletion of nearly all machines of a zone, most of them busy, from the 35th second of
+/// its partition on.
 #[test]
 fn a_zone_partitioned_for_a_minute_keeps_its_machines() {
     for seed in 1..=4 {
@@ -383,10 +388,10 @@
     }
 }
 
-/// The simulator's checks can fail: with a guard disabled some run breaks an invariant.
+/// The simulator's checks can fail: with a safeguard disabled, some run violates an invariant.
 #[test]
-fn disabling_a_guard_breaks_an_invariant() {
-    let guards = [
+fn disabling_a_safeguard_violates_an_invariant() {
+    let safeguards = [
         (
             "conditions",
             DisabledSafeguards {
@@ -402,24 +407,29 @@
             },
         ),
     ];
-    for (name, broken) in guards {
+    for (name, disabled) in safeguards {
         let found = SCENARIOS
             .iter()
             .flat_map(|scenario| (1..=8).map(move |seed| (scenario, seed)))
-            .any(|(scenario, seed)| !play(seed, scenario, broken).rules.violations.is_empty());
-        assert!(found, "nothing broke without {name}");
+            .any(|(scenario, seed)| {
+                !run_scenario(seed, scenario, disabled)
+                    .rules
+                    .violations
+                    .is_empty()
+            });
+        assert!(found, "no violation found without {name}");
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let shown = |_| {
-        let world = play(5, &SCENARIOS[3], DisabledSafeguards::default());
+    let outcome = |_| {
+        let world = run_scenario(5, &SCENARIOS[3], DisabledSafeguards::default());
         let mut done: Vec<_> = world.rules.done.iter().cloned().collect();
         done.sort();
         (world.rules.starts, done)
     };
-    assert_eq!(shown(0), shown(1));
+    assert_eq!(outcome(0), outcome(1));
 }
 
 /// Controllers that start during a cloud outage read the machine types from the store.
--- a/crates/simulator/tests/quotas.rs
+++ b/crates/simulator/tests/quotas.rs
@@ -57,9 +57,17 @@
     });
 }
 
-fn job_at(id: usize, team: &str, kind: &str, tasks: u32, gpus: f64, run: u64, at: u64) -> JobPlan {
-    let mut plan = job(id, team, kind, tasks, gpus, run * 1_000);
-    plan.at = Some(at * 1_000);
+fn job_at(
+    id: usize,
+    team: &str,
+    kind: &str,
+    tasks: u32,
+    gpus: f64,
+    run_s: u64,
+    at_s: u64,
+) -> JobPlan {
+    let mut plan = job(id, team, kind, tasks, gpus, run_s * 1_000);
+    plan.at = Some(at_s * 1_000);
     plan
 }
 
@@ -74,83 +82,94 @@
 fn gpus_used(world: &World, name: &str) -> f64 {
     let now = Millis(world.now);
     let spec = |id: &JobId| &world.machines.jobs[id].spec;
-    let amounts = world
+    let specs = world
         .machines
         .tasks_started(now)
         .map(|(_, task)| spec(&task.job));
-    let its = amounts.filter(|spec| spec.team == Team::from(name));
-    its.fold(Resources::default(), |sum, s| sum.plus(s.resources))
+    let of_team = specs.filter(|spec| spec.team == Team::from(name));
+    of_team
+        .fold(Resources::default(), |sum, s| sum.plus(s.resources))
         .gpus
 }
 
 fn check_invariants(world: &World, name: &str) {
-    let broken = &world.rules.violations;
-    assert!(broken.is_empty(), "{name}: {broken:?}");
+    let violations = &world.rules.violations;
+    assert!(violations.is_empty(), "{name}: {violations:?}");
 }
 
 type Fault = (&'static str, fn(&mut World));
 
 const FAULTS: &[Fault] = &[
-    ("quiet", |_| {}),
-    ("a holder is killed while it stops work", |w| {
+    ("no faults", |_| {}),
+    ("a holder crashes while it preempts tasks", |w| {
         w.crash(0, 62_300, 6_000)
     }),
-    ("every controller is killed, one after the other", |w| {
+    ("every controller crashes, one after another", |w| {
         (0..3).for_each(|n| w.crash(n, 61_000 + 5_000 * n as u64, 4_000));
     }),
-    ("an outage of the state service during reclaim", |w| {
+    ("a store outage during reclaim", |w| {
         w.store_faults.outages.push((61_500, 70_000));
     }),
-    ("answers of the state service are lost", |w| {
+    ("store responses are lost", |w| {
         w.store_faults.lost_response_share = 0.1
     }),
-    ("a holder is cut off, and its commands come late", |w| {
-        w.network.cuts.push(Cut {
-            controller: 1,
-            from_store: true,
-            from_workers: true,
-            from_peers: true,
-            since: 61_000,
-            until: 76_000,
-            hold: true,
-        });
-    }),
+    (
+        "a holder is partitioned, and its commands arrive late",
+        |w| {
+            w.network.cuts.push(Cut {
+                controller: 1,
+                from_store: true,
+                from_workers: true,
+                from_peers: true,
+                since: 61_000,
+                until: 76_000,
+                hold: true,
+            });
+        },
+    ),
 ];
 
 /// Each team is within one task of its entitlement 40 s after demand changed: 30 s plus the faults.
-fn check_shares(world: &World, due: &[(&str, f64)], task: f64, name: &str) {
-    let shares: Vec<_> = due.iter().map(|(team, _)| gpus_used(world, team)).collect();
-    for (share, (_, due)) in shares.iter().zip(due) {
-        assert!((share - due).abs() <= task, "{name}: {shares:?}");
+fn check_shares(world: &World, entitled: &[(&str, f64)], task_gpus: f64, name: &str) {
+    let shares: Vec<_> = entitled
+        .iter()
+        .map(|(team, _)| gpus_used(world, team))
+        .collect();
+    for (share, (_, expected)) in shares.iter().zip(entitled) {
+        assert!((share - expected).abs() <= task_gpus, "{name}: {shares:?}");
     }
 }
 
 #[test]
 fn borrowed_share_is_reclaimed_under_faults() {
-    // Tasks that save at once, tasks that need time to save, and tasks that cannot be saved.
-    for (kind, mark, stash) in [
-        ("marks", 2.0, 1.0),
-        ("saves", 20.0, 6.0),
-        ("loses", 0.0, 0.0),
+    // Tasks that save a checkpoint quickly, tasks that need time for it, and tasks without checkpoints.
+    for (checkpoints, checkpoint_s, save_s) in [
+        ("frequent checkpoints", 2.0, 1.0),
+        ("slow checkpoints", 20.0, 6.0),
+        ("no checkpoints", 0.0, 0.0),
     ] {
         for (name, fault) in FAULTS {
             // e1 borrows all capacity; then the other teams submit jobs.
             let jobs = vec![
-                with_checkpoint(job_at(1, "e1", "sweep", 80, 1.0, 300, 1), mark, stash),
+                with_checkpoint(
+                    job_at(1, "e1", "sweep", 80, 1.0, 300, 1),
+                    checkpoint_s,
+                    save_s,
+                ),
                 job_at(2, "w1", "sweep", 60, 1.0, 300, 60),
                 job_at(3, "e2", "sweep", 40, 1.0, 300, 60),
             ];
             let mut world = world(1, jobs, Some(&tree(1, 40)));
             fault(&mut world);
             world.run_until(58_000);
-            let lent = gpus_used(&world, "e1");
-            assert!(lent >= 36.0, "{name}: only {lent} lent");
+            let borrowed = gpus_used(&world, "e1");
+            assert!(borrowed >= 36.0, "{name}: only {borrowed} GPUs borrowed");
             world.run_until(102_000);
-            let name = format!("{name}, {kind}");
+            let name = format!("{name}, {checkpoints}");
             check_invariants(&world, &name);
             // 20 for west; in east 8 and 4 are guaranteed, and the rest is divided evenly.
-            let due = [("e1", 10.0), ("e2", 10.0), ("w1", 20.0)];
-            check_shares(&world, &due, 1.0, &name);
+            let entitled = [("e1", 10.0), ("e2", 10.0), ("w1", 20.0)];
+            check_shares(&world, &entitled, 1.0, &name);
         }
     }
 }
@@ -165,18 +184,18 @@
     ];
     let mut world = world(7, jobs, Some(&tree(1, 40)));
     world.run_until(61_000);
-    let other = tree(2, 40)
+    let new_tree = tree(2, 40)
         .replace(
             "parent = coop\ngpus = 20\ngpus_max",
             "parent = coop\ngpus = 30\ngpus_max",
         )
         .replace("parent = coop\ngpus = 20\n", "parent = coop\ngpus = 10\n");
-    load_tree(&mut world, 1, Some(&other));
+    load_tree(&mut world, 1, Some(&new_tree));
     world.crash(1, 61_500, 300);
     world.run_until(102_000);
     check_invariants(&world, "changed during reclaim");
-    let due = [("e1", 15.0), ("e2", 15.0), ("w1", 10.0)];
-    check_shares(&world, &due, 1.0, "changed during reclaim");
+    let entitled = [("e1", 15.0), ("e2", 15.0), ("w1", 10.0)];
+    check_shares(&world, &entitled, 1.0, "changed during reclaim");
 }
 
 /// The limit of each level is allocated to shards like the teams' limits: no controller, late transaction
@@ -224,7 +243,7 @@
         ];
         let mut world = world(2, jobs, Some(&tree(1, 40)));
         fault(&mut world);
-        let low = tree(2, 8)
+        let lowered = tree(2, 8)
             .replace("gpus = 20\ngpus_max", "gpus = 8\ngpus_max")
             .replace("gpus = 8\n[node e2", "gpus = 4\n[node e2");
         world.store_faults.lost_response_share = world.store_faults.lost_response_share.max(0.05);
@@ -233,13 +252,13 @@
             gpus_used(&world, "e1") + gpus_used(&world, "e2") > 16.0,
             "{name}"
         );
-        load_tree(&mut world, 1, Some(&low));
+        load_tree(&mut world, 1, Some(&lowered));
         load_tree(&mut world, 2, None);
         world.crash(1, 59_000, 500);
         world.run_until(100_000);
         limit_teams(&mut world, &["e1", "e2"], 8.0);
         let east = gpus_used(&world, "e1") + gpus_used(&world, "e2");
-        assert!(east <= 8.0, "{name}: east still has {east}");
+        assert!(east <= 8.0, "{name}: east still uses {east} GPUs");
         world.run_until(300_000);
         check_invariants(&world, name);
         // Jobs within the limit finish; the others stay queued and finish once the limit is lifted.
@@ -297,26 +316,26 @@
         job_at(2, "e1", "sweep", 3, 4.0, 15, 40),
     ];
     let mut world = world(3, jobs, Some(text));
-    let (mut sum, mut most): (f64, f64) = (0.0, 0.0);
+    let (mut sum, mut max_used): (f64, f64) = (0.0, 0.0);
     for second in 41..150 {
         world.run_until(second * 1_000);
-        most = most.max(gpus_used(&world, "e1"));
+        max_used = max_used.max(gpus_used(&world, "e1"));
         sum += gpus_used(&world, "w1") + gpus_used(&world, "e1");
     }
     check_invariants(&world, "larger than the share");
     assert!(
         world.rules.done.contains(&"job-000002".into()),
-        "it starves"
+        "the tasks larger than the share did not run"
     );
-    assert!(most <= 8.0, "{most} at once");
+    assert!(max_used <= 8.0, "{max_used} GPUs at once");
     let mean = sum / 109.0;
-    assert!(mean >= 32.0, "only {mean} of 40 are used");
+    assert!(mean >= 32.0, "only {mean} of 40 GPUs are used");
 }
 
 /// A team within its share gets a whole gang placed; multi-task gangs on borrowed share keep running, and
 /// single-task gangs are preempted.
 #[test]
-fn gangs_reclaim_whole_and_are_not_preempted_in_part() {
+fn gangs_reclaim_share_as_a_whole_and_are_not_preempted_in_part() {
     let jobs = vec![
         job_at(1, "e1", "gang", 4, 4.0, 40, 1),
         // These arrive once the gang runs; the team's limit has no room for all of them.
@@ -333,7 +352,7 @@
     check_invariants(&world, "gangs");
     let gang = JobId::from("job-000001");
     let whole = world.rules.done.contains(&gang) || gpus_used(&world, "e1") >= 16.0;
-    assert!(whole, "the running gang was torn apart");
+    assert!(whole, "the running gang was preempted in part");
     world.run_until(110_000);
     for id in ["job-000001", "job-000006"] {
         assert!(world.rules.done.contains(&id.into()), "{id}");
@@ -360,8 +379,8 @@
         sum += gpus_used(&world, "w1");
         assert_eq!(gpus_used(&world, "out"), 2.0, "at {second}");
     }
-    check_invariants(&world, "submits again");
+    check_invariants(&world, "immediate resubmission");
     // The root has 40, two of which the team outside the tree uses.
     let mean = sum / 40.0;
-    assert!((17.0..=21.0).contains(&mean), "w1 had {mean} of 20");
+    assert!((17.0..=21.0).contains(&mean), "w1 used {mean} of 20 GPUs");
 }
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -1,5 +1,6 @@
-//! The real HTTP server under many connections that send no request, one byte a second, or a single
-//! request: workers' heartbeats and readiness probes are still answered.
+//! The HTTP server on real sockets, with more clients than connection slots that send no request, one byte
+//! a second, or a single request. Guards against such connections using up all slots: workers' heartbeats
+//! and readiness probes are still answered.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +21,7 @@
 const ROUNDS: usize = 20;
 
 /// Answers every request, in place of a controller.
-async fn answer(mut requests: mpsc::Receiver<Request>) {
+async fn answer_requests(mut requests: mpsc::Receiver<Request>) {
     while let Some(request) = requests.recv().await {
         // The client may have closed its connection.
         let _ = match request {
@@ -68,12 +69,12 @@
 }
 
 #[tokio::test]
-async fn heartbeats_and_probes_are_answered_despite_a_crowd_of_idle_connections() {
+async fn heartbeats_and_probes_are_answered_despite_many_idle_connections() {
     let reserved = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = reserved.local_addr().unwrap();
     drop(reserved);
     let (inbox, requests) = mpsc::channel(64);
-    tokio::spawn(answer(requests));
+    tokio::spawn(answer_requests(requests));
     let idle_timeouts = IdleTimeouts {
         new: Millis(500),
         user: Millis(1_000),
@@ -103,18 +104,20 @@
             (http::Method::POST, "/v1/report", heartbeat.to_vec()),
             (http::Method::GET, "/ready", Vec::new()),
         ] {
-            let asked = Instant::now();
+            let started = Instant::now();
             for _ in 0..200 {
-                let limit = Duration::from_secs(4);
-                let got = client.call(method.clone(), path, body.clone(), limit).await;
-                if got.is_ok_and(|(status, _)| status == 200) {
+                let timeout = Duration::from_secs(4);
+                let response = client
+                    .call(method.clone(), path, body.clone(), timeout)
+                    .await;
+                if response.is_ok_and(|(status, _)| status == 200) {
                     answered += 1;
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            slowest = slowest.max(asked.elapsed());
+            slowest = slowest.max(started.elapsed());
         }
     }
-    assert_eq!(answered, 2 * ROUNDS, "slowest {slowest:?}");
+    assert_eq!(answered, 2 * ROUNDS, "slowest request took {slowest:?}");
 }
--- a/tests/models/late_writes.rs
+++ b/tests/models/late_writes.rs
@@ -74,14 +74,14 @@
 struct State {
     store: Records,
     /// The caches of the two holders. The first holder is never notified of its replacement.
-    views: [Records; 2],
+    caches: [Records; 2],
     /// The attempt that each holder wants to stop.
     stops: [Option<u8>; 2],
     late: [Option<Transaction>; 2],
     confirmed: bool,
     // The machine: the highest token seen, the last attempt known, and whether that attempt runs.
-    seen: u8,
-    known: u8,
+    highest_token: u8,
+    last_attempt: u8,
     runs: bool,
     /// A start delayed by the network: token and attempt.
     held_start: Option<(u8, u8)>,
@@ -98,12 +98,12 @@
         };
         Self {
             store: records,
-            views: [records; 2],
+            caches: [records; 2],
             stops: [None; 2],
             late: [None; 2],
             confirmed: false,
-            seen: 1,
-            known: 0,
+            highest_token: 1,
+            last_attempt: 0,
             runs: false,
             held_start: None,
             runs_elsewhere: false,
@@ -116,17 +116,17 @@
     }
 
     fn apply(&mut self, txn: Transaction, conditions: Conditions) {
-        let (now, then) = (self.store, txn.expected);
-        let job = now.phase == then.phase;
-        let page = now.page == then.page || !conditions.page;
-        let token = now.token == then.token || !conditions.token;
+        let (current, expected) = (self.store, txn.expected);
+        let job = current.phase == expected.phase;
+        let page = current.page == expected.page || !conditions.page;
+        let token = current.token == expected.token || !conditions.token;
         match txn.write {
             Write::Task(task) if job && page && token => {
                 self.store.task = task;
                 self.store.page += 1;
             }
             // The end of a job is conditional on the job alone: no placement can follow `aborting`.
-            Write::Phase(phase) if now.phase == then.phase => {
+            Write::Phase(phase) if current.phase == expected.phase => {
                 self.store.phase = phase;
                 self.confirmed |= phase == Phase::Aborted;
             }
@@ -135,10 +135,10 @@
     }
 
     fn start_here(&mut self, token: u8, attempt: u8) {
-        if token >= self.seen {
-            self.seen = token;
-            if attempt > self.known {
-                (self.known, self.runs) = (attempt, true);
+        if token >= self.highest_token {
+            self.highest_token = token;
+            if attempt > self.last_attempt {
+                (self.last_attempt, self.runs) = (attempt, true);
             }
         }
     }
@@ -148,60 +148,62 @@
         let mut next = Vec::new();
         let mut txns: Vec<Transaction> = Vec::new();
         for holder in [0, 1] {
-            let (view, token) = (self.views[holder], holder as u8 + 1);
-            let mut then = |change: &dyn Fn(&mut State)| {
+            let (cache, token) = (self.caches[holder], holder as u8 + 1);
+            let mut transition = |change: &dyn Fn(&mut State)| {
                 let mut state = self;
                 change(&mut state);
                 next.push(state);
             };
             // The watch updates the holder's cache.
-            then(&|s| s.views[holder] = s.store);
+            transition(&|s| s.caches[holder] = s.store);
             // The holder announces its token to the machine.
             if self.store.token >= token {
-                then(&|s| s.seen = s.seen.max(token));
+                transition(&|s| s.highest_token = s.highest_token.max(token));
             }
             let mut write = |write| {
-                let expected = view;
+                let expected = cache;
                 txns.push(Transaction { expected, write });
             };
-            if view.phase == Phase::Active {
+            if cache.phase == Phase::Active {
                 write(Write::Phase(Phase::Aborting));
             }
-            let gone =
-                matches!(view.task, Task::Waiting { .. }) || !conditions.confirm_after_task_left;
-            if view.phase == Phase::Aborting && gone {
+            let task_left =
+                matches!(cache.task, Task::Waiting { .. }) || !conditions.confirm_after_task_left;
+            if cache.phase == Phase::Aborting && task_left {
                 write(Write::Phase(Phase::Aborted));
             }
-            if view.token != token {
+            if cache.token != token {
                 continue;
             }
-            match view.task {
-                Task::Waiting { tried } if view.phase == Phase::Active && tried < MAX_ATTEMPTS => {
+            match cache.task {
+                Task::Waiting { tried } if cache.phase == Phase::Active && tried < MAX_ATTEMPTS => {
                     let attempt = tried + 1;
                     write(Write::Task(Task::Here { attempt }));
                     write(Write::Task(Task::Elsewhere { attempt }));
                 }
                 Task::Here { attempt } => {
-                    let wanted = view.phase == Phase::Active && self.stops[holder] != Some(attempt);
+                    let wanted =
+                        cache.phase == Phase::Active && self.stops[holder] != Some(attempt);
                     // The task is preempted.
-                    then(&|s| s.stops[holder] = Some(attempt));
+                    transition(&|s| s.stops[holder] = Some(attempt));
                     if wanted {
-                        then(&|s| s.start_here(token, attempt));
+                        transition(&|s| s.start_here(token, attempt));
                         if self.held_start.is_none() {
-                            then(&|s| s.held_start = Some((token, attempt)));
+                            transition(&|s| s.held_start = Some((token, attempt)));
                         }
-                    } else if token >= self.seen {
-                        then(&|s| {
-                            s.seen = token;
-                            s.runs &= s.known != attempt;
+                    } else if token >= self.highest_token {
+                        transition(&|s| {
+                            s.highest_token = token;
+                            s.runs &= s.last_attempt != attempt;
                         });
                     }
-                    // Evidence from the machine's newest report, sent after it had seen our token.
-                    let absent = self.known < attempt && !wanted;
-                    let ended = self.known == attempt && !self.runs || self.known > attempt;
-                    let may_come = self.held_start == Some((token, attempt));
-                    let proved = ended || absent && (!may_come || !conditions.expect_late_starts);
-                    if self.seen == token && proved {
+                    // Evidence from the machine's newest heartbeat, sent after it had seen the holder's token.
+                    let absent = self.last_attempt < attempt && !wanted;
+                    let ended =
+                        self.last_attempt == attempt && !self.runs || self.last_attempt > attempt;
+                    let may_arrive = self.held_start == Some((token, attempt));
+                    let proved = ended || absent && (!may_arrive || !conditions.expect_late_starts);
+                    if self.highest_token == token && proved {
                         write(Write::Task(Task::Waiting { tried: attempt }));
                     }
                 }
@@ -209,9 +211,9 @@
             }
         }
         for txn in txns {
-            let mut now = self;
-            now.apply(txn, conditions);
-            next.push(now);
+            let mut applied = self;
+            applied.apply(txn, conditions);
+            next.push(applied);
             if let Some(slot) = self.late.iter().position(Option::is_none)
                 && !self.late.contains(&Some(txn))
             {
@@ -230,24 +232,24 @@
                 next.push(state);
             }
         }
-        let mut then = |enabled: bool, change: &dyn Fn(&mut State)| {
+        let mut transition = |enabled: bool, change: &dyn Fn(&mut State)| {
             if enabled {
                 let mut state = self;
                 change(&mut state);
                 next.push(state);
             }
         };
-        then(self.store.token == 1, &|s| s.store.token = 2);
-        then(self.runs, &|s| s.runs = false);
-        then(self.held_start.is_some(), &|s| {
+        transition(self.store.token == 1, &|s| s.store.token = 2);
+        transition(self.runs, &|s| s.runs = false);
+        transition(self.held_start.is_some(), &|s| {
             if let Some((token, attempt)) = s.held_start.take() {
                 s.start_here(token, attempt);
             }
         });
         if let Task::Elsewhere { attempt } = self.store.task {
             let active = self.store.phase == Phase::Active;
-            then(active, &|s| s.runs_elsewhere = true);
-            then(true, &|s| {
+            transition(active, &|s| s.runs_elsewhere = true);
+            transition(true, &|s| {
                 s.runs_elsewhere = false;
                 s.store.task = Task::Waiting { tried: attempt };
                 s.store.page += 1;
@@ -269,22 +271,24 @@
 #[test]
 fn late_transactions_run_no_task_twice_and_no_cancelled_task() {
     let (violated, states) = explore(ALL);
-    assert!(!violated, "of {states} states");
+    assert!(!violated, "violated within {states} states");
     assert!(states > 100_000, "{states} states");
 }
 
 #[test]
-fn each_version_condition_is_needed() {
-    type LeaveOut = fn(&mut Conditions);
-    let without: [(&str, LeaveOut); 4] = [
+fn each_condition_is_needed() {
+    type Disable = fn(&mut Conditions);
+    let without: [(&str, Disable); 4] = [
         ("the page's version", |c| c.page = false),
         ("the token", |c| c.token = false),
-        ("held starts", |c| c.expect_late_starts = false),
-        ("telling when gone", |c| c.confirm_after_task_left = false),
+        ("expecting late starts", |c| c.expect_late_starts = false),
+        ("confirming after the task left", |c| {
+            c.confirm_after_task_left = false
+        }),
     ];
-    for (name, leave_out) in without {
+    for (name, disable) in without {
         let mut conditions = ALL;
-        leave_out(&mut conditions);
-        assert!(explore(conditions).0, "nothing breaks without {name}");
+        disable(&mut conditions);
+        assert!(explore(conditions).0, "no violation found without {name}");
     }
 }
--- a/tests/models/partition_mode.rs
+++ b/tests/models/partition_mode.rs
@@ -58,8 +58,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The zone is partitioned: worker and bystander are inside, the store and the second holder are
-    /// outside, and the first holder is on either side.
+    /// The zone is partitioned: the worker and a controller without shards are inside, the store and the
+    /// second holder are outside, and the first holder is on either side.
     partitioned: bool,
     partitions_left: u8,
     inside: bool,
@@ -71,7 +71,7 @@
     /// Ticks since the first holder answered the worker, by the holder's clock.
     unanswered: u8,
     /// A controller in the zone without shards has restarted and has read no records yet.
-    bystander_restarted: bool,
+    shardless_controller_restarted: bool,
     /// Whether the second holder has the shard, by the store's records.
     second_holds_shard: bool,
     /// Ticks of the worker's silence that the second holder counts; `None` before it counts.
@@ -85,8 +85,9 @@
     // The worker.
     worker_token: WorkerToken,
     agent_epoch: u8,
-    lease: u8,
-    lag: u8,
+    lease_ticks_left: u8,
+    /// Ticks by which the worker's clock may still lag.
+    drift_ticks_left: u8,
     task: bool,
     deleted: bool,
     /// The network delays a start that the first holder sent in the first agent epoch.
@@ -104,7 +105,7 @@
             was_in_partition_mode: false,
             first_knows_cancellation: false,
             unanswered: 0,
-            bystander_restarted: false,
+            shardless_controller_restarted: false,
             second_holds_shard: false,
             second_silence_ticks: None,
             second_token_acknowledged: false,
@@ -114,8 +115,8 @@
             runs_elsewhere: false,
             worker_token: WorkerToken::connected(FIRST),
             agent_epoch: 1,
-            lease: LEASE_TICKS,
-            lag: MAX_DRIFT_TICKS,
+            lease_ticks_left: LEASE_TICKS,
+            drift_ticks_left: MAX_DRIFT_TICKS,
             task: running,
             deleted: false,
             late_start: !running,
@@ -143,7 +144,7 @@
         let taken = worker_token >= self.worker_token;
         if taken {
             self.worker_token = worker_token;
-            self.lease = LEASE_TICKS;
+            self.lease_ticks_left = LEASE_TICKS;
         }
         taken
     }
@@ -166,13 +167,13 @@
     /// All possible next states.
     fn next(self, conditions: Conditions) -> Vec<State> {
         let mut next = Vec::new();
-        let mut then = |change: &dyn Fn(&mut State) -> bool| {
+        let mut transition = |change: &dyn Fn(&mut State) -> bool| {
             let mut state = self;
             if change(&mut state) {
                 next.push(state);
             }
         };
-        then(&|s| {
+        transition(&|s| {
             // The partition begins or heals.
             if s.partitioned {
                 s.partitioned = false;
@@ -183,30 +184,30 @@
             s.partitioned = true;
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // One tick of all clocks.
-            s.lease = s.lease.saturating_sub(1);
-            if s.lease == 0 {
-                (s.task, s.agent_epoch, s.lease) =
+            s.lease_ticks_left = s.lease_ticks_left.saturating_sub(1);
+            if s.lease_ticks_left == 0 {
+                (s.task, s.agent_epoch, s.lease_ticks_left) =
                     (false, s.agent_epoch.saturating_add(1).min(3), LEASE_TICKS);
             }
             s.tick();
             true
         });
-        then(&|s| {
+        transition(&|s| {
             // The worker's clock lags.
-            let enabled = s.lag > 0;
-            s.lag = s.lag.saturating_sub(1);
+            let enabled = s.drift_ticks_left > 0;
+            s.drift_ticks_left = s.drift_ticks_left.saturating_sub(1);
             s.tick();
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The first holder is partitioned and its lease has expired: it enters partition mode.
             let enabled = s.first == Holder::Runs && !s.first_reaches_store() && !s.partition_mode;
             (s.partition_mode, s.was_in_partition_mode) = (true, true);
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The first holder reaches the store again, or updates its cache.
             let enabled = s.first == Holder::Runs && s.first_reaches_store();
             if s.partition_mode || s.second_holds_shard {
@@ -219,7 +220,7 @@
             s.first_knows_cancellation = s.cancelled;
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The first holder crashes; its next process has no records while it is partitioned.
             let enabled = s.first == Holder::Runs;
             s.partition_mode = false;
@@ -231,29 +232,29 @@
             };
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The restarted process reads the records.
             let enabled = s.first == Holder::Restarted && s.first_reaches_store();
             (s.first, s.second_holds_shard) = (Holder::Gone, true);
             enabled
         });
-        then(&|s| {
-            // The first holder's lease ends.
+        transition(&|s| {
+            // The first holder's lease expires.
             let enabled = !s.second_holds_shard && !s.first_reaches_store();
             s.second_holds_shard = true;
             enabled
         });
-        then(&|s| {
-            // The bystander restarts inside the cut, or reads the records.
-            if s.bystander_restarted {
-                s.bystander_restarted = false;
+        transition(&|s| {
+            // The controller without shards restarts inside the partition, or reads the records.
+            if s.shardless_controller_restarted {
+                s.shardless_controller_restarted = false;
                 return !s.partitioned;
             }
-            s.bystander_restarted = true;
+            s.shardless_controller_restarted = true;
             s.partitioned
         });
-        then(&|s| {
-            // The worker reports to the first holder.
+        transition(&|s| {
+            // The worker sends a heartbeat to the first holder.
             if s.deleted || s.first != Holder::Runs || !s.first_reaches_worker() {
                 return false;
             }
@@ -276,45 +277,47 @@
             }
             true
         });
-        then(&|s| {
-            // The worker reports to a process without records: the restarted holder, or the bystander.
-            let restarted = s.first == Holder::Restarted && s.inside || s.bystander_restarted;
+        transition(&|s| {
+            // The worker sends a heartbeat to a process without records: the restarted holder, or the
+            // controller without shards.
+            let restarted =
+                s.first == Holder::Restarted && s.inside || s.shardless_controller_restarted;
             let marked = may_renew_worker_lease(s.worker_token, restarted, false);
             let renews = marked || restarted && !conditions.renew_only_partitioned_tokens;
             if s.deleted || !renews {
                 return false;
             }
-            s.lease = LEASE_TICKS;
+            s.lease_ticks_left = LEASE_TICKS;
             true
         });
-        for answer_comes in [true, false] {
-            then(&|s| {
-                // The worker reports to the second holder, whose response may be lost.
+        for response_arrives in [true, false] {
+            transition(&|s| {
+                // The worker sends a heartbeat to the second holder, whose response may be lost.
                 if s.deleted || !s.second_holds_shard || s.partitioned {
                     return false;
                 }
                 let own = conditions.require_own_token_for_evidence;
-                let knew = s.worker_token >= WorkerToken::connected(SECOND) || !own;
+                let knew_token = s.worker_token >= WorkerToken::connected(SECOND) || !own;
                 let present = s.task;
-                if knew || !conditions.count_silence_from_acknowledgement {
+                if knew_token || !conditions.count_silence_from_acknowledgement {
                     s.second_silence_ticks = Some(0);
                 }
-                s.second_token_acknowledged |= knew;
-                if answer_comes {
+                s.second_token_acknowledged |= knew_token;
+                if response_arrives {
                     s.accept_worker_token(WorkerToken::connected(SECOND));
                 }
-                if !knew {
-                    return answer_comes || !conditions.count_silence_from_acknowledgement;
+                if !knew_token {
+                    return response_arrives || !conditions.count_silence_from_acknowledgement;
                 }
                 if !present {
                     s.record_task_left();
-                } else if answer_comes && (s.cancelled || !s.placed) {
+                } else if response_arrives && (s.cancelled || !s.placed) {
                     s.task = false;
                 }
                 true
             });
         }
-        then(&|s| {
+        transition(&|s| {
             // The first holder concludes from the worker's silence that its lease has expired.
             let allowed = !s.partition_mode || !conditions.ignore_silence_when_partitioned;
             let margin = if conditions.allow_clock_drift {
@@ -332,7 +335,7 @@
             s.record_task_left();
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The second holder announces its token directly, which renews no lease; the worker responds.
             let enabled = s.second_holds_shard
                 && !s.partitioned
@@ -345,7 +348,7 @@
                 (true, s.worker_token.max(WorkerToken::connected(SECOND)));
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The second holder concludes from the worker's silence that its lease has expired.
             let margin = if conditions.allow_clock_drift {
                 MAX_DRIFT_TICKS
@@ -359,13 +362,13 @@
             s.record_task_left();
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // The cloud deletes the machine.
             let enabled = !s.deleted && s.placed;
             (s.deleted, s.task, s.placed) = (true, false, false);
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             // A delayed start arrives.
             if !s.late_start || s.partitioned && !s.inside {
                 return false;
@@ -376,17 +379,17 @@
             }
             true
         });
-        then(&|s| {
+        transition(&|s| {
             let enabled = !s.placed && !s.cancelled && !s.runs_elsewhere;
             s.runs_elsewhere = true;
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             let enabled = !s.cancelled && !s.runs_elsewhere;
             s.cancelled = true;
             enabled
         });
-        then(&|s| {
+        transition(&|s| {
             let gone = !s.placed || !conditions.confirm_after_task_left;
             let enabled = s.cancelled && gone && s.confirmed.is_none();
             s.confirmed = Some(0);
@@ -412,8 +415,8 @@
 
 #[test]
 fn each_condition_is_needed() {
-    type LeaveOut = fn(&mut Conditions);
-    let without: [(&str, LeaveOut); 8] = [
+    type Disable = fn(&mut Conditions);
+    let without: [(&str, Disable); 8] = [
         ("confirm_after_task_left", |c| {
             c.confirm_after_task_left = false
         }),
@@ -435,9 +438,9 @@
             c.count_silence_from_acknowledgement = false
         }),
     ];
-    for (name, leave_out) in without {
+    for (name, disable) in without {
         let mut conditions = ALL;
-        leave_out(&mut conditions);
-        assert!(explore(conditions).0, "nothing breaks without {name}");
+        disable(&mut conditions);
+        assert!(explore(conditions).0, "no violation found without {name}");
     }
 }
--- a/tests/wire_format/cloud.rs
+++ b/tests/wire_format/cloud.rs
@@ -33,25 +33,22 @@
     }
 }
 
-/// A text form of a decoded response, for the fixtures.
+/// A text form of a decoded response, to compare it with the expected one.
 fn show(answer: &CloudResponse) -> String {
     match answer {
         CloudResponse::MachineTypes(type_specs) => {
             let shown: Vec<String> = type_specs.iter().map(show_type_spec).collect();
             format!("types: {}", shown.join("; "))
         }
-        CloudResponse::Page {
-            machines: machine_ids,
-            more,
-        } => {
-            let machine_ids = machine_ids.iter().map(|h| {
-                let (stage, age) = (stage(h.stage), h.age.0);
+        CloudResponse::Page { machines, more } => {
+            let machines = machines.iter().map(|m| {
+                let (stage, age) = (stage(m.stage), m.age.0);
                 format!(
                     "{} {} {} {} {stage} {age} ms",
-                    h.machine_id, h.machine_type, h.zone, h.spot
+                    m.machine_id, m.machine_type, m.zone, m.spot
                 )
             });
-            let shown: Vec<String> = machine_ids.collect();
+            let shown: Vec<String> = machines.collect();
             format!("page: {}; more {more}", shown.join("; "))
         }
         CloudResponse::Rented(machine_ids) => format!("rented {machine_ids:?}"),
@@ -104,21 +101,21 @@
         ("delete-failed", delete(), "failed"),
         ("over-the-limit", list(None), "failed"),
     ];
-    let given = cases.iter().map(|(name, ..)| answers.text(name).into());
-    let (address, mut asked) = service(given.collect()).await;
+    let scripted = cases.iter().map(|(name, ..)| answers.text(name).into());
+    let (address, mut received) = service(scripted.collect()).await;
     let mut settings = settings();
     settings.endpoints.cloud = address;
     // A rate limit high enough that no call waits.
     settings.deployment.cloud.rps = 1e6;
-    let (tell, mut told) = mpsc::unbounded_channel();
-    let cloud = Cloud::start(&settings, Clock::start(), tell);
+    let (sender, mut responses) = mpsc::unbounded_channel();
+    let cloud = Cloud::start(&settings, Clock::start(), sender);
     for (tag, (name, call, expected)) in (0..).zip(cases) {
         cloud.send(tag, call);
-        requests.writes(name, &asked.recv().await.unwrap());
-        let answer = told.recv().await.unwrap();
+        requests.check_encoded(name, &received.recv().await.unwrap());
+        let answer = responses.recv().await.unwrap();
         answers.check(name, "tag", answer.tag, tag);
         let shown = show(&answer.response);
-        answers.check(name, "is read differently", shown.as_str(), expected);
+        answers.check(name, "decoded value differs", shown.as_str(), expected);
     }
     requests.finish();
     answers.finish();
--- a/tests/wire_format/loopback.rs
+++ b/tests/wire_format/loopback.rs
@@ -17,15 +17,15 @@
 use tokio::sync::mpsc;
 
 pub(crate) async fn free_address() -> SocketAddr {
-    let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    free.local_addr().unwrap()
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    listener.local_addr().unwrap()
 }
 
 /// `method path body`, without the body if it is empty.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut line = String::new();
     stream.read_line(&mut line).await.ok()?;
-    let (asked, _) = line.trim_end().rsplit_once(' ')?;
+    let (request_line, _) = line.trim_end().rsplit_once(' ')?;
     let mut length = 0;
     loop {
         let mut header = String::new();
@@ -41,7 +41,7 @@
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await.ok()?;
     let body = String::from_utf8(body).ok()?;
-    Some(format!("{asked} {body}").trim_end().to_string())
+    Some(format!("{request_line} {body}").trim_end().to_string())
 }
 
 /// A service that returns these responses, `status body`, in order, and reports the requests that it
@@ -49,15 +49,15 @@
 pub(crate) async fn service(answers: Vec<String>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, asked) = mpsc::unbounded_channel();
+    let (sender, received) = mpsc::unbounded_channel();
     let answers = Arc::new(Mutex::new(VecDeque::from(answers)));
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (tell, answers) = (tell.clone(), answers.clone());
+            let (sender, answers) = (sender.clone(), answers.clone());
             tokio::spawn(async move {
                 let mut stream = BufReader::new(stream);
                 while let Some(request) = read_request(&mut stream).await {
-                    let _ = tell.send(request);
+                    let _ = sender.send(request);
                     let Some(answer) = answers.lock().unwrap().pop_front() else {
                         return;
                     };
@@ -72,7 +72,7 @@
             });
         }
     });
-    (address, asked)
+    (address, received)
 }
 
 /// The next scripted reply of the controller.
@@ -87,7 +87,7 @@
 pub(crate) async fn server(replies: Vec<Reply>) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let address = free_address().await;
     let (inbox, mut requests) = mpsc::channel(64);
-    let (tell, told) = mpsc::unbounded_channel();
+    let (sender, received) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut replies = replies.into_iter();
         while let Some(request) = requests.recv().await {
@@ -95,23 +95,23 @@
             let _ = match (request, replies.next()) {
                 (Request::Submit { submission, reply }, Some(Reply::User(response))) => {
                     let job = submission.map(|(job, _)| job.to_string());
-                    let _ = tell.send(format!("submit {}", job.unwrap_or("refused".into())));
+                    let _ = sender.send(format!("submit {}", job.unwrap_or("refused".into())));
                     reply.send(response).is_ok()
                 }
                 (Request::Poll { job, reply }, Some(Reply::User(response))) => {
-                    let _ = tell.send(format!("poll {job}"));
+                    let _ = sender.send(format!("poll {job}"));
                     reply.send(response).is_ok()
                 }
                 (Request::Abort { job, reply }, Some(Reply::User(response))) => {
-                    let _ = tell.send(format!("abort {job}"));
+                    let _ = sender.send(format!("abort {job}"));
                     reply.send(response).is_ok()
                 }
                 (Request::Heartbeat { heartbeat, reply }, Some(Reply::Worker(answer))) => {
-                    let _ = tell.send(format!("report {}", heartbeat.machine_id));
+                    let _ = sender.send(format!("report {}", heartbeat.machine_id));
                     reply.send(answer).is_ok()
                 }
                 (Request::Ready { reply }, Some(Reply::Ready(ready))) => {
-                    let _ = tell.send("ready".into());
+                    let _ = sender.send("ready".into());
                     reply.send(ready).is_ok()
                 }
                 _ => false,
@@ -126,11 +126,11 @@
         idle_timeouts,
         Clock::start(),
     ));
-    (address, told)
+    (address, received)
 }
 
 /// Sends a request to the server; returns `status body`, with the Retry-After value in between if present.
-pub(crate) async fn ask(address: SocketAddr, asked: &str, body: &str) -> String {
+pub(crate) async fn ask(address: SocketAddr, request_line: &str, body: &str) -> String {
     let mut stream = loop {
         match TcpStream::connect(address).await {
             Ok(stream) => break stream,
@@ -139,7 +139,7 @@
     };
     let length = body.len();
     let request = format!(
-        "{asked} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
+        "{request_line} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut response = String::new();
@@ -157,7 +157,11 @@
         shown += &format!(" (retry after {seconds})");
     }
     if !body.is_empty() {
-        assert_eq!(header("content-type"), Some("application/json"), "{asked}");
+        assert_eq!(
+            header("content-type"),
+            Some("application/json"),
+            "{request_line}"
+        );
         shown += &format!(" {body}");
     }
     shown
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -35,8 +35,11 @@
     fn new(file: &'static str, content: &'static str) -> Self {
         let mut texts = BTreeMap::new();
         for line in content.lines() {
-            let (name, text) = line.split_once(": ").expect("a line is `name: text`");
-            assert!(texts.insert(name, text).is_none(), "{file}: {name} twice");
+            let (name, text) = line.split_once(": ").expect("line must be `name: text`");
+            assert!(
+                texts.insert(name, text).is_none(),
+                "{file}: duplicate case {name}"
+            );
         }
         Self {
             file,
@@ -51,7 +54,7 @@
         self.used.insert(name.into());
         let text = self.texts.get(name).copied();
         if text.is_none() {
-            self.fail(name, "has no fixture".into());
+            self.fail(name, "fixture is missing".into());
         }
         text.unwrap_or_default()
     }
@@ -68,30 +71,30 @@
         }
     }
 
-    /// Checks that the code writes exactly the text of the fixture.
-    fn writes(&mut self, name: &str, written: &str) {
+    /// Checks that the encoded text equals the fixture byte for byte.
+    fn check_encoded(&mut self, name: &str, encoded: &str) {
         let text = self.text(name);
-        self.check(name, "is written differently", written, text);
+        self.check(name, "encoded value differs", encoded, text);
     }
 
-    /// Checks that a JSON record is read from its fixture and written back unchanged.
-    fn round_trips<T>(&mut self, name: &str, record: &T)
+    /// Checks that a JSON record is encoded exactly as in its fixture and decoded from it unchanged.
+    fn check_round_trip<T>(&mut self, name: &str, record: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        let written = serde_json::to_string(record).expect("a record can be written");
-        self.writes(name, &written);
+        let encoded = serde_json::to_string(record).expect("record must be serializable");
+        self.check_encoded(name, &encoded);
         let text = self.texts.get(name).copied().unwrap_or_default();
         match serde_json::from_str::<T>(text) {
-            Ok(read) => self.check(name, "is read differently", &read, record),
-            Err(error) => self.fail(name, format!("can't be read: {error}")),
+            Ok(decoded) => self.check(name, "decoded value differs", &decoded, record),
+            Err(error) => self.fail(name, format!("cannot be decoded: {error}")),
         }
     }
 
     fn finish(mut self) {
         for name in std::mem::take(&mut self.texts).into_keys() {
             if !self.used.contains(name) {
-                self.fail(name, "no case uses this fixture".into());
+                self.fail(name, "unused fixture".into());
             }
         }
         assert!(self.failures.is_empty(), "\n{}\n", self.failures.join("\n"));
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -33,7 +33,7 @@
     frame
 }
 
-fn machine_heartbeat(machine_id: &str, flags: [bool; 4]) -> MachineCondition {
+fn machine_condition(machine_id: &str, flags: [bool; 4]) -> MachineCondition {
     let [unconfirmed, termination_announced, quarantined, draining] = flags;
     MachineCondition {
         machine_id: machine_id.into(),
@@ -59,10 +59,10 @@
         pending_changes: 17,
         shards: vec![("a.0".into(), 501), ("b.1".into(), 502)],
         machines: vec![
-            machine_heartbeat("vm-1", [true, false, false, false]),
-            machine_heartbeat("vm-2", [false, true, false, false]),
-            machine_heartbeat("vm-3", [false, false, true, false]),
-            machine_heartbeat("vm-4", [false, false, false, true]),
+            machine_condition("vm-1", [true, false, false, false]),
+            machine_condition("vm-2", [false, true, false, false]),
+            machine_condition("vm-3", [false, false, true, false]),
+            machine_condition("vm-4", [false, false, false, true]),
         ],
         descriptions: vec![
             MachineDescription {
@@ -86,7 +86,7 @@
     }
 }
 
-fn left(index: u32, done: bool) -> TaskDeparture {
+fn departure(index: u32, done: bool) -> TaskDeparture {
     TaskDeparture {
         job: "job-000412".into(),
         index,
@@ -109,7 +109,7 @@
         ("heartbeat-empty", Message::Status(Status::default())),
         (
             "left",
-            Message::TasksDeparted(vec![left(3, true), left(70_000, false)]),
+            Message::TasksDeparted(vec![departure(3, true), departure(70_000, false)]),
         ),
         (
             "failed",
@@ -151,11 +151,11 @@
 fn payloads() {
     let mut fixtures = fixtures();
     for (name, message) in messages() {
-        fixtures.writes(name, &hex(&bitcode::encode(&message)));
+        fixtures.check_encoded(name, &hex(&bitcode::encode(&message)));
         let payload = bytes(fixtures.text(name));
         match bitcode::decode::<Message>(&payload) {
-            Ok(read) => fixtures.check(name, "is read differently", read, message),
-            Err(error) => fixtures.fail(name, format!("can't be read: {error}")),
+            Ok(read) => fixtures.check(name, "decoded value differs", read, message),
+            Err(error) => fixtures.fail(name, format!("cannot be decoded: {error}")),
         }
     }
     fixtures.check("hello", "protocol version", VERSION, 6);
@@ -177,21 +177,21 @@
     settings.members.truncate(1);
     settings.members[0].address = listener.local_addr().unwrap();
     let to = settings.members[0].label.clone();
-    let (inbox, mut heard) = mpsc::channel(64);
+    let (inbox, mut received) = mpsc::channel(64);
     let link = Peers::start(&settings, 8, inbox);
 
     let (mut stream, _) = listener.accept().await.unwrap();
-    let rest = messages().into_iter().skip(1);
-    for (_, message) in rest.clone() {
+    let after_hello = messages().into_iter().skip(1);
+    for (_, message) in after_hello.clone() {
         link.send(&to, message);
     }
     for (name, _) in messages() {
         let expected = frame(fixtures.text(name));
-        let mut spoken = vec![0; expected.len()];
-        let read = tokio::time::timeout(Duration::from_secs(2), stream.read_exact(&mut spoken));
-        let whole = read.await.is_ok_and(|read| read.is_ok());
-        fixtures.check(name, "is spoken whole", whole, true);
-        fixtures.check(name, "is spoken", hex(&spoken), hex(&expected));
+        let mut sent = vec![0; expected.len()];
+        let read = tokio::time::timeout(Duration::from_secs(2), stream.read_exact(&mut sent));
+        let complete = read.await.is_ok_and(|read| read.is_ok());
+        fixtures.check(name, "frame is sent completely", complete, true);
+        fixtures.check(name, "sent frame", hex(&sent), hex(&expected));
         stream.write_all(&[ACKNOWLEDGED]).await.unwrap();
     }
 
@@ -208,9 +208,14 @@
         let acknowledged = read.is_ok_and(|read| read.is_ok_and(|byte| byte == ACKNOWLEDGED));
         fixtures.check(name, "is acknowledged", acknowledged, true);
         if name != "hello" {
-            let heard = heard.try_recv().ok();
-            let heard = heard.map(|heard| (heard.from.to_string(), heard.message));
-            fixtures.check(name, "is heard", heard, Some(("n1".into(), message)));
+            let message_received = received.try_recv().ok();
+            let message_received = message_received.map(|m| (m.from.to_string(), m.message));
+            fixtures.check(
+                name,
+                "received message",
+                message_received,
+                Some(("n1".into(), message)),
+            );
         }
     }
     fixtures.finish();
--- a/tests/wire_format/records.rs
+++ b/tests/wire_format/records.rs
@@ -24,7 +24,7 @@
 use crate::settings::settings;
 
 pub(crate) fn shard(text: &str) -> ShardId {
-    ShardId::parse(text).expect("a block's name")
+    ShardId::parse(text).expect("valid shard id")
 }
 
 fn controller_id(text: &str) -> ControllerId {
@@ -137,11 +137,11 @@
     ]
 }
 
-fn share_record() -> AllocationRecord {
-    let share = |cpus, gpus| QuotaAllocation { cpus, gpus };
+fn allocation_record() -> AllocationRecord {
+    let allocation = |cpus, gpus| QuotaAllocation { cpus, gpus };
     AllocationRecord::from([
-        ("huye-slotting".into(), share(12.5, 4.0)),
-        (group_name("association"), share(0.0, 64.25)),
+        ("huye-slotting".into(), allocation(12.5, 4.0)),
+        (group_name("association"), allocation(0.0, 64.25)),
     ])
 }
 
@@ -170,11 +170,11 @@
         ("quota-tree-head", TREE_HEAD_KEY.to_string()),
     ];
     for (name, key) in &cases {
-        fixtures.writes(name, key);
+        fixtures.check_encoded(name, key);
     }
     let page = fixtures.text("task-page");
     let read = parse_page_key(page);
-    fixtures.check("task-page", "is read differently", read, Some((job, 17)));
+    fixtures.check("task-page", "decoded value differs", read, Some((job, 17)));
     fixtures.finish();
 }
 
@@ -204,7 +204,7 @@
         ("aborted-spec-dropped", job(Phase::Aborted, None)),
     ];
     for (name, record) in &cases {
-        fixtures.round_trips(name, record);
+        fixtures.check_round_trip(name, record);
         // The cache reads it as well.
         let mut jobs = JobCache::default();
         let text = fixtures.texts.get(name).copied();
@@ -212,9 +212,9 @@
         jobs.apply("jt/job/job-000412", text, Revision(5), Millis(1));
         let kept = jobs.get(&id).map(|job| &job.record);
         let expected = Some(record).filter(|record| record.spec.is_some());
-        fixtures.check(name, "is cached differently", kept, expected);
-        let over = jobs.get(&id).is_none() && jobs.state(&id).is_some();
-        fixtures.check(name, "is over", over, record.spec.is_none());
+        fixtures.check(name, "cached record differs", kept, expected);
+        let ended = jobs.get(&id).is_none() && jobs.state(&id).is_some();
+        fixtures.check(name, "job has ended", ended, record.spec.is_none());
     }
     fixtures.finish();
 }
@@ -244,9 +244,9 @@
         ("empty", vec![]),
     ];
     for (name, tasks) in cases {
-        fixtures.writes(name, &encode_page(&tasks));
+        fixtures.check_encoded(name, &encode_page(&tasks));
         let read = decode_page(fixtures.text(name), tasks.len() as u32);
-        fixtures.check(name, "is read differently", read, Some(tasks));
+        fixtures.check(name, "decoded value differs", read, Some(tasks));
     }
     fixtures.finish();
 }
@@ -259,22 +259,22 @@
         zone: "a".into(),
         receives_heartbeats,
     };
-    fixtures.round_trips("controller-reached-by-workers", &controller(true));
-    fixtures.round_trips("controller-not-reached", &controller(false));
+    fixtures.check_round_trip("controller-reached-by-workers", &controller(true));
+    fixtures.check_round_trip("controller-not-reached", &controller(false));
     let leader = LeaderRecord {
         leader: controller_id("n2"),
         lease_id: LeaseId(7001),
     };
-    fixtures.round_trips("leader", &leader);
+    fixtures.check_round_trip("leader", &leader);
     let holder = ShardRecord {
         holder: controller_id("n2"),
         lease_id: LeaseId(7002),
     };
-    fixtures.round_trips("block", &holder);
+    fixtures.check_round_trip("block", &holder);
 
     // The watch decodes the same records.
-    let mut seen = Leases::default();
-    let me = controller_id("n1");
+    let mut leases = Leases::default();
+    let own_id = controller_id("n1");
     let apply = [
         ("jt/node/n2", "controller-reached-by-workers"),
         ("jt/lead", "leader"),
@@ -282,15 +282,25 @@
     ];
     for (at, (key, name)) in (31..).zip(apply) {
         let text = fixtures.text(name);
-        let moved = seen.apply(&me, key, Some(text), Revision(at));
-        fixtures.check(name, "is news", moved.is_some(), true);
+        let change = leases.apply(&own_id, key, Some(text), Revision(at));
+        fixtures.check(name, "changes the leases", change.is_some(), true);
     }
-    let known = seen.controllers.get(&controller_id("n2")).cloned();
+    let known = leases.controllers.get(&controller_id("n2")).cloned();
     let expected = Some((controller(true), Revision(31)));
-    fixtures.check("controller-reached-by-workers", "is seen", known, expected);
+    fixtures.check(
+        "controller-reached-by-workers",
+        "decoded by the watch",
+        known,
+        expected,
+    );
     let expected = Some((controller_id("n2"), Revision(32)));
-    fixtures.check("leader", "is seen", seen.leader.clone(), expected);
-    let token = seen
+    fixtures.check(
+        "leader",
+        "decoded by the watch",
+        leases.leader.clone(),
+        expected,
+    );
+    let token = leases
         .held_token(&shard("a.1"), &controller_id("n2"))
         .map(|token| token.0);
     fixtures.check("block", "fencing token", token, Some(33));
@@ -298,24 +308,34 @@
 }
 
 #[test]
-fn shared_by_all() {
+fn cluster_wide_records() {
     let mut fixtures = Fixtures::new("shared.txt", include_str!("fixtures/shared.txt"));
-    fixtures.round_trips("quota-shares-of-a-block", &share_record());
-    fixtures.round_trips("no-quota-shares", &AllocationRecord::new());
-    fixtures.round_trips("admission-plan", &plan());
-    fixtures.round_trips("no-admission-plan", &Plan::default());
-    fixtures.round_trips("machine-types", &type_specs());
-    fixtures.round_trips("no-machine-types", &Vec::<MachineTypeSpec>::new());
+    fixtures.check_round_trip("quota-shares-of-a-block", &allocation_record());
+    fixtures.check_round_trip("no-quota-shares", &AllocationRecord::new());
+    fixtures.check_round_trip("admission-plan", &plan());
+    fixtures.check_round_trip("no-admission-plan", &Plan::default());
+    fixtures.check_round_trip("machine-types", &type_specs());
+    fixtures.check_round_trip("no-machine-types", &Vec::<MachineTypeSpec>::new());
 
     let mut shares = QuotaAllocations::default();
     let text = fixtures.text("quota-shares-of-a-block");
     shares.apply(shard("a.1"), Some(text), Revision(3));
     let known = shares.record(&shard("a.1"));
-    fixtures.check("quota-shares-of-a-block", "is seen", known, share_record());
+    fixtures.check(
+        "quota-shares-of-a-block",
+        "decoded by the watch",
+        known,
+        allocation_record(),
+    );
     let mut admission = shared::WriteAdmission::default();
     let text = fixtures.text("admission-plan");
     admission.apply(Some(text), Revision(3));
-    fixtures.check("admission-plan", "is seen", admission.plan, plan());
+    fixtures.check(
+        "admission-plan",
+        "decoded by the watch",
+        admission.plan,
+        plan(),
+    );
     fixtures.finish();
 }
 
@@ -331,35 +351,40 @@
         let mut writer = HierarchicalQuota::new(&teams, Some(&spec), 0.5);
         let mut reader = HierarchicalQuota::new(&teams, None, 0.5);
         let PendingTreeWrite::Pages(pages) = writer.pending_write(10) else {
-            panic!("{name}: the pages come first");
+            panic!("{name}: pages must be written first");
         };
         for (at, (key, text)) in pages.iter().enumerate() {
             let (key_of, page_of) = (format!("{name}-key-{at}"), format!("{name}-page-{at}"));
-            fixtures.writes(&key_of, key);
-            fixtures.writes(&page_of, text);
+            fixtures.check_encoded(&key_of, key);
+            fixtures.check_encoded(&page_of, text);
             writer.apply(key, Some(text), Revision(5));
             let (key, text) = (fixtures.text(&key_of), fixtures.text(&page_of));
             reader.apply(key, Some(text), Revision(5));
         }
         let PendingTreeWrite::Head(head, version) = writer.pending_write(10) else {
-            panic!("{name}: the head follows the pages");
+            panic!("{name}: the head must follow the pages");
         };
         assert_eq!(version, Revision(0));
         let head_of = format!("{name}-head");
-        fixtures.writes(&head_of, &head);
+        fixtures.check_encoded(&head_of, &head);
         let head = fixtures.text(&head_of);
         writer.apply(TREE_HEAD_KEY, Some(head), Revision(6));
-        let in_force = writer.tree_status() == TreeStatus::Active;
-        fixtures.check(name, "is the writer's own", in_force, true);
+        let tree_active = writer.tree_status() == TreeStatus::Active;
+        fixtures.check(name, "is active at the writer", tree_active, true);
         let adopted = reader.apply(TREE_HEAD_KEY, Some(head), Revision(6));
-        fixtures.check(name, "is adopted", adopted, true);
+        fixtures.check(name, "is adopted by the reader", adopted, true);
         let nodes = reader
             .active_tree()
-            .map(|force| force.entitlements.tree().nodes.len());
-        fixtures.check(name, "nodes in force", nodes, spec.enabled.then_some(6));
+            .map(|active| active.entitlements.tree().nodes.len());
+        fixtures.check(
+            name,
+            "nodes of the active tree",
+            nodes,
+            spec.enabled.then_some(6),
+        );
         let held = reader
             .active_tree()
-            .map(|force| force.entitlements.tree().hold_ms);
+            .map(|active| active.entitlements.tree().hold_ms);
         fixtures.check(name, "hold", held, spec.enabled.then_some(5_000));
     }
     fixtures.finish();
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -91,7 +91,7 @@
 
 /// Each key, set to a value other than its default.
 #[test]
-fn operators_settings() {
+fn operator_settings() {
     let text = include_str!("fixtures/operator.ini");
     let expected = OperatorSettings {
         backoff_first: Millis(2_500),
@@ -134,7 +134,7 @@
 
 /// Paths in the operator's file are relative to its folder.
 #[test]
-fn files_are_read_together() {
+fn settings_files_are_combined() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let fixtures = root.join("tests/wire_format/fixtures");
     let (platform, operator) = (
@@ -143,7 +143,7 @@
     );
     let read = Settings::read(&platform, Some(&operator)).unwrap();
     assert_eq!(read.operator.flush, Millis(45_000));
-    let tree = read.quota_tree.expect("a tree of quotas");
+    let tree = read.quota_tree.expect("quota tree must be loaded");
     assert_eq!((tree.revision, tree.nodes.len()), (7, 3));
 }
 
--- a/tests/wire_format/store.rs
+++ b/tests/wire_format/store.rs
@@ -9,7 +9,7 @@
 use crate::loopback::service;
 use crate::settings::settings;
 
-/// A text form of a decoded response, for the fixtures.
+/// A text form of a decoded response, to compare it with the expected one.
 fn show(response: &StoreResponse) -> String {
     match response {
         StoreResponse::Granted(lease_id) => format!("lease {}", lease_id.0),
@@ -110,20 +110,20 @@
         ("not-now", txn(), "refused"),
         ("unexpected", renew(), "unknown"),
     ];
-    let given = cases.iter().map(|(name, ..)| answers.text(name).into());
-    let (address, mut asked) = service(given.collect()).await;
+    let scripted = cases.iter().map(|(name, ..)| answers.text(name).into());
+    let (address, mut received) = service(scripted.collect()).await;
     let mut settings = settings();
     settings.endpoints.store = address;
-    let (tell, mut told) = mpsc::unbounded_channel();
-    let store = Store::start(&settings, Clock::start(), tell);
+    let (sender, mut responses) = mpsc::unbounded_channel();
+    let store = Store::start(&settings, Clock::start(), sender);
     for (tag, (name, call, expected)) in (0..).zip(cases) {
         // Lease calls bypass the write budget.
         store.send(tag, CallClass::Leases, call);
-        requests.writes(name, &asked.recv().await.unwrap());
-        let reply = told.recv().await.unwrap();
+        requests.check_encoded(name, &received.recv().await.unwrap());
+        let reply = responses.recv().await.unwrap();
         answers.check(name, "tag", reply.tag, tag);
         let shown = show(&reply.response);
-        answers.check(name, "is read differently", shown.as_str(), expected);
+        answers.check(name, "decoded value differs", shown.as_str(), expected);
     }
     requests.finish();
     answers.finish();
--- a/tests/wire_format/users.rs
+++ b/tests/wire_format/users.rs
@@ -41,9 +41,9 @@
         match api::parse(fixtures.text(name).as_bytes()) {
             Ok((job, read)) => {
                 fixtures.check(name, "job", job.as_str(), "job-000412");
-                fixtures.check(name, "is read differently", read, spec);
+                fixtures.check(name, "decoded value differs", read, spec);
             }
-            Err(refused) => fixtures.fail(name, format!("is refused: {:?}", refused.reason)),
+            Err(rejection) => fixtures.fail(name, format!("is rejected: {:?}", rejection.reason)),
         }
     }
     fixtures.finish();
@@ -60,15 +60,15 @@
     for name in names {
         match api::parse(bodies.text(name).as_bytes()) {
             Ok(_) => bodies.fail(name, "is accepted".into()),
-            Err(refused) => {
-                let job = refused.id.as_ref().map(|id| id.as_str());
-                answers.writes(name, &show(job, &refused.reason));
+            Err(rejection) => {
+                let job = rejection.id.as_ref().map(|id| id.as_str());
+                answers.check_encoded(name, &show(job, &rejection.reason));
             }
         }
     }
     let large = " ".repeat(api::MAX_BODY_BYTES + 1);
-    let refused = api::parse(large.as_bytes()).unwrap_err();
-    answers.writes("too-large", &show(None, &refused.reason));
+    let rejection = api::parse(large.as_bytes()).unwrap_err();
+    answers.check_encoded("too-large", &show(None, &rejection.reason));
     bodies.finish();
     answers.finish();
 }
@@ -92,7 +92,7 @@
 
 /// Jobs that can never run.
 #[test]
-fn impossible_submissions() {
+fn infeasible_submissions() {
     let answers = include_str!("fixtures/impossible-submissions-answers.txt");
     let mut fixtures = Fixtures::new("impossible-submissions-answers.txt", answers);
     let gang = |tasks| JobSpec {
@@ -126,7 +126,7 @@
     for (name, spec) in cases {
         match api::check_feasibility(spec, &settings(), &[type_spec()]) {
             Ok(_) => fixtures.fail(name, "is admitted".into()),
-            Err(why) => fixtures.writes(name, &show(Some("job-1"), &why)),
+            Err(why) => fixtures.check_encoded(name, &show(Some("job-1"), &why)),
         }
     }
     // Unknown and duplicate machine types are dropped from the list.
@@ -156,12 +156,12 @@
     let (submit, poll) = ("POST /api/jobs", "GET /api/jobs/job-000412");
     let abort = "POST /api/jobs/job-000412/abort";
     let malformed = || Response::Malformed("picks: a \"quoted\" reason".into());
-    let never = || Response::Infeasible("crew: no team is called x".into());
+    let infeasible = || Response::Infeasible("crew: no team is called x".into());
     let cases = [
         ("accepted", submit, Response::Accepted("job-000412".into())),
         ("known", submit, state(JobStage::Running)),
         ("malformed", submit, malformed()),
-        ("never-runs", submit, never()),
+        ("never-runs", submit, infeasible()),
         ("not-now", submit, Response::retry_soon()),
         ("queued", poll, state(JobStage::Queued)),
         ("running", poll, state(JobStage::Running)),
@@ -173,30 +173,30 @@
         ("abort-unknown", abort, Response::UnknownJob),
     ];
     let replies = cases.iter().map(|(_, _, r)| Reply::User(r.clone()));
-    let (address, mut told) = server(replies.collect()).await;
+    let (address, mut received) = server(replies.collect()).await;
     let body = include_str!("fixtures/submissions.txt");
     let (_, body) = body.lines().next().unwrap().split_once(": ").unwrap();
-    for (name, asked, _) in &cases {
-        let sent = if *asked == submit { body } else { "" };
-        fixtures.writes(name, &ask(address, asked, sent).await);
-        let expected = match *asked {
-            asked if asked == submit => "submit job-000412",
-            asked if asked == poll => "poll job-000412",
+    for (name, request_line, _) in &cases {
+        let sent = if *request_line == submit { body } else { "" };
+        fixtures.check_encoded(name, &ask(address, request_line, sent).await);
+        let expected = match *request_line {
+            request_line if request_line == submit => "submit job-000412",
+            request_line if request_line == poll => "poll job-000412",
             _ => "abort job-000412",
         };
-        let understood = told.recv().await;
-        fixtures.check(name, "is understood", understood.as_deref(), Some(expected));
+        let decoded = received.recv().await;
+        fixtures.check(name, "decoded request", decoded.as_deref(), Some(expected));
     }
     // Requests that the server answers without the controller.
-    for (name, asked) in [
+    for (name, request_line) in [
         ("no-such-path", "GET /api/job/job-1"),
         ("no-such-method", "DELETE /api/jobs/job-1"),
     ] {
-        fixtures.writes(name, &ask(address, asked, "").await);
+        fixtures.check_encoded(name, &ask(address, request_line, "").await);
     }
     let large = " ".repeat(api::MAX_BODY_BYTES + 1);
     let answer = ask(address, submit, &large).await;
-    fixtures.writes("too-large", &answer);
+    fixtures.check_encoded("too-large", &answer);
     fixtures.finish();
 }
 
@@ -204,9 +204,9 @@
 async fn readiness() {
     let file = include_str!("fixtures/readiness.txt");
     let mut fixtures = Fixtures::new("readiness.txt", file);
-    let (address, _told) = server(vec![Reply::Ready(true), Reply::Ready(false)]).await;
+    let (address, _received) = server(vec![Reply::Ready(true), Reply::Ready(false)]).await;
     for name in ["ready", "not-ready"] {
-        fixtures.writes(name, &ask(address, "GET /ready", "").await);
+        fixtures.check_encoded(name, &ask(address, "GET /ready", "").await);
     }
     fixtures.finish();
 }
--- a/tests/wire_format/workers.rs
+++ b/tests/wire_format/workers.rs
@@ -12,7 +12,7 @@
 use crate::Fixtures;
 use crate::loopback::{Reply, ask, server, service};
 
-/// A text form of task stages and causes of failure, for the fixtures.
+/// Text forms of task stages and exit causes, to compare decoded heartbeats.
 fn stage(stage: TaskStage) -> &'static str {
     match stage {
         TaskStage::Fetching => "fetching",
@@ -98,13 +98,13 @@
     for (name, rest) in cases {
         let found = read(fixtures.text(name));
         let expected = Ok(format!("{head} {rest}"));
-        fixtures.check(name, "is read differently", found, expected);
+        fixtures.check(name, "decoded value differs", found, expected);
     }
     let bare = "vm-1 at \"\" type c16 zone b spot false session 1 tally 2 token 0 warning None";
     let found = read(fixtures.text("optional-fields-absent"));
     fixtures.check(
         "optional-fields-absent",
-        "is read differently",
+        "decoded value differs",
         found,
         Ok(bare.into()),
     );
@@ -133,17 +133,17 @@
 #[test]
 fn single_commands() {
     let mut fixtures = Fixtures::new("orders.txt", include_str!("fixtures/orders.txt"));
-    for (name, order) in ["start", "stop", "forget"].into_iter().zip(commands()) {
-        fixtures.writes(name, &serde_json::to_string(&order).unwrap());
+    for (name, command) in ["start", "stop", "forget"].into_iter().zip(commands()) {
+        fixtures.check_encoded(name, &serde_json::to_string(&command).unwrap());
         let read = serde_json::from_str::<WorkerCommandBody>(fixtures.text(name));
         let read = read.ok().and_then(|body| body.command());
-        fixtures.check(name, "is read differently", read, Some(order));
+        fixtures.check(name, "decoded value differs", read, Some(command));
     }
     fixtures.finish();
 }
 
 #[tokio::test]
-async fn answers_to_heartbeats() {
+async fn heartbeat_responses() {
     let file = include_str!("fixtures/report-answers.txt");
     let mut fixtures = Fixtures::new("report-answers.txt", file);
     let answer = |commands| HeartbeatResponse::Commands {
@@ -158,18 +158,18 @@
         ("not-now", HeartbeatResponse::RetryLater),
     ];
     let replies = cases.iter().map(|(_, a)| Reply::Worker(a.clone()));
-    let (address, mut told) = server(replies.collect()).await;
+    let (address, mut received) = server(replies.collect()).await;
     let heartbeat = include_str!("fixtures/reports.txt").lines().next().unwrap();
     let (_, heartbeat) = heartbeat.split_once(": ").unwrap();
     for (name, _) in &cases {
         let answer = ask(address, "POST /v1/report", heartbeat).await;
-        fixtures.writes(name, &answer);
-        let understood = told.recv().await;
+        fixtures.check_encoded(name, &answer);
+        let decoded = received.recv().await;
         let expected = Some("report vm-000231");
-        fixtures.check(name, "is understood", understood.as_deref(), expected);
+        fixtures.check(name, "decoded request", decoded.as_deref(), expected);
     }
     let answer = ask(address, "POST /v1/report", "{}").await;
-    fixtures.writes("malformed", &answer);
+    fixtures.check_encoded("malformed", &answer);
     fixtures.finish();
 }
 
@@ -198,7 +198,7 @@
         ("failed", "500 {}".into(), commands(), None),
     ];
     let answers = cases.iter().map(|(_, answer, ..)| answer.clone()).collect();
-    let (address, mut asked) = service(answers).await;
+    let (address, mut requests) = service(answers).await;
     let http = HttpClient::without_idle_connections(address);
     for (name, _, commands, expected) in cases {
         let sent = client::send(
@@ -209,20 +209,20 @@
             commands,
         );
         let answer = sent.await;
-        fixtures.writes(name, &asked.recv().await.unwrap());
+        fixtures.check_encoded(name, &requests.recv().await.unwrap());
         let shown = answer.map(|answer| {
             answer
                 .heartbeat
                 .is_some_and(|r| r.machine_id.as_str() == "vm-000231")
         });
-        fixtures.check(name, "the answer is read differently", shown, expected);
+        fixtures.check(name, "decoded response differs", shown, expected);
     }
-    let (address, mut asked) = service(vec!["200 ".into(), "500 ".into()]).await;
+    let (address, mut requests) = service(vec!["200 ".into(), "500 ".into()]).await;
     for (name, expected) in [("inspect", true), ("inspect-failed", false)] {
         let found = client::inspect(http.clone(), address).await;
-        let request = tokio::time::timeout(Duration::from_secs(1), asked.recv()).await;
-        fixtures.writes(name, &request.unwrap().unwrap());
-        fixtures.check(name, "the answer is read differently", found, expected);
+        let request = tokio::time::timeout(Duration::from_secs(1), requests.recv()).await;
+        fixtures.check_encoded(name, &request.unwrap().unwrap());
+        fixtures.check(name, "decoded response differs", found, expected);
     }
     fixtures.finish();
 }
