--- a/crates/simulator/src/contention/evaluation.rs
+++ b/crates/simulator/src/contention/evaluation.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Evaluates all nodes of the quota tree. `samples` has one entry for each node, in the order of [`Tree::all`].
+/// Evaluates all nodes of the quota tree. `samples` has one entry for each node, in the order of [`Tree::node_indices`].
 pub(super) fn evaluate_nodes(tree: &Tree, samples: Vec<Vec<Sample>>) -> Vec<NodeResult> {
     tree.node_indices()
         .zip(samples)
