--- a/src/controller/autoscaling/lost_machines.rs
+++ b/src/controller/autoscaling/lost_machines.rs
@@ -12,10 +12,11 @@
 use crate::workers::shard_of;
 use crate::zones::zone_health::{SuspectedMachine, ZoneObservation};
 
-/// Time within which a new holder of a shard has asked its machines for their state, and their
-/// workers have found the holder: a worker gives up on a silent controller after 4 s, and needs at
-/// most two other controllers to find the holder.
-const HOLDER_DISCOVERY_TIME: Millis = Millis(10_000);
+/// A machine counts as silent, or early as lost, only after its shard has been held for this long.
+/// By then a new holder has asked the shard's machines for their state, and their workers have found
+/// the holder: a worker gives up on a silent controller after 4 s, and needs at most two other
+/// controllers to find the holder.
+const MIN_HELD_TIME_FOR_SILENCE: Millis = Millis(10_000);
 /// A machine is considered unable to boot after its usual boot time times this factor, plus
 /// [`MAX_BOOT_MARGIN_S`].
 const MAX_BOOT_FACTOR: f64 = 3.0;
@@ -143,7 +144,7 @@
                 (since_contact.since(self.heartbeat_timeout()), since_contact)
             }
         };
-        let silent = held > HOLDER_DISCOVERY_TIME && since_contact > self.heartbeat_timeout();
+        let silent = held > MIN_HELD_TIME_FOR_SILENCE && since_contact > self.heartbeat_timeout();
         zone.silent += u32::from(silent);
         let one_way = contact.silence.is_some()
             && contact.commands_unconfirmed
@@ -189,7 +190,7 @@
         };
         let early = !contact.commands_unconfirmed
             && silence.since_contact > self.early_loss_timeout()
-            && silence.held_for > HOLDER_DISCOVERY_TIME;
+            && silence.held_for > MIN_HELD_TIME_FOR_SILENCE;
         silence.outlasts(self.lease_timeout())
             || early && self.most_of_zone_reports(machine_id, &rented.zone)
     }
--- a/src/controller/heartbeats/answer.rs
+++ b/src/controller/heartbeats/answer.rs
@@ -11,8 +11,9 @@
 /// If an agent epoch ends within this fraction of the lease after a response of this controller,
 /// the worker did not receive that response.
 const LOST_RESPONSE_LEASE_FRACTION: f64 = 0.75;
-/// Factor by which a worker's clock may be slower than this controller's.
-const CLOCK_RATE_ALLOWANCE: f64 = 1.05;
+/// Factor by which a worker's clock may be slower than this controller's when an agent epoch that
+/// outlives a lease is taken as proof that responses arrive.
+const EPOCH_END_CLOCK_FACTOR: f64 = 1.05;
 /// Seconds by which a worker's timers may fire late when they end an agent epoch.
 const EPOCH_END_MARGIN_S: f64 = 2.0;
 
@@ -88,7 +89,7 @@
         let (now, silence) = (self.now, self.heartbeat_timeout());
         let lease_s = self.settings.deployment.workers.lease_s;
         let lost_response_window = Millis::from_secs(lease_s * LOST_RESPONSE_LEASE_FRACTION);
-        let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + EPOCH_END_MARGIN_S);
+        let lease = Millis::from_secs(lease_s * EPOCH_END_CLOCK_FACTOR + EPOCH_END_MARGIN_S);
         let machine = self
             .machines
             .entry(heartbeat.machine_id.clone())
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -14,8 +14,9 @@
 /// A machine without tasks from which no controller has received heartbeats for this long is
 /// dropped from this controller's view.
 pub(in crate::controller) const SILENT_MACHINE_TTL: Millis = Millis(120_000);
-/// Factor by which a worker's clock may be slower than this controller's.
-const CLOCK_RATE_ALLOWANCE: f64 = 1.002;
+/// Factor by which a worker's clock may be slower than this controller's when its lease expires and
+/// its tasks are released.
+const LEASE_EXPIRY_CLOCK_FACTOR: f64 = 1.002;
 /// Seconds by which a worker's timers may fire late when its lease expires.
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 
@@ -44,7 +45,7 @@
     /// tasks.
     fn release_tasks_of_expired_leases(&mut self) {
         let lease_s = self.settings.deployment.workers.lease_s;
-        let lease = Millis::from_secs(lease_s * CLOCK_RATE_ALLOWANCE + LEASE_EXPIRY_MARGIN_S);
+        let lease = Millis::from_secs(lease_s * LEASE_EXPIRY_CLOCK_FACTOR + LEASE_EXPIRY_MARGIN_S);
         let mut changes = Vec::new();
         for machine in self.machines.values() {
             let Some(token) = self.token_for(&machine.shard) else {
--- a/src/controller/reachability/evacuation.rs
+++ b/src/controller/reachability/evacuation.rs
@@ -15,8 +15,9 @@
 /// Fewer machines with overdue heartbeats than this are single failures, whatever fraction of all
 /// machines they are.
 const MIN_OVERDUE_MACHINES: usize = 3;
-/// Time within which the machines of a shard find its new holder.
-const HOLDER_DISCOVERY_TIMEOUT: Millis = Millis(10_000);
+/// A silent machine counts as unable to report only after its shard has been held for this long: by
+/// then the shard's machines have found a new holder.
+const MIN_HELD_TIME_FOR_EVACUATION: Millis = Millis(10_000);
 /// Time for a stop command to reach a machine and for the reply to arrive, in addition to the time
 /// for the checkpoint.
 const STOP_ROUND_TRIP: Millis = Millis(7_000);
@@ -57,7 +58,8 @@
             let silent = self.now.since(machine.last_heartbeat) > self.heartbeat_timeout();
             // A machine that the previous holder found unable to report counts as such until it
             // reports.
-            silent && (held_for > HOLDER_DISCOVERY_TIMEOUT || !machine.reachability.is_confirmed())
+            silent
+                && (held_for > MIN_HELD_TIME_FOR_EVACUATION || !machine.reachability.is_confirmed())
         })
     }
 
