--- a/src/controller/heartbeats/observation.rs
+++ b/src/controller/heartbeats/observation.rs
@@ -59,19 +59,19 @@
         machine: &Machine,
         token: FencingToken,
     ) -> Reconciliation {
-        let may_be_fetching = |job: &Job| self.may_be_fetching(job);
+        let gang_may_be_fetching = |job: &Job| self.gang_may_be_fetching(job);
         reconcile(
             machine,
             token,
             &self.jobs,
             &self.scheduler.stops,
-            may_be_fetching,
+            gang_may_be_fetching,
         )
     }
 
     /// Whether tasks of a gang may still be fetching its image on any of their machines, assuming
     /// the slowest fetch rate of all machine types.
-    fn may_be_fetching(&self, job: &Job) -> bool {
+    fn gang_may_be_fetching(&self, job: &Job) -> bool {
         let rates = self
             .autoscaler
             .type_specs
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -11,7 +11,7 @@
 use crate::queue::Queue;
 use crate::settings::OperatorSettings;
 use crate::types::{JobId, MachineId, Millis};
-use crate::workers::reconcile::Stops;
+use crate::workers::reconcile::RequestedStops;
 
 /// The state that decides which task is placed next, and where.
 pub(super) struct Scheduler {
@@ -33,7 +33,7 @@
     /// Jobs for which the leader requests preemption on a machine of this controller.
     pub(super) preemption_requests: HashMap<JobId, MachineId>,
     /// Tasks that are to be stopped.
-    pub(super) stops: Stops,
+    pub(super) stops: RequestedStops,
     /// When a service replica was last moved to a better machine.
     pub(super) replica_moved_at: Millis,
 }
@@ -50,7 +50,7 @@
             failed_jobs: HashSet::default(),
             crash_loops: CrashLoopTracker::default(),
             preemption_requests: HashMap::default(),
-            stops: Stops::default(),
+            stops: RequestedStops::default(),
             replica_moved_at: Millis(0),
         }
     }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -10,7 +10,7 @@
 use crate::types::{Attempt, FencingToken, JobId, TaskId};
 
 /// Tasks that the holder of their machine's shard is stopping, to preempt them or to drain the machine.
-pub type Stops = HashMap<TaskId, Stop>;
+pub type RequestedStops = HashMap<TaskId, Stop>;
 
 /// A request to stop one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,47 +43,47 @@
 
 /// Reconciles the newest heartbeat in `machine` with the job records. `token` is the token under which this
 /// controller holds the machine's shard: a heartbeat whose worker had not seen it yet proves nothing, since
-/// an earlier holder's start may follow, and has no effect. `may_be_fetching` tells whether other tasks of a
-/// gang may still be fetching its image.
+/// an earlier holder's start may follow, and has no effect. `gang_may_be_fetching` tells whether other tasks
+/// of a gang may still be fetching its image.
 #[must_use]
 pub fn reconcile(
     machine: &Machine,
     token: FencingToken,
     jobs: &JobCache,
-    stops: &Stops,
-    may_be_fetching: impl Fn(&Job) -> bool,
+    stops: &RequestedStops,
+    gang_may_be_fetching: impl Fn(&Job) -> bool,
 ) -> Reconciliation {
     if machine.worker_token.fencing_token() < token {
         return Reconciliation::default();
     }
-    let mut pass = Pass {
+    let mut reconciler = Reconciler {
         machine,
         token,
         jobs,
         stops,
-        may_be_fetching,
+        gang_may_be_fetching,
         outcome: Reconciliation::default(),
         late_start_commands: Vec::new(),
     };
-    let current = pass.reconcile_reported_tasks();
-    pass.reconcile_unreported_tasks(&current);
-    pass.finish()
+    let current = reconciler.reconcile_reported_tasks();
+    reconciler.reconcile_unreported_tasks(&current);
+    reconciler.finish()
 }
 
 /// One reconciliation of a heartbeat with the records.
-struct Pass<'a, MayBeFetching> {
+struct Reconciler<'a, GangMayBeFetching> {
     machine: &'a Machine,
     token: FencingToken,
     jobs: &'a JobCache,
-    stops: &'a Stops,
-    may_be_fetching: MayBeFetching,
+    stops: &'a RequestedStops,
+    gang_may_be_fetching: GangMayBeFetching,
     outcome: Reconciliation,
     /// Starts and stops of unwanted attempts whose start may still arrive. They keep their order, each
     /// start before its stop.
     late_start_commands: Vec<WorkerCommand>,
 }
 
-impl<'a, MayBeFetching: Fn(&Job) -> bool> Pass<'a, MayBeFetching> {
+impl<'a, GangMayBeFetching: Fn(&Job) -> bool> Reconciler<'a, GangMayBeFetching> {
     /// Compares each task in the heartbeat with its record. Returns the current ones: those placed
     /// here in the reported attempt and agent epoch.
     fn reconcile_reported_tasks(&mut self) -> HashSet<&'a TaskId> {
@@ -133,7 +133,7 @@
         let restart = cause == ExitCause::GangTimeout
             && is_wanted(job)
             && !self.is_stopped(task, attempt)
-            && (self.may_be_fetching)(job);
+            && (self.gang_may_be_fetching)(job);
         if restart {
             self.restart_at_barrier(task, attempt);
         } else {
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -78,7 +78,7 @@
         ),
         (ExitCause::GangMemberLost, other, true, true, false, true),
     ];
-    for (index, (cause, other_task, may_be_fetching, start_in_flight, restarted, released)) in
+    for (index, (cause, other_task, gang_may_be_fetching, start_in_flight, restarted, released)) in
         cases.into_iter().enumerate()
     {
         let mut jobs = JobCache::default();
@@ -102,9 +102,13 @@
                 .piggybacked_starts
                 .insert((task.clone(), last_attempt));
         }
-        let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
-            may_be_fetching
-        });
+        let outcome = reconcile(
+            &machine,
+            FencingToken(4),
+            &jobs,
+            &RequestedStops::default(),
+            |_| gang_may_be_fetching,
+        );
         let attempt = last_attempt;
         let forget = WorkerCommand::Forget {
             task: task.clone(),
@@ -169,9 +173,13 @@
         if confirmed {
             machine.reachability.confirm();
         }
-        let outcome = reconcile(&machine, FencingToken(4), &jobs, &Stops::default(), |_| {
-            false
-        });
+        let outcome = reconcile(
+            &machine,
+            FencingToken(4),
+            &jobs,
+            &RequestedStops::default(),
+            |_| false,
+        );
         let is_release = |(_, _, change): &(JobId, u32, TaskChange)| {
             matches!(change, TaskChange::Release { .. })
         };
@@ -200,7 +208,7 @@
     let jobs = jobs_with_one_placement(&id, spec, placement);
     let task = TaskId { job: id, index: 0 };
     let attempt = Attempt(1);
-    let stops = Stops::from_iter([(
+    let stops = RequestedStops::from_iter([(
         task.clone(),
         Stop {
             attempt,
@@ -287,7 +295,7 @@
             attempt: Attempt(stopped),
             save: false,
         };
-        let stops = Stops::from_iter([(TaskId { job: id, index: 0 }, stop)]);
+        let stops = RequestedStops::from_iter([(TaskId { job: id, index: 0 }, stop)]);
         let outcome = reconcile(&machine, FencingToken(4), &jobs, &stops, |_| false);
         assert_eq!(!outcome.changes.is_empty(), released, "stop of {stopped}");
         assert_eq!(outcome.commands.is_empty(), released, "stop of {stopped}");
