--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -65,7 +65,7 @@
     pub(super) backlog: Backlog,
     /// Writes count as scarce until this time: scheduling cycles were stopped because placements
     /// could not be written soon.
-    pub(super) writes_short_until: Millis,
+    pub(super) writes_scarce_until: Millis,
     /// Whether a transaction that deletes pages of finished jobs is in flight.
     pub(super) deleting_pages: bool,
 }
@@ -81,7 +81,7 @@
             admission: WriteAdmission::default(),
             gate: Gate::default(),
             backlog: Backlog::default(),
-            writes_short_until: Millis(0),
+            writes_scarce_until: Millis(0),
             deleting_pages: false,
         }
     }
@@ -105,7 +105,7 @@
         {
             return;
         }
-        let pressure = if self.writes_are_short() {
+        let pressure = if self.writes_are_scarce() {
             WritePressure::Scarce
         } else {
             WritePressure::Normal
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -270,7 +270,7 @@
         let (mut controller, id) = controller(spec, tasks);
         controller.now = Millis(10_000);
         if scarce {
-            controller.commits.writes_short_until = Millis(11_000);
+            controller.commits.writes_scarce_until = Millis(11_000);
         }
         controller
             .jobs
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -31,7 +31,7 @@
 const MIN_PENDING_PLACEMENTS: f64 = 4.0;
 /// Writes are treated as scarce for this long after they stopped the loop, so that the mode does
 /// not change with each write.
-const WRITE_SHORTAGE_HOLD: Millis = Millis(1_000);
+const WRITE_SCARCITY_DURATION: Millis = Millis(1_000);
 /// Best-effort jobs avoid empty machines for this long after this controller first saw them; after
 /// that they must be able to start.
 const MAX_EMPTY_MACHINE_AVOIDANCE: Millis = Millis(30_000);
@@ -88,8 +88,8 @@
     }
 
     /// Whether writes to the store are scarce: they stopped the loop recently.
-    pub(super) fn writes_are_short(&self) -> bool {
-        self.now < self.commits.writes_short_until
+    pub(super) fn writes_are_scarce(&self) -> bool {
+        self.now < self.commits.writes_scarce_until
     }
 
     /// Runs cycles for the jobs at the head of the queue, as long as their placements can be
@@ -99,13 +99,13 @@
         while budget.take() {
             if self.pending_placements() >= max_pending {
                 if self.scheduler.queue.first_key().is_some() {
-                    self.commits.writes_short_until = self.now + WRITE_SHORTAGE_HOLD;
+                    self.commits.writes_scarce_until = self.now + WRITE_SCARCITY_DURATION;
                 }
                 return;
             }
             // Resources are shared by priority, but while writes are scarce, writes are shared by
             // floors.
-            let by_floors = self.writes_are_short();
+            let by_floors = self.writes_are_scarce();
             let popped = if by_floors {
                 self.scheduler.queue.pop_by_floors()
             } else {
