--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -54,7 +54,7 @@
 impl PlannedWrite {
     /// Whether a page is part of this transaction, or can be added to it. `max_ops`: the number of
     /// operations that the store accepts in a transaction.
-    fn has_room_for(&self, page: u32, max_ops: usize) -> bool {
+    fn can_include_page(&self, page: u32, max_ops: usize) -> bool {
         let max_pages = MAX_PAGES.min(max_ops.saturating_sub(RESERVED_OPS));
         self.pages.contains_key(&page) || self.pages.len() < max_pages
     }
@@ -158,7 +158,7 @@
         let max_ops = self.settings.deployment.state.txn_ops;
         let mut planned = PlannedWrite::default();
         for (index, change) in &job.pending_changes {
-            if !planned.has_room_for(index / job.record.page_size, max_ops) {
+            if !planned.can_include_page(index / job.record.page_size, max_ops) {
                 break;
             }
             let is_placement = matches!(change, TaskChange::Place(_));
@@ -209,9 +209,9 @@
     /// the task.
     fn check_placement(&self, placement: &Placement) -> Option<AllowedChange> {
         let machine = self.machines.get(&placement.machine_id)?;
-        let has_room = machine.agent_epoch == placement.agent_epoch
+        let still_fits = machine.agent_epoch == placement.agent_epoch
             && Resources::default().fits_in(self.available(machine));
-        if !has_room {
+        if !still_fits {
             return None;
         }
         let held = self
