--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -56,9 +56,9 @@
         /// The changes, by the index of their task.
         changes: Vec<(u32, TaskChange)>,
     },
-    /// Deletes the description of a finished job.
-    DeleteDescription {
-        /// The finished job.
+    /// Writes the final record of a cancelled job, which no longer contains the spec.
+    Finalize {
+        /// The cancelled job.
         job: JobId,
     },
     /// Deletes pages of finished jobs.
@@ -224,7 +224,7 @@
             CallPurpose::TaskChanges { job, changes } => {
                 self.on_task_changes_written(job, changes, answer)
             }
-            CallPurpose::DeleteDescription { job } => self.on_finalized(job),
+            CallPurpose::Finalize { job } => self.on_finalized(job),
             CallPurpose::DeletePages => self.commits.deleting_pages = false,
             CallPurpose::AllocateQuota { expected_version } => {
                 self.on_allocated(expected_version, answer)
--- a/src/controller/commits/cleanup.rs
+++ b/src/controller/commits/cleanup.rs
@@ -37,11 +37,7 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::InFlight;
         }
-        self.transact(
-            class,
-            txn,
-            CallPurpose::DeleteDescription { job: id.clone() },
-        );
+        self.transact(class, txn, CallPurpose::Finalize { job: id.clone() });
     }
 
     /// Handles the store's answer to a final record.
