--- a/src/controller/peer_messages/incoming_status.rs
+++ b/src/controller/peer_messages/incoming_status.rs
@@ -20,12 +20,12 @@
         }
         self.record_peer_status(&from, &status);
         self.apply_shard_tokens(&from, status.shards);
-        for view in status.descriptions {
-            self.apply_machine_view(&from, view);
+        for description in status.descriptions {
+            self.apply_machine_description(&from, description);
         }
         let mut schedulable = Vec::new();
-        for heartbeat in status.machines {
-            schedulable.extend(self.apply_machine_heartbeat(&from, &heartbeat));
+        for condition in status.machines {
+            schedulable.extend(self.apply_machine_condition(&from, &condition));
         }
         if self.leader() == Some(&from) {
             self.autoscaler.drains = status.draining.into_iter().map(MachineId::from).collect();
@@ -81,19 +81,19 @@
     }
 
     /// Applies a peer's description of a machine, unless this controller holds the machine's shard.
-    fn apply_machine_view(&mut self, from: &ControllerId, view: MachineDescription) {
+    fn apply_machine_description(&mut self, from: &ControllerId, description: MachineDescription) {
         let now = self.now;
         let shards_per_zone = self.settings.operator.shards_per_zone;
-        let machine_id = MachineId::from(view.machine_id);
+        let machine_id = MachineId::from(description.machine_id);
         let machine = self.machines.entry(machine_id.clone()).or_insert_with(|| {
-            let zone = Zone::from(view.zone);
+            let zone = Zone::from(description.zone);
             let shard = shard_of(&machine_id, &zone, shards_per_zone);
-            let machine_type = view.machine_type.into();
+            let machine_type = description.machine_type.into();
             Machine::new(
                 machine_id,
                 machine_type,
                 zone,
-                view.spot,
+                description.spot,
                 shard,
                 from.clone(),
             )
@@ -102,12 +102,12 @@
         if token.is_some() {
             return;
         }
-        machine.address = view.address.parse().ok().or(machine.address);
+        machine.address = description.address.parse().ok().or(machine.address);
         let cached = |(image, mb): (String, u64)| {
             let gb = mb as f64 / 1e3;
             (image.into(), CachedImage { last_used: now, gb })
         };
-        machine.images = view.images.into_iter().map(cached).collect();
+        machine.images = description.images.into_iter().map(cached).collect();
         self.scheduler
             .candidates
             .changed_machines
@@ -116,14 +116,14 @@
 
     /// Applies the frequently changing part of a machine's state, unless this controller holds the
     /// machine's shard. Returns the machine if that makes it schedulable.
-    fn apply_machine_heartbeat(
+    fn apply_machine_condition(
         &mut self,
         from: &ControllerId,
-        heartbeat: &MachineCondition,
+        condition: &MachineCondition,
     ) -> Option<MachineId> {
         let (now, silence) = (self.now, self.heartbeat_timeout());
-        let machine_id = MachineId::from(heartbeat.machine_id.as_str());
-        let contact_at = now - Millis(heartbeat.since_contact_ms);
+        let machine_id = MachineId::from(condition.machine_id.as_str());
+        let contact_at = now - Millis(condition.since_contact_ms);
         let Some(machine) = self.machines.get_mut(&machine_id) else {
             // A machine that is unknown here will be described soon. Until then it must not be
             // mistaken for one that has never sent a heartbeat to its holder.
@@ -139,7 +139,7 @@
         let was_schedulable = machine.is_schedulable(now, silence);
         machine.last_contact = machine.last_contact.max(contact_at);
         machine.last_contact_by = from.clone();
-        let agent_epoch = AgentEpoch(heartbeat.agent_epoch);
+        let agent_epoch = AgentEpoch(condition.agent_epoch);
         if agent_epoch != machine.agent_epoch {
             // The known sequence number belongs to another agent epoch.
             machine.agent_epoch = agent_epoch;
@@ -147,17 +147,17 @@
         }
         machine
             .reachability
-            .set_by_holder(!heartbeat.unconfirmed, now);
-        machine.termination_announced = heartbeat.termination_announced;
-        if machine.quarantined && !heartbeat.quarantined {
+            .set_by_holder(!condition.unconfirmed, now);
+        machine.termination_announced = condition.termination_announced;
+        if machine.quarantined && !condition.quarantined {
             // The holder lifted the quarantine: the jobs were at fault, not the machine.
             self.autoscaler.drains.remove(&machine_id);
         }
-        if heartbeat.quarantined && !machine.quarantined {
+        if condition.quarantined && !machine.quarantined {
             self.scheduler.crash_loops.forget_machine(&machine_id, now);
         }
-        machine.quarantined = heartbeat.quarantined;
-        machine.draining = heartbeat.draining;
+        machine.quarantined = condition.quarantined;
+        machine.draining = condition.draining;
         let became_schedulable = !was_schedulable && machine.is_schedulable(now, silence);
         became_schedulable.then_some(machine_id)
     }
--- a/src/controller/peer_messages/outgoing_status.rs
+++ b/src/controller/peer_messages/outgoing_status.rs
@@ -86,9 +86,9 @@
                 .collect(),
             machines: self
                 .reporting_machines()
-                .map(|machine| self.machine_heartbeat(machine))
+                .map(|machine| self.machine_condition(machine))
                 .collect(),
-            descriptions: self.due_machine_views(),
+            descriptions: self.due_descriptions(),
             draining: self.machines_to_drain(),
         }
     }
@@ -101,7 +101,7 @@
     }
 
     /// The frequently changing part of a machine's state.
-    fn machine_heartbeat(&self, machine: &Machine) -> MachineCondition {
+    fn machine_condition(&self, machine: &Machine) -> MachineCondition {
         MachineCondition {
             machine_id: machine.machine_id.to_string(),
             since_contact_ms: self.now.since(machine.last_contact).0,
@@ -114,19 +114,19 @@
     }
 
     /// Descriptions of the machines that changed, and of those that are repeated in this round.
-    fn due_machine_views(&mut self) -> Vec<MachineDescription> {
+    fn due_descriptions(&mut self) -> Vec<MachineDescription> {
         let round = self.now.0 / STATUS_INTERVAL.0 % DESCRIPTION_ROUNDS;
         let leases = &self.membership.leases;
-        let mut views = Vec::new();
+        let mut descriptions = Vec::new();
         for machine in self.machines.values() {
             let token = leases.held_token(&machine.shard, &self.me);
             if token == Some(machine.worker_token.fencing_token())
                 && self.peers.is_description_due(machine, round)
             {
-                views.push(machine_view(machine));
+                descriptions.push(machine_description(machine));
             }
         }
-        views
+        descriptions
     }
 
     /// The machines that the leader wants drained; empty on any other controller.
@@ -160,7 +160,7 @@
 }
 
 /// The description of a machine as sent to other controllers.
-fn machine_view(machine: &Machine) -> MachineDescription {
+fn machine_description(machine: &Machine) -> MachineDescription {
     MachineDescription {
         machine_id: machine.machine_id.to_string(),
         address: machine
--- a/tests/wire_format/peers.rs
+++ b/tests/wire_format/peers.rs
@@ -33,7 +33,7 @@
     frame
 }
 
-fn machine_heartbeat(machine_id: &str, flags: [bool; 4]) -> MachineCondition {
+fn machine_condition(machine_id: &str, flags: [bool; 4]) -> MachineCondition {
     let [unconfirmed, termination_announced, quarantined, draining] = flags;
     MachineCondition {
         machine_id: machine_id.into(),
@@ -59,10 +59,10 @@
         pending_changes: 17,
         shards: vec![("a.0".into(), 501), ("b.1".into(), 502)],
         machines: vec![
-            machine_heartbeat("vm-1", [true, false, false, false]),
-            machine_heartbeat("vm-2", [false, true, false, false]),
-            machine_heartbeat("vm-3", [false, false, true, false]),
-            machine_heartbeat("vm-4", [false, false, false, true]),
+            machine_condition("vm-1", [true, false, false, false]),
+            machine_condition("vm-2", [false, true, false, false]),
+            machine_condition("vm-3", [false, false, true, false]),
+            machine_condition("vm-4", [false, false, false, true]),
         ],
         descriptions: vec![
             MachineDescription {
