--- a/src/controller/commits/commit_schedule.rs
+++ b/src/controller/commits/commit_schedule.rs
@@ -1,4 +1,4 @@
-//! When a job's noted changes are due, and in which lane of the backlog they wait.
+//! When a job's pending changes are due, and in which lane of the backlog they wait.
 //!
 //! A transaction costs the same whatever it contains, so changes that no user or task waits for are
 //! batched, and for longer while writes are scarce. The decision is a pure function of the job, the
@@ -40,7 +40,7 @@
     Scarce,
 }
 
-/// The kind of a job's noted changes, as far as it decides their urgency.
+/// The kind of a job's pending changes, as far as it decides their urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeKind {
     /// The job is over, and its tasks leave their machines.
@@ -59,7 +59,7 @@
     Other,
 }
 
-/// The lane and the due time of a job's noted changes. `near_limit`: whether the team is so close
+/// The lane and the due time of a job's pending changes. `near_limit`: whether the team is so close
 /// to a limit that its next tasks may wait for a completion; evaluated only if that matters.
 pub(super) fn choose(
     job: &Job,
@@ -93,7 +93,7 @@
     CommitSchedule { lane, due }
 }
 
-/// Classifies a job's noted changes.
+/// Classifies a job's pending changes.
 fn kind_of(job: &Job) -> ChangeKind {
     let completions = job.pending_changes.values().all(TaskChange::finishes);
     let complete = job.done as usize + job.pending_changes.len() >= job.record.tasks as usize;
@@ -114,12 +114,12 @@
     }
 }
 
-/// Whether tasks of the job are placed for which no change is noted yet.
+/// Whether tasks of the job are placed for which no change is pending yet.
 fn more_departures_expected(job: &Job) -> bool {
     job.placed as usize > job.pending_changes.len()
 }
 
-/// Whether all noted changes are placements. Other changes free resources that a gang may be
+/// Whether all pending changes are placements. Other changes free resources that a gang may be
 /// waiting for on another controller.
 fn only_placements(job: &Job) -> bool {
     let is_placement = |change: &TaskChange| matches!(change, TaskChange::Place(_));
--- a/src/controller/commits/commit_schedule/tests.rs
+++ b/src/controller/commits/commit_schedule/tests.rs
@@ -139,7 +139,7 @@
 #[test]
 fn a_cancelled_job_ends_after_its_tasks_have_left() {
     let cases = [
-        // number of tasks noted as released, of two placed tasks
+        // number of tasks with a pending release, of two placed tasks
         (1, NOW + LAST_TASKS_TIMEOUT),
         (2, NOW - URGENT_HEAD_START),
     ];
--- a/src/controller/commits/forwarding.rs
+++ b/src/controller/commits/forwarding.rs
@@ -12,7 +12,7 @@
 use crate::types::{Attempt, FencingToken, JobId};
 
 impl Controller {
-    /// Forwards a job's noted changes to its owner, if the owner can be reached and may write all
+    /// Forwards a job's pending changes to its owner, if the owner can be reached and may write all
     /// of them. Returns whether they were forwarded.
     pub(super) fn forward_to_owner(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Notes departures that other holders forwarded. They are checked again when they are
-    /// written.
+    /// Adds departures that other holders forwarded as pending changes. They are checked again when
+    /// they are written.
     pub(in crate::controller) fn on_tasks_departed(&mut self, departures: Vec<TaskDeparture>) {
         let mut changes = Vec::new();
         for departure in departures {
@@ -67,7 +67,7 @@
     }
 
     /// Whether the records still show the task on the machine that it left, under the token of the
-    /// holder that reported the departure, and no change of the task is noted.
+    /// holder that reported the departure, and no change of the task is pending.
     fn matches_records(&self, id: &JobId, departure: &TaskDeparture) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -83,7 +83,7 @@
             && self.known_token(&placement.shard) == Some(FencingToken(departure.token))
     }
 
-    /// Discards noted departures of tasks that another controller has written in the meantime.
+    /// Discards pending departures of tasks that another controller has written in the meantime.
     pub(in crate::controller) fn discard_superseded_departures(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle {
--- a/src/controller/commits/mod.rs
+++ b/src/controller/commits/mod.rs
@@ -1,13 +1,13 @@
 //! Commits of task changes: one transaction per job at a time, conditioned on every record that the
 //! decision depends on.
 //!
-//! Heartbeats and scheduling cycles note changes on a job in the cache. [`commit_schedule`] decides
-//! in which lane and when a job's changes are due, the backlog divides the write limit among due
-//! jobs, [`planned_write`] checks the changes against the current records, this module sends the
+//! Heartbeats and scheduling cycles add pending changes to a job in the cache. [`commit_schedule`]
+//! decides in which lane and when a job's changes are due, the backlog divides the write limit among
+//! due jobs, [`planned_write`] checks the changes against the current records, this module sends the
 //! transaction, and [`outcome`] handles its result. [`forwarding`] sends changes to the controller
 //! that owns the job, and [`cleanup`] deletes what a finished job no longer needs.
 //!
-//! State: [`Commits`], and for each [`Job`] in the cache its noted changes and whether a
+//! State: [`Commits`], and for each [`Job`] in the cache its pending changes and whether a
 //! transaction with them is in flight.
 
 mod cleanup;
@@ -51,8 +51,8 @@
 
 /// Task changes on their way to the store, and the admission that divides its write limit.
 pub(super) struct Commits {
-    /// Jobs with changes that the scheduling cycles of this event noted.
-    pub(super) noted_jobs: Vec<JobId>,
+    /// Jobs to which scheduling cycles added pending changes during this event.
+    pub(super) changed_jobs: Vec<JobId>,
     /// Departures of tasks that other controllers are asked to write.
     pub(super) completions: CompletionForwarder,
     /// The classes and teams that have floors, which are guaranteed minimum shares of the writes.
@@ -61,7 +61,7 @@
     pub(super) admission: WriteAdmission,
     /// Decides whether a submission is accepted now.
     pub(super) gate: Gate,
-    /// Jobs whose noted changes wait to be written.
+    /// Jobs whose pending changes wait to be written.
     pub(super) backlog: Backlog,
     /// Writes count as scarce until this time: scheduling cycles were stopped because placements
     /// could not be written soon.
@@ -71,11 +71,11 @@
 }
 
 impl Commits {
-    /// Starts without noted changes or transactions in flight; no write is allowed before the first
-    /// plan.
+    /// Starts without pending changes or transactions in flight; no write is allowed before the
+    /// first plan.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            noted_jobs: Vec::new(),
+            changed_jobs: Vec::new(),
             completions: CompletionForwarder::default(),
             flows: Flows::new(settings),
             admission: WriteAdmission::default(),
@@ -96,7 +96,7 @@
 }
 
 impl Controller {
-    /// Puts a job with noted changes into the backlog, and writes all changes that are due.
+    /// Puts a job with pending changes into the backlog, and writes all changes that are due.
     pub(super) fn commit(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Writes a job's noted changes, unless a transaction of the job is in flight.
+    /// Writes a job's pending changes, unless a transaction of the job is in flight.
     fn write(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.commit_state != CommitState::Idle || job.pending_changes.is_empty() {
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -67,11 +67,11 @@
     }
 
     /// Restarts from the records after a transaction that failed, or whose outcome was unknown and
-    /// is shown by the cache now. Noted changes are discarded, except completions: the next
-    /// heartbeats and scheduling cycles note those again that still apply.
+    /// is shown by the cache now. Pending changes are discarded, except completions: the next
+    /// heartbeats and scheduling cycles add those again that still apply.
     pub(in crate::controller) fn restart_from_records(&mut self, id: &JobId) {
         let departed_from = self.machines_departed_from(id);
-        let completions = self.noted_completions(id);
+        let completions = self.pending_completions(id);
         self.jobs.discard_all_changes(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.commit_state = CommitState::Idle;
@@ -93,7 +93,7 @@
         self.commit(id);
     }
 
-    /// The machines that a job's tasks have left by its noted changes.
+    /// The machines that a job's tasks have left by its pending changes.
     fn machines_departed_from(&self, id: &JobId) -> BTreeSet<MachineId> {
         let Some(job) = self.jobs.get(id) else {
             return BTreeSet::new();
@@ -105,8 +105,8 @@
             .collect()
     }
 
-    /// A job's noted completions. Completions are final, and other holders report each only once.
-    fn noted_completions(&self, id: &JobId) -> Vec<(u32, TaskChange)> {
+    /// A job's pending completions. Completions are final, and other holders report each only once.
+    fn pending_completions(&self, id: &JobId) -> Vec<(u32, TaskChange)> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -1,4 +1,4 @@
-//! What one transaction for a job writes: its noted changes, as far as the records still allow
+//! What one transaction for a job writes: its pending changes, as far as the records still allow
 //! them.
 //!
 //! The records may change while changes wait in the backlog, so each change is checked again just
@@ -26,13 +26,13 @@
     pub(super) pages: BTreeMap<u32, Vec<Task>>,
     /// The changes that are written, by task.
     pub(super) changes: Vec<(u32, TaskChange)>,
-    /// Tasks whose noted change no longer fits the records.
+    /// Tasks whose pending change no longer fits the records.
     pub(super) stale: Vec<u32>,
-    /// How many placements were noted, by their outcome.
+    /// How many placements were pending, by their outcome.
     pub(super) placements: PlacementCounts,
 }
 
-/// Counts of the placements among a job's noted changes.
+/// Counts of the placements among a job's pending changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PlacementCounts {
     /// Placements that the transaction writes.
@@ -152,7 +152,7 @@
 }
 
 impl Controller {
-    /// Checks a job's noted changes against the records, in order of their tasks, until a
+    /// Checks a job's pending changes against the records, in order of their tasks, until a
     /// transaction is full.
     pub(super) fn plan_write(&self, job: &Job) -> PlannedWrite {
         let max_ops = self.settings.deployment.state.txn_ops;
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -72,7 +72,7 @@
     (controller, id)
 }
 
-/// Changes that were noted during another transaction, or while the write budget was exhausted, were
+/// Changes that were added during another transaction, or while the write budget was exhausted, were
 /// written although the records had changed since.
 #[test]
 fn changes_overtaken_by_newer_records_are_not_written() {
@@ -182,7 +182,7 @@
         spec.spread = name != "no resources left";
         spec.resources.gpus = gpus;
         let (mut controller, id) = controller(spec, tasks.to_vec());
-        // The change was valid when it was noted; the records are newer now.
+        // The change was valid when it was added; the records are newer now.
         controller.jobs.add_pending_change(&id, 0, change);
         controller.write(&id);
         let wrote = controller.effects.iter().any(|effect| {
@@ -210,20 +210,20 @@
         evidence: Evidence::Holder(FencingToken(5)),
     };
     let cases = [
-        // state of the other task, the change noted for it, whether the gang is done
+        // state of the other task, the change pending for it, whether the gang is done
         (placed("vm-b", "b.0", 2), None, true),
         (placed("vm-b", "b.0", 2), Some(release), true),
         (waits(2), None, true),
         (waits(3), None, false),
     ];
-    for (other_task, noted, done) in cases {
+    for (other_task, pending, done) in cases {
         let (_, mut spec) = parse(body().to_string().as_bytes()).unwrap();
         (spec.kind, spec.tasks) = (JobKind::Gang, 2);
         let tasks = vec![placed("vm-a", "a.0", 2), other_task.clone()];
         let (mut controller, id) = controller(spec, tasks);
         controller.jobs.add_pending_change(&id, 0, finish.clone());
-        if let Some(noted) = noted {
-            controller.jobs.add_pending_change(&id, 1, noted);
+        if let Some(pending) = pending {
+            controller.jobs.add_pending_change(&id, 1, pending);
         }
         controller.write(&id);
         let gang_done = controller.effects.iter().any(|effect| {
--- a/src/controller/placement/cycle.rs
+++ b/src/controller/placement/cycle.rs
@@ -47,8 +47,8 @@
         self.end_used_nominations(id);
         if self.jobs.get(id).is_some_and(Job::is_multi_task_gang) {
             self.commit(id);
-        } else if self.commits.noted_jobs.last() != Some(id) {
-            self.commits.noted_jobs.push(id.clone());
+        } else if self.commits.changed_jobs.last() != Some(id) {
+            self.commits.changed_jobs.push(id.clone());
         }
         if let Some(job) = self.jobs.get(id)
             && job.waiting_tasks() > 0
--- a/src/controller/placement/mod.rs
+++ b/src/controller/placement/mod.rs
@@ -6,7 +6,7 @@
 //! - `gang`: machines for all tasks of a gang together;
 //! - `unplaced`: what follows if no machine is suitable (preemption, forwarding, parking).
 //!
-//! Placements are noted in the job cache; `commits` writes them.
+//! Placements become pending changes in the job cache; `commits` writes them.
 
 mod cycle;
 mod gang;
@@ -113,7 +113,7 @@
             };
             let Some(popped) = popped else { return };
             // Another task of the job that was placed last is part of the same write.
-            let needs_write = self.commits.noted_jobs.last() != Some(&popped.id);
+            let needs_write = self.commits.changed_jobs.last() != Some(&popped.id);
             let placed = self.run_cycle(&popped);
             if by_floors && needs_write && placed {
                 self.charge_floors(&popped);
@@ -131,7 +131,8 @@
 
     /// How many placements wait for their write.
     fn pending_placements(&self) -> usize {
-        self.commits.backlog.overdue_in(Lane::Placements, self.now) + self.commits.noted_jobs.len()
+        self.commits.backlog.overdue_in(Lane::Placements, self.now)
+            + self.commits.changed_jobs.len()
     }
 
     /// Counts a cycle against the floors of the job's class and team.
@@ -165,7 +166,7 @@
 
     /// Passes the placements of this run to the commits. Tasks of one job are committed together.
     fn commit_placed_jobs(&mut self) {
-        for id in std::mem::take(&mut self.commits.noted_jobs) {
+        for id in std::mem::take(&mut self.commits.changed_jobs) {
             self.commit(&id);
         }
     }
