--- a/src/controller/admission_plan.rs
+++ b/src/controller/admission_plan.rs
@@ -43,11 +43,15 @@
     /// Without the second condition, a controller that has just returned would follow a plan that
     /// counts it as absent.
     fn is_plan_member(&self) -> bool {
-        let OwnLease::Held { lease_id, until } = self.membership.leases.own else {
+        let OwnLease::Held {
+            lease_id,
+            expires_at,
+        } = self.membership.leases.own
+        else {
             return false;
         };
         let registered = self.membership.leases.controllers.get(&self.me);
-        self.now < until
+        self.now < expires_at
             && registered.is_some_and(|(record, version)| {
                 record.lease_id == lease_id && self.store_sync.applied >= *version
             })
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -16,12 +16,12 @@
     /// Obtains a lease.
     GrantLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
-        sent: Millis,
+        sent_at: Millis,
     },
     /// Renews this controller's lease.
     RenewLease {
         /// When the call was sent: the lease lasts from then, whenever the answer comes.
-        sent: Millis,
+        sent_at: Millis,
     },
     /// Ends the lease of the previous process with this controller's label.
     EndOldLease,
@@ -210,8 +210,8 @@
     /// Passes the answer to the step that waits for it.
     fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
         match purpose {
-            CallPurpose::GrantLease { sent } => self.on_lease_granted(sent, answer),
-            CallPurpose::RenewLease { sent } => self.on_lease_renewed(sent, answer),
+            CallPurpose::GrantLease { sent_at } => self.on_lease_granted(sent_at, answer),
+            CallPurpose::RenewLease { sent_at } => self.on_lease_renewed(sent_at, answer),
             CallPurpose::EndOldLease => self.on_old_lease_ended(&answer),
             CallPurpose::Register => self.on_registered(&answer),
             CallPurpose::ClaimLeadership => self.on_leadership_written(&answer),
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -37,7 +37,7 @@
     controller.store_sync.synced = true;
     controller.membership.leases.own = OwnLease::Held {
         lease_id: LeaseId(1),
-        until: Millis(60_000),
+        expires_at: Millis(60_000),
     };
     for shard in ["a.0", "b.0"] {
         let record = r#"{"holder":"n0","permit":1}"#;
--- a/src/controller/heartbeats/sweep.rs
+++ b/src/controller/heartbeats/sweep.rs
@@ -111,7 +111,7 @@
             .nominations
             .by_job
             .iter()
-            .filter(|(id, nomination)| nomination.until <= self.now || !waits(id))
+            .filter(|(id, nomination)| nomination.expires_at <= self.now || !waits(id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
--- a/src/controller/hierarchical_quota/reclaim.rs
+++ b/src/controller/hierarchical_quota/reclaim.rs
@@ -64,7 +64,7 @@
         let mut usages = Vec::new();
         for (id, nomination) in &self.scheduler.nominations.by_job {
             let other = self.jobs.get(id).filter(|_| *id != job.id);
-            if let Some(other) = other.filter(|_| nomination.until > self.now) {
+            if let Some(other) = other.filter(|_| nomination.expires_at > self.now) {
                 let machines = nomination.machine_ids.len() as f64;
                 usages.push(TeamUsage {
                     team: other.spec.team.clone(),
--- a/src/controller/hierarchical_quota/reservation.rs
+++ b/src/controller/hierarchical_quota/reservation.rs
@@ -112,10 +112,10 @@
         } = reservation;
         tracing::info!(job = %id, %machine_id, ?victims, "reserving machine and stopping borrowed tasks");
         self.start_reservation_pause(id);
-        let until = self.now + RESERVATION_TIMEOUT;
+        let expires_at = self.now + RESERVATION_TIMEOUT;
         self.scheduler
             .nominations
-            .add(id, &machine_id, resources, until);
+            .add(id, &machine_id, resources, expires_at);
         match self.machines.get(&machine_id) {
             Some(machine) if !self.is_schedulable_locally(machine) => {
                 let to = machine.last_contact_by.clone();
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -63,10 +63,13 @@
 
     /// Records this controller's lease, which is valid until `duration` after the call that granted
     /// or renewed it was sent.
-    fn hold(&mut self, lease_id: LeaseId, sent: Millis, duration: Millis) {
-        self.leases.renewal_base = sent;
-        let until = sent + duration;
-        self.leases.own = OwnLease::Held { lease_id, until };
+    fn record_lease(&mut self, lease_id: LeaseId, sent_at: Millis, duration: Millis) {
+        self.leases.renewal_base = sent_at;
+        let expires_at = sent_at + duration;
+        self.leases.own = OwnLease::Held {
+            lease_id,
+            expires_at,
+        };
     }
 }
 
@@ -112,7 +115,7 @@
     fn request_lease(&mut self) {
         self.membership.leases.own = OwnLease::Requested;
         let ttl_ms = self.settings.operator.lease.0;
-        let purpose = CallPurpose::GrantLease { sent: self.now };
+        let purpose = CallPurpose::GrantLease { sent_at: self.now };
         self.call_store(CallClass::Leases, StoreCall::Grant { ttl_ms }, purpose);
     }
 
@@ -121,7 +124,7 @@
         let interval = Millis(self.settings.operator.lease.0 / RENEWALS_PER_LEASE);
         let due = self.membership.leases.renewal_base + interval;
         if self.now >= due && self.membership.begin(MembershipStep::Renew) {
-            let purpose = CallPurpose::RenewLease { sent: self.now };
+            let purpose = CallPurpose::RenewLease { sent_at: self.now };
             self.call_store(CallClass::Leases, StoreCall::Renew(lease_id), purpose);
         }
     }
@@ -174,24 +177,24 @@
         }
     }
 
-    /// Handles the answer to a request for a lease, sent at `sent`.
-    pub(super) fn on_lease_granted(&mut self, sent: Millis, answer: StoreResponse) {
+    /// Handles the answer to a request for a lease, sent at `sent_at`.
+    pub(super) fn on_lease_granted(&mut self, sent_at: Millis, answer: StoreResponse) {
         match answer {
             StoreResponse::Granted(lease_id) => {
                 let lease = self.settings.operator.lease;
-                self.membership.hold(lease_id, sent, lease);
+                self.membership.record_lease(lease_id, sent_at, lease);
             }
             _ => self.membership.leases.own = OwnLease::None,
         }
     }
 
-    /// Handles the answer to a renewal, sent at `sent`.
-    pub(super) fn on_lease_renewed(&mut self, sent: Millis, answer: StoreResponse) {
+    /// Handles the answer to a renewal, sent at `sent_at`.
+    pub(super) fn on_lease_renewed(&mut self, sent_at: Millis, answer: StoreResponse) {
         self.membership.finish(MembershipStep::Renew);
         match (answer, self.membership.leases.own) {
             (StoreResponse::Renewed, OwnLease::Held { lease_id, .. }) => {
                 let lease = self.settings.operator.lease;
-                self.membership.hold(lease_id, sent, lease);
+                self.membership.record_lease(lease_id, sent_at, lease);
             }
             (StoreResponse::LeaseExpired, _) => {
                 tracing::info!("lease expired");
@@ -274,8 +277,8 @@
     pub(super) fn may_place(&self) -> bool {
         let stop_before = self.settings.operator.stop_before;
         match self.membership.leases.own {
-            OwnLease::Held { until, .. } => {
-                self.store_sync.is_consistent() && self.now + stop_before < until
+            OwnLease::Held { expires_at, .. } => {
+                self.store_sync.is_consistent() && self.now + stop_before < expires_at
             }
             _ => false,
         }
--- a/src/controller/nominations.rs
+++ b/src/controller/nominations.rs
@@ -24,24 +24,24 @@
     /// The resources of one task.
     pub(super) resources: Resources,
     /// When the nomination expires.
-    pub(super) until: Millis,
+    pub(super) expires_at: Millis,
 }
 
 impl Nominations {
-    /// Nominates a job for a machine, and extends its whole nomination to `until`.
+    /// Nominates a job for a machine, and extends its whole nomination to `expires_at`.
     pub(super) fn add(
         &mut self,
         job: &JobId,
         machine_id: &MachineId,
         resources: Resources,
-        until: Millis,
+        expires_at: Millis,
     ) {
         let nomination = self.by_job.entry(job.clone()).or_insert(Nomination {
             machine_ids: Vec::new(),
             resources,
-            until,
+            expires_at,
         });
-        nomination.until = until;
+        nomination.expires_at = expires_at;
         if !nomination.machine_ids.contains(machine_id) {
             nomination.machine_ids.push(machine_id.clone());
             let jobs = self.jobs_by_machine.entry(machine_id.clone()).or_default();
@@ -91,7 +91,7 @@
     fn current(&self, job: &JobId, now: Millis) -> Option<&Nomination> {
         self.by_job
             .get(job)
-            .filter(|nomination| nomination.until > now)
+            .filter(|nomination| nomination.expires_at > now)
     }
 
     /// Removes a job from the list of those nominated for a machine.
--- a/src/controller/preemption/mod.rs
+++ b/src/controller/preemption/mod.rs
@@ -116,11 +116,11 @@
         let timeout = self
             .nomination_timeout(id, &offers)
             .unwrap_or(NOMINATION_TIMEOUT);
-        let until = self.now + timeout;
+        let expires_at = self.now + timeout;
         for offer in offers {
             let (machine_id, victims) = (&offer.machine_id, &offer.victims);
             tracing::info!(job = %id, %machine_id, ?victims, "preempting tasks");
-            self.free_resources_on(id, offer, until, request);
+            self.free_resources_on(id, offer, expires_at, request);
         }
         true
     }
@@ -135,20 +135,20 @@
             machine_ids = ?offers.iter().map(|offer| &offer.machine_id).collect::<Vec<_>>(),
             "preempting tasks for gang"
         );
-        let until = self.now + NOMINATION_TIMEOUT;
+        let expires_at = self.now + NOMINATION_TIMEOUT;
         for offer in offers {
-            self.free_resources_on(id, offer, until, HolderRequest::FreeResources);
+            self.free_resources_on(id, offer, expires_at, HolderRequest::FreeResources);
         }
         true
     }
 
-    /// Nominates a job for a machine until `until`, and has tasks stopped there, by the machine's
-    /// holder if that is another controller.
+    /// Nominates a job for a machine until `expires_at`, and has tasks stopped there, by the
+    /// machine's holder if that is another controller.
     fn free_resources_on(
         &mut self,
         id: &JobId,
         offer: PreemptionOffer,
-        until: Millis,
+        expires_at: Millis,
         request: HolderRequest,
     ) {
         let Some(resources) = self.jobs.get(id).map(|job| job.spec.resources) else {
@@ -157,7 +157,7 @@
         let machine_id = offer.machine_id;
         self.scheduler
             .nominations
-            .add(id, &machine_id, resources, until);
+            .add(id, &machine_id, resources, expires_at);
         match self.machines.get(&machine_id) {
             Some(machine) if !self.is_schedulable_locally(machine) => {
                 let to = machine.last_contact_by.clone();
--- a/src/controller/zones.rs
+++ b/src/controller/zones.rs
@@ -38,8 +38,10 @@
     /// Enters partition mode once this controller is cut off from the store together with its
     /// machines.
     pub(super) fn check_partition_mode(&mut self) {
-        let lease_expired =
-            matches!(self.membership.leases.own, OwnLease::Held { until, .. } if until < self.now);
+        let lease_expired = matches!(
+            self.membership.leases.own,
+            OwnLease::Held { expires_at, .. } if expires_at < self.now
+        );
         let conditions = PartitionConditions {
             lease_expired: lease_expired && self.store_sync.synced,
             outage: lease_expired && self.all_peers_lost_store(),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -76,7 +76,7 @@
         /// The lease.
         lease_id: LeaseId,
         /// The lease lasts at least until this time on this controller's clock.
-        until: Millis,
+        expires_at: Millis,
     },
 }
 
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -78,7 +78,7 @@
     let mut leases = Leases {
         own: OwnLease::Held {
             lease_id: LeaseId(7),
-            until: Millis(9),
+            expires_at: Millis(9),
         },
         ..Leases::default()
     };
@@ -165,7 +165,7 @@
         if let Some(lease_id) = own {
             leases.own = OwnLease::Held {
                 lease_id: LeaseId(lease_id),
-                until: Millis(9),
+                expires_at: Millis(9),
             };
         }
         let leader_record = format!("{{\"leader\":\"{holder}\",\"permit\":{lease_id}}}");
