--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -79,7 +79,14 @@
                 .call(call, &mut self.machines, now, &mut self.rng)
         };
         let at = self.now + CLOUD_CALL_DURATION;
-        self.send_to(controller, at, Event::Cloud { tag, answer });
+        self.send_to(
+            controller,
+            at,
+            Event::Cloud {
+                tag,
+                response: answer,
+            },
+        );
     }
 
     fn send_to_peer(&mut self, sender: usize, to: &ControllerId, message: &Message, delay: u64) {
--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -18,7 +18,9 @@
 pub(super) fn received(event: &Event) -> (&'static str, usize) {
     match event {
         Event::Tick => ("tick", 0),
-        Event::Store { answer, .. } => (answer_kind(answer), answer_bytes(answer)),
+        Event::Store {
+            response: answer, ..
+        } => (answer_kind(answer), answer_bytes(answer)),
         Event::Cloud { .. } => ("cloud answer", 0),
         Event::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
         Event::Heartbeat { heartbeat, .. } => ("report", heartbeat_bytes(heartbeat)),
--- a/crates/simulator/src/sim/store_calls.rs
+++ b/crates/simulator/src/sim/store_calls.rs
@@ -65,7 +65,14 @@
     }
 
     fn respond_at(&mut self, controller: usize, tag: u64, answer: StoreResponse, at: u64) {
-        self.send_to(controller, at, Event::Store { tag, answer });
+        self.send_to(
+            controller,
+            at,
+            Event::Store {
+                tag,
+                response: answer,
+            },
+        );
     }
 
     fn time_out_store_call(&mut self, controller: usize, tag: u64) {
@@ -152,7 +159,10 @@
         if let Some(answer) = response
             && reply.is_expected()
         {
-            let event = Box::new(Event::Store { tag, answer });
+            let event = Box::new(Event::Store {
+                tag,
+                response: answer,
+            });
             let message = ScheduledMessage::ControllerEvent {
                 process: sender,
                 event,
@@ -245,7 +255,10 @@
             Some(_) => (self.now + STORE_CALL_TIMEOUT, StoreResponse::Unknown),
             None => (self.now + STORE_RESPONSE_DELAY, response),
         };
-        let event = Box::new(Event::Store { tag, answer });
+        let event = Box::new(Event::Store {
+            tag,
+            response: answer,
+        });
         self.post(at, ScheduledMessage::ControllerEvent { process, event });
     }
 }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -185,52 +185,52 @@
 
     /// Handles an answer of the store. Whatever the call was for, this first records whether the
     /// store responded and applies committed records, then runs the step that waits for the answer.
-    pub(super) fn on_store(&mut self, tag: u64, answer: StoreResponse) {
+    pub(super) fn on_store(&mut self, tag: u64, response: StoreResponse) {
         let Some(StoreCallInFlight { purpose, written }) = self.calls.store.remove(&tag) else {
             return;
         };
         if writes_quota_allocation(&written) {
             self.quota.allocations_in_flight -= 1;
         }
-        if !matches!(answer, StoreResponse::Refused | StoreResponse::Unknown) {
+        if !matches!(response, StoreResponse::Refused | StoreResponse::Unknown) {
             self.store_sync.last_response = self.now;
             self.leave_partition_mode();
         }
-        if let StoreResponse::Committed(revision) = answer {
+        if let StoreResponse::Committed(revision) = response {
             // The watch delivers these records again later; by then they are not newer than the
             // cache.
             for record in written {
                 self.apply(&record.key, record.data.as_deref(), revision);
             }
         }
-        self.dispatch_store_response(purpose, answer);
+        self.dispatch_store_response(purpose, response);
         self.answer_cancellations();
     }
 
     /// Passes the answer to the step that waits for it.
-    fn dispatch_store_response(&mut self, purpose: CallPurpose, answer: StoreResponse) {
+    fn dispatch_store_response(&mut self, purpose: CallPurpose, response: StoreResponse) {
         match purpose {
-            CallPurpose::GrantLease { sent_at } => self.on_lease_granted(sent_at, answer),
-            CallPurpose::RenewLease { sent_at } => self.on_lease_renewed(sent_at, answer),
-            CallPurpose::EndOldLease => self.on_old_lease_ended(&answer),
-            CallPurpose::Register => self.on_registered(&answer),
-            CallPurpose::ClaimLeadership => self.on_leadership_written(&answer),
+            CallPurpose::GrantLease { sent_at } => self.on_lease_granted(sent_at, response),
+            CallPurpose::RenewLease { sent_at } => self.on_lease_renewed(sent_at, response),
+            CallPurpose::EndOldLease => self.on_old_lease_ended(&response),
+            CallPurpose::Register => self.on_registered(&response),
+            CallPurpose::ClaimLeadership => self.on_leadership_written(&response),
             CallPurpose::AssignShards => self.on_shards_assigned(),
-            CallPurpose::Snapshot => self.on_snapshot(answer),
-            CallPurpose::Watch => self.on_watch(answer),
-            CallPurpose::ReadRevision => self.on_revision(answer),
-            CallPurpose::Submit { job } => self.on_submitted(job, answer),
-            CallPurpose::Cancel { reply, job } => self.on_cancel_committed(reply, job, answer),
+            CallPurpose::Snapshot => self.on_snapshot(response),
+            CallPurpose::Watch => self.on_watch(response),
+            CallPurpose::ReadRevision => self.on_revision(response),
+            CallPurpose::Submit { job } => self.on_submitted(job, response),
+            CallPurpose::Cancel { reply, job } => self.on_cancel_committed(reply, job, response),
             CallPurpose::TaskChanges { job, changes } => {
-                self.on_task_changes_written(job, changes, answer)
+                self.on_task_changes_written(job, changes, response)
             }
             CallPurpose::Finalize { job } => self.on_finalized(job),
             CallPurpose::DeletePages => self.commits.deleting_pages = false,
             CallPurpose::AllocateQuota { expected_version } => {
-                self.on_allocated(expected_version, answer)
+                self.on_allocated(expected_version, response)
             }
-            CallPurpose::QuotaTree => self.on_tree_written(&answer),
-            CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, answer),
+            CallPurpose::QuotaTree => self.on_tree_written(&response),
+            CallPurpose::FenceOff { jobs, shard } => self.on_fenced_off(jobs, shard, response),
             CallPurpose::AdmissionPlan => self.commits.admission.plan_in_flight = false,
             CallPurpose::NoFollowUp => {}
         }
--- a/src/controller/cancellation.rs
+++ b/src/controller/cancellation.rs
@@ -45,9 +45,9 @@
         &mut self,
         reply: ReplyId,
         job: JobId,
-        answer: StoreResponse,
+        response: StoreResponse,
     ) {
-        match answer {
+        match response {
             StoreResponse::Committed(_) => {
                 self.requests.cancellations.add(&job, reply, self.now);
                 self.finalize_cancelled(&job);
--- a/src/controller/commits/outcome.rs
+++ b/src/controller/commits/outcome.rs
@@ -15,10 +15,10 @@
         &mut self,
         id: JobId,
         changes: Vec<(u32, TaskChange)>,
-        answer: StoreResponse,
+        response: StoreResponse,
     ) {
         self.commits.backlog.in_flight -= 1;
-        match answer {
+        match response {
             StoreResponse::Committed(_) => self.on_committed(&id, changes),
             StoreResponse::Conflict(revision) => {
                 tracing::debug!(job = %id, "transaction conflict, waiting for the current records");
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -28,15 +28,15 @@
     Store {
         /// The tag of the call.
         tag: u64,
-        /// The store's answer, or that there was none.
-        answer: StoreResponse,
+        /// The store's response, or that there was none.
+        response: StoreResponse,
     },
     /// The cloud answered a call.
     Cloud {
         /// The tag of the call.
         tag: u64,
-        /// The cloud's answer, or that there was none.
-        answer: CloudResponse,
+        /// The cloud's response, or that there was none.
+        response: CloudResponse,
     },
     /// Another controller sent a message.
     Peer {
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -178,8 +178,8 @@
     }
 
     /// Handles the answer to a request for a lease, sent at `sent_at`.
-    pub(super) fn on_lease_granted(&mut self, sent_at: Millis, answer: StoreResponse) {
-        match answer {
+    pub(super) fn on_lease_granted(&mut self, sent_at: Millis, response: StoreResponse) {
+        match response {
             StoreResponse::Granted(lease_id) => {
                 let lease = self.settings.operator.lease;
                 self.membership.record_lease(lease_id, sent_at, lease);
@@ -189,9 +189,9 @@
     }
 
     /// Handles the answer to a renewal, sent at `sent_at`.
-    pub(super) fn on_lease_renewed(&mut self, sent_at: Millis, answer: StoreResponse) {
+    pub(super) fn on_lease_renewed(&mut self, sent_at: Millis, response: StoreResponse) {
         self.membership.finish(MembershipStep::Renew);
-        match (answer, self.membership.leases.own) {
+        match (response, self.membership.leases.own) {
             (StoreResponse::Renewed, OwnLease::Held { lease_id, .. }) => {
                 let lease = self.settings.operator.lease;
                 self.membership.record_lease(lease_id, sent_at, lease);
@@ -206,28 +206,28 @@
     }
 
     /// Handles the answer to ending the lease of the previous process.
-    pub(super) fn on_old_lease_ended(&mut self, answer: &StoreResponse) {
+    pub(super) fn on_old_lease_ended(&mut self, response: &StoreResponse) {
         self.membership.finish(MembershipStep::EndOldLease);
-        if matches!(answer, StoreResponse::Revoked) {
+        if matches!(response, StoreResponse::Revoked) {
             self.membership.old_lease_ended = true;
         }
     }
 
     /// Handles the answer to writing this controller's record.
-    pub(super) fn on_registered(&mut self, answer: &StoreResponse) {
+    pub(super) fn on_registered(&mut self, response: &StoreResponse) {
         self.membership.finish(MembershipStep::Register);
-        self.lose_lease_if_ended(answer);
+        self.lose_lease_if_ended(response);
     }
 
     /// Handles the answer to taking the leadership.
-    pub(super) fn on_leadership_written(&mut self, answer: &StoreResponse) {
+    pub(super) fn on_leadership_written(&mut self, response: &StoreResponse) {
         self.membership.finish(MembershipStep::Lead);
-        self.lose_lease_if_ended(answer);
+        self.lose_lease_if_ended(response);
     }
 
     /// Records the loss of this controller's lease if the answer shows that it has ended.
-    fn lose_lease_if_ended(&mut self, answer: &StoreResponse) {
-        if matches!(answer, StoreResponse::LeaseExpired) {
+    fn lose_lease_if_ended(&mut self, response: &StoreResponse) {
+        if matches!(response, StoreResponse::LeaseExpired) {
             self.membership.leases.drop_own_lease(&self.me);
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -128,8 +128,8 @@
         self.now = self.now.max(now);
         match event {
             Event::Tick => self.on_tick(),
-            Event::Store { tag, answer } => self.on_store(tag, answer),
-            Event::Cloud { tag, answer } => self.on_cloud_response(tag, answer),
+            Event::Store { tag, response } => self.on_store(tag, response),
+            Event::Cloud { tag, response } => self.on_cloud_response(tag, response),
             Event::Peer { from, message } => self.on_peer_message(from, message),
             Event::Heartbeat { reply, heartbeat } => self.on_heartbeat(reply, heartbeat),
             Event::Submit { reply, submission } => self.on_submit(reply, submission),
--- a/src/controller/store_sync/read_barrier.rs
+++ b/src/controller/store_sync/read_barrier.rs
@@ -187,9 +187,9 @@
     }
 
     /// Handles the answer to a read of the store's revision.
-    pub(in crate::controller) fn on_revision(&mut self, answer: StoreResponse) {
+    pub(in crate::controller) fn on_revision(&mut self, response: StoreResponse) {
         let requested = self.store_sync.read_barrier.end_revision_read();
-        match answer {
+        match response {
             StoreResponse::Revision(revision) => {
                 for (requested_at, read) in requested {
                     self.resume_at_revision(revision, requested_at, read);
--- a/src/controller/store_sync/snapshot.rs
+++ b/src/controller/store_sync/snapshot.rs
@@ -26,8 +26,8 @@
     }
 
     /// Handles the answer to a page of the snapshot read.
-    pub(in crate::controller) fn on_snapshot(&mut self, answer: StoreResponse) {
-        match answer {
+    pub(in crate::controller) fn on_snapshot(&mut self, response: StoreResponse) {
+        match response {
             StoreResponse::Page {
                 entries,
                 more,
--- a/src/controller/store_sync/watch.rs
+++ b/src/controller/store_sync/watch.rs
@@ -30,9 +30,9 @@
     }
 
     /// Handles the answer to a watch and opens the next.
-    pub(in crate::controller) fn on_watch(&mut self, answer: StoreResponse) {
+    pub(in crate::controller) fn on_watch(&mut self, response: StoreResponse) {
         self.store_sync.in_flight = None;
-        match answer {
+        match response {
             StoreResponse::Updates { updates, revision } => self.on_updates(updates, revision),
             StoreResponse::Compacted => {
                 tracing::info!("watch revision compacted, reading a new snapshot");
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -134,10 +134,10 @@
     }
 
     /// Handles the store's answer to a submission.
-    pub(super) fn on_submitted(&mut self, id: JobId, answer: StoreResponse) {
+    pub(super) fn on_submitted(&mut self, id: JobId, response: StoreResponse) {
         let replies = self.requests.submitting.remove(&id).unwrap_or_default();
         for reply in replies {
-            match answer {
+            match response {
                 StoreResponse::Committed(_) => self.respond(reply, Response::Accepted(id.clone())),
                 // The job is known already: it was submitted to another controller, or by an
                 // earlier request to this one that was presumed lost.
@@ -149,7 +149,7 @@
                 _ => {
                     tracing::debug!(
                         job = %id,
-                        ?answer,
+                        answer = ?response,
                         "submission not confirmed, asking the user to retry"
                     );
                     self.respond(reply, Response::retry_soon());
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -64,10 +64,10 @@
             ended = inputs.server.join() => return Ok(ended??),
             _ = inputs.ticks.tick() => daemon.handle(Event::Tick),
             Some(StoreReply { tag, response }) = inputs.store.recv() => {
-                daemon.handle(Event::Store { tag, answer: response });
+                daemon.handle(Event::Store { tag, response });
             }
             Some(CloudReply { tag, response }) = inputs.cloud.recv() => {
-                daemon.handle(Event::Cloud { tag, answer: response });
+                daemon.handle(Event::Cloud { tag, response });
             }
             Some(PeerMessage { from, message }) = inputs.peers.recv() => {
                 daemon.handle(Event::Peer { from, message });
