--- a/crates/simulator/src/sim/metering.rs
+++ b/crates/simulator/src/sim/metering.rs
@@ -19,7 +19,7 @@
 pub(super) fn describe_event(event: &Event) -> (&'static str, usize) {
     match event {
         Event::Tick => ("tick", 0),
-        Event::Store { answer, .. } => (response_kind(answer), response_bytes(answer)),
+        Event::Store { response, .. } => (response_kind(response), response_bytes(response)),
         Event::Cloud { .. } => ("cloud answer", 0),
         Event::Peer { message, .. } => (peer_kind(message), bitcode::encode(message).len()),
         Event::Heartbeat { heartbeat, .. } => ("report", heartbeat_bytes(heartbeat)),
--- a/src/controller/commits/planned_write.rs
+++ b/src/controller/commits/planned_write.rs
@@ -1,4 +1,4 @@
-//! What one transaction for a job writes: its noted changes, as far as the records still allow
+//! What one transaction for a job writes: its pending changes, as far as the records still allow
 //! them.
 //!
 //! The records may change while changes wait in the backlog, so each change is checked again just
@@ -26,13 +26,13 @@
     pub(super) pages: BTreeMap<u32, Vec<Task>>,
     /// The changes that are written, by task.
     pub(super) changes: Vec<(u32, TaskChange)>,
-    /// Tasks whose noted change no longer fits the records.
+    /// Tasks whose pending change no longer fits the records.
     pub(super) stale: Vec<u32>,
-    /// How many placements were noted, by their outcome.
+    /// How many placements were pending, by their outcome.
     pub(super) placements: PlacementCounts,
 }
 
-/// Counts of the placements among a job's noted changes.
+/// Counts of the placements among a job's pending changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PlacementCounts {
     /// Placements that the transaction writes.
@@ -54,7 +54,7 @@
 impl PlannedWrite {
     /// Whether a page is part of this transaction, or can be added to it. `max_ops`: the number of
     /// operations that the store accepts in a transaction.
-    fn has_room_for(&self, page: u32, max_ops: usize) -> bool {
+    fn can_include_page(&self, page: u32, max_ops: usize) -> bool {
         let max_pages = MAX_PAGES.min(max_ops.saturating_sub(RESERVED_OPS));
         self.pages.contains_key(&page) || self.pages.len() < max_pages
     }
@@ -152,13 +152,13 @@
 }
 
 impl Controller {
-    /// Checks a job's noted changes against the records, in order of their tasks, until a
+    /// Checks a job's pending changes against the records, in order of their tasks, until a
     /// transaction is full.
     pub(super) fn plan_write(&self, job: &Job) -> PlannedWrite {
         let max_ops = self.settings.deployment.state.txn_ops;
         let mut planned = PlannedWrite::default();
         for (index, change) in &job.pending_changes {
-            if !planned.has_room_for(index / job.record.page_size, max_ops) {
+            if !planned.can_include_page(index / job.record.page_size, max_ops) {
                 break;
             }
             let is_placement = matches!(change, TaskChange::Place(_));
@@ -209,9 +209,9 @@
     /// the task.
     fn check_placement(&self, placement: &Placement) -> Option<AllowedChange> {
         let machine = self.machines.get(&placement.machine_id)?;
-        let has_room = machine.agent_epoch == placement.agent_epoch
+        let still_fits = machine.agent_epoch == placement.agent_epoch
             && Resources::default().fits_in(self.available(machine));
-        if !has_room {
+        if !still_fits {
             return None;
         }
         let held = self
